--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -25,15 +25,15 @@
 from pathlib import Path
 from typing import Any
 
-from tests.agreement.rig import AGREES, begin, fleet, knows, leads, says, spoiled, told
-from wickspread.agreement.frames import encode
-from wickspread.agreement.member import Post
-from wickspread.agreement.messages import Entry, HardState
-from wickspread.agreement.store import Store
-from wickspread.checking.fleets import World
-from wickspread.lab.capacity import Machine
-from wickspread.lab.checker import table
-from wickspread.lab.scene import Plan, Scene
+from sidecar_proxy.consensus.frames import encode
+from sidecar_proxy.consensus.messages import Entry, HardState
+from sidecar_proxy.consensus.replica import Post
+from sidecar_proxy.consensus.storage import Store
+from sidecar_proxy.model_checking.fleets import World
+from sidecar_proxy.testbed.capacity import Machine
+from sidecar_proxy.testbed.checker import table
+from sidecar_proxy.testbed.scenario import Plan, Scene
+from tests.consensus.rig import AGREES, begin, fleet, knows, leads, says, spoiled, told
 
 SEALED = 20  # bytes of a frame beside what is in it
 TABLE = AGREES.extra.replace("replace_s = 3.0", "replace_s = 60.0")
@@ -192,7 +192,7 @@
 
 
 def _word() -> Any:
-    from wickspread.agreement.words import Word
+    from sidecar_proxy.consensus.replicated_commands import Word
 
     return Word("set", "bench", "bench", 0, "a", 0, "b")
 
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -21,10 +21,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import Balancer
-from wickspread.recorder.recording import CutOff, Recording, RecordingError
-from wickspread.recorder.replay import steps
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.recorder.recording import CutOff, Recording, RecordingError
+from sidecar_proxy.recorder.replay import steps
 
 WAITED = 1 / 4  # of the aim: a late answer that spent more than that in the sidecar
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -19,8 +19,8 @@
 from pathlib import Path
 from typing import Any
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import Balancer
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import Balancer
 
 SIZES = (4, 16, 64, 256, 1000, 10_000)
 START_US = 1_000_000_000
--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -20,12 +20,12 @@
 
 import uvloop
 
-from wickspread.lab.capacity import Machine
-from wickspread.lab.checker import table
-from wickspread.lab.ledger import Received, now_us
-from wickspread.lab.nodes import Node
-from wickspread.lab.registry import Registry
-from wickspread.lab.scene import Plan, Scene
+from sidecar_proxy.testbed.capacity import Machine
+from sidecar_proxy.testbed.checker import table
+from sidecar_proxy.testbed.history import Received, now_us
+from sidecar_proxy.testbed.registry import Registry
+from sidecar_proxy.testbed.scenario import Plan, Scene
+from sidecar_proxy.testbed.upstreams import Node
 
 FAULTS = ("silent", "cut off", "behind", "gone", "compacted while away", "in the middle of a frame")
 TOGETHER = 4  # drains at a time, without a fault
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -13,17 +13,17 @@
 
 import uvloop
 
-from wickspread.daemon.config import options
-from wickspread.decisions.settings import parse_settings
-from wickspread.engine.collector import Collector
-from wickspread.engine.engine import Clock, Engine
-from wickspread.http1.upstream import Pool
-from wickspread.lab.capacity import Machine
-from wickspread.lab.checker import table
-from wickspread.lab.nodes import address_of
-from wickspread.lab.scene import Plan, Scene, settings
-from wickspread.roster.discovery import Discovery
-from wickspread.roster.listing import Directory
+from sidecar_proxy.balancer.settings import parse_settings
+from sidecar_proxy.config.platform_settings import options
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.platform_client import Discovery
+from sidecar_proxy.engine.engine import Clock, Engine
+from sidecar_proxy.engine.gc_control import Collector
+from sidecar_proxy.http1.upstream import Pool
+from sidecar_proxy.testbed.capacity import Machine
+from sidecar_proxy.testbed.checker import table
+from sidecar_proxy.testbed.scenario import Plan, Scene, settings
+from sidecar_proxy.testbed.upstreams import address_of
 
 
 async def connections(plan: Plan) -> None:
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -25,11 +25,11 @@
 
 import uvloop
 
-from wickspread.lab.capacity import Machine
-from wickspread.lab.checker import table
-from wickspread.lab.clients import Manners
-from wickspread.lab.ledger import Answered, Asked, Received, now_us
-from wickspread.lab.scene import Plan, Scene
+from sidecar_proxy.testbed.capacity import Machine
+from sidecar_proxy.testbed.checker import table
+from sidecar_proxy.testbed.clients import Manners
+from sidecar_proxy.testbed.history import Answered, Asked, Received, now_us
+from sidecar_proxy.testbed.scenario import Plan, Scene
 
 
 def told(path: str) -> dict[str, Any]:
@@ -57,7 +57,7 @@
     async with Scene(plan) as scene:
         speaker = None
         if name == "liar":
-            from wickspread.lab.gossip import Liar
+            from sidecar_proxy.testbed.gossip import Liar
 
             assert scene.keys is not None
             names = [node.name for node in scene.nodes[1:]]
--- a/benchmarks/gossip_fuzz.py
+++ b/benchmarks/gossip_fuzz.py
@@ -15,10 +15,10 @@
 import traceback
 from pathlib import Path
 
-from wickspread.gossip import codec
-from wickspread.gossip.codec import Accusation, Ack, Ask, Bulletin, Count, Nack, News, Ping, Statement
-from wickspread.gossip.keys import Keyring, Refused
-from wickspread.lab.flock import Fleet, Member
+from sidecar_proxy.gossip import codec
+from sidecar_proxy.gossip.codec import Accusation, Ack, Ask, Bulletin, Count, Nack, News, Ping, Statement
+from sidecar_proxy.gossip.keys import Keyring, Refused
+from sidecar_proxy.testbed.client_fleet import Fleet, Member
 
 SLOW_S = 0.5  # one input may take no longer, on a machine that is busy
 MOST_RUMOURS = 64
--- a/benchmarks/gossip_parts.py
+++ b/benchmarks/gossip_parts.py
@@ -18,12 +18,12 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 from nacl.signing import SigningKey
 
-from wickspread.decisions.interface import Outcome
-from wickspread.gossip import codec
-from wickspread.gossip.codec import Bulletin, Count, News
-from wickspread.gossip.evidence import Combiner
-from wickspread.gossip.instance import Instance
-from wickspread.gossip.keys import Budget, Keyring, certify
+from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.gossip import codec
+from sidecar_proxy.gossip.codec import Bulletin, Count, News
+from sidecar_proxy.gossip.instance import Instance
+from sidecar_proxy.gossip.keys import Budget, Keyring, certify
+from sidecar_proxy.gossip.outlier_reports import Combiner
 
 WALL_US = 1_796_000_000_000_000
 FIELDS = Count.__struct_fields__
--- a/benchmarks/gossip_scale.py
+++ b/benchmarks/gossip_scale.py
@@ -14,8 +14,8 @@
 import sys
 import time
 
-from wickspread.decisions.interface import Outcome
-from wickspread.lab.flock import Fleet
+from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.testbed.client_fleet import Fleet
 
 SITES = 5
 
--- a/benchmarks/grpc.py
+++ b/benchmarks/grpc.py
@@ -15,16 +15,16 @@
 import tempfile
 from typing import Any
 
-from wickspread.decisions import interface as api
-from wickspread.grpc.message import framed
-from wickspread.http2.connection import DataReceived, Event, Limits
-from wickspread.http2.guard import Rates
-from wickspread.lab import http1, http2
-from wickspread.lab.clients import Load
-from wickspread.lab.ledger import Ledger
-from wickspread.lab.process import SidecarProcess
-from wickspread.lab.roster import Roster
-from wickspread.lab.scene import Plan, settings
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.http2.connection import DataReceived, Event, Limits
+from sidecar_proxy.http2.guard import Rates
+from sidecar_proxy.testbed import http1, http2
+from sidecar_proxy.testbed.clients import Load
+from sidecar_proxy.testbed.history import Ledger
+from sidecar_proxy.testbed.platform_discovery import Roster
+from sidecar_proxy.testbed.process import SidecarProcess
+from sidecar_proxy.testbed.scenario import Plan, settings
 
 NODES = 16
 IN_FLIGHT = 32
@@ -188,7 +188,7 @@
                                                    stdout=asyncio.subprocess.PIPE)
     with tempfile.TemporaryDirectory() as folder:
         forms = [SidecarProcess(name, config, folder, OPERATOR) for name in ("compiled", "sources")]
-        forms[1].env = {"WICKSPREAD_PURE": "1"}
+        forms[1].env = {"SIDECAR_PROXY_PURE": "1"}
         try:
             for one in forms:
                 await one.start()
@@ -223,12 +223,12 @@
 
 async def child() -> None:
     """A sidecar's gRPC side whose decisions send everything on at once, for the memory."""
-    from wickspread.engine.engine import Clock, Engine
-    from wickspread.engine.seams import Host
-    from wickspread.grpc.start import start
-    from wickspread.http1.server import Server
-    from wickspread.http1.upstream import Pool
-    from wickspread.operator.schema import Grpc
+    from sidecar_proxy.config.schema import Grpc
+    from sidecar_proxy.engine.engine import Clock, Engine
+    from sidecar_proxy.engine.interfaces import Host
+    from sidecar_proxy.grpc.subsystem import start
+    from sidecar_proxy.http1.server import Server
+    from sidecar_proxy.http1.upstream import Pool
 
     class Quiet:
         def subscribe(self, active: bool) -> None: ...
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -13,8 +13,8 @@
 import argparse
 from collections import Counter
 
-from wickspread.emulator.fleet import START_US
-from wickspread.emulator.scenes import CROWDED, SCENES, plan
+from sidecar_proxy.emulator.fleet import START_US
+from sidecar_proxy.emulator.scenarios import CROWDED, SCENES, plan
 
 
 def main() -> None:
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -21,10 +21,10 @@
 import uvloop
 
 from benchmarks.decisions import settings
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Clock, Engine
-from wickspread.http1.upstream import Pool
-from wickspread.roster.listing import Directory
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.engine.engine import Clock, Engine
+from sidecar_proxy.http1.upstream import Pool
 
 
 def value(number: int, health: str) -> bytes:
@@ -34,7 +34,7 @@
 
 def stand_in(pipe: Connection, nodes: int) -> None:
     """Serves, and commits what the pipe asks for; answers with the time just before."""
-    from wickspread.lab.etcd import cluster  # not in the process that is measured
+    from sidecar_proxy.testbed.etcd import cluster  # not in the process that is measured
 
     async def serve() -> None:
         store, members = cluster(2)
@@ -77,8 +77,8 @@
     directory = Directory(told)
     engine = Engine(told, 1, clock, Pool(0.2, 5.0, 104), Quiet())
     before = memory_mb()
-    from wickspread.membership.start import Sources
-    from wickspread.operator.schema import Etcd, Membership
+    from sidecar_proxy.config.schema import Etcd, Membership
+    from sidecar_proxy.discovery.subsystem import Sources
     sources = Sources(Membership(Etcd(tuple(addresses), "/n/")), engine, directory, 1)
     found: dict[str, Any] = {"memory of the libraries, MB": round(memory_mb() - before, 1)}
     began = time.monotonic()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -21,14 +21,14 @@
 
 import uvloop
 
-from wickspread.lab.capacity import Machine
-from wickspread.lab.checker import REFUSED
-from wickspread.lab.clients import Manners
-from wickspread.lab.gossip import Braggart
-from wickspread.lab.invariants import overspent
-from wickspread.lab.ledger import Answered, Asked, Fell, Ledger, Started, now_us
-from wickspread.lab.scene import LOADS, Plan, Scene, machine_of
-from wickspread.lab.script import Fault
+from sidecar_proxy.testbed.capacity import Machine
+from sidecar_proxy.testbed.checker import REFUSED
+from sidecar_proxy.testbed.clients import Manners
+from sidecar_proxy.testbed.fault_schedule import Fault
+from sidecar_proxy.testbed.gossip import Braggart
+from sidecar_proxy.testbed.history import Answered, Asked, Fell, Ledger, Started, now_us
+from sidecar_proxy.testbed.invariants import overspent
+from sidecar_proxy.testbed.scenario import LOADS, Plan, Scene, machine_of
 
 ON = "[overload]\nenabled = true\ntrace = true\n"
 AWAY_S = 8.0
--- a/benchmarks/reconnect.py
+++ b/benchmarks/reconnect.py
@@ -14,8 +14,8 @@
 import sys
 from collections import Counter
 
-from wickspread.membership.etcd import api_pb2 as pb
-from wickspread.membership.etcd.follower import Action, Ask, Dial, Follower, Watch
+from sidecar_proxy.discovery.etcd import api_pb2 as pb
+from sidecar_proxy.discovery.etcd.follower import Action, Ask, Dial, Follower, Watch
 
 TRIP_US = 1000
 ENDPOINTS = 3
--- a/benchmarks/same.py
+++ b/benchmarks/same.py
@@ -17,9 +17,9 @@
 import time
 from pathlib import Path
 
-from wickspread import compiled
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import Balancer
+from sidecar_proxy import compiled
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import Balancer
 
 ROOT = Path(__file__).resolve().parent.parent
 START_US = 1_000_000_000_000
@@ -124,7 +124,7 @@
         command = [sys.executable, "-m", "benchmarks.same", "--here",
                    "--events", str(found.events), "--seed", str(found.seed)]
         done = subprocess.run(command, cwd=ROOT, check=True, capture_output=True, text=True,
-                              env=os.environ | {"WICKSPREAD_PURE": pure})
+                              env=os.environ | {"SIDECAR_PROXY_PURE": pure})
         said.append(done.stdout.split())
         print(f"{said[-1][1]:>9}: {said[-1][0]}, {found.events} events, seed {found.seed}, "
               f"{time.monotonic() - began:.0f} s", flush=True)
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -24,13 +24,13 @@
 
 import uvloop
 
-from wickspread import compiled
-from wickspread.lab.http1 import ClientPeer, Request, ServerPeer
-from wickspread.lab.ledger import Ledger
-from wickspread.lab.nodes import address_of
-from wickspread.lab.process import ROOT, SidecarProcess
-from wickspread.lab.roster import Roster
-from wickspread.lab.scene import LOADS, Plan, settings
+from sidecar_proxy import compiled
+from sidecar_proxy.testbed.history import Ledger
+from sidecar_proxy.testbed.http1 import ClientPeer, Request, ServerPeer
+from sidecar_proxy.testbed.platform_discovery import Roster
+from sidecar_proxy.testbed.process import ROOT, SidecarProcess
+from sidecar_proxy.testbed.scenario import LOADS, Plan, settings
+from sidecar_proxy.testbed.upstreams import address_of
 
 CLIENTS = 8
 ROUNDS = 5
@@ -134,11 +134,11 @@
                   "known": roster.known(), "settings": settings(plan, 0)}
         module = ["-m", "cProfile", "-o", profile, "-m"] if profile else ["-m"]
         under_test = [Process("passthrough", config, folder, ["-m", "benchmarks.passthrough", "CONFIG"]),
-                      Process("compiled", config, folder, ["-B", *module, "wickspread.daemon"]),
-                      Process("sources", config, folder, ["-B", "-m", "wickspread.daemon"])]
-        under_test[2].env = {"WICKSPREAD_PURE": "1"}
+                      Process("compiled", config, folder, ["-B", *module, "sidecar_proxy.daemon"]),
+                      Process("sources", config, folder, ["-B", "-m", "sidecar_proxy.daemon"])]
+        under_test[2].env = {"SIDECAR_PROXY_PURE": "1"}
         if recorder:
-            under_test.append(Process("recorded", config, folder, ["-B", "-m", "wickspread.daemon"]))
+            under_test.append(Process("recorded", config, folder, ["-B", "-m", "sidecar_proxy.daemon"]))
             under_test[3].operator = "[recorder]\nenabled = true\n"
         costs: dict[str, list[float]] = {one.name: [] for one in under_test}
         statuses: Counter[int] = Counter()
@@ -168,7 +168,7 @@
 
 
 async def main(arguments: argparse.Namespace) -> None:
-    print(f"this Python runs wickspread {compiled.state}")
+    print(f"this Python runs sidecar_proxy {compiled.state}")
     print(f"{'upstreams':>10} {'pass-through us':>16} {'sources us':>11} {'times':>6} "
           f"{'compiled us':>12} {'times':>6}  statuses")
     for size in map(int, arguments.sizes.split(",")):
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -12,7 +12,7 @@
 from collections import defaultdict
 from collections.abc import Iterable
 
-from wickspread.decisions.subset import Subset
+from sidecar_proxy.balancer.subsetting import Subset
 
 SIDECARS, UPSTREAMS, MOST = 300, 10_000, 104
 Load = defaultdict[int, float]
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -3,7 +3,7 @@
     python -m benchmarks.startup [--rounds 15]
 
 CPU time too, as a machine that is busy says little by the clock. What is imported, one by one:
-`.venv/bin/python -X importtime -c "import wickspread.daemon.__main__"`.
+`.venv/bin/python -X importtime -c "import sidecar_proxy.daemon.__main__"`.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 import uvloop
 
-from wickspread.lab.ledger import Ledger
-from wickspread.lab.process import SidecarProcess
-from wickspread.lab.roster import Roster
-from wickspread.lab.scene import Plan, settings
+from sidecar_proxy.testbed.history import Ledger
+from sidecar_proxy.testbed.platform_discovery import Roster
+from sidecar_proxy.testbed.process import SidecarProcess
+from sidecar_proxy.testbed.scenario import Plan, settings
 
 
 async def main(rounds: int) -> None:
@@ -32,7 +32,7 @@
         for _ in range(rounds):
             for name, costs in found.items():
                 one = SidecarProcess(name, config, folder)
-                one.env = {"WICKSPREAD_PURE": "1" if name == "sources" else "0"}
+                one.env = {"SIDECAR_PROXY_PURE": "1" if name == "sources" else "0"}
                 began = time.monotonic()
                 await one.start()
                 waited = time.monotonic() - began
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -13,8 +13,8 @@
 import random
 from dataclasses import dataclass, field
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import Balancer
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import Balancer
 
 NODES, ILL, SLOW = range(15), (0, 1, 2), (3, 4)
 AIM_US, DEADLINE_US = 300_000, 1_200_000
--- a/deploy/build.py
+++ b/deploy/build.py
@@ -30,11 +30,11 @@
     told = tomllib.loads((ROOT / "pyproject.toml").read_text())
     python = environment(ROOT / ".venv", told["project"]["optional-dependencies"]["sidecar"])
     # hazard: `run` writes no byte code; compiled anew at each start, it is away longer at a restart
-    subprocess.run([python, "-m", "compileall", "-q", ROOT / "wickspread"], check=False)
+    subprocess.run([python, "-m", "compileall", "-q", ROOT / "sidecar_proxy"], check=False)
     script = ROOT / "deploy" / "compiled.py"
     if subprocess.run([python, script, "--made"], stdout=subprocess.DEVNULL).returncode != 0:
         try:
-            python = environment(ROOT / ".venv-build", told["tool"]["wickspread"]["compiled"]["build"])
+            python = environment(ROOT / ".venv-build", told["tool"]["sidecar_proxy"]["compiled"]["build"])
         except (OSError, subprocess.SubprocessError) as error:
             print(f"not compiled, runs from its sources: no environment for the compiler: {error}")
             return
--- a/deploy/compiled.py
+++ b/deploy/compiled.py
@@ -1,4 +1,4 @@
-"""Compiles the modules that pyproject.toml lists, for wickspread/compiled.py. docs/design/compiled.md.
+"""Compiles the modules that pyproject.toml lists, for sidecar_proxy/compiled.py. docs/design/compiled.md.
 
     python deploy/compiled.py             # in an environment with the pinned compiler
     python deploy/compiled.py --made      # only says whether it is there
@@ -26,7 +26,7 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-GROUP = "wickspread"  # the library that holds the code of all is called GROUP__mypyc
+GROUP = "sidecar_proxy"  # the library that holds the code of all is called GROUP__mypyc
 OPTIMIZE = "-O2"  # -O3 takes half as long again to compile, and gains nothing that was measured
 MOST_S = 900.0  # for one C file
 
@@ -37,15 +37,15 @@
 
 def listed(root: Path) -> tuple[list[str], str]:
     """The sources, from `root`, and the compiler's pin."""
-    found = tomllib.loads((root / "pyproject.toml").read_text())["tool"]["wickspread"]["compiled"]
+    found = tomllib.loads((root / "pyproject.toml").read_text())["tool"]["sidecar_proxy"]["compiled"]
     return list(found["modules"]), str(found["compiler"])
 
 
 def loader(root: Path) -> ModuleType:
-    """wickspread/compiled.py by itself: the package would look for what is to be made here."""
+    """sidecar_proxy/compiled.py by itself: the package would look for what is to be made here."""
     from importlib.util import module_from_spec, spec_from_file_location
 
-    spec = spec_from_file_location("wickspread_compiled", root / "wickspread" / "compiled.py")
+    spec = spec_from_file_location("sidecar_proxy_compiled", root / "sidecar_proxy" / "compiled.py")
     assert spec is not None and spec.loader is not None
     module = module_from_spec(spec)
     spec.loader.exec_module(module)
@@ -136,7 +136,7 @@
         key = str(known.key_of(root, modules, compiler))
     except OSError as error:
         raise Failed(f"{error.strerror}: {error.filename}") from error
-    folder = (out or root / "wickspread") / known.FOLDER
+    folder = (out or root / "sidecar_proxy") / known.FOLDER
     target = folder / key
     with contextlib.suppress(known.Unusable):
         known.look(target, root)
--- a/setup.py
+++ b/setup.py
@@ -18,7 +18,7 @@
         if self.editable_mode:  # its sources are edited: deploy/build.py compiles them
             return
         try:
-            print("compiled:", compiled.make(HERE, Path(self.build_lib) / "wickspread"))
+            print("compiled:", compiled.make(HERE, Path(self.build_lib) / "sidecar_proxy"))
         except compiled.Failed as error:
             print("not compiled, the wheel runs from its sources:", error)
 
--- a/wickspread/__main__.py
+++ b/sidecar_proxy/__main__.py
@@ -1,4 +1,4 @@
-"""The command line: `python3 -m wickspread COMMAND`. Needs nothing but Python: it builds what is missing."""
+"""The command line: `python3 -m sidecar_proxy COMMAND`. Builds its libraries if they are missing."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-USAGE = """usage: python3 -m wickspread COMMAND
+USAGE = """usage: python3 -m sidecar_proxy COMMAND
 
   lab [--help]     play traffic and faults against a stand-in fleet and a real sidecar; half a minute
   check FILE       read a ledger that `lab --ledger` wrote, for the four rules
@@ -33,20 +33,21 @@
     except ImportError:
         pass
     build = ROOT / "deploy" / "build.py"
-    if os.environ.get("WICKSPREAD_BUILT") or not build.exists():
-        sys.exit("wickspread: the libraries of the sidecar are missing: pip install 'wickspread[sidecar]'")
+    if os.environ.get("SIDECAR_PROXY_BUILT") or not build.exists():
+        sys.exit("sidecar_proxy: libraries of the sidecar are missing: pip install 'rosetrestle[sidecar]'")
     print("building .venv with the two pinned libraries ...", flush=True)
     if subprocess.run([sys.executable, str(build)], check=False).returncode != 0:
-        sys.exit("wickspread: deploy/build.py failed; it wants a package index within reach")
+        sys.exit("sidecar_proxy: deploy/build.py failed; it wants a package index within reach")
     python = ROOT / ".venv" / "bin" / "python"
-    os.environ["WICKSPREAD_BUILT"] = "1"
-    os.execv(python, [str(python), "-m", "wickspread", *sys.argv[1:]])
+    os.environ["SIDECAR_PROXY_BUILT"] = "1"
+    os.execv(python, [str(python), "-m", "sidecar_proxy", *sys.argv[1:]])
 
 
 def check_file(arguments: list[str]) -> int:
-    from wickspread.lab import ledger, show
-    from wickspread.lab.checker import check, table
-    from wickspread.lab.scene import Plan, bounds
+    from sidecar_proxy.testbed import demo as show
+    from sidecar_proxy.testbed import history as ledger
+    from sidecar_proxy.testbed.checker import check, table
+    from sidecar_proxy.testbed.scenario import Plan, bounds
 
     if len(arguments) != 1:
         print(USAGE, file=sys.stderr, end="")
@@ -55,7 +56,7 @@
         with open(arguments[0]) as file:
             records = ledger.read(file)
     except (OSError, UnicodeDecodeError, ledger.LedgerError) as error:
-        print(f"wickspread: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 2
     show.print_table(table(records), sys.stdout)
     breaches = check(records, bounds(Plan()))
@@ -67,41 +68,41 @@
     command, *arguments = sys.argv[1:] or [""]
     if command == "lab":
         enter_built()
-        from wickspread.lab import show
+        from sidecar_proxy.testbed import demo as show
 
         return show.main(arguments)
     if command == "campaign":
         enter_built()
-        from wickspread.lab import campaign
+        from sidecar_proxy.testbed import campaign
 
         return campaign.main(arguments)
     if command == "check":
         return check_file(arguments)
     if command == "members":
-        from wickspread.membership import show as members
+        from sidecar_proxy.cli import members
 
         return members.main(arguments)
     if command == "gossip":
-        from wickspread.gossip import command as gossip
+        from sidecar_proxy.cli import gossip
 
         return gossip.main(arguments)
     if command == "fleet":
-        from wickspread.agreement import command as fleet
+        from sidecar_proxy.cli import fleet
 
         return fleet.main(arguments)
     if command == "config":
         enter_built()
-        from wickspread.operator import command as config
+        from sidecar_proxy.cli import config
 
         return config.main(arguments)
     if command in ("replay", "why"):
         enter_built()
-        from wickspread.recorder import command as recorder
+        from sidecar_proxy.cli import recorder
 
         return recorder.main(command, arguments)
     if command == "run":
         enter_built()
-        from wickspread.daemon.__main__ import main as run
+        from sidecar_proxy.daemon.__main__ import main as run
 
         return run()
     print(USAGE, file=sys.stderr if command not in ("-h", "--help") else sys.stdout, end="")
--- a/wickspread/operations/hand.py
+++ b/sidecar_proxy/admin/commands.py
@@ -5,15 +5,15 @@
 import logging
 from typing import Protocol
 
-from wickspread.engine.engine import Engine
-from wickspread.operations.door import Call, CallError
-from wickspread.operations.handover import Handover
-from wickspread.operations.holding import ALWAYS, Holding
-from wickspread.operations.memory import Memory
-from wickspread.operations.suspended import Suspended, Unknown
-from wickspread.roster.listing import Directory
-
-log = logging.getLogger("wickspread")
+from sidecar_proxy.admin.endpoint_overrides import ALWAYS, Holding
+from sidecar_proxy.admin.hot_restart import Handover
+from sidecar_proxy.admin.server import Call, CallError
+from sidecar_proxy.admin.suspensions import Suspended, Unknown
+from sidecar_proxy.admin.warm_start import Memory
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.engine.engine import Engine
+
+log = logging.getLogger("sidecar_proxy")
 
 LOOK_S = 0.1  # at what another process of this sidecar has written
 
--- a/wickspread/operations/holding.py
+++ b/sidecar_proxy/admin/endpoint_overrides.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Mapping
 from dataclasses import replace
 
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Engine
-from wickspread.engine.seams import Host
-from wickspread.roster.listing import Directory
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.engine.interfaces import Host
 
 ALWAYS = 1 << 62  # us: held whatever its start
 
--- a/wickspread/operations/handover.py
+++ b/sidecar_proxy/admin/hot_restart.py
@@ -15,11 +15,11 @@
 from collections.abc import Mapping
 from pathlib import Path
 
-from wickspread.operations.suspended import MOST_NAME, MOST_SUSPENDED
+from sidecar_proxy.admin.suspensions import MOST_NAME, MOST_SUSPENDED
 
-log = logging.getLogger("wickspread")
+log = logging.getLogger("sidecar_proxy")
 
-FOLDER = "wickspread"
+FOLDER = "wickspread"  # stored name: a process of an earlier version looks for it
 REMEMBERED = "remembered"
 SERVING, NEXT = "serving", "next"  # locked by the process that serves, and by its successor
 PART = ".part"
--- a/wickspread/operations/door.py
+++ b/sidecar_proxy/admin/server.py
@@ -11,9 +11,9 @@
 from collections.abc import Awaitable, Callable, Mapping
 from typing import cast
 
-from wickspread.engine.address import Address
+from sidecar_proxy.engine.address import Address
 
-log = logging.getLogger("wickspread")
+log = logging.getLogger("sidecar_proxy")
 
 MOST_LINE = 1024  # bytes
 MOST_CALLERS = 24  # together; the one that has been silent for longest makes room
--- a/wickspread/operations/memory.py
+++ b/sidecar_proxy/admin/warm_start.py
@@ -5,12 +5,12 @@
 import asyncio
 import logging
 
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Engine
-from wickspread.operations.handover import Handover
-from wickspread.roster.listing import Directory
+from sidecar_proxy.admin.hot_restart import Handover
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.engine.engine import Engine
 
-log = logging.getLogger("wickspread")
+log = logging.getLogger("sidecar_proxy")
 
 LEAVE_S = 0.4  # between two of this process's, while a successor is there
 FRESH_S = 1.0  # what a process that still serves has left is no older
@@ -37,13 +37,13 @@
             return
         self.next_at = now + LEAVE_S
         # hazard: the library takes memory, so it is imported at an upgrade alone
-        from wickspread.operations.remembered import encode
+        from sidecar_proxy.admin.warm_start_codec import encode
         self.handover.leave(encode(self.engine.balancer.learnt(), self.engine.clock.now_us(), self.classes,
                                    self.directory.names, self.started_us()))
 
     async def take_over(self) -> None:
         """Tell the decisions what the process that serves now has learnt, if it leaves it soon."""
-        from wickspread.operations.remembered import MOST_BYTES, Distrusted, believe, decode
+        from sidecar_proxy.admin.warm_start_codec import MOST_BYTES, Distrusted, believe, decode
         end = self.engine.loop.time() + WAIT_S
         found = self.handover.left(MOST_BYTES)
         while self.engine.loop.time() < end and (
--- a/wickspread/operations/remembered.py
+++ b/sidecar_proxy/admin/warm_start_codec.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from wickspread.decisions import interface as api
+from sidecar_proxy.balancer import events as api
 
 MAGIC = b"wickspread-remembered 1 "  # the number is that of the form; another one is not read
 MOST_BYTES = 1 << 20
--- a/wickspread/decisions/balance.py
+++ b/sidecar_proxy/balancer/balancer.py
@@ -1,4 +1,4 @@
-"""All decisions of the balancer. Its interface, types, events and actions: wickspread/decisions/interface.py.
+"""All decisions of the balancer. Its interface, types, events and actions: sidecar_proxy/balancer/events.py.
 
 Everything is slots (docs/design.md): a request takes a free slot of a random upstream, waits in the
 ONE buffer when none is free, is refused when the buffer is taken, and is reissued through a slot.
@@ -11,10 +11,10 @@
 from dataclasses import replace
 from functools import partial
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.bucket import Bucket
-from wickspread.decisions.fleet import FEW, FULL_LOAD, FULL_SHARED, MOST_SLOTS, Fleet, Server, Slots
-from wickspread.decisions.subset import Subset
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.endpoint_pool import FEW, FULL_LOAD, FULL_SHARED, MOST_SLOTS, Fleet, Server, Slots
+from sidecar_proxy.balancer.subsetting import Subset
+from sidecar_proxy.balancer.token_bucket import Bucket
 
 MOST_AT_FIRST = 8.0  # first slots an upstream, all sidecars together: what a few cores serve within an aim
 LEAST_IN_ALL = 2.0  # first slots of one sidecar at all upstreams: 3 refuse 1 in 100 less where hundreds share
--- a/wickspread/decisions/fleet.py
+++ b/sidecar_proxy/balancer/endpoint_pool.py
@@ -9,9 +9,9 @@
 import random
 from itertools import islice
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.shelf import Seat, Shelf, Sorted
-from wickspread.decisions.subset import place_of
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.ordered_index import Seat, Shelf, Sorted
+from sidecar_proxy.balancer.subsetting import place_of
 
 GROWTH = 0.4  # slots a round of answers moves, by the distance from the full load; 0.8 is too rash
 FULL_LOAD = 0.7  # of the slow time, where slots settle: more lets crowded upstreams choke, less refuses early
--- a/wickspread/decisions/settings.py
+++ b/sidecar_proxy/balancer/settings.py
@@ -6,7 +6,7 @@
 import json
 import math
 
-from wickspread.decisions import interface as api
+from sidecar_proxy.balancer import events as api
 
 # Load report values: the wire's names and ours; a name not known here is kept as it is.
 REPORT_NAMES = {"rif": "in_flight", "q": "queued", "busy": "utilization", "lat_ms": "latency_ms",
--- a/wickspread/decisions/subset.py
+++ b/sidecar_proxy/balancer/subsetting.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Callable, Iterable
 
-from wickspread.decisions.shelf import Sorted
+from sidecar_proxy.balancer.ordered_index import Sorted
 
 LEAST = 12  # upstreams: below, one that fails or drains is felt
 HEADROOM = 2  # upstreams for each request that is out at the busiest
--- /dev/null
+++ b/sidecar_proxy/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line: one module for each group of commands."""
--- a/wickspread/operator/command.py
+++ b/sidecar_proxy/cli/config.py
@@ -1,4 +1,4 @@
-"""`python3 -m wickspread config …`: an operator file checked and shown, and the page of all its keys."""
+"""`python3 -m sidecar_proxy config …`: an operator file checked and shown, and the page of all its keys."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 import msgspec
 
-from wickspread.operator.error import OperatorError
-from wickspread.operator.kinds import Kind, whole
-from wickspread.operator.reading import load_file
-from wickspread.operator.schema import Operator
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.field_types import Kind, whole
+from sidecar_proxy.config.reader import load_file
+from sidecar_proxy.config.schema import Operator
 
 ABOUT = """# The operator file
 
-TOML, named by `WICKSPREAD_OPERATOR`; without it all below is off. Unknown keys, wrong types and impossible
-values end the start with one line that names the key, and exit 2. `python3 -m wickspread config check FILE`
-says the same before. This page is what `python3 -m wickspread config reference` prints.
+TOML, named by `SIDECAR_PROXY_OPERATOR`; without it all below is off. Unknown keys, wrong types and impossible
+values end the start with one line that names the key, and exit 2.
+`python3 -m sidecar_proxy config check FILE` says the same before. This page is what `python3 -m sidecar_proxy config reference` prints.
 """
 
 
@@ -73,7 +73,7 @@
 
 def main(arguments: list[str]) -> int:
     """0; 2 for a file that can't be used."""
-    parser = argparse.ArgumentParser(prog="python3 -m wickspread config", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy config", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
     for name, text in (("check", "say what is wrong with a file, if anything is"),
                        ("show", "every key as it holds with a file")):
@@ -91,7 +91,7 @@
         if told.json:
             print(json.dumps({"good": False, "error": str(error)}))
         else:
-            print(f"wickspread: {error}", file=sys.stderr)
+            print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 2
     if told.command == "show":
         print(msgspec.json.encode(operator).decode() if told.json else show(operator).rstrip("\n"))
--- a/wickspread/agreement/command.py
+++ b/sidecar_proxy/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`python3 -m wickspread fleet …`: the fleet is begun, told words that hold for all, and looked at, by the
+"""`python3 -m sidecar_proxy fleet …`: the fleet is begun, told words that hold for all, and looked at, by the
 door of any of its sidecars.
 
 Exit: 0 done; 1 an error; 2 a wrong call; 3 unknown (say it again with the same --id); 4 no quorum, nothing
@@ -134,7 +134,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python3 -m wickspread fleet", description=__doc__,
+    parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy fleet", description=__doc__,
                                      formatter_class=argparse.RawDescriptionHelpFormatter)
     commands = parser.add_subparsers(dest="command", required=True)
 
@@ -161,5 +161,5 @@
     try:
         return int(told.run(told))
     except (OSError, ValueError) as error:
-        print(f"wickspread: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 1
--- a/wickspread/gossip/command.py
+++ b/sidecar_proxy/cli/gossip.py
@@ -1,4 +1,4 @@
-"""`python3 -m wickspread gossip …`: keys, certificates, who is turned off, and what a sidecar knows."""
+"""`python3 -m sidecar_proxy gossip …`: keys, certificates, who is turned off, and what a sidecar knows."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from nacl.signing import SigningKey
 
-from wickspread.gossip import codec, files
-from wickspread.gossip.keys import certify
+from sidecar_proxy.gossip import codec, files
+from sidecar_proxy.gossip.keys import certify
 
 TIMEOUT_S = 10.0
 DAY_S = 86_400
@@ -75,7 +75,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python3 -m wickspread gossip", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy gossip", description=__doc__)
     commands = parser.add_subparsers(required=True)
     one = commands.add_parser("keygen", help="a new key pair, for the fleet or an instance")
     one.add_argument("file")
@@ -105,5 +105,5 @@
     try:
         return int(told.run(told))
     except (files.FileError, OSError, ValueError) as error:
-        print(f"wickspread: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 1
--- a/wickspread/recorder/command.py
+++ b/sidecar_proxy/cli/recorder.py
@@ -1,14 +1,14 @@
-"""`python3 -m wickspread replay FILE` and `why FILE REQUEST`."""
+"""`python3 -m sidecar_proxy replay FILE` and `why FILE REQUEST`."""
 
 from __future__ import annotations
 
 import argparse
 import sys
 
-from wickspread.recorder.frames import words
-from wickspread.recorder.recording import Head, Recording, RecordingError, digest
-from wickspread.recorder.replay import Difference, differences
-from wickspread.recorder.story import story
+from sidecar_proxy.recorder.record_framing import words
+from sidecar_proxy.recorder.recording import Head, Recording, RecordingError, digest
+from sidecar_proxy.recorder.replay import Difference, differences
+from sidecar_proxy.recorder.request_trace import story
 
 EVERY = 50_000  # steps between two lines of progress
 
@@ -61,7 +61,7 @@
 
 def main(command: str, arguments: list[str]) -> int:
     """0; 1 for differences, or a request that is not there; 2 for a file that can't be used."""
-    parser = argparse.ArgumentParser(prog=f"python3 -m wickspread {command}", description=__doc__)
+    parser = argparse.ArgumentParser(prog=f"python3 -m sidecar_proxy {command}", description=__doc__)
     parser.add_argument("file")
     if command == "replay":
         parser.add_argument("--most", type=int, default=3, help="differences that are shown")
@@ -74,5 +74,5 @@
             return replay(recording, told.most) if command == "replay" else why(recording, told.request)
     except (RecordingError, OSError) as error:
         sys.stdout.flush()
-        print(f"wickspread: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 2
--- a/wickspread/compiled.py
+++ b/sidecar_proxy/compiled.py
@@ -40,7 +40,7 @@
 
 
 def name_of(path: str) -> str:
-    """The module of a source: wickspread/engine/engine.py is wickspread.engine.engine."""
+    """The module of a source: sidecar_proxy/engine/engine.py is sidecar_proxy.engine.engine."""
     return path.removesuffix(".py").replace("/", ".")
 
 
@@ -79,8 +79,11 @@
 
 def install(package: Path = PACKAGE) -> str:
     """Take the compiled form if there is one for these sources; returns which of the two runs."""
-    if os.environ.get("WICKSPREAD_PURE", "") not in ("", "0"):
-        return "from its sources, as WICKSPREAD_PURE says"
+    # imported here: the build loads this module by itself, outside of the package
+    from sidecar_proxy.environment import read_variable
+
+    if read_variable("PURE") not in ("", "0"):
+        return "from its sources, as SIDECAR_PROXY_PURE says"
     why = ""
     try:
         folders = [one.path for one in os.scandir(package / FOLDER) if not one.name.endswith(".part")]
--- a/wickspread/operator/kinds.py
+++ b/sidecar_proxy/config/field_types.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import NODEFAULT, Struct, inspect, structs
 
-from wickspread.operator.schema import Operator
+from sidecar_proxy.config.schema import Operator
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickspread/daemon/config.py
+++ b/sidecar_proxy/config/platform_settings.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.settings import SettingsError, parse_settings
-from wickspread.engine.address import Address, parse_address
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.settings import SettingsError, parse_settings
+from sidecar_proxy.engine.address import Address, parse_address
 
 
 class ConfigError(Exception):
--- a/wickspread/operator/reading.py
+++ b/sidecar_proxy/config/reader.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from wickspread.engine.address import AddressError, parse_address
-from wickspread.operator.error import OperatorError
-from wickspread.operator.kinds import Kind, whole
-from wickspread.operator.schema import Etcd, Gossip, Grpc, Operator
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.field_types import Kind, whole
+from sidecar_proxy.config.schema import Etcd, Gossip, Grpc, Operator
+from sidecar_proxy.engine.address import AddressError, parse_address
 
 MOST_BYTES = 1024 * 1024
 
--- a/wickspread/agreement/disk.py
+++ b/sidecar_proxy/consensus/disk.py
@@ -1,4 +1,4 @@
-"""What the store does to files. `WICKSPREAD_DISK_FILE` names a file that says how a rig breaks them: `slow
+"""What the store does to files. `SIDECAR_PROXY_DISK_FILE` names a file that says how a rig breaks them: `slow
 SECONDS`, or `kill OPERATION BEFORE|MIDDLE|AFTER NUMBER`: at that one of the operations from when it was said,
 the process ends as by SIGKILL."""
 
@@ -11,6 +11,8 @@
 from pathlib import Path
 from typing import Protocol
 
+from sidecar_proxy.environment import read_variable
+
 
 class Disk(Protocol):
     """All raise OSError."""
@@ -78,5 +80,5 @@
 
 
 def of_this_process() -> Disk:
-    told = os.environ.get("WICKSPREAD_DISK_FILE")
+    told = read_variable("DISK_FILE")
     return BrokenDisk(Path(told)) if told else RealDisk()
--- a/wickspread/agreement/frames.py
+++ b/sidecar_proxy/consensus/frames.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Meta
 
-from wickspread.agreement.messages import (
+from sidecar_proxy.consensus.messages import (
     MOST_DATA,
     MOST_ENTRIES,
     MOST_SNAPSHOT,
@@ -23,7 +23,7 @@
     Voters,
     Whole,
 )
-from wickspread.gossip import codec
+from sidecar_proxy.gossip import codec
 
 MOST_FRAME = 128 * 1024  # bytes
 MOST_PIECE = 16 * 1024
--- a/wickspread/agreement/log.py
+++ b/sidecar_proxy/consensus/log.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from wickspread.agreement.messages import Entry, HardState, Node, Snapshot
+from sidecar_proxy.consensus.messages import Entry, HardState, Node, Snapshot
 
 
 class Compacted(Exception):
--- a/wickspread/agreement/asking.py
+++ b/sidecar_proxy/consensus/proposals.py
@@ -8,8 +8,8 @@
 
 from dataclasses import dataclass
 
-from wickspread.agreement.frames import Answer, Ask
-from wickspread.agreement.messages import Node
+from sidecar_proxy.consensus.frames import Answer, Ask
+from sidecar_proxy.consensus.messages import Node
 
 PATIENCE_US = 3_500_000  # of who asks; the door's is a little longer
 LOST_US = 2_500_000  # without a leader, after which it is known that there is no quorum, here
--- a/wickspread/agreement/core.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from wickspread.agreement.log import Compacted, Log
-from wickspread.agreement.messages import (
+from sidecar_proxy.consensus.log import Compacted, Log
+from sidecar_proxy.consensus.messages import (
     MOST_ENTRIES,
     Append,
     AppendReply,
--- a/wickspread/agreement/member.py
+++ b/sidecar_proxy/consensus/replica.py
@@ -16,11 +16,10 @@
 
 import msgspec
 
-from wickspread.agreement import fetching, permits, words
-from wickspread.agreement.asking import DONE, ELSEWHERE, ERROR, UNKNOWN, Answered, Asks
-from wickspread.agreement.core import Core, Ready, Refused, Timing
-from wickspread.agreement.fetching import Budget, Fetch
-from wickspread.agreement.frames import (
+from sidecar_proxy.consensus import disruption_budgets as permits
+from sidecar_proxy.consensus import replicated_commands as words
+from sidecar_proxy.consensus import state_transfer as fetching
+from sidecar_proxy.consensus.frames import (
     Answer,
     Ask,
     Batch,
@@ -32,8 +31,8 @@
     Raft,
     Want,
 )
-from wickspread.agreement.log import Kept
-from wickspread.agreement.messages import (
+from sidecar_proxy.consensus.log import Kept
+from sidecar_proxy.consensus.messages import (
     Append,
     AppendReply,
     Entry,
@@ -43,7 +42,10 @@
     Node,
     Snapshot,
 )
-from wickspread.agreement.voters import Candidate, Look, name_of
+from sidecar_proxy.consensus.proposals import DONE, ELSEWHERE, ERROR, UNKNOWN, Answered, Asks
+from sidecar_proxy.consensus.raft import Core, Ready, Refused, Timing
+from sidecar_proxy.consensus.state_transfer import Budget, Fetch
+from sidecar_proxy.consensus.voters import Candidate, Look, name_of
 
 TICK_US = 50_000
 MOST_REST = 20  # ticks
--- a/wickspread/agreement/words.py
+++ b/sidecar_proxy/consensus/replicated_commands.py
@@ -14,9 +14,9 @@
 import msgspec
 from msgspec import Meta
 
-from wickspread.agreement import permits
-from wickspread.agreement.messages import MOST_DATA, MOST_SNAPSHOT, Entry
-from wickspread.gossip import codec
+from sidecar_proxy.consensus import disruption_budgets as permits
+from sidecar_proxy.consensus.messages import MOST_DATA, MOST_SNAPSHOT, Entry
+from sidecar_proxy.gossip import codec
 
 SUSPEND, DRAIN, RESUME, SET, UNSET = "suspend", "drain", "resume", "set", "unset"
 PERMIT, RETURN = "permit", "return"  # of a node or sidecar, as node:NAME
--- a/wickspread/agreement/session.py
+++ b/sidecar_proxy/consensus/session.py
@@ -17,12 +17,12 @@
 from nacl.exceptions import CryptoError
 from nacl.public import Box, PrivateKey, PublicKey
 
-from wickspread.agreement.frames import MOST_FRAME
-from wickspread.agreement.messages import MOST_NODE, Node
-from wickspread.agreement.voters import name_of
-from wickspread.gossip.codec import SIGNATURE, Certificate
-from wickspread.gossip.keys import Keyring, Refused, read
-from wickspread.gossip.transport import framed
+from sidecar_proxy.consensus.frames import MOST_FRAME
+from sidecar_proxy.consensus.messages import MOST_NODE, Node
+from sidecar_proxy.consensus.voters import name_of
+from sidecar_proxy.gossip.codec import SIGNATURE, Certificate
+from sidecar_proxy.gossip.keys import Keyring, Refused, read
+from sidecar_proxy.gossip.transport import framed
 
 MAGIC = b"wsa\x01"  # the first bytes of a connection; no length that gossip would take
 MOST_GREETING = 1024
--- a/wickspread/agreement/fetching.py
+++ b/sidecar_proxy/consensus/state_transfer.py
@@ -10,9 +10,9 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from wickspread.agreement.frames import MOST_PIECE, Batch, Later, Piece, Want
-from wickspread.agreement.log import Log
-from wickspread.agreement.messages import MOST_ENTRIES, Entry, Node, Snapshot
+from sidecar_proxy.consensus.frames import MOST_PIECE, Batch, Later, Piece, Want
+from sidecar_proxy.consensus.log import Log
+from sidecar_proxy.consensus.messages import MOST_ENTRIES, Entry, Node, Snapshot
 
 PATIENCE_US = 3_000_000  # for one answer
 POLL_US = 10_000_000  # between two questions where nothing new was heard of; half as long again by chance
--- a/wickspread/agreement/store.py
+++ b/sidecar_proxy/consensus/storage.py
@@ -25,9 +25,9 @@
 import msgspec
 from msgspec import Meta
 
-from wickspread.agreement.disk import Disk, RealDisk
-from wickspread.agreement.log import Kept, Log
-from wickspread.agreement.messages import MOST_DATA, MOST_SNAPSHOT, Entry, HardState, Snapshot
+from sidecar_proxy.consensus.disk import Disk, RealDisk
+from sidecar_proxy.consensus.log import Kept, Log
+from sidecar_proxy.consensus.messages import MOST_DATA, MOST_SNAPSHOT, Entry, HardState, Snapshot
 
 MAGIC = b"wickspread agreement 1\n"
 HEAD = struct.Struct("<II8s")
--- a/wickspread/agreement/start.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -14,30 +14,32 @@
 from pathlib import Path
 from typing import Any
 
-from wickspread.agreement import frames, permits, words
-from wickspread.agreement.asking import ERROR, Answered
-from wickspread.agreement.core import Refused
-from wickspread.agreement.disk import of_this_process
-from wickspread.agreement.frames import Frame
-from wickspread.agreement.log import Kept
-from wickspread.agreement.member import Effect, Limits, Line, Member, Output, Post, Tell, Write
-from wickspread.agreement.messages import Node
-from wickspread.agreement.session import MAGIC
-from wickspread.agreement.store import Damaged, Store
-from wickspread.agreement.transport import Address, Links
-from wickspread.agreement.voters import name_of
-from wickspread.agreement.witness import Witness
-from wickspread.engine import wall
-from wickspread.engine.engine import Engine
-from wickspread.gossip.instance import Word
-from wickspread.gossip.start import Gossiping
-from wickspread.operations.door import Call, CallError, Door
-from wickspread.operations.holding import ALWAYS, Holding
-from wickspread.operator.error import OperatorError
-from wickspread.operator.schema import Agreement
-from wickspread.roster.listing import Directory
-
-log = logging.getLogger("wickspread")
+from sidecar_proxy.admin.endpoint_overrides import ALWAYS, Holding
+from sidecar_proxy.admin.server import Call, CallError, Door
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.schema import Agreement
+from sidecar_proxy.consensus import disruption_budgets as permits
+from sidecar_proxy.consensus import frames
+from sidecar_proxy.consensus import replicated_commands as words
+from sidecar_proxy.consensus.disk import of_this_process
+from sidecar_proxy.consensus.frames import Frame
+from sidecar_proxy.consensus.log import Kept
+from sidecar_proxy.consensus.messages import Node
+from sidecar_proxy.consensus.proposals import ERROR, Answered
+from sidecar_proxy.consensus.raft import Refused
+from sidecar_proxy.consensus.replica import Effect, Limits, Line, Member, Output, Post, Tell, Write
+from sidecar_proxy.consensus.session import MAGIC
+from sidecar_proxy.consensus.storage import Damaged, Store
+from sidecar_proxy.consensus.transport import Address, Links
+from sidecar_proxy.consensus.voters import name_of
+from sidecar_proxy.consensus.witness import Witness
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.engine import wall_clock as wall
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.gossip.instance import Word
+from sidecar_proxy.gossip.subsystem import Gossiping
+
+log = logging.getLogger("sidecar_proxy")
 
 TOPIC = "agreement"
 AGAIN_S = 0.5  # after a write that failed
--- a/wickspread/agreement/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -14,14 +14,14 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-from wickspread.agreement import frames
-from wickspread.agreement.frames import Answer, Ask, Batch, Frame, Later, Piece, Want
-from wickspread.agreement.messages import Node
-from wickspread.agreement.session import MAGIC, MOST_GREETING, MOST_SEALED, Session
-from wickspread.gossip.keys import Keyring, Refused
-from wickspread.gossip.transport import HEAD, framed, receive, wall_us
+from sidecar_proxy.consensus import frames
+from sidecar_proxy.consensus.frames import Answer, Ask, Batch, Frame, Later, Piece, Want
+from sidecar_proxy.consensus.messages import Node
+from sidecar_proxy.consensus.session import MAGIC, MOST_GREETING, MOST_SEALED, Session
+from sidecar_proxy.gossip.keys import Keyring, Refused
+from sidecar_proxy.gossip.transport import HEAD, framed, receive, wall_us
 
-log = logging.getLogger("wickspread")
+log = logging.getLogger("sidecar_proxy")
 
 GREET_S = 2.0  # to be there and to have greeted
 STALL_S = 3.0  # what is written has to leave
--- a/wickspread/agreement/voters.py
+++ b/sidecar_proxy/consensus/voters.py
@@ -12,7 +12,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from wickspread.agreement.messages import Node
+from sidecar_proxy.consensus.messages import Node
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickspread/agreement/witness.py
+++ b/sidecar_proxy/consensus/witness.py
@@ -5,15 +5,15 @@
 
 from collections.abc import Iterator
 
-from wickspread.agreement import words
-from wickspread.agreement.member import Member as Agreed
-from wickspread.agreement.permits import MOST_TOLD, SCOPES, Facts, Member, key_of
-from wickspread.agreement.words import State, Word
-from wickspread.decisions.interface import UpstreamState
-from wickspread.engine.engine import Engine
-from wickspread.engine.seams import Host
-from wickspread.gossip.start import Gossiping
-from wickspread.roster.listing import Directory
+from sidecar_proxy.balancer.events import UpstreamState
+from sidecar_proxy.consensus import replicated_commands as words
+from sidecar_proxy.consensus.disruption_budgets import MOST_TOLD, SCOPES, Facts, Member, key_of
+from sidecar_proxy.consensus.replica import Member as Agreed
+from sidecar_proxy.consensus.replicated_commands import State, Word
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.gossip.subsystem import Gossiping
 
 BAD = 0.5  # what all sidecars together have against a node, from which on it counts as out
 
--- a/wickspread/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -13,28 +13,28 @@
 
 import uvloop
 
-from wickspread import compiled
-from wickspread.daemon import config as configuration
-from wickspread.daemon.subsystems import Context, Running, close_all, start_wanted
-from wickspread.decisions import interface as api
-from wickspread.engine.bodies import Spool
-from wickspread.engine.collector import Collector
-from wickspread.engine.engine import Clock, Engine
-from wickspread.http1.server import Server
-from wickspread.http1.upstream import Pool
-from wickspread.operations.door import Door
-from wickspread.operations.hand import Hand
-from wickspread.operations.handover import Handover
-from wickspread.operations.holding import Holding
-from wickspread.operator import file as operators
-from wickspread.operator.error import OperatorError
-from wickspread.roster.discovery import Discovery
-from wickspread.roster.listing import Directory, ListError
+from sidecar_proxy import compiled
+from sidecar_proxy.admin.commands import Hand
+from sidecar_proxy.admin.endpoint_overrides import Holding
+from sidecar_proxy.admin.hot_restart import Handover
+from sidecar_proxy.admin.server import Door
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.config import operator_file as operators
+from sidecar_proxy.config import platform_settings as configuration
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.daemon.subsystems import Context, Running, close_all, start_wanted
+from sidecar_proxy.discovery.endpoint_list import Directory, ListError
+from sidecar_proxy.discovery.platform_client import Discovery
+from sidecar_proxy.engine.body_buffers import Spool
+from sidecar_proxy.engine.engine import Clock, Engine
+from sidecar_proxy.engine.gc_control import Collector
+from sidecar_proxy.http1.server import Server
+from sidecar_proxy.http1.upstream import Pool
 
 if TYPE_CHECKING:
-    from wickspread.operator.schema import Operator
+    from sidecar_proxy.config.schema import Operator
 
-log = logging.getLogger("wickspread")
+log = logging.getLogger("sidecar_proxy")
 
 OWN_MB = 40  # what a process needs without any large body
 LIST_S = 2.0  # a successor's wait for its first list
@@ -119,17 +119,17 @@
 def main() -> int:
     # hazard: unhandled, SIGHUP ends the process; it waits while we start, and is ignored once we end
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    logging.basicConfig(format="wickspread: %(message)s", level=logging.INFO)
+    logging.basicConfig(format="sidecar_proxy: %(message)s", level=logging.INFO)
     try:
         uvloop.run(serve(configuration.load(os.environ), operators.load(os.environ)))
     except ListError as error:
-        print(f"wickspread: the configuration's known list: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: the configuration's known list: {error}", file=sys.stderr)
         return 2
     except (configuration.ConfigError, OperatorError) as error:
-        print(f"wickspread: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 2
     except OSError as error:
-        print(f"wickspread: can't listen: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: can't listen: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/wickspread/daemon/subsystems.py
+++ b/sidecar_proxy/daemon/subsystems.py
@@ -11,17 +11,17 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Protocol
 
-from wickspread.daemon.config import Config
-from wickspread.engine.engine import Engine
-from wickspread.http1.listener import Listener
-from wickspread.operator.error import OperatorError
-from wickspread.roster.discovery import Discovery
-from wickspread.roster.listing import Directory
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.platform_settings import Config
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.platform_client import Discovery
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.http1.listener import Listener
 
 if TYPE_CHECKING:
-    from wickspread.operations.door import Door
-    from wickspread.operations.holding import Holding
-    from wickspread.operator.schema import Operator
+    from sidecar_proxy.admin.endpoint_overrides import Holding
+    from sidecar_proxy.admin.server import Door
+    from sidecar_proxy.config.schema import Operator
 
 
 @dataclass(slots=True, frozen=True)
@@ -54,19 +54,19 @@
 
 
 async def start_recorder(context: Context) -> Running:
-    from wickspread.recorder.start import Recorder
+    from sidecar_proxy.recorder.subsystem import Recorder
 
     return Recorder(context.operator.recorder, context.engine, context.config.name, context.config.seed)
 
 
 async def start_grpc(context: Context) -> Running:
-    from wickspread.grpc.start import start
+    from sidecar_proxy.grpc.subsystem import start
 
     return start(context.operator.grpc, context.engine, context.server)
 
 
 async def start_membership(context: Context) -> Running:
-    from wickspread.membership.start import Sources
+    from sidecar_proxy.discovery.subsystem import Sources
 
     sources = Sources(context.operator.membership, context.engine, context.directory, context.config.seed)
     await sources.start()
@@ -75,7 +75,7 @@
 
 
 async def start_gossip(context: Context) -> Running:
-    from wickspread.gossip.start import Gossiping
+    from sidecar_proxy.gossip.subsystem import Gossiping
 
     gossip = Gossiping(context.operator.gossip, context.engine, context.directory, context.config.seed)
     await gossip.start()
@@ -83,8 +83,8 @@
 
 
 async def start_overload(context: Context) -> Running:
-    from wickspread.gossip.start import Gossiping
-    from wickspread.overload.start import Together
+    from sidecar_proxy.gossip.subsystem import Gossiping
+    from sidecar_proxy.overload_control.subsystem import Together
 
     gossip = context.parts.get("gossip")
     if not isinstance(gossip, Gossiping):
@@ -95,8 +95,8 @@
 
 
 async def start_agreement(context: Context) -> Running:
-    from wickspread.agreement.start import Agreeing
-    from wickspread.gossip.start import Gossiping
+    from sidecar_proxy.consensus.subsystem import Agreeing
+    from sidecar_proxy.gossip.subsystem import Gossiping
 
     gossip = context.parts.get("gossip")
     if not isinstance(gossip, Gossiping):
--- a/wickspread/roster/listing.py
+++ b/sidecar_proxy/discovery/endpoint_list.py
@@ -14,9 +14,9 @@
 from dataclasses import replace
 from typing import Any
 
-from wickspread.decisions import interface as api
-from wickspread.engine.address import parse_address
-from wickspread.engine.seams import Host
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.address import parse_address
+from sidecar_proxy.engine.interfaces import Host
 
 SLICE = 64  # entries that are read, or told to the decisions, in one go
 MOST_HOSTS = 50_000  # entries of one list
--- a/wickspread/membership/etcd/follower.py
+++ b/sidecar_proxy/discovery/etcd/follower.py
@@ -19,10 +19,10 @@
 from dataclasses import dataclass
 from itertools import groupby
 
-from wickspread.decisions.interface import UpstreamState
-from wickspread.grpc.status import Code
-from wickspread.membership.etcd import api_pb2 as pb
-from wickspread.membership.model import Entry, EntryError, parse, short
+from sidecar_proxy.balancer.events import UpstreamState
+from sidecar_proxy.discovery.etcd import api_pb2 as pb
+from sidecar_proxy.discovery.model import Entry, EntryError, parse, short
+from sidecar_proxy.grpc.status import Code
 
 MOST_KEYS = 50_000  # of a prefix
 PAGE = 1000  # keys of one answer to a list
--- a/wickspread/membership/etcd/source.py
+++ b/sidecar_proxy/discovery/etcd/source.py
@@ -12,10 +12,14 @@
 
 from google.protobuf.message import DecodeError, Message
 
-from wickspread.engine.address import Address, parse_address
-from wickspread.grpc.message import PREFIX, first_size, framed
-from wickspread.grpc.status import Code, parse
-from wickspread.http2.connection import (
+from sidecar_proxy.config.schema import Etcd
+from sidecar_proxy.discovery.etcd import api_pb2 as pb
+from sidecar_proxy.discovery.etcd import follower as following
+from sidecar_proxy.discovery.model import Entry
+from sidecar_proxy.engine.address import Address, parse_address
+from sidecar_proxy.grpc.message import PREFIX, first_size, framed
+from sidecar_proxy.grpc.status import Code, parse
+from sidecar_proxy.http2.connection import (
     CANCEL,
     Connection,
     DataReceived,
@@ -29,14 +33,10 @@
     StreamReset,
     TrailersReceived,
 )
-from wickspread.http2.endpoint import Endpoint
-from wickspread.http2.guard import Rates
-from wickspread.membership.etcd import api_pb2 as pb
-from wickspread.membership.etcd import follower as following
-from wickspread.membership.model import Entry
-from wickspread.operator.schema import Etcd
-
-log = logging.getLogger("wickspread")
+from sidecar_proxy.http2.endpoint import Endpoint
+from sidecar_proxy.http2.guard import Rates
+
+log = logging.getLogger("sidecar_proxy")
 
 MOST_MESSAGE = 16 * 1024 * 1024  # bytes of one answer
 MOST_PASSWORD = 4096
--- a/wickspread/membership/feed.py
+++ b/sidecar_proxy/discovery/feed.py
@@ -11,12 +11,12 @@
 from dataclasses import replace
 from itertools import islice
 
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Engine
-from wickspread.engine.seams import Host
-from wickspread.membership.merge import Merge
-from wickspread.membership.model import Entry
-from wickspread.roster.listing import SLICE, Directory
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.discovery.endpoint_list import SLICE, Directory
+from sidecar_proxy.discovery.merge import Merge
+from sidecar_proxy.discovery.model import Entry
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.engine.interfaces import Host
 
 READY, GONE = api.UpstreamState.READY, api.UpstreamState.GONE
 HEALTH = {READY: "in_service", api.UpstreamState.DRAINING: "terminating"}
--- a/wickspread/membership/merge.py
+++ b/sidecar_proxy/discovery/merge.py
@@ -1,4 +1,4 @@
-"""Several sources' words of each node, and what they come to. Pure: the table of docs/design/membership.md.
+"""Several sources' words of each node, and what they come to. Pure: the table of docs/design/discovery.md.
 
 Each source has an epoch and a revision; within an epoch revisions only grow, and what is older than what the
 source has told already is passed over. Nothing is decided by the clock.
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from wickspread.decisions.interface import UpstreamState
-from wickspread.membership.model import Entry
+from sidecar_proxy.balancer.events import UpstreamState
+from sidecar_proxy.discovery.model import Entry
 
 READY, DRAINING, GONE = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE
 LOST_SHARE = 0.5  # of a source's nodes left out of one whole list, from which it is not believed at once
--- a/wickspread/membership/model.py
+++ b/sidecar_proxy/discovery/model.py
@@ -1,4 +1,4 @@
-"""One node as a source tells it, in discovery's form (docs/design/membership.md)."""
+"""One node as a source tells it, in discovery's form (docs/design/discovery.md)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickspread.decisions.interface import UpstreamState
+from sidecar_proxy.balancer.events import UpstreamState
 
 MOST_VALUE = 64 * 1024  # bytes of one entry
 MOST_TEXT = 256  # characters of a name, an address, a site
--- a/wickspread/roster/discovery.py
+++ b/sidecar_proxy/discovery/platform_client.py
@@ -13,14 +13,14 @@
 
 import httptools
 
-from wickspread.decisions import interface as api
-from wickspread.engine.address import Address
-from wickspread.engine.collector import Collector
-from wickspread.engine.seams import Host, Sink
-from wickspread.http1.upstream import MAX_HEAD, input_poll
-from wickspread.roster.listing import SLICE, Directory, ListError, Objects, Reading, changes
-
-log = logging.getLogger("wickspread")
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.discovery.endpoint_list import SLICE, Directory, ListError, Objects, Reading, changes
+from sidecar_proxy.engine.address import Address
+from sidecar_proxy.engine.gc_control import Collector
+from sidecar_proxy.engine.interfaces import Host, Sink
+from sidecar_proxy.http1.upstream import MAX_HEAD, input_poll
+
+log = logging.getLogger("sidecar_proxy")
 
 CONNECT_S = 2.0
 ANSWER_S = 4.5  # a call's first word: calls wait in turn, for some seconds
--- a/wickspread/membership/show.py
+++ b/sidecar_proxy/discovery/status_socket.py
@@ -1,9 +1,10 @@
-"""What each source says of each node, since when, and what came of it: told on a local socket, and printed.
+"""Serves, on a local socket, what each discovery source says of each upstream, since when, and the outcome.
 
-A connection gets JSON objects, one a line: first `{"sources": …}`, then one for each node, then
+A connection gets JSON objects, one a line: first `{"sources": …}`, then one for each upstream, then
 `{"end": COUNT}`. Nothing is read from it.
 """
 
+
 from __future__ import annotations
 
 import asyncio
@@ -12,15 +13,13 @@
 import os
 import socket
 import stat
-import sys
-from collections.abc import Awaitable, Callable, Iterator
-from datetime import UTC, datetime
-from typing import Any, TextIO
+from collections.abc import Awaitable, Callable
+from typing import Any
 
-from wickspread.membership.feed import Feed
-from wickspread.roster.listing import SLICE
+from sidecar_proxy.discovery.endpoint_list import SLICE
+from sidecar_proxy.discovery.feed import Feed
 
-TIMEOUT_S = 10.0  # for a reader that does not read on
+TIMEOUT_S = 10.0
 MOST_READERS = 4
 
 
@@ -117,56 +116,3 @@
                 one.connect(path)
             except ConnectionRefusedError:
                 os.unlink(path)
-
-
-# The command
-
-
-def read(path: str) -> Iterator[dict[str, Any]]:
-    """What a sidecar tells. Raises OSError, and ValueError where it stops short."""
-    with socket.socket(socket.AF_UNIX) as one:
-        one.settimeout(TIMEOUT_S)
-        one.connect(path)
-        with one.makefile("rb") as file:
-            for text in file:
-                told = json.loads(text)
-                if "end" in told:
-                    return
-                yield told
-    raise ValueError("the sidecar stopped in the middle")
-
-
-def show(lines: Iterator[dict[str, Any]], out: TextIO) -> None:
-    """A table: a line a node, then what each source says of it."""
-    for told in lines:
-        if "sources" in told:
-            for name, source in told["sources"].items():
-                print(f"source {name}: revision {source['revision']}"
-                      + (f" of {source['epoch']}" if source["epoch"] else ""), file=out)
-            continue
-        held = "" if told["decisions"] == told["state"] else f", {told['decisions']} to the decisions"
-        because = f" ({told['because']})" if told["because"] else ""
-        print(f"{told['name']}  {told['state']}{because}{held}  {told['dial']}", file=out)
-        for name, word in told["words"].items():
-            since = datetime.fromtimestamp(word["since"], UTC).isoformat("T", "milliseconds")
-            print(f"    {name}: {word['state']}{' (held)' if word['held'] else ''} at revision "
-                  f"{word['revision']}, since {since}", file=out)
-
-
-def main(arguments: list[str]) -> int:
-    """members SOCKET [--json]"""
-    as_json = "--json" in arguments
-    paths = [one for one in arguments if one != "--json"]
-    if len(paths) != 1:
-        print("usage: python3 -m wickspread members SOCKET [--json]", file=sys.stderr)
-        return 2
-    try:
-        if as_json:
-            for told in read(paths[0]):
-                print(json.dumps(told))
-        else:
-            show(read(paths[0]), sys.stdout)
-    except (OSError, ValueError) as error:
-        print(f"wickspread: {paths[0]}: {error}", file=sys.stderr)
-        return 1
-    return 0
--- a/wickspread/membership/start.py
+++ b/sidecar_proxy/discovery/subsystem.py
@@ -4,12 +4,12 @@
 
 import random
 
-from wickspread.engine.engine import Engine
-from wickspread.membership.feed import Feed
-from wickspread.membership.show import Window
-from wickspread.operator.error import OperatorError
-from wickspread.operator.schema import Membership
-from wickspread.roster.listing import Directory
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.schema import Membership
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.feed import Feed
+from sidecar_proxy.discovery.status_socket import Window
+from sidecar_proxy.engine.engine import Engine
 
 
 class Sources:
@@ -22,8 +22,8 @@
         self.etcd = None
         if told.etcd.endpoints:
             # hazard: the libraries take memory; without etcd nothing of them is imported
-            from wickspread.membership.etcd.follower import Follower
-            from wickspread.membership.etcd.source import Source
+            from sidecar_proxy.discovery.etcd.follower import Follower
+            from sidecar_proxy.discovery.etcd.source import Source
 
             etcd = told.etcd
             follower = Follower(etcd.prefix, len(etcd.endpoints), bool(etcd.username), random.Random(seed))
--- a/wickspread/emulator/fleet.py
+++ b/sidecar_proxy/emulator/fleet.py
@@ -1,7 +1,7 @@
 """Many sidecars' decisions, their upstreams and discovery in one virtual clock. No I/O; chance by one seed.
 
 Each sidecar is a real `Balancer`; what its engine would do is done here, with plain models of what is round
-it: machines (wickspread/lab/capacity.py), connections that cost a dial and of which an upstream holds so
+it: machines (testbed/capacity.py), connections that cost a dial and of which an upstream holds so
 many, and one discovery for all that works through calls in turn. Times are microseconds.
 """
 
@@ -15,11 +15,11 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import Balancer
-from wickspread.lab.capacity import Capacity, Machine
-from wickspread.overload import words
-from wickspread.overload.core import Limits, Member, Output, Post, Say, mean_warmth
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.overload_control import messages as words
+from sidecar_proxy.overload_control.controller import Limits, Member, Output, Post, Say, mean_warmth
+from sidecar_proxy.testbed.capacity import Capacity, Machine
 
 START_US = 1_000_000_000
 SECOND_US = 1_000_000
--- a/wickspread/emulator/scenes.py
+++ b/sidecar_proxy/emulator/scenarios.py
@@ -5,9 +5,9 @@
 
 from dataclasses import replace
 
-from wickspread.decisions import interface as api
-from wickspread.emulator.fleet import EmulatedFleet, Node, Plan, Seen
-from wickspread.lab.capacity import Machine
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.emulator.fleet import EmulatedFleet, Node, Plan, Seen
+from sidecar_proxy.testbed.capacity import Machine
 
 CLASSES = [
     api.RequestClass("chapter-buy", 400_000, 1_200_000, 10.0, 0.3, effect="at_most_once"),
--- a/wickspread/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -14,13 +14,12 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import Balancer
-from wickspread.decisions.settings import check_allowed, parse_report
-from wickspread.engine import wall
-from wickspread.engine.bodies import KEEP, Flow, Source
-from wickspread.engine.figures import Figures
-from wickspread.engine.seams import (
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.balancer.settings import check_allowed, parse_report
+from sidecar_proxy.engine import wall_clock as wall
+from sidecar_proxy.engine.body_buffers import KEEP, Flow, Source
+from sidecar_proxy.engine.interfaces import (
     Answer,
     Attempt,
     Call,
@@ -33,9 +32,10 @@
     Recorder,
     Reply,
 )
-from wickspread.engine.timers import Timer, Timers
+from sidecar_proxy.engine.metrics import Figures
+from sidecar_proxy.engine.timers import Timer, Timers
 
-log = logging.getLogger("wickspread")
+log = logging.getLogger("sidecar_proxy")
 
 NEVER_WRITTEN = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.CANCELLED)
 
--- a/wickspread/engine/seams.py
+++ b/sidecar_proxy/engine/interfaces.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.fleet import Server
-from wickspread.engine.address import Address
-from wickspread.engine.bodies import Flow, Opens, Source, Upload
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.endpoint_pool import Server
+from sidecar_proxy.engine.address import Address
+from sidecar_proxy.engine.body_buffers import Flow, Opens, Source, Upload
 
 # Where a request's one answer goes: status, header lines, body.
 Reply = Callable[[int, bytes, bytes], None]
--- a/wickspread/engine/wall.py
+++ b/sidecar_proxy/engine/wall_clock.py
@@ -1,14 +1,15 @@
 """The wall clock: when something is by the calendar, for stamps that other machines compare. May step.
 
-`WICKSPREAD_CLOCK_FILE` names a file with a number of microseconds that is added: so a rig steps one process's
-clock. Without it the cost is the system's call.
+`SIDECAR_PROXY_CLOCK_FILE` names a file with a number of microseconds that is added: so a rig steps one
+process's clock. Without it the cost is the system's call.
 """
 
 from __future__ import annotations
 
-import os
 import time
 
+from sidecar_proxy.environment import read_variable
+
 LOOK_NS = 100_000_000  # between two looks at the file
 
 
@@ -32,5 +33,5 @@
         return time.time_ns() + self.offset_ns
 
 
-_wall = Wall(os.environ.get("WICKSPREAD_CLOCK_FILE", ""))
+_wall = Wall(read_variable("CLOCK_FILE"))
 now_ns = _wall.now_ns
--- a/wickspread/gossip/rumours.py
+++ b/sidecar_proxy/gossip/broadcasts.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from wickspread.gossip.codec import Signed
+from sidecar_proxy.gossip.codec import Signed
 
 MOST = 6  # on one packet
 ROOM = 900  # bytes of them on one packet
--- a/wickspread/gossip/core.py
+++ b/sidecar_proxy/gossip/core.py
@@ -15,7 +15,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wickspread.gossip.codec import (
+from sidecar_proxy.gossip.broadcasts import MOST, ROOM, Rumours, size_of
+from sidecar_proxy.gossip.codec import (
     MOST_WHOLE,
     Accusation,
     Ack,
@@ -32,8 +33,7 @@
     Statement,
     Word,
 )
-from wickspread.gossip.peers import Life, Peer, Peers
-from wickspread.gossip.rumours import MOST, ROOM, Rumours, size_of
+from sidecar_proxy.gossip.peers import Life, Peer, Peers
 
 PERIOD_US = 500_000  # a ping in each
 ANSWER_US = 200_000  # for a direct ack, and again for an indirect one; both times the local health
--- a/wickspread/gossip/credentials.py
+++ b/sidecar_proxy/gossip/credentials.py
@@ -8,9 +8,9 @@
 
 from nacl.signing import SigningKey
 
-from wickspread.gossip import files
-from wickspread.gossip.codec import Certificate
-from wickspread.operator.schema import Gossip
+from sidecar_proxy.config.schema import Gossip
+from sidecar_proxy.gossip import files
+from sidecar_proxy.gossip.codec import Certificate
 
 SOON_S = 3 * 86_400  # a certificate that ends within it is spoken of
 AGAIN_S = 6 * 3600  # and then now and then
--- a/wickspread/gossip/files.py
+++ b/sidecar_proxy/gossip/files.py
@@ -9,8 +9,8 @@
 import msgspec
 from nacl.signing import SigningKey
 
-from wickspread.gossip import codec
-from wickspread.gossip.codec import Certificate
+from sidecar_proxy.gossip import codec
+from sidecar_proxy.gossip.codec import Certificate
 
 MOST_BYTES = 1024 * 1024
 MOST_KEYS = 4  # of a fleet: each costs a verification for a certificate that is of none
--- a/wickspread/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from wickspread.decisions.interface import Outcome
-from wickspread.gossip import codec
-from wickspread.gossip import core as swim
-from wickspread.gossip.codec import MOST_STATE, Alive, Message, Signed, Statement
-from wickspread.gossip.evidence import WINDOW_US, Combiner, Own
-from wickspread.gossip.keys import Keyring, Refused
+from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.gossip import codec
+from sidecar_proxy.gossip import core as swim
+from sidecar_proxy.gossip.codec import MOST_STATE, Alive, Message, Signed, Statement
+from sidecar_proxy.gossip.keys import Keyring, Refused
+from sidecar_proxy.gossip.outlier_reports import WINDOW_US, Combiner, Own
 
 GAP_US = 100_000  # between two bulletins of ours
 LOOK_US = 500_000  # between two looks at what fades
--- a/wickspread/gossip/keys.py
+++ b/sidecar_proxy/gossip/keys.py
@@ -15,8 +15,8 @@
 from nacl.exceptions import BadSignatureError
 from nacl.signing import SigningKey, VerifyKey
 
-from wickspread.gossip import codec
-from wickspread.gossip.codec import Certificate, Packet, Signed, State, Statement
+from sidecar_proxy.gossip import codec
+from sidecar_proxy.gossip.codec import Certificate, Packet, Signed, State, Statement
 
 Sealed = TypeVar("Sealed", Packet, State)
 SKEW_US = 60_000_000  # clocks are no further apart, trips among them
--- a/wickspread/gossip/evidence.py
+++ b/sidecar_proxy/gossip/outlier_reports.py
@@ -9,8 +9,8 @@
 from collections.abc import Collection, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from wickspread.decisions.interface import Outcome
-from wickspread.gossip.codec import MOST_COUNTS, MOST_NAME, MOST_WHOLE, Bulletin, Count
+from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.gossip.codec import MOST_COUNTS, MOST_NAME, MOST_WHOLE, Bulletin, Count
 
 WINDOW_US = 10_000_000  # counts and reports of others count so long
 ENOUGH = 4  # attempts: more make no vote stronger, or who shouts would outweigh who knows
--- a/wickspread/gossip/peers.py
+++ b/sidecar_proxy/gossip/peers.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from wickspread.gossip.codec import Certificate, Signed
+from sidecar_proxy.gossip.codec import Certificate, Signed
 
 URGENT_GAP_US = 300_000  # between two of one author that are passed on at once
 URGENT_EACH_US = 2_000_000  # and, once there were as many as the burst
--- a/wickspread/gossip/start.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -10,18 +10,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from wickspread.decisions import interface as api
-from wickspread.engine.address import parse_address
-from wickspread.engine.engine import Engine
-from wickspread.gossip.credentials import Credentials, Watch
-from wickspread.gossip.files import FileError
-from wickspread.gossip.instance import Instance, Sized, Suspect, Word
-from wickspread.gossip.keys import Keyring
-from wickspread.gossip.transport import Transport, log, wall_us
-from wickspread.membership.show import listen
-from wickspread.operator.error import OperatorError
-from wickspread.operator.schema import Gossip
-from wickspread.roster.listing import Directory
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.schema import Gossip
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.status_socket import listen
+from sidecar_proxy.engine.address import parse_address
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.gossip.credentials import Credentials, Watch
+from sidecar_proxy.gossip.files import FileError
+from sidecar_proxy.gossip.instance import Instance, Sized, Suspect, Word
+from sidecar_proxy.gossip.keys import Keyring
+from sidecar_proxy.gossip.transport import Transport, log, wall_us
 
 LOOK_S = 1.0  # between looks at the files
 TIMEOUT_S = 5.0  # for a reader of the window
--- a/wickspread/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -9,12 +9,12 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from wickspread.engine import wall
-from wickspread.gossip.codec import MOST_STATE
-from wickspread.gossip.instance import Address, Datagram, Exchange, Instance, Output, Sized, Suspect, Word
-from wickspread.gossip.keys import Refused
+from sidecar_proxy.engine import wall_clock as wall
+from sidecar_proxy.gossip.codec import MOST_STATE
+from sidecar_proxy.gossip.instance import Address, Datagram, Exchange, Instance, Output, Sized, Suspect, Word
+from sidecar_proxy.gossip.keys import Refused
 
-log = logging.getLogger("wickspread")
+log = logging.getLogger("sidecar_proxy")
 
 EXCHANGE_S = 2.0  # for one exchange, whatever its other side does
 HEAD = 4  # bytes: a length, or whom it is for
--- a/wickspread/grpc/front.py
+++ b/sidecar_proxy/grpc/front.py
@@ -12,18 +12,18 @@
 import itertools
 from typing import cast
 
-from wickspread.engine.seams import Call
-from wickspread.grpc import health
-from wickspread.grpc.held import WIDE
-from wickspread.grpc.metadata import Headers, Reader, Rejected, acceptable, value_of
-from wickspread.grpc.nodes import Nodes
-from wickspread.grpc.relay import KEPT, OWN_HEADERS, Relay
-from wickspread.grpc.status import Code, encode_message
-from wickspread.http1.client import ClientConnection
-from wickspread.http1.listener import Incoming, Listener
-from wickspread.http1.request import Rejected as HttpRejected
-from wickspread.http1.upstream import input_poll
-from wickspread.http2.connection import (
+from sidecar_proxy.engine.interfaces import Call
+from sidecar_proxy.grpc import health
+from sidecar_proxy.grpc.held import WIDE
+from sidecar_proxy.grpc.metadata import Headers, Reader, Rejected, acceptable, value_of
+from sidecar_proxy.grpc.nodes import Nodes
+from sidecar_proxy.grpc.relay import KEPT, OWN_HEADERS, Relay
+from sidecar_proxy.grpc.status import Code, encode_message
+from sidecar_proxy.http1.client import ClientConnection
+from sidecar_proxy.http1.listener import Incoming, Listener
+from sidecar_proxy.http1.request import Rejected as HttpRejected
+from sidecar_proxy.http1.upstream import input_poll
+from sidecar_proxy.http2.connection import (
     CANCEL,
     NO_ERROR,
     PREFACE,
@@ -36,7 +36,7 @@
     StreamReset,
     TrailersReceived,
 )
-from wickspread.http2.endpoint import Endpoint
+from sidecar_proxy.http2.endpoint import Endpoint
 
 START_S = 0.02  # from a call's headers, where its client goes on sending
 LINGER_S = 1.0  # for a client to read its answer
--- a/wickspread/grpc/health.py
+++ b/sidecar_proxy/grpc/health.py
@@ -4,7 +4,7 @@
 
 import enum
 
-from wickspread.grpc.message import PREFIX, first_size, framed
+from sidecar_proxy.grpc.message import PREFIX, first_size, framed
 
 CHECK, WATCH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
 MOST_MESSAGE = 4096  # bytes of a HealthCheckRequest
--- a/wickspread/grpc/metadata.py
+++ b/sidecar_proxy/grpc/metadata.py
@@ -8,10 +8,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from wickspread.decisions import interface as api
-from wickspread.grpc.deadline import DeadlineError, format_us, parse_us
-from wickspread.grpc.status import Code
-from wickspread.http1.request import ANSWER_MARGIN_US, REQ_ID, cost_us, decimal_us, key_number
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.grpc.deadline import DeadlineError, format_us, parse_us
+from sidecar_proxy.grpc.status import Code
+from sidecar_proxy.http1.request import ANSWER_MARGIN_US, REQ_ID, cost_us, decimal_us, key_number
 
 Headers = list[tuple[bytes, bytes]]
 ONCE = frozenset({b"req-id", b"idempotency-key", b"req-owner", b"req-key", b"req-cost", b"grpc-timeout",
--- a/wickspread/grpc/nodes.py
+++ b/sidecar_proxy/grpc/nodes.py
@@ -7,15 +7,15 @@
 from functools import partial
 from typing import Protocol, cast
 
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Engine
-from wickspread.engine.seams import Answer, Finished, Host
-from wickspread.grpc.held import WIDE, Held
-from wickspread.grpc.message import first_size
-from wickspread.grpc.metadata import Headers, Request, value_of
-from wickspread.grpc.outcome import End, Ended
-from wickspread.http1.upstream import LOCAL_ERRORS, Pool, input_poll, itself
-from wickspread.http2.connection import (
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.engine.interfaces import Answer, Finished, Host
+from sidecar_proxy.grpc.held import WIDE, Held
+from sidecar_proxy.grpc.message import first_size
+from sidecar_proxy.grpc.metadata import Headers, Request, value_of
+from sidecar_proxy.grpc.outcome import End, Ended
+from sidecar_proxy.http1.upstream import LOCAL_ERRORS, Pool, input_poll, itself
+from sidecar_proxy.http2.connection import (
     CANCEL,
     NO_ERROR,
     Connection,
@@ -27,9 +27,9 @@
     TrailersReceived,
     Writable,
 )
-from wickspread.http2.connection import Ended as ConnectionEnded
-from wickspread.http2.connection import GoawayReceived as Goaway
-from wickspread.http2.endpoint import Endpoint
+from sidecar_proxy.http2.connection import Ended as ConnectionEnded
+from sidecar_proxy.http2.connection import GoawayReceived as Goaway
+from sidecar_proxy.http2.endpoint import Endpoint
 
 MOST_UNSENT = 64 * 1024  # bytes that wait for a node's window, and no more are handed on
 SWEEP_S = 0.25
--- a/wickspread/grpc/outcome.py
+++ b/sidecar_proxy/grpc/outcome.py
@@ -11,8 +11,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from wickspread.decisions.interface import Outcome
-from wickspread.grpc.status import OF_HTTP, OF_RESET, Code, parse
+from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.grpc.status import OF_HTTP, OF_RESET, Code, parse
 
 REFUSED_STREAM = 0x7
 # About the request, not about the node: passed on as the final answer, and no sign that the node is ill.
--- a/wickspread/grpc/probe.py
+++ b/sidecar_proxy/grpc/probe.py
@@ -4,13 +4,13 @@
 
 from dataclasses import replace
 
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import ProbeEnd
-from wickspread.engine.seams import Answer
-from wickspread.grpc import health
-from wickspread.grpc.metadata import Request
-from wickspread.grpc.nodes import Attempt, Nodes
-from wickspread.grpc.outcome import Ended, judge
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.engine import ProbeEnd
+from sidecar_proxy.engine.interfaces import Answer
+from sidecar_proxy.grpc import health
+from sidecar_proxy.grpc.metadata import Request
+from sidecar_proxy.grpc.nodes import Attempt, Nodes
+from sidecar_proxy.grpc.outcome import Ended, judge
 
 REQUEST = Request(health.CHECK, 0, 0, b"", 0, 0, 0, False, (
     (b":method", b"POST"), (b":scheme", b"http"), (b":path", health.CHECK), (b":authority", b"backend.local"),
--- a/wickspread/grpc/relay.py
+++ b/sidecar_proxy/grpc/relay.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from wickspread.decisions import interface as api
-from wickspread.engine.seams import Answer, Finished
-from wickspread.grpc.held import WIDE, Holder
-from wickspread.grpc.metadata import Headers, Request, answer_headers, retry_after_us
-from wickspread.grpc.nodes import Attempt, Nodes
-from wickspread.grpc.outcome import Ended, Verdict, failed, judge, refused
-from wickspread.grpc.status import Code
-from wickspread.http2.connection import CANCEL
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.interfaces import Answer, Finished
+from sidecar_proxy.grpc.held import WIDE, Holder
+from sidecar_proxy.grpc.metadata import Headers, Request, answer_headers, retry_after_us
+from sidecar_proxy.grpc.nodes import Attempt, Nodes
+from sidecar_proxy.grpc.outcome import Ended, Verdict, failed, judge, refused
+from sidecar_proxy.grpc.status import Code
+from sidecar_proxy.http2.connection import CANCEL
 
 PUSHBACK = b"grpc-retry-pushback-ms"
 KEPT = 64 * 1024  # bytes of a request that can be sent again
--- a/wickspread/grpc/start.py
+++ b/sidecar_proxy/grpc/subsystem.py
@@ -4,14 +4,14 @@
 
 from functools import partial
 
-from wickspread.engine.engine import Engine
-from wickspread.grpc.front import Front
-from wickspread.grpc.metadata import MethodError, Methods, Reader
-from wickspread.grpc.nodes import Nodes
-from wickspread.grpc.probe import probe
-from wickspread.http1.listener import Listener
-from wickspread.operator.error import OperatorError
-from wickspread.operator.schema import Grpc
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.schema import Grpc
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.grpc.front import Front
+from sidecar_proxy.grpc.metadata import MethodError, Methods, Reader
+from sidecar_proxy.grpc.nodes import Nodes
+from sidecar_proxy.grpc.probe import probe
+from sidecar_proxy.http1.listener import Listener
 
 
 def start(told: Grpc, engine: Engine, server: Listener) -> Nodes:
--- a/wickspread/http1/client.py
+++ b/sidecar_proxy/http1/client.py
@@ -11,13 +11,13 @@
 
 import httptools
 
-from wickspread.engine.bodies import KEEP, MOST_BODY, Flow, Source, Upload
-from wickspread.http1.listener import Listener
-from wickspread.http1.outflow import InLine, Outflow
-from wickspread.http1.request import Rejected
-from wickspread.http1.upstream import MAX_HEAD, hangup_poll, input_poll
+from sidecar_proxy.engine.body_buffers import KEEP, MOST_BODY, Flow, Source, Upload
+from sidecar_proxy.http1.listener import Listener
+from sidecar_proxy.http1.outflow import InLine, Outflow
+from sidecar_proxy.http1.request import Rejected
+from sidecar_proxy.http1.upstream import MAX_HEAD, hangup_poll, input_poll
 
-log = logging.getLogger("wickspread")
+log = logging.getLogger("sidecar_proxy")
 
 LINGER_S = 3.0
 HEAD_S = 2.3  # from its accept to its first head, and for each later one from its first byte
--- a/wickspread/http1/listener.py
+++ b/sidecar_proxy/http1/listener.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from wickspread.engine.bodies import Flow, Source, Spool, Upload
-from wickspread.engine.engine import Engine
-from wickspread.http1.request import Rejected
+from sidecar_proxy.engine.body_buffers import Flow, Source, Spool, Upload
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.http1.request import Rejected
 
 
 class Incoming(Protocol):
--- a/wickspread/http1/outflow.py
+++ b/sidecar_proxy/http1/outflow.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from wickspread.engine.bodies import Source
+from sidecar_proxy.engine.body_buffers import Source
 
 
 class Line(Protocol):
--- a/wickspread/http1/request.py
+++ b/sidecar_proxy/http1/request.py
@@ -5,10 +5,10 @@
 import hashlib
 import re
 
-from wickspread.decisions import interface as api
-from wickspread.engine.bodies import Upload
-from wickspread.engine.seams import Call
-from wickspread.http1.upstream import HOP_HEADERS, end_to_end
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.body_buffers import Upload
+from sidecar_proxy.engine.interfaces import Call
+from sidecar_proxy.http1.upstream import HOP_HEADERS, end_to_end
 
 # The answer is under way, and the loop may be busy, when the client's time is out.
 ANSWER_MARGIN_US = 10_000
--- a/wickspread/http1/server.py
+++ b/sidecar_proxy/http1/server.py
@@ -8,16 +8,16 @@
 import socket
 from functools import partial
 
-from wickspread.engine.address import Address
-from wickspread.engine.bodies import Spool, Upload
-from wickspread.engine.engine import Engine
-from wickspread.http1.admission import Admission
-from wickspread.http1.client import ClientConnection
-from wickspread.http1.listener import Asked, Incoming, Listener, Unheard
-from wickspread.http1.request import Reader, Rejected
-from wickspread.http1.upstream import itself, poll_of
-
-log = logging.getLogger("wickspread")
+from sidecar_proxy.engine.address import Address
+from sidecar_proxy.engine.body_buffers import Spool, Upload
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.http1.admission import Admission
+from sidecar_proxy.http1.client import ClientConnection
+from sidecar_proxy.http1.listener import Asked, Incoming, Listener, Unheard
+from sidecar_proxy.http1.request import Reader, Rejected
+from sidecar_proxy.http1.upstream import itself, poll_of
+
+log = logging.getLogger("sidecar_proxy")
 
 BACKLOG = 512
 SWEEP_S = 0.2
--- a/wickspread/http1/upstream.py
+++ b/sidecar_proxy/http1/upstream.py
@@ -15,12 +15,12 @@
 
 import httptools
 
-from wickspread.decisions import interface as api
-from wickspread.engine.bodies import KEEP, MOST_BODY, Flow, Upload
-from wickspread.engine.seams import Answer, Attempt, Finished, Host, OpensAnswer
-from wickspread.engine.timers import Timer, Timers
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.body_buffers import KEEP, MOST_BODY, Flow, Upload
+from sidecar_proxy.engine.interfaces import Answer, Attempt, Finished, Host, OpensAnswer
+from sidecar_proxy.engine.timers import Timer, Timers
 
-log = logging.getLogger("wickspread")
+log = logging.getLogger("sidecar_proxy")
 
 MAX_HEAD = 16 * 1024
 MAX_RAW = MAX_HEAD + 8 * KEEP  # an answer that is held whole, with its framing: chunks may be small
--- a/wickspread/http2/connection.py
+++ b/sidecar_proxy/http2/connection.py
@@ -15,7 +15,7 @@
 
 import ngh2
 
-from wickspread.http2.guard import Guard, Rates
+from sidecar_proxy.http2.guard import Guard, Rates
 
 Headers = list[tuple[bytes, bytes]]
 NO_ERROR, PROTOCOL_ERROR, INTERNAL_ERROR, REFUSED_STREAM, CANCEL, CALM = 0x0, 0x1, 0x2, 0x7, 0x8, 0xB
--- a/wickspread/http2/endpoint.py
+++ b/sidecar_proxy/http2/endpoint.py
@@ -7,7 +7,7 @@
 
 from mypy_extensions import mypyc_attr
 
-from wickspread.http2.connection import Connection
+from sidecar_proxy.http2.connection import Connection
 
 
 @mypyc_attr(allow_interpreted_subclasses=True)
--- a/wickspread/checking/consensus.py
+++ b/sidecar_proxy/model_checking/consensus.py
@@ -1,6 +1,6 @@
 """Consensus in every order of elections, proposals, deliveries, losses, doubles, restarts and a wipe.
 
-    python -m wickspread.checking.consensus [--most STATES]
+    python -m sidecar_proxy.model_checking.consensus [--most STATES]
 
 The network is the set of all that was ever said: each may be delivered at any time, any number of times, or
 never, so loss, delay, order and doubles need no step of their own. A Ready is written as a whole before what
@@ -16,10 +16,10 @@
 from dataclasses import dataclass, replace
 from functools import partial
 
-from wickspread.agreement.core import Core, Role, Timing
-from wickspread.agreement.log import Log
-from wickspread.agreement.messages import Entry, HardState, Message, Node, Snapshot
-from wickspread.checking.search import Found, search
+from sidecar_proxy.consensus.log import Log
+from sidecar_proxy.consensus.messages import Entry, HardState, Message, Node, Snapshot
+from sidecar_proxy.consensus.raft import Core, Role, Timing
+from sidecar_proxy.model_checking.search import Found, search
 
 NODES = ("a", "b", "c")
 Makes = Callable[[Node, Log, HardState, random.Random, Timing], Core]
--- a/wickspread/checking/fleets.py
+++ b/sidecar_proxy/model_checking/fleets.py
@@ -2,7 +2,7 @@
 on a network that delays, loses, doubles, reorders and cuts, on disks that are slow, lost and torn, with
 operators at all doors. What they are told is judged by its contract (history.py).
 
-    python -m wickspread.checking.fleets --seed 1 --runs 500
+    python -m sidecar_proxy.model_checking.fleets --seed 1 --runs 500
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from functools import partial
 from typing import Any
 
-from wickspread.agreement import words
-from wickspread.agreement.asking import Answered
-from wickspread.agreement.frames import Here
-from wickspread.agreement.log import Kept, Log
-from wickspread.agreement.member import Limits, Member, Output, Post, Tell, Write, node_of
-from wickspread.agreement.messages import HardState
-from wickspread.agreement.voters import name_of
-from wickspread.checking.history import Logged, Said, judge
+from sidecar_proxy.consensus import replicated_commands as words
+from sidecar_proxy.consensus.frames import Here
+from sidecar_proxy.consensus.log import Kept, Log
+from sidecar_proxy.consensus.messages import HardState
+from sidecar_proxy.consensus.proposals import Answered
+from sidecar_proxy.consensus.replica import Limits, Member, Output, Post, Tell, Write, node_of
+from sidecar_proxy.consensus.voters import name_of
+from sidecar_proxy.model_checking.history import Logged, Said, judge
 
 SECONDS = 40.0
 CALM_S = 20.0  # at the end nothing is broken any more
@@ -419,7 +419,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python -m wickspread.checking.fleets", description=__doc__,
+    parser = argparse.ArgumentParser(prog="python -m sidecar_proxy.model_checking.fleets", description=__doc__,
                                      formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--runs", type=int, default=100)
--- a/wickspread/overload/core.py
+++ b/sidecar_proxy/overload_control/controller.py
@@ -11,12 +11,22 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import EARLY_US
-from wickspread.overload import cut
-from wickspread.overload.leases import KEPT, LEAST, TERM_US, Escrow
-from wickspread.overload.storm import Promises, Rate, Storm, return_us
-from wickspread.overload.words import MOST_CLASSES, WHOLE, Lend, Loan, Need, Report, Return, Word, Work
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import EARLY_US
+from sidecar_proxy.overload_control import shedding_threshold as cut
+from sidecar_proxy.overload_control.messages import (
+    MOST_CLASSES,
+    WHOLE,
+    Lend,
+    Loan,
+    Need,
+    Report,
+    Return,
+    Word,
+    Work,
+)
+from sidecar_proxy.overload_control.quota_leases import KEPT, LEAST, TERM_US, Escrow
+from sidecar_proxy.overload_control.retry_storm import Promises, Rate, Storm, return_us
 
 TICK_US = 250_000
 REPORT_US = 1_000_000  # between two reports of one sidecar
--- a/wickspread/overload/leases.py
+++ b/sidecar_proxy/overload_control/quota_leases.py
@@ -13,7 +13,7 @@
 import random
 from dataclasses import dataclass, field
 
-from wickspread.overload.words import WHOLE, Lend, Need, Return
+from sidecar_proxy.overload_control.messages import WHOLE, Lend, Need, Return
 
 TERM_US = 3_000_000  # of a loan
 DRIFT = 0.02  # clocks of two machines differ in rate by less
--- a/wickspread/overload/storm.py
+++ b/sidecar_proxy/overload_control/retry_storm.py
@@ -6,8 +6,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from wickspread.decisions.balance import EARLY_US
-from wickspread.overload.cut import Line
+from sidecar_proxy.balancer.balancer import EARLY_US
+from sidecar_proxy.overload_control.shedding_threshold import Line
 
 BEGINS = 0.2  # share of the tries that is refused for want of slots
 REPEATS = 0.3  # share of the tries that are repeats, where at least ENDS of all is refused
--- a/wickspread/overload/cut.py
+++ b/sidecar_proxy/overload_control/shedding_threshold.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from wickspread.overload.words import WHOLE, Report
+from sidecar_proxy.overload_control.messages import WHOLE, Report
 
 AMPLE = 1.5  # of its demand is the room of who knows no limit
 STAKE = 1.25  # times its weight's part: more of a claim does not count
--- a/wickspread/overload/start.py
+++ b/sidecar_proxy/overload_control/subsystem.py
@@ -8,17 +8,17 @@
 import logging
 import random
 
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Engine
-from wickspread.engine.seams import Call
-from wickspread.gossip.instance import Word
-from wickspread.gossip.start import Gossiping
-from wickspread.operations.door import Door
-from wickspread.operator.schema import Overload
-from wickspread.overload import words
-from wickspread.overload.core import Limits, Member, Note, Output, Post, Say, mean_warmth
-
-log = logging.getLogger("wickspread")
+from sidecar_proxy.admin.server import Door
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.config.schema import Overload
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.engine.interfaces import Call
+from sidecar_proxy.gossip.instance import Word
+from sidecar_proxy.gossip.subsystem import Gossiping
+from sidecar_proxy.overload_control import messages as words
+from sidecar_proxy.overload_control.controller import Limits, Member, Note, Output, Post, Say, mean_warmth
+
+log = logging.getLogger("sidecar_proxy")
 
 COMPLAIN_S = 1.0  # between two log lines on what could not be read
 
--- a/wickspread/recorder/frames.py
+++ b/sidecar_proxy/recorder/record_framing.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from wickspread.decisions import interface as api
-from wickspread.recorder.forms import form_of
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.recorder.record_schema import form_of
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickspread/recorder/forms.py
+++ b/sidecar_proxy/recorder/record_schema.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from wickspread.decisions import interface as api
+from sidecar_proxy.balancer import events as api
 
 INNER: dict[tuple[str, str], Any] = {
     ("AttemptEnded", "report"): list[float], ("ProbeEnded", "report"): list[float],
--- a/wickspread/recorder/recording.py
+++ b/sidecar_proxy/recorder/recording.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from wickspread.decisions import interface as api
-from wickspread.recorder.forms import form_of
-from wickspread.recorder.frames import Frame, FrameError, unpack
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.recorder.record_framing import Frame, FrameError, unpack
+from sidecar_proxy.recorder.record_schema import form_of
 
 MAGIC = b"wickspread recording 1\n"
 KIND = b"wickspread recording "
--- a/wickspread/recorder/replay.py
+++ b/sidecar_proxy/recorder/replay.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickspread.decisions.balance import Balancer
-from wickspread.recorder.frames import Frame, Named
-from wickspread.recorder.recording import Head
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.recorder.record_framing import Frame, Named
+from sidecar_proxy.recorder.recording import Head
 
 
 @dataclass(slots=True, frozen=True)
--- a/wickspread/recorder/story.py
+++ b/sidecar_proxy/recorder/request_trace.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from wickspread.decisions import interface as api
-from wickspread.recorder.frames import Frame, Named
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.recorder.record_framing import Frame, Named
 
 ENDS = {api.Outcome.OK: "answered well", api.Outcome.ERROR: "answered with an error",
         api.Outcome.FULL: "declined it: it never ran",
--- a/wickspread/recorder/start.py
+++ b/sidecar_proxy/recorder/subsystem.py
@@ -12,15 +12,15 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Engine
-from wickspread.operator.error import OperatorError
-from wickspread.operator.schema import Recorder as Told
-from wickspread.recorder.frames import Named, pack
-from wickspread.recorder.recording import Head, begin, digest, framed, write
-from wickspread.recorder.ring import Ring
-
-log = logging.getLogger("wickspread")
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.schema import Recorder as Told
+from sidecar_proxy.engine.engine import Engine
+from sidecar_proxy.recorder.record_framing import Named, pack
+from sidecar_proxy.recorder.recording import Head, begin, digest, framed, write
+from sidecar_proxy.recorder.ring_buffer import Ring
+
+log = logging.getLogger("sidecar_proxy")
 
 FAULT_GAP_S = 60.0  # between two recordings that faults have caused
 
--- a/wickspread/simulator/adapter.py
+++ b/sidecar_proxy/simulator_adapter/adapter.py
@@ -5,9 +5,9 @@
 import sys
 from typing import BinaryIO
 
-from wickspread.decisions.balance import Balancer
-from wickspread.decisions.settings import SettingsError, check_allowed, parse_settings
-from wickspread.simulator import wire
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.balancer.settings import SettingsError, check_allowed, parse_settings
+from sidecar_proxy.simulator_adapter import wire
 
 
 def read_exactly(source: BinaryIO, size: int) -> bytes:
@@ -78,10 +78,10 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
-        print(f"wickspread: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
-        print("wickspread: the reader of our replies is gone", file=sys.stderr)
+        print("sidecar_proxy: the reader of our replies is gone", file=sys.stderr)
         return 3
     return 0
 
--- a/wickspread/simulator/wire.py
+++ b/sidecar_proxy/simulator_adapter/wire.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from wickspread.decisions import interface as api
+from sidecar_proxy.balancer import events as api
 
 HEADER = struct.Struct("<IIQ")
 REPLY_HEADER = struct.Struct("<II")
--- a/wickspread/lab/campaign.py
+++ b/sidecar_proxy/testbed/campaign.py
@@ -5,7 +5,7 @@
 processes that are killed, stopped, started anew, and clocks that run at their own rate. `--real` plays the
 same scripts with processes and sockets, on the rig.
 
-    python3 -m wickspread campaign --seed 1 --runs 200 [--sidecars 6] [--real]
+    python3 -m sidecar_proxy campaign --seed 1 --runs 200 [--sidecars 6] [--real]
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from dataclasses import dataclass, replace
 from typing import Protocol, TextIO
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import Balancer
-from wickspread.lab.breaking import LINK_KINDS, SIZED, pairs
-from wickspread.lab.script import Fault, ScriptError, read, written
-from wickspread.overload import words
-from wickspread.overload.core import Limits, Member, Output, Post, Say
-from wickspread.overload.leases import DRIFT
-from wickspread.overload.words import WHOLE
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.overload_control import messages as words
+from sidecar_proxy.overload_control.controller import Limits, Member, Output, Post, Say
+from sidecar_proxy.overload_control.messages import WHOLE
+from sidecar_proxy.overload_control.quota_leases import DRIFT
+from sidecar_proxy.testbed.fault_injection import LINK_KINDS, SIZED, pairs
+from sidecar_proxy.testbed.fault_schedule import Fault, ScriptError, read, written
 
 SECONDS = 30.0
 FIRST_US = 1_000_000  # of the world's clock
@@ -348,7 +348,7 @@
 
 
 async def on_rig(sidecars: int, seconds: float, seed: int, faults: Sequence[Fault]) -> list[Finding]:
-    from wickspread.lab.scene import Plan, Scene
+    from sidecar_proxy.testbed.scenario import Plan, Scene
 
     plan = Plan(sidecars=sidecars, rate=40.0 * sidecars, seconds=seconds, seed=seed, faults=tuple(faults),
                 gossip=True, relayed=True, extra="[overload]\nenabled = true\ntrace = true\n")
@@ -394,7 +394,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python3 -m wickspread campaign", description=__doc__,
+    parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy campaign", description=__doc__,
                                      formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--runs", type=int, default=200)
@@ -412,7 +412,7 @@
             with open(told.play) as file:
                 faults = read(file.read())
         except (OSError, UnicodeDecodeError, ScriptError) as error:
-            print(f"wickspread: {error}", file=sys.stderr)
+            print(f"sidecar_proxy: {error}", file=sys.stderr)
             return 2
         found = plays(told.seed, faults)
         for one in found:
--- a/wickspread/lab/checker.py
+++ b/sidecar_proxy/testbed/checker.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from wickspread.lab.ledger import Answered, Asked, Process, Quit, Received, Record, Started, Told
+from sidecar_proxy.testbed.history import Answered, Asked, Process, Quit, Received, Record, Started, Told
 
 REFUSED = (429, 503)
 
--- a/wickspread/lab/flock.py
+++ b/sidecar_proxy/testbed/client_fleet.py
@@ -11,11 +11,11 @@
 
 from nacl.signing import SigningKey
 
-from wickspread.decisions.balance import BELIEVED
-from wickspread.decisions.interface import Outcome
-from wickspread.gossip.codec import Certificate
-from wickspread.gossip.instance import Address, Datagram, Exchange, Instance, Output, Sized, Suspect, Word
-from wickspread.gossip.keys import Keyring, Refused, certify
+from sidecar_proxy.balancer.balancer import BELIEVED
+from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.gossip.codec import Certificate
+from sidecar_proxy.gossip.instance import Address, Datagram, Exchange, Instance, Output, Sized, Suspect, Word
+from sidecar_proxy.gossip.keys import Keyring, Refused, certify
 
 WALL_US = 1_796_000_000_000_000
 TRIP_US = 1_000
--- a/wickspread/lab/clients.py
+++ b/sidecar_proxy/testbed/clients.py
@@ -6,8 +6,8 @@
 import random
 from dataclasses import dataclass
 
-from wickspread.lab.http1 import ClientPeer, Reply
-from wickspread.lab.ledger import Answered, Asked, Ledger, Quit, now_us
+from sidecar_proxy.testbed.history import Answered, Asked, Ledger, Quit, now_us
+from sidecar_proxy.testbed.http1 import ClientPeer, Reply
 
 GRACE_S = 0.5  # a client goes on reading so long after its due time, so that late answers are seen as such
 MOST_OPEN = 400  # connections of one crowd
--- a/wickspread/lab/show.py
+++ b/sidecar_proxy/testbed/demo.py
@@ -1,4 +1,4 @@
-"""The demo: `python3 -m wickspread lab`. A live line a second, then a table by class and the verdict."""
+"""The demo: `python3 -m sidecar_proxy lab`. A live line a second, then a table by class and the verdict."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from pathlib import Path
 from typing import TextIO
 
-from wickspread import compiled
-from wickspread.lab import script
-from wickspread.lab.capacity import Machine
-from wickspread.lab.checker import Breach, Row, table
-from wickspread.lab.ledger import Answered, Asked, Fell
-from wickspread.lab.process import SceneError
-from wickspread.lab.scene import Plan, Scene
-from wickspread.lab.script import Fault
+from sidecar_proxy import compiled
+from sidecar_proxy.testbed import fault_schedule as script
+from sidecar_proxy.testbed.capacity import Machine
+from sidecar_proxy.testbed.checker import Breach, Row, table
+from sidecar_proxy.testbed.fault_schedule import Fault
+from sidecar_proxy.testbed.history import Answered, Asked, Fell
+from sidecar_proxy.testbed.process import SceneError
+from sidecar_proxy.testbed.scenario import Plan, Scene
 
 MOST_BREACHES = 10  # are printed
 
@@ -109,7 +109,7 @@
 
 
 def parse(arguments: list[str]) -> argparse.Namespace:
-    parser = argparse.ArgumentParser(prog="python3 -m wickspread lab", description=__doc__)
+    parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy lab", description=__doc__)
     parser.add_argument("--nodes", type=int, default=12)
     parser.add_argument("--sidecars", type=int, default=1)
     parser.add_argument("--rate", type=float, default=150.0, help="requests a second, all together")
@@ -143,12 +143,12 @@
         if not found.etcd and any(one.kind == "etcd_down" for one in faults):
             raise SceneError("etcd_down: there is no etcd in this play; see --etcd")
         if found.grpc and importlib.util.find_spec("ngh2") is None:
-            raise SceneError("--grpc: needs the `grpc` extra: pip install 'wickspread[sidecar,grpc]'")
+            raise SceneError("--grpc: needs the `grpc` extra: pip install 'rosetrestle[sidecar,grpc]'")
         if found.etcd and None in (importlib.util.find_spec("ngh2"), importlib.util.find_spec("google")):
-            raise SceneError("--etcd: needs the `etcd` extra: pip install 'wickspread[sidecar,etcd]'")
+            raise SceneError("--etcd: needs the `etcd` extra: pip install 'rosetrestle[sidecar,etcd]'")
         import uvloop
 
         return uvloop.run(run(plan, found.ledger, sys.stdout))
     except (script.ScriptError, SceneError, OSError, UnicodeDecodeError) as error:
-        print(f"wickspread: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 2
--- a/wickspread/lab/etcd.py
+++ b/sidecar_proxy/testbed/etcd.py
@@ -1,7 +1,7 @@
 """A stand-in for etcd's v3 API: revisions, watches, compaction, leases, auth, members that misbehave as told.
 
 One `Store` is what the cluster agrees on; each `Member` serves it at an address of its own, as it is, behind,
-cut off, or silent. It answers the calls of wickspread/membership/etcd/api.proto.
+cut off, or silent. It answers the calls of sidecar_proxy/discovery/etcd/api.proto.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 from google.protobuf.message import DecodeError, Message
 
-from wickspread.grpc.message import PREFIX, first_size, framed
-from wickspread.http2.connection import DataReceived, Event, HeadersReceived, StreamError, StreamReset
-from wickspread.lab.http2 import Http2Peer, Stream
-from wickspread.membership.etcd import api_pb2 as pb
+from sidecar_proxy.discovery.etcd import api_pb2 as pb
+from sidecar_proxy.grpc.message import PREFIX, first_size, framed
+from sidecar_proxy.http2.connection import DataReceived, Event, HeadersReceived, StreamError, StreamReset
+from sidecar_proxy.testbed.http2 import Http2Peer, Stream
 
 OK, INVALID, NOT_FOUND, PRECONDITION, RANGE, UNIMPLEMENTED, UNAVAILABLE, UNAUTHENTICATED = (
     0, 3, 5, 9, 11, 12, 14, 16)
--- a/wickspread/lab/breaking.py
+++ b/sidecar_proxy/testbed/fault_injection.py
@@ -6,8 +6,8 @@
 import itertools
 from dataclasses import dataclass
 
-from wickspread.lab.links import Links, Way
-from wickspread.lab.process import SidecarProcess
+from sidecar_proxy.testbed.network_links import Links, Way
+from sidecar_proxy.testbed.process import SidecarProcess
 
 SIDECAR_KINDS = ("sidecar_kill", "sidecar_stop", "sidecar_term", "sidecar_wipe", "sidecar_full",
                  "sidecar_clock")
--- a/wickspread/lab/script.py
+++ b/sidecar_proxy/testbed/fault_schedule.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass, fields
 from typing import TYPE_CHECKING, Any
 
-from wickspread.lab.breaking import LINK_KINDS, SIDECAR_KINDS, Fleet
-from wickspread.lab.ledger import Faulted, Ledger, now_us
-from wickspread.lab.links import Links
-from wickspread.lab.nodes import Node
-from wickspread.lab.process import SidecarProcess
-from wickspread.lab.roster import Roster
+from sidecar_proxy.testbed.fault_injection import LINK_KINDS, SIDECAR_KINDS, Fleet
+from sidecar_proxy.testbed.history import Faulted, Ledger, now_us
+from sidecar_proxy.testbed.network_links import Links
+from sidecar_proxy.testbed.platform_discovery import Roster
+from sidecar_proxy.testbed.process import SidecarProcess
+from sidecar_proxy.testbed.upstreams import Node
 
 KINDS = ("silent", "slow", "errors", "lost", "reset", "half", "drain", "restart", "crash", "roster_down",
          "roster_late", "etcd_down", *SIDECAR_KINDS, *LINK_KINDS)
@@ -22,7 +22,7 @@
 MOST_FAULTS = 1000
 
 if TYPE_CHECKING:
-    from wickspread.lab.registry import Registry
+    from sidecar_proxy.testbed.registry import Registry
 
 
 class ScriptError(Exception):
--- a/wickspread/lab/gossip.py
+++ b/sidecar_proxy/testbed/gossip.py
@@ -10,13 +10,13 @@
 
 from nacl.signing import SigningKey
 
-from wickspread.gossip import codec, files
-from wickspread.gossip.instance import Instance, Sized, Suspect, Word
-from wickspread.gossip.keys import Keyring, certify
-from wickspread.gossip.transport import Transport, wall_us
-from wickspread.lab.ledger import now_us
-from wickspread.lab.links import Links, host_of
-from wickspread.overload import words
+from sidecar_proxy.gossip import codec, files
+from sidecar_proxy.gossip.instance import Instance, Sized, Suspect, Word
+from sidecar_proxy.gossip.keys import Keyring, certify
+from sidecar_proxy.gossip.transport import Transport, wall_us
+from sidecar_proxy.overload_control import messages as words
+from sidecar_proxy.testbed.history import now_us
+from sidecar_proxy.testbed.network_links import Links, host_of
 
 LIE_S = 0.2
 
--- a/wickspread/lab/grpc.py
+++ b/sidecar_proxy/testbed/grpc.py
@@ -4,14 +4,14 @@
 
 import asyncio
 
-from wickspread.grpc.deadline import format_us
-from wickspread.grpc.message import framed
-from wickspread.grpc.status import Code
-from wickspread.lab.clients import Crowd, Load, Manners
-from wickspread.lab.http1 import Reply, Request
-from wickspread.lab.http2 import ClientPeer, ServerPeer, Stream
-from wickspread.lab.ledger import Answered, Asked, Ledger, Quit, now_us
-from wickspread.lab.nodes import Node, NodePeer
+from sidecar_proxy.grpc.deadline import format_us
+from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.grpc.status import Code
+from sidecar_proxy.testbed.clients import Crowd, Load, Manners
+from sidecar_proxy.testbed.history import Answered, Asked, Ledger, Quit, now_us
+from sidecar_proxy.testbed.http1 import Reply, Request
+from sidecar_proxy.testbed.http2 import ClientPeer, ServerPeer, Stream
+from sidecar_proxy.testbed.upstreams import Node, NodePeer
 
 SERVICE = b"/lab.Komiks/"
 # An answer's HTTP status and the code that says the same.
--- a/wickspread/lab/http1.py
+++ b/sidecar_proxy/testbed/http1.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from wickspread.lab.ledger import now_us
+from sidecar_proxy.testbed.history import now_us
 
 
 @dataclass(slots=True)
--- a/wickspread/lab/http2.py
+++ b/sidecar_proxy/testbed/http2.py
@@ -5,8 +5,8 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from wickspread.grpc.message import PREFIX, framed
-from wickspread.http2.connection import (
+from sidecar_proxy.grpc.message import PREFIX, framed
+from sidecar_proxy.http2.connection import (
     CANCEL,
     Connection,
     DataReceived,
@@ -19,9 +19,9 @@
     StreamReset,
     TrailersReceived,
 )
-from wickspread.http2.endpoint import Endpoint
-from wickspread.http2.guard import Rates
-from wickspread.lab.ledger import now_us
+from sidecar_proxy.http2.endpoint import Endpoint
+from sidecar_proxy.http2.guard import Rates
+from sidecar_proxy.testbed.history import now_us
 
 LIMITS = Limits(streams=10_000, window=1 << 20, connection_window=1 << 30,
                 rates=Rates(1e9, 1e9, 1e9, 1e9, 1e9))
--- a/wickspread/lab/invariants.py
+++ b/sidecar_proxy/testbed/invariants.py
@@ -7,8 +7,8 @@
 import json
 from collections.abc import Callable, Iterable
 
-from wickspread.lab.checker import Breach
-from wickspread.lab.ledger import Process, Record, Said
+from sidecar_proxy.testbed.checker import Breach
+from sidecar_proxy.testbed.history import Process, Record, Said
 
 WHOLE = 1_000_000  # parts of a budget
 
--- a/wickspread/lab/links.py
+++ b/sidecar_proxy/testbed/network_links.py
@@ -1,5 +1,5 @@
 """Links between sidecars: all that they say to one another goes through relays of the lab's, so that each way
-between two of them can be broken by itself. docs/design/rig.md.
+between two of them can be broken by itself. docs/design/testbed.md.
 """
 
 from __future__ import annotations
--- a/wickspread/lab/roster.py
+++ b/sidecar_proxy/testbed/platform_discovery.py
@@ -7,8 +7,8 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from wickspread.lab.http1 import Request, ServerPeer
-from wickspread.lab.ledger import Ledger, Told, now_us
+from sidecar_proxy.testbed.history import Ledger, Told, now_us
+from sidecar_proxy.testbed.http1 import Request, ServerPeer
 
 HEARTBEAT_S = 2.0
 
--- a/wickspread/lab/process.py
+++ b/sidecar_proxy/testbed/process.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from wickspread.lab.ledger import Ledger, Process, Said, now_us
+from sidecar_proxy.testbed.history import Ledger, Process, Said, now_us
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 START_S = 20.0
@@ -42,7 +42,7 @@
         self.operator = operator  # the text of its operator file
         self.ledger = ledger
         self.env: dict[str, str] = {}  # beside what is inherited
-        self.command = ["-B", "-m", "wickspread.daemon"]
+        self.command = ["-B", "-m", "sidecar_proxy.daemon"]
         self.door: tuple[str, int] | None = None  # where operators call it; None = nowhere
         self.lines: deque[str] = deque(maxlen=500)
         self.address = ("", 0)
@@ -60,13 +60,13 @@
         self.path.write_text(json.dumps(self.config))
         self.folder.mkdir(exist_ok=True)
         env = {name: value for name, value in os.environ.items()
-               if not name.startswith(("PYTHON", "VIRTUAL_ENV", "PROXY_", "WICKSPREAD_"))}
+               if not name.startswith(("PYTHON", "VIRTUAL_ENV", "PROXY_", "SIDECAR_PROXY_"))}
         if self.operator:
             path = self.path.with_suffix(".toml")
             path.write_text(self.operator.replace(FOLDER, str(self.folder)))
-            env["WICKSPREAD_OPERATOR"] = str(path)
-            env["WICKSPREAD_CLOCK_FILE"] = str(self.clock)
-            env["WICKSPREAD_DISK_FILE"] = str(self.disk)
+            env["SIDECAR_PROXY_OPERATOR"] = str(path)
+            env["SIDECAR_PROXY_CLOCK_FILE"] = str(self.clock)
+            env["SIDECAR_PROXY_DISK_FILE"] = str(self.disk)
         env |= {"PROXY_NAME": self.name, "PROXY_LISTEN": "127.0.0.1:0", "PROXY_CONFIG": str(self.path),
                 "PROXY_DISCOVERY": self.config["discovery"], "TMPDIR": str(self.folder)} | self.env
         if self.door is not None:
--- a/wickspread/lab/registry.py
+++ b/sidecar_proxy/testbed/registry.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from wickspread.lab.etcd import Member, cluster
-from wickspread.lab.ledger import Ledger, Told, now_us
+from sidecar_proxy.testbed.etcd import Member, cluster
+from sidecar_proxy.testbed.history import Ledger, Told, now_us
 
 PREFIX = "/komiks/nodes/"
 
--- a/wickspread/lab/scene.py
+++ b/sidecar_proxy/testbed/scenario.py
@@ -7,20 +7,20 @@
 from dataclasses import dataclass, field, replace
 from typing import TYPE_CHECKING, Any
 
-from wickspread.lab import invariants
-from wickspread.lab.capacity import Machine
-from wickspread.lab.checker import Bounds, Breach, Kind, check
-from wickspread.lab.clients import Crowd, Load, Manners
-from wickspread.lab.ledger import Ledger
-from wickspread.lab.links import Links, free_address
-from wickspread.lab.nodes import Node
-from wickspread.lab.process import SidecarProcess
-from wickspread.lab.roster import Roster
-from wickspread.lab.script import Fault, Player
+from sidecar_proxy.testbed import invariants
+from sidecar_proxy.testbed.capacity import Machine
+from sidecar_proxy.testbed.checker import Bounds, Breach, Kind, check
+from sidecar_proxy.testbed.clients import Crowd, Load, Manners
+from sidecar_proxy.testbed.fault_schedule import Fault, Player
+from sidecar_proxy.testbed.history import Ledger
+from sidecar_proxy.testbed.network_links import Links, free_address
+from sidecar_proxy.testbed.platform_discovery import Roster
+from sidecar_proxy.testbed.process import SidecarProcess
+from sidecar_proxy.testbed.upstreams import Node
 
 if TYPE_CHECKING:
-    from wickspread.lab.gossip import Keys
-    from wickspread.lab.registry import Registry
+    from sidecar_proxy.testbed.gossip import Keys
+    from sidecar_proxy.testbed.registry import Registry
 
 CELL = 6  # nodes of one cell
 LOADS = [Load("chapter-buy", "at_most_once", 0.6, 1.2, worth=10.0),
@@ -123,7 +123,7 @@
         self.links: Links | None = None
         self.gossip: tuple[str, int] = ("", 0)  # where the first sidecar is heard
         self.player: Player | None = None
-        self.folder = tempfile.TemporaryDirectory(prefix="wickspread-lab-")
+        self.folder = tempfile.TemporaryDirectory(prefix="sidecar_proxy-lab-")
 
     async def __aenter__(self) -> Scene:
         try:
@@ -168,7 +168,7 @@
 
     async def start_gossiping(self) -> None:
         """The first one is the seed of the others; through relays the first three are, as any may be away."""
-        from wickspread.lab.gossip import Keys
+        from sidecar_proxy.testbed.gossip import Keys
 
         self.keys = Keys(self.folder.name)
         seeds: list[str] = []
@@ -199,7 +199,7 @@
         """etcd's part of the operator file. Imported where there is some."""
         if not self.plan.etcd:
             return ""
-        from wickspread.lab.registry import Registry
+        from sidecar_proxy.testbed.registry import Registry
 
         self.registry = Registry(self.ledger, self.plan.etcd)
         self.registry.put(*[node.entry() for node in self.nodes])
@@ -209,7 +209,7 @@
         """The sidecars' operator file. gRPC's part of the lab is imported where there is some."""
         if not self.plan.grpc:
             return self.plan.extra
-        from wickspread.lab.grpc import methods, speak
+        from sidecar_proxy.testbed.grpc import methods, speak
 
         for node in self.nodes:
             node.other = speak
@@ -219,7 +219,7 @@
         """Clients' protocols, each with its share of the requests."""
         found: list[tuple[type[Crowd], float]] = [(Crowd, 1.0 - self.plan.grpc)]
         if self.plan.grpc:
-            from wickspread.lab.grpc import GrpcCrowd
+            from sidecar_proxy.testbed.grpc import GrpcCrowd
 
             found.append((GrpcCrowd, self.plan.grpc))
         return [(kind, share) for kind, share in found if share > 0]
--- a/wickspread/lab/nodes.py
+++ b/sidecar_proxy/testbed/upstreams.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from wickspread.lab.capacity import Capacity, Machine
-from wickspread.lab.http1 import Request, ServerPeer
-from wickspread.lab.ledger import Fell, Ledger, Ran, Received, Started, now_us
+from sidecar_proxy.testbed.capacity import Capacity, Machine
+from sidecar_proxy.testbed.history import Fell, Ledger, Ran, Received, Started, now_us
+from sidecar_proxy.testbed.http1 import Request, ServerPeer
 
 MOST_NODES = 60_000
 SCRIPTED = ("error", "declined", "reset", "half", "lost")
--- a/tests/operations/test_upgrade.py
+++ b/tests/admin/test_hot_restart.py
@@ -14,11 +14,11 @@
 
 import uvloop
 
-from tests.operations.rig import Doored
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.http1.upstream import Exchange, Pool
+from tests.admin.rig import Doored
 from tests.sockets import LONG_S, Client, Discovery, Message, Upstream, answer, eventually
-from wickspread.decisions import interface as api
-from wickspread.engine.seams import Host
-from wickspread.http1.upstream import Exchange, Pool
 
 
 @contextmanager
--- a/tests/operations/test_pure.py
+++ b/tests/admin/test_pure.py
@@ -9,10 +9,10 @@
 
 import pytest
 
+from sidecar_proxy.admin.hot_restart import Handover
+from sidecar_proxy.admin.suspensions import MOST_SUSPENDED, Suspended, Unknown
+from sidecar_proxy.engine.metrics import Figures
 from tests.sockets import LONG_S, ROOT
-from wickspread.engine.figures import Figures
-from wickspread.operations.handover import Handover
-from wickspread.operations.suspended import MOST_SUSPENDED, Suspended, Unknown
 
 
 def test_each_request_is_counted_once_under_what_its_client_was_told() -> None:
@@ -74,7 +74,7 @@
 
 
 def test_who_serves_is_known_from_the_lock_even_after_a_kill(tmp_path: Path) -> None:
-    code = ("import sys, pathlib; from wickspread.operations.handover import Handover\n"
+    code = ("import sys, pathlib; from sidecar_proxy.admin.hot_restart import Handover\n"
             "h = Handover(pathlib.Path(sys.argv[1])); print(h.alone(), flush=True); sys.stdin.read()")
     with subprocess.Popen([sys.executable, "-c", code, str(tmp_path)], cwd=ROOT, stdin=subprocess.PIPE,
                           stdout=subprocess.PIPE, text=True) as other:
--- a/tests/operations/test_door.py
+++ b/tests/admin/test_server.py
@@ -7,7 +7,7 @@
 import tempfile
 import threading
 
-from tests.operations.rig import Doored, call, doored
+from tests.admin.rig import Doored, call, doored
 from tests.sockets import LONG_S, Discovery, Message, Upstream, answer, eventually
 
 
--- a/tests/operations/test_remembered.py
+++ b/tests/admin/test_warm_start_codec.py
@@ -11,14 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.operations.rig import Doored
-from tests.operations.test_upgrade import platform
-from tests.sockets import Upstream as Node
-from tests.sockets import answer, eventually
-from tests.world import START_US, upstreams
-from tests.world import settings as world_settings
-from wickspread.decisions.balance import Balancer
-from wickspread.decisions.interface import (
+from sidecar_proxy.admin import warm_start_codec as remembered
+from sidecar_proxy.admin.warm_start_codec import Distrusted, believe, decode, encode
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.balancer.events import (
     AttemptEnded,
     Learnt,
     LearntUpstream,
@@ -29,8 +25,12 @@
     Upstream,
     UpstreamsUpdated,
 )
-from wickspread.operations import remembered
-from wickspread.operations.remembered import Distrusted, believe, decode, encode
+from tests.admin.rig import Doored
+from tests.admin.test_hot_restart import platform
+from tests.sockets import Upstream as Node
+from tests.sockets import answer, eventually
+from tests.world import START_US, upstreams
+from tests.world import settings as world_settings
 
 CLASSES = ["read", "pay", "mark"]
 NAMES = {number: f"node-{number}" for number in range(100, 106)}
@@ -138,7 +138,7 @@
             old.request("GET", "/read/7")
         asked = len(ill.requests)
         with Doored([well, other, ill], folder, listener=listener) as new:
-            line = "wickspread: takes over what was learnt of 3 upstreams"
+            line = "sidecar_proxy: takes over what was learnt of 3 upstreams"
             eventually(lambda: line in new.lines)
             assert old.stop() == 0
             for _ in range(60):
--- a/tests/check.sh
+++ b/tests/check.sh
@@ -22,10 +22,10 @@
 # the tests of the deploy file build .venv; done here, two of them never do it at once
 "$python" deploy/build.py
 # all from the sources; then once more compiled what every request passes, its decisions, sockets and upgrades
-WICKSPREAD_PURE=1 "$python" -m pytest -n 6 --dist loadfile "$@"
+SIDECAR_PROXY_PURE=1 "$python" -m pytest -n 6 --dist loadfile "$@"
 if [ $# = 0 ]; then
     "$python" -m pytest -n 6 --dist loadfile tests/test_slots.py tests/test_rules.py tests/test_calm.py \
         tests/test_fleet.py tests/test_subset.py tests/test_engine.py tests/test_server.py tests/test_upstream.py \
         tests/test_bodies.py tests/test_admission.py tests/test_garbage.py tests/test_timers.py \
-        tests/test_discovery.py tests/test_suspected.py tests/operations/test_upgrade.py tests/lab/test_scene.py tests/lab/test_scene_answers.py tests/grpc tests/http2 tests/crossings
+        tests/test_discovery.py tests/test_suspected.py tests/admin/test_hot_restart.py tests/testbed/test_scenario.py tests/testbed/test_scenario_answers.py tests/grpc tests/http2 tests/crossings
 fi
--- a/tests/operator/test_config.py
+++ b/tests/config/test_config.py
@@ -10,12 +10,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from sidecar_proxy.cli.config import main, reference, show
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.field_types import Kind, whole
+from sidecar_proxy.config.reader import read
+from sidecar_proxy.config.schema import Gossip, Grpc, Operator
 from tests.sockets import ROOT
-from wickspread.operator.command import main, reference, show
-from wickspread.operator.error import OperatorError
-from wickspread.operator.kinds import Kind, whole
-from wickspread.operator.reading import read
-from wickspread.operator.schema import Gossip, Grpc, Operator
 
 TEXT = st.text(st.characters(exclude_categories=["Cs"]), max_size=20)
 FILES = st.builds(
@@ -33,7 +33,7 @@
 
 def test_the_page_of_all_keys_is_what_the_schema_says() -> None:
     page = (ROOT / "docs/operate/operator.md").read_text()
-    assert page == reference(), "python3 -m wickspread config reference"
+    assert page == reference(), "python3 -m sidecar_proxy config reference"
 
 
 def leaves(kind: Kind, path: str = "") -> list[tuple[str, str, Kind]]:
--- a/tests/operator/test_file.py
+++ b/tests/config/test_operator_file.py
@@ -12,15 +12,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wickspread.lab.scene import Plan, settings
-from wickspread.operator.error import OperatorError
-from wickspread.operator.file import load
-from wickspread.operator.reading import read
-from wickspread.operator.schema import Grpc, Operator
+from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.operator_file import load
+from sidecar_proxy.config.reader import read
+from sidecar_proxy.config.schema import Grpc, Operator
+from sidecar_proxy.testbed.scenario import Plan, settings
 
 
 def test_without_a_file_all_is_off() -> None:
-    assert load({}) is None and load({"WICKSPREAD_OPERATOR": ""}) is None
+    assert load({}) is None and load({"SIDECAR_PROXY_OPERATOR": ""}) is None
     assert read("") == Operator() and not read("").grpc.enabled
 
 
@@ -61,7 +61,7 @@
         if data is not None:
             path.write_bytes(data)
         with pytest.raises(OperatorError) as found:
-            load({"WICKSPREAD_OPERATOR": str(path)})
+            load({"SIDECAR_PROXY_OPERATOR": str(path)})
         assert part in str(found.value) and str(path) in str(found.value) and "\n" not in str(found.value)
 
 
@@ -90,17 +90,17 @@
     operator.write_text(text)
     config.write_text(json.dumps({"seed": "1", "settings": settings(Plan(), 0)}))
     code = (f"import sys; sys.modules.update({{name: None for name in {gone!r}.split()}});"
-            "from wickspread.daemon.__main__ import main; sys.exit(main())")
+            "from sidecar_proxy.daemon.__main__ import main; sys.exit(main())")
     env = os.environ | {"PROXY_NAME": "n", "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:9",
-                        "PROXY_CONFIG": str(config), "WICKSPREAD_OPERATOR": str(operator)}
+                        "PROXY_CONFIG": str(config), "SIDECAR_PROXY_OPERATOR": str(operator)}
     done = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, timeout=60)
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and line in done.stderr, done.stderr
 
 
 def test_without_a_table_nothing_of_its_subsystem_is_imported(tmp_path: Path) -> None:
     """The sidecar's wiring, with everything that it imports at its start."""
-    code = ("import sys, wickspread.daemon.__main__; libraries = ('ngh2', 'grpc', 'h2', 'nacl', 'msgspec'); "
+    code = ("import sys, sidecar_proxy.daemon.__main__\nlibraries = ('ngh2', 'grpc', 'h2', 'nacl', 'msgspec'); "
             "print([name for name in sys.modules if name.split('.')[0] in libraries"
-            " or name.startswith(('wickspread.grpc', 'wickspread.http2', 'wickspread.gossip'))])")
+            " or name.startswith(('sidecar_proxy.grpc', 'sidecar_proxy.http2', 'sidecar_proxy.gossip'))])")
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
--- a/tests/agreement/rig.py
+++ b/tests/consensus/rig.py
@@ -10,10 +10,10 @@
 from dataclasses import replace
 from typing import Any
 
-from tests.lab.playing import RIG
+from sidecar_proxy.testbed.fault_injection import Fleet
+from sidecar_proxy.testbed.scenario import Scene
 from tests.sockets import LONG_S
-from wickspread.lab.breaking import Fleet
-from wickspread.lab.scene import Scene
+from tests.testbed.playing import RIG
 
 AGREES = replace(RIG, extra="""[agreement]
 folder = "@folder@"
--- a/tests/agreement/test_permits.py
+++ b/tests/consensus/test_disruption_budgets.py
@@ -8,13 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.agreement.rig import AGREES, all_hold, begin, fleet, knows, leads, says, spoiled, told, until
-from tests.lab.playing import on_rig
-from wickspread.agreement import words
-from wickspread.agreement.messages import Entry
-from wickspread.agreement.permits import SCOPES, Facts, Member, limit
-from wickspread.agreement.words import State, Word
-from wickspread.lab.scene import Scene
+from sidecar_proxy.consensus import replicated_commands as words
+from sidecar_proxy.consensus.disruption_budgets import SCOPES, Facts, Member, limit
+from sidecar_proxy.consensus.messages import Entry
+from sidecar_proxy.consensus.replicated_commands import State, Word
+from sidecar_proxy.testbed.scenario import Scene
+from tests.consensus.rig import AGREES, all_hold, begin, fleet, knows, leads, says, spoiled, told, until
+from tests.testbed.playing import on_rig
 
 NODES = [Member(f"n{n}", f"site{n % 2}", f"kind{n % 3}", str(n // 4)) for n in range(8)]
 BUDGETS = {"out.node": "3", "out.node.site": "2", "out.node.class": "50%"}
--- a/tests/agreement/test_fleet.py
+++ b/tests/consensus/test_fleet.py
@@ -14,7 +14,8 @@
 
 import pytest
 
-from tests.agreement.rig import (
+from sidecar_proxy.testbed.scenario import Scene
+from tests.consensus.rig import (
     AGREES,
     all_hold,
     begin,
@@ -26,10 +27,9 @@
     told,
     until,
 )
-from tests.lab.playing import on_rig
-from tests.overload.test_shell import refused_start
+from tests.overload_control.test_subsystem import refused_start
 from tests.sockets import LONG_S, ROOT
-from wickspread.lab.scene import Scene
+from tests.testbed.playing import on_rig
 
 FIVE = replace(AGREES, sidecars=5)
 
@@ -239,10 +239,11 @@
 
 LATER = """
 import sys
-from wickspread.agreement import start, words
+from sidecar_proxy.consensus import subsystem as start
+from sidecar_proxy.consensus import replicated_commands as words
 words.KINDS += ("hush",)
 start.SAYS["HUSH"] = "hush"
-from wickspread.daemon.__main__ import main
+from sidecar_proxy.daemon.__main__ import main
 sys.exit(main())
 """
 
@@ -265,7 +266,7 @@
         assert (await told(scene, late, "WORDS"))["settings"]["key-7"]["value"] == "w" * 200
 
         def command(*line: str) -> tuple[int, str]:
-            done = subprocess.run([sys.executable, "-m", "wickspread", "fleet", *line], cwd=ROOT,
+            done = subprocess.run([sys.executable, "-m", "sidecar_proxy", "fleet", *line], cwd=ROOT,
                                   capture_output=True, text=True, timeout=LONG_S)
             assert "Traceback" not in done.stderr, done.stderr
             return done.returncode, done.stdout + done.stderr
@@ -277,7 +278,7 @@
                 (("begin", door), 1, "there is a fleet already"),
                 (("resume", door, name, "--id", "two"), 0, "done "),
                 (("read", door, name), 0, '"held": null'),
-                (("set", door, "a", "b c"), 0, "done"), (("status", "127.0.0.1:1"), 1, "wickspread: ")):
+                (("set", door, "a", "b c"), 0, "done"), (("status", "127.0.0.1:1"), 1, "sidecar_proxy: ")):
             found = await asyncio.to_thread(command, *line)
             assert found[0] == code and holds in found[1], (line, found)
         code, text = await asyncio.to_thread(command, "status", door, "--json")
--- a/tests/agreement/test_core.py
+++ b/tests/consensus/test_raft.py
@@ -8,9 +8,8 @@
 
 import pytest
 
-from wickspread.agreement.core import Core, Refused, Role, Timing
-from wickspread.agreement.log import Log
-from wickspread.agreement.messages import (
+from sidecar_proxy.consensus.log import Log
+from sidecar_proxy.consensus.messages import (
     Append,
     AppendReply,
     Entry,
@@ -23,6 +22,7 @@
     VoteReply,
     VoteRequest,
 )
+from sidecar_proxy.consensus.raft import Core, Refused, Role, Timing
 
 TIMING = Timing()
 
--- a/tests/agreement/test_store.py
+++ b/tests/consensus/test_storage.py
@@ -9,11 +9,11 @@
 
 import pytest
 
+from sidecar_proxy.consensus.disk import RealDisk
+from sidecar_proxy.consensus.log import Kept
+from sidecar_proxy.consensus.messages import Entry, HardState, Snapshot
+from sidecar_proxy.consensus.storage import Copied, Damaged, Store, read, records
 from tests.sockets import LONG_S, ROOT
-from wickspread.agreement.disk import RealDisk
-from wickspread.agreement.log import Kept
-from wickspread.agreement.messages import Entry, HardState, Snapshot
-from wickspread.agreement.store import Copied, Damaged, Store, read, records
 
 # what a voter of some life saves, one Write after the other
 LIFE: list[tuple[HardState | None, int, Snapshot | None, list[Entry]]] = [
@@ -144,8 +144,8 @@
 @pytest.mark.parametrize("operation", ["write", "sync", "rename"])
 def test_killed_at_each_operation_what_was_promised_is_there(operation: str, tmp_path: Path) -> None:
     """By SIGKILL, in a process of its own; the runs go side by side."""
-    program = ("import sys; from pathlib import Path; from tests.agreement.test_store import live, Store;"
-               "from wickspread.agreement.disk import BrokenDisk;"
+    program = ("import sys; from pathlib import Path; from tests.consensus.test_storage import live, Store;"
+               "from sidecar_proxy.consensus.disk import BrokenDisk;"
                "store = Store(Path(sys.argv[1]), BrokenDisk(Path(sys.argv[2]))); store.open(); live(store)")
     reference = Store(tmp_path / "whole")
     reference.open()
--- a/tests/agreement/test_voters.py
+++ b/tests/consensus/test_voters.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wickspread.agreement.voters import Candidate, Look, majority
+from sidecar_proxy.consensus.voters import Candidate, Look, majority
 
 REPLACE_US = 60_000_000
 
--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -9,11 +9,11 @@
 
 import uvloop
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.body_buffers import KEEP
+from sidecar_proxy.engine.interfaces import Answer, Host
+from sidecar_proxy.http1.upstream import FIRST_S, ODD_REST_S, REST_S, Connection, Exchange, Pool
 from tests.sockets import LONG_S, Message, Upstream, answer
-from wickspread.decisions import interface as api
-from wickspread.engine.bodies import KEEP
-from wickspread.engine.seams import Answer, Host
-from wickspread.http1.upstream import FIRST_S, ODD_REST_S, REST_S, Connection, Exchange, Pool
 
 
 def host_of(upstream: Upstream) -> Host:
--- a/tests/crossings/test_dials.py
+++ b/tests/crossings/test_dials.py
@@ -10,11 +10,11 @@
 
 import uvloop
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.http1.upstream import Connection, Exchange, Pool
 from tests.crossings.test_answers import host_of, request
 from tests.sockets import LONG_S, Upstream
-from wickspread.decisions import interface as api
-from wickspread.engine.seams import Host
-from wickspread.http1.upstream import Connection, Exchange, Pool
 
 
 class HeldUp:
--- a/tests/crossings/test_grpc_leaving.py
+++ b/tests/crossings/test_grpc_leaving.py
@@ -6,11 +6,11 @@
 
 import pytest
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.http2.connection import HeadersReceived
 from tests.grpc.rig import ANSWER, Client, Node, Rig, run
 from tests.http2.frames import GOAWAY, frame
-from wickspread.decisions import interface as api
-from wickspread.grpc.message import framed
-from wickspread.http2.connection import HeadersReceived
 
 
 def leave(client: Client, stream: int, how: str) -> None:
--- a/tests/crossings/test_making_room.py
+++ b/tests/crossings/test_making_room.py
@@ -7,10 +7,10 @@
 
 import uvloop
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.http1.server import Server
 from tests.sockets import LONG_S
 from tests.test_engine import engine_of
-from wickspread.decisions import interface as api
-from wickspread.http1.server import Server
 
 ASK = (b"POST /pay/1 HTTP/1.1\r\nHost: b\r\nReq-Id: %016x\r\nReq-Deadline: 5.0\r\n"
        b"Content-Length: 0\r\n\r\n")
--- a/tests/crossings/test_time_out.py
+++ b/tests/crossings/test_time_out.py
@@ -8,12 +8,12 @@
 import pytest
 import uvloop
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.http1.upstream import Exchange, Pool
 from tests.crossings.stand_ins import narrow
 from tests.sockets import LONG_S
 from tests.test_engine import call, engine_of
-from wickspread.decisions import interface as api
-from wickspread.engine.seams import Host
-from wickspread.http1.upstream import Exchange, Pool
 
 BODY = 8 * 1024 * 1024  # bytes; more than the kernels of one connection hold
 HEAD = b"POST /pay/1 HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n"
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -18,14 +18,14 @@
 import pytest
 import uvloop
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.platform_client import SILENCE_S
+from sidecar_proxy.discovery.platform_client import Discovery as Watcher
+from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.http1.upstream import input_poll
 from tests.sockets import LONG_S, Discovery, Sidecar, Upstream, eventually
 from tests.world import settings
-from wickspread.decisions import interface as api
-from wickspread.engine.seams import Host
-from wickspread.http1.upstream import input_poll
-from wickspread.roster.discovery import SILENCE_S
-from wickspread.roster.discovery import Discovery as Watcher
-from wickspread.roster.listing import Directory
 
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 
--- a/tests/membership/test_etcd.py
+++ b/tests/discovery/test_etcd.py
@@ -13,16 +13,16 @@
 import trustme
 import uvloop
 
-from tests.membership.test_follower import value
+from sidecar_proxy.balancer.events import UpstreamState
+from sidecar_proxy.config.schema import Etcd
+from sidecar_proxy.discovery.etcd.follower import Follower
+from sidecar_proxy.discovery.etcd.source import Source
+from sidecar_proxy.discovery.merge import Merge
+from sidecar_proxy.discovery.model import Entry
+from sidecar_proxy.testbed.etcd import Member, Store, cluster
+from sidecar_proxy.testbed.history import now_us
+from tests.discovery.test_follower import value
 from tests.sockets import LONG_S
-from wickspread.decisions.interface import UpstreamState
-from wickspread.lab.etcd import Member, Store, cluster
-from wickspread.lab.ledger import now_us
-from wickspread.membership.etcd.follower import Follower
-from wickspread.membership.etcd.source import Source
-from wickspread.membership.merge import Merge
-from wickspread.membership.model import Entry
-from wickspread.operator.schema import Etcd
 
 DRAINING, READY = UpstreamState.DRAINING, UpstreamState.READY
 
--- a/tests/membership/test_follower.py
+++ b/tests/discovery/test_follower.py
@@ -7,9 +7,8 @@
 
 import pytest
 
-from wickspread.grpc.status import Code
-from wickspread.membership.etcd import api_pb2 as pb
-from wickspread.membership.etcd.follower import (
+from sidecar_proxy.discovery.etcd import api_pb2 as pb
+from sidecar_proxy.discovery.etcd.follower import (
     ANSWER_US,
     ASK_US,
     FIRST_WAIT_US,
@@ -26,6 +25,7 @@
     Watch,
     end_of,
 )
+from sidecar_proxy.grpc.status import Code
 
 
 def value(health: str = "in_service", **more: object) -> bytes:
--- a/tests/membership/test_merge.py
+++ b/tests/discovery/test_merge.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from wickspread.decisions.interface import UpstreamState
-from wickspread.membership.merge import Merge
-from wickspread.membership.model import Entry, EntryError, parse
+from sidecar_proxy.balancer.events import UpstreamState
+from sidecar_proxy.discovery.merge import Merge
+from sidecar_proxy.discovery.model import Entry, EntryError, parse
 
 READY, DRAINING, GONE = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE
 
--- a/tests/membership/test_sidecar.py
+++ b/tests/discovery/test_sidecar.py
@@ -17,10 +17,11 @@
 
 import pytest
 
-from tests.membership.test_follower import value
+from sidecar_proxy.cli import members as show
+from sidecar_proxy.discovery import status_socket
+from sidecar_proxy.testbed.etcd import Member, cluster
+from tests.discovery.test_follower import value
 from tests.sockets import LONG_S, ROOT, Discovery, Sidecar, Upstream, eventually
-from wickspread.lab.etcd import Member, cluster
-from wickspread.membership import show
 
 
 class Etcd:
@@ -53,8 +54,8 @@
 
 def sidecar_of(roster: list[Upstream], discovery: Discovery, path: Path) -> Sidecar:
     """With the libraries that etcd needs, which the deployed environment does not have."""
-    sidecar = Sidecar(roster, discovery, env={"WICKSPREAD_OPERATOR": str(path)})
-    sidecar.command = f"exec {sys.executable} -B -m wickspread.daemon"
+    sidecar = Sidecar(roster, discovery, env={"SIDECAR_PROXY_OPERATOR": str(path)})
+    sidecar.command = f"exec {sys.executable} -B -m sidecar_proxy.daemon"
     return sidecar
 
 
@@ -152,7 +153,7 @@
             assert first["words"]["roster"]["state"] == "ready" and first["decisions"] == "draining"
             assert abs(first["words"]["etcd"]["since"] - time.time()) < 2 * LONG_S
             assert (second["name"], second["state"], second["because"]) == (two.name, "ready", "roster")
-            asked = [sys.executable, "-m", "wickspread", "members", str(path)]
+            asked = [sys.executable, "-m", "sidecar_proxy", "members", str(path)]
             told = subprocess.run(asked, cwd=ROOT, capture_output=True, text=True, timeout=LONG_S, check=True)
             assert f"{one.name}  draining (etcd)  {one.address}" in told.stdout
             # a reader that does not read holds nobody up; what is no socket is not taken away
@@ -163,7 +164,7 @@
             for reader in silent:
                 reader.close()
             assert sidecar.stop() == 0 and not path.exists()
-    asked = [sys.executable, "-m", "wickspread", "members", str(path)]
+    asked = [sys.executable, "-m", "sidecar_proxy", "members", str(path)]
     assert subprocess.run(asked, cwd=ROOT, capture_output=True, timeout=LONG_S).returncode == 1
 
 
@@ -171,10 +172,10 @@
     path = tmp_path / "members"
     with socket.socket(socket.AF_UNIX) as left:
         left.bind(str(path))
-    show.clear(str(path))
+    status_socket.clear(str(path))
     assert not path.exists()
     path.write_text("mine")
-    show.clear(str(path))
+    status_socket.clear(str(path))
     assert path.read_text() == "mine"
 
 
--- a/tests/emulator/test_fleet.py
+++ b/tests/emulator/test_fleet.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from wickspread.emulator.fleet import START_US, EmulatedFleet, Plan, Seen
-from wickspread.emulator.scenes import CROWDED, SCENES, herd, join, plan
+from sidecar_proxy.emulator.fleet import START_US, EmulatedFleet, Plan, Seen
+from sidecar_proxy.emulator.scenarios import CROWDED, SCENES, herd, join, plan
 
 
 def shares(seen: Seen, first: int = 0, end: int = 1 << 30) -> dict[str, float]:
--- a/tests/gossip/test_core.py
+++ b/tests/gossip/test_core.py
@@ -5,13 +5,13 @@
 import pytest
 from nacl.signing import SigningKey
 
-from wickspread.decisions.balance import BELIEVED
-from wickspread.decisions.interface import Outcome
-from wickspread.gossip import codec
-from wickspread.gossip.instance import HOLD_US, Census
-from wickspread.gossip.keys import Keyring
-from wickspread.gossip.peers import Life
-from wickspread.lab.flock import Fleet
+from sidecar_proxy.balancer.balancer import BELIEVED
+from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.gossip import codec
+from sidecar_proxy.gossip.instance import HOLD_US, Census
+from sidecar_proxy.gossip.keys import Keyring
+from sidecar_proxy.gossip.peers import Life
+from sidecar_proxy.testbed.client_fleet import Fleet
 
 
 def settled(count: int, sites: int = 2, seed: int = 1) -> Fleet:
--- a/tests/gossip/test_keys.py
+++ b/tests/gossip/test_keys.py
@@ -10,12 +10,12 @@
 from nacl.signing import SigningKey
 
 from benchmarks.gossip_fuzz import feed, play
+from sidecar_proxy.gossip import codec
+from sidecar_proxy.gossip.codec import Bulletin, Count, News, Ping
+from sidecar_proxy.gossip.instance import STRIKES, Datagram
+from sidecar_proxy.gossip.keys import BURST, SKEW_US, Keyring, Refused, certify
+from sidecar_proxy.testbed.client_fleet import WALL_US, Fleet
 from tests.sockets import ROOT
-from wickspread.gossip import codec
-from wickspread.gossip.codec import Bulletin, Count, News, Ping
-from wickspread.gossip.instance import STRIKES, Datagram
-from wickspread.gossip.keys import BURST, SKEW_US, Keyring, Refused, certify
-from wickspread.lab.flock import WALL_US, Fleet
 
 FLEET = Fleet(3, 1)
 ONE, TWO = FLEET.keyring(1, "s0"), FLEET.keyring(2, "s0")
--- a/tests/gossip/test_evidence.py
+++ b/tests/gossip/test_outlier_reports.py
@@ -5,12 +5,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wickspread.decisions.balance import BELIEVED
-from wickspread.decisions.interface import Outcome
-from wickspread.gossip.codec import MOST_COUNTS, MOST_NAME, MOST_WHOLE, Bulletin, Count, Signed, encode
-from wickspread.gossip.evidence import WINDOW_US, Combiner, Own, tolerated, trimmed
-from wickspread.gossip.rumours import ROOM, size_of
-from wickspread.lab.flock import BORN_MS, Fleet
+from sidecar_proxy.balancer.balancer import BELIEVED
+from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.gossip.broadcasts import ROOM, size_of
+from sidecar_proxy.gossip.codec import MOST_COUNTS, MOST_NAME, MOST_WHOLE, Bulletin, Count, Signed, encode
+from sidecar_proxy.gossip.outlier_reports import WINDOW_US, Combiner, Own, tolerated, trimmed
+from sidecar_proxy.testbed.client_fleet import BORN_MS, Fleet
 
 NOW_US = 100_000_000
 
--- a/tests/gossip/test_peers.py
+++ b/tests/gossip/test_peers.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wickspread.gossip.codec import Certificate, Signed
-from wickspread.gossip.peers import URGENT_BURST, URGENT_EACH_US, URGENT_GAP_US, Life, Peer, Peers
-from wickspread.gossip.rumours import ROOM, Rumours, size_of
+from sidecar_proxy.gossip.broadcasts import ROOM, Rumours, size_of
+from sidecar_proxy.gossip.codec import Certificate, Signed
+from sidecar_proxy.gossip.peers import URGENT_BURST, URGENT_EACH_US, URGENT_GAP_US, Life, Peer, Peers
 
 NAMES = st.sampled_from("abcdef")
 STEPS = st.lists(st.tuples(NAMES, st.sampled_from([*Life, None]), st.sampled_from(["s1", "s2"])), max_size=40)
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -16,15 +16,15 @@
 
 import pytest
 
+from sidecar_proxy.cli.gossip import main
+from sidecar_proxy.gossip import files
+from sidecar_proxy.gossip import transport as sockets
+from sidecar_proxy.gossip.instance import Instance
+from sidecar_proxy.gossip.transport import Transport, wall_us
+from sidecar_proxy.testbed.gossip import Keys
+from sidecar_proxy.testbed.history import now_us
+from sidecar_proxy.testbed.scenario import Plan, settings
 from tests.sockets import LONG_S, ROOT, Discovery, Sidecar, Upstream, eventually
-from wickspread.gossip import files
-from wickspread.gossip import transport as sockets
-from wickspread.gossip.command import main
-from wickspread.gossip.instance import Instance
-from wickspread.gossip.transport import Transport, wall_us
-from wickspread.lab.gossip import Keys
-from wickspread.lab.ledger import now_us
-from wickspread.lab.scene import Plan, settings
 
 FOLDER = tempfile.TemporaryDirectory()
 KEYS = Keys(FOLDER.name)
@@ -143,8 +143,8 @@
     path = keys.folder / f"{name}.toml"
     path.write_text(keys.table(name, "s", seeds))
     with Discovery([one.entry() for one in roster]) as discovery:
-        sidecar = Sidecar(roster, discovery, env={"WICKSPREAD_OPERATOR": str(path)})
-        sidecar.command = f"exec {sys.executable} -B -m wickspread.daemon"
+        sidecar = Sidecar(roster, discovery, env={"SIDECAR_PROXY_OPERATOR": str(path)})
+        sidecar.command = f"exec {sys.executable} -B -m sidecar_proxy.daemon"
         with sidecar:
             yield sidecar
             assert sidecar.stop() == 0
@@ -152,7 +152,7 @@
 
 def members(keys: Keys, name: str, *more: str) -> str:
     path = str(keys.folder / f"{name}.sock")
-    asked = [sys.executable, "-m", "wickspread", "gossip", "members", path, *more]
+    asked = [sys.executable, "-m", "sidecar_proxy", "gossip", "members", path, *more]
     return subprocess.run(asked, cwd=ROOT, capture_output=True, text=True, timeout=LONG_S, check=True).stdout
 
 
@@ -246,24 +246,24 @@
     (tmp_path / "config.json").write_text(json.dumps({"seed": "1", "settings": settings(Plan(), 0)}))
     env = os.environ | {"PROXY_NAME": "n", "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:9",
                         "PROXY_CONFIG": str(tmp_path / "config.json"),
-                        "WICKSPREAD_OPERATOR": str(tmp_path / "operator.toml")}
-    done = subprocess.run([sys.executable, "-m", "wickspread.daemon"], cwd=ROOT, env=env, text=True,
+                        "SIDECAR_PROXY_OPERATOR": str(tmp_path / "operator.toml")}
+    done = subprocess.run([sys.executable, "-m", "sidecar_proxy.daemon"], cwd=ROOT, env=env, text=True,
                           capture_output=True, timeout=LONG_S)
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and line in done.stderr, done.stderr
 
 
 def test_a_fault_in_gossip_costs_no_request() -> None:
     """The engine tells how each attempt ended; whatever becomes of that, the answer stands."""
-    code = ("import sys; from wickspread.gossip.instance import Instance\n"
+    code = ("import sys; from sidecar_proxy.gossip.instance import Instance\n"
             "def fault(*_): raise RuntimeError('a fault')\n"
             "Instance.attempt = fault\n"
-            "from wickspread.daemon.__main__ import main; sys.exit(main())")
+            "from sidecar_proxy.daemon.__main__ import main; sys.exit(main())")
     with tempfile.TemporaryDirectory() as folder, Upstream(b"ok") as good:
         keys = Keys(folder)
         path = keys.folder / "one.toml"
         path.write_text(keys.table("one", "s", []))
         with Discovery([good.entry()]) as discovery:
-            sidecar = Sidecar([good], discovery, env={"WICKSPREAD_OPERATOR": str(path)})
+            sidecar = Sidecar([good], discovery, env={"SIDECAR_PROXY_OPERATOR": str(path)})
             sidecar.command = f'exec {sys.executable} -B -c "$CODE"'
             sidecar.env["CODE"] = code
             with sidecar:
--- a/tests/grpc/rig.py
+++ b/tests/grpc/rig.py
@@ -8,17 +8,15 @@
 
 import uvloop
 
-from tests.http2.frames import frames
-from tests.test_engine import Decisions, NoDiscovery
-from tests.world import settings
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Clock, Engine
-from wickspread.engine.seams import Host
-from wickspread.grpc.message import framed
-from wickspread.grpc.start import start
-from wickspread.http1.server import Server
-from wickspread.http1.upstream import Pool
-from wickspread.http2.connection import (
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.config.schema import Grpc
+from sidecar_proxy.engine.engine import Clock, Engine
+from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.grpc.subsystem import start
+from sidecar_proxy.http1.server import Server
+from sidecar_proxy.http1.upstream import Pool
+from sidecar_proxy.http2.connection import (
     Connection,
     DataReceived,
     Ended,
@@ -29,8 +27,10 @@
     StreamReset,
     TrailersReceived,
 )
-from wickspread.http2.guard import Rates
-from wickspread.operator.schema import Grpc
+from sidecar_proxy.http2.guard import Rates
+from tests.http2.frames import frames
+from tests.test_engine import Decisions, NoDiscovery
+from tests.world import settings
 
 LONG_S = 20.0
 OPEN = Limits(streams=10_000, window=1 << 20, connection_window=1 << 28, header_bytes=1 << 20, unsent=1 << 28,
--- a/tests/grpc/test_front.py
+++ b/tests/grpc/test_front.py
@@ -7,6 +7,13 @@
 
 import pytest
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.config.schema import Grpc
+from sidecar_proxy.grpc import health
+from sidecar_proxy.grpc.health import HealthError, Serving, service_of
+from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.grpc.status import Code
+from sidecar_proxy.http2.connection import DataReceived, StreamReset
 from tests.grpc.rig import METHODS, Client, Node, Rig, run, send_to
 from tests.http2.frames import (
     CONTINUATION,
@@ -22,13 +29,6 @@
     WINDOW,
     frame,
 )
-from wickspread.decisions import interface as api
-from wickspread.grpc import health
-from wickspread.grpc.health import HealthError, Serving, service_of
-from wickspread.grpc.message import framed
-from wickspread.grpc.status import Code
-from wickspread.http2.connection import DataReceived, StreamReset
-from wickspread.operator.schema import Grpc
 
 REQUEST = (b"\x83\x86\x44\x09/t.T/Read\x41\x01a\x5f\x10application/grpc\x40\x02te\x08trailers")
 
--- a/tests/grpc/test_grpcio.py
+++ b/tests/grpc/test_grpcio.py
@@ -15,12 +15,12 @@
 import grpc
 import pytest
 
-from wickspread.grpc import health
-from wickspread.lab.clients import Load
-from wickspread.lab.ledger import Ledger
-from wickspread.lab.process import SidecarProcess
-from wickspread.lab.roster import Roster
-from wickspread.lab.scene import Plan, settings
+from sidecar_proxy.grpc import health
+from sidecar_proxy.testbed.clients import Load
+from sidecar_proxy.testbed.history import Ledger
+from sidecar_proxy.testbed.platform_discovery import Roster
+from sidecar_proxy.testbed.process import SidecarProcess
+from sidecar_proxy.testbed.scenario import Plan, settings
 
 LONG_S = 20.0
 LOADS = (Load("chapter-buy", "at_most_once", 0.5, 10.0), Load("coin-topup", "deduplicated", 0.3, 10.0),
--- a/tests/grpc/test_hard_cases.py
+++ b/tests/grpc/test_hard_cases.py
@@ -7,6 +7,11 @@
 
 import pytest
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.config.schema import Grpc
+from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.grpc.status import Code
+from sidecar_proxy.http2.connection import DataReceived, Limits, StreamReset
 from tests.grpc.rig import ANSWER, METHODS, Node, Rig, run, send_to
 from tests.http2.frames import (
     ACK,
@@ -19,11 +24,6 @@
     SETTINGS,
     frame,
 )
-from wickspread.decisions import interface as api
-from wickspread.grpc.message import framed
-from wickspread.grpc.status import Code
-from wickspread.http2.connection import DataReceived, Limits, StreamReset
-from wickspread.operator.schema import Grpc
 
 O = api.Outcome  # noqa: E741
 
--- a/tests/grpc/test_outcome.py
+++ b/tests/grpc/test_outcome.py
@@ -7,10 +7,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from wickspread.decisions.interface import Outcome
-from wickspread.grpc.deadline import MOST, DeadlineError, format_us, parse_us
-from wickspread.grpc.outcome import End, Ended, failed, judge, refused
-from wickspread.grpc.status import Code, decode_message, encode_message, parse
+from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.grpc.deadline import MOST, DeadlineError, format_us, parse_us
+from sidecar_proxy.grpc.outcome import End, Ended, failed, judge, refused
+from sidecar_proxy.grpc.status import Code, decode_message, encode_message, parse
 
 GRPC = b"application/grpc"
 NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
--- a/tests/http2/test_connection.py
+++ b/tests/http2/test_connection.py
@@ -11,6 +11,22 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
+from sidecar_proxy.http2.connection import (
+    CALM,
+    CANCEL,
+    Connection,
+    DataReceived,
+    Ended,
+    Event,
+    GoawayReceived,
+    HeadersReceived,
+    Limits,
+    StreamError,
+    StreamReset,
+    TrailersReceived,
+    Writable,
+)
+from sidecar_proxy.http2.guard import Bucket, Rates
 from tests.http2.frames import (
     CONTINUATION,
     DATA,
@@ -26,22 +42,6 @@
     frame,
     frames,
 )
-from wickspread.http2.connection import (
-    CALM,
-    CANCEL,
-    Connection,
-    DataReceived,
-    Ended,
-    Event,
-    GoawayReceived,
-    HeadersReceived,
-    Limits,
-    StreamError,
-    StreamReset,
-    TrailersReceived,
-    Writable,
-)
-from wickspread.http2.guard import Bucket, Rates
 
 S = 1_000_000
 REQUEST = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/komiks.Purchase/Buy"),
@@ -262,8 +262,8 @@
 
 
 def test_a_sidecar_without_grpc_imports_no_http2() -> None:
-    code = ("import sys, wickspread.daemon.__main__; "
-            "print('ngh2' in sys.modules, 'wickspread.http2' in sys.modules)")
+    code = ("import sys, sidecar_proxy.daemon.__main__; "
+            "print('ngh2' in sys.modules, 'sidecar_proxy.http2' in sys.modules)")
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60,
                           check=True)
     assert done.stdout.split() == ["False", "False"]
--- a/tests/checking/test_consensus.py
+++ b/tests/model_checking/test_consensus.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from wickspread.agreement import core as consensus
-from wickspread.agreement.core import Core
-from wickspread.agreement.messages import HardState
-from wickspread.checking.consensus import SEARCHES, Bounds, run
+from sidecar_proxy.consensus import raft as consensus
+from sidecar_proxy.consensus.messages import HardState
+from sidecar_proxy.consensus.raft import Core
+from sidecar_proxy.model_checking.consensus import SEARCHES, Bounds, run
 
 
 class Forgets(Core):
--- a/tests/checking/test_fleets.py
+++ b/tests/model_checking/test_fleets.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from wickspread.agreement import words
-from wickspread.agreement.frames import Answer, Ask
-from wickspread.agreement.member import Limits, Member
-from wickspread.agreement.voters import name_of
-from wickspread.checking.fleets import World
-from wickspread.checking.history import Logged, Said, judge
+from sidecar_proxy.consensus import replicated_commands as words
+from sidecar_proxy.consensus.frames import Answer, Ask
+from sidecar_proxy.consensus.replica import Limits, Member
+from sidecar_proxy.consensus.voters import name_of
+from sidecar_proxy.model_checking.fleets import World
+from sidecar_proxy.model_checking.history import Logged, Said, judge
 
 SEEDS = 60  # runs in which each bug has to be found
 
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 21))
 def test_failures_of_all_kinds_break_no_promise(seed: int) -> None:
-    assert not play(seed), f"python -m wickspread.checking.fleets --seed {seed} --runs 1"
+    assert not play(seed), f"python -m sidecar_proxy.model_checking.fleets --seed {seed} --runs 1"
 
 
 class Hasty(Member):
--- a/tests/overload/test_campaign.py
+++ b/tests/overload_control/test_campaign.py
@@ -5,12 +5,12 @@
 import io
 from typing import Any
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import Balancer
-from wickspread.lab.campaign import Campaign, World, draw, smaller, virtual
-from wickspread.lab.script import read, written
-from wickspread.overload.core import Member
-from wickspread.overload.leases import Escrow
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.overload_control.controller import Member
+from sidecar_proxy.overload_control.quota_leases import Escrow
+from sidecar_proxy.testbed.campaign import Campaign, World, draw, smaller, virtual
+from sidecar_proxy.testbed.fault_schedule import read, written
 
 SIDECARS, SECONDS = 6, 30.0
 
--- a/tests/overload/test_core.py
+++ b/tests/overload_control/test_controller.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wickspread.decisions import interface as api
-from wickspread.overload import words
-from wickspread.overload.core import Limits, Member, Post, Say
-from wickspread.overload.cut import STAKE, Line, line
-from wickspread.overload.storm import END_US, KEEP_US, Promises, Storm, return_us
-from wickspread.overload.words import WHOLE, Loan, Report, Work
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.overload_control import messages as words
+from sidecar_proxy.overload_control.controller import Limits, Member, Post, Say
+from sidecar_proxy.overload_control.messages import WHOLE, Loan, Report, Work
+from sidecar_proxy.overload_control.retry_storm import END_US, KEEP_US, Promises, Storm, return_us
+from sidecar_proxy.overload_control.shedding_threshold import STAKE, Line, line
 
 WORTHS = (10.0, 8.0, 1.0)
 
@@ -88,7 +88,7 @@
 
 
 def test_two_that_say_one_number_share_one_weight() -> None:
-    from wickspread.overload.cut import weights
+    from sidecar_proxy.overload_control.shedding_threshold import weights
 
     told = weights(fleet(liar=report(3)), 6)
     assert sum(told.values()) <= WHOLE and told["liar"] == told["s3"] == WHOLE // 12
--- a/tests/overload/test_leases.py
+++ b/tests/overload_control/test_quota_leases.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from wickspread.overload.leases import KEPT, MARGIN_US, TERM_US, Escrow, lent_us
-from wickspread.overload.words import WHOLE, Lend, Need, Return
+from sidecar_proxy.overload_control.messages import WHOLE, Lend, Need, Return
+from sidecar_proxy.overload_control.quota_leases import KEPT, MARGIN_US, TERM_US, Escrow, lent_us
 
 COUNT = 3
 WHO = st.integers(0, COUNT - 1)
--- a/tests/overload/test_shell.py
+++ b/tests/overload_control/test_subsystem.py
@@ -15,13 +15,13 @@
 
 import pytest
 
-from tests.lab.playing import RIG, on_rig
+from sidecar_proxy.gossip.transport import wall_us
+from sidecar_proxy.overload_control import messages as words
+from sidecar_proxy.overload_control.messages import WHOLE, Need
+from sidecar_proxy.testbed.gossip import Braggart
+from sidecar_proxy.testbed.scenario import Plan, Scene, settings
 from tests.sockets import LONG_S
-from wickspread.gossip.transport import wall_us
-from wickspread.lab.gossip import Braggart
-from wickspread.lab.scene import Plan, Scene, settings
-from wickspread.overload import words
-from wickspread.overload.words import WHOLE, Need
+from tests.testbed.playing import RIG, on_rig
 
 BUSY = replace(RIG, rate=90.0, seconds=2.0)
 
@@ -85,7 +85,7 @@
 
 
 def test_two_thirds_of_the_load_at_one_of_three_and_a_kill_in_the_midst_break_nothing() -> None:
-    from wickspread.lab.script import Fault
+    from sidecar_proxy.testbed.fault_schedule import Fault
 
     plan = replace(BUSY, skew=0.67, seconds=9.0, rate=150.0, faults=(
         Fault("crash", 4.0, 2.0, 12), Fault("sidecar_kill", 6.5, 0.5, sidecars=(0,)),
@@ -114,8 +114,8 @@
     operator.write_text(text)
     config.write_text(json.dumps({"discovery": "127.0.0.1:9", "seed": "1", "settings": settings(Plan(), 0)}))
     env = {**os.environ, "PROXY_NAME": "s", "PROXY_LISTEN": "127.0.0.1:0", "PROXY_CONFIG": str(config),
-           "PROXY_DISCOVERY": "127.0.0.1:9", "WICKSPREAD_OPERATOR": str(operator)}
-    done = subprocess.run([sys.executable, "-m", "wickspread.daemon"], env=env, capture_output=True,
+           "PROXY_DISCOVERY": "127.0.0.1:9", "SIDECAR_PROXY_OPERATOR": str(operator)}
+    done = subprocess.run([sys.executable, "-m", "sidecar_proxy.daemon"], env=env, capture_output=True,
                           text=True, timeout=LONG_S)
     said = [one for one in done.stderr.splitlines() if table in one]
     assert done.returncode == 2 and len(said) == 1, done.stderr
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -5,8 +5,8 @@
 import math
 from collections import Counter
 
-from wickspread.decisions.fleet import FEW, Fleet, Server
-from wickspread.decisions.interface import UpstreamState
+from sidecar_proxy.balancer.endpoint_pool import FEW, Fleet, Server
+from sidecar_proxy.balancer.events import UpstreamState
 
 ASKED = 3
 
--- a/tests/recorder/test_recorder.py
+++ b/tests/recorder/test_recorder.py
@@ -15,19 +15,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import Balancer
-from wickspread.lab.capacity import Machine
-from wickspread.lab.clients import Manners
-from wickspread.lab.ledger import Answered
-from wickspread.lab.scene import Plan, Scene
-from wickspread.lab.script import Fault
-from wickspread.recorder.command import main
-from wickspread.recorder.frames import Named, pack, unpack
-from wickspread.recorder.recording import KIND, Head, Recording, RecordingError, digest, write
-from wickspread.recorder.replay import differences
-from wickspread.recorder.ring import SEGMENT, Ring
-from wickspread.recorder.story import story
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.cli.recorder import main
+from sidecar_proxy.recorder.record_framing import Named, pack, unpack
+from sidecar_proxy.recorder.recording import KIND, Head, Recording, RecordingError, digest, write
+from sidecar_proxy.recorder.replay import differences
+from sidecar_proxy.recorder.request_trace import story
+from sidecar_proxy.recorder.ring_buffer import SEGMENT, Ring
+from sidecar_proxy.testbed.capacity import Machine
+from sidecar_proxy.testbed.clients import Manners
+from sidecar_proxy.testbed.fault_schedule import Fault
+from sidecar_proxy.testbed.history import Answered
+from sidecar_proxy.testbed.scenario import Plan, Scene
 
 SEED = 20261201
 SETTINGS = api.Settings([api.RequestClass("chapter-buy", 300_000, 1_000_000, effect="at_most_once"),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickspread.http1.admission import BEGUN_S, CROWD, STALL_S, YOUNG_S, Admission
+from sidecar_proxy.http1.admission import BEGUN_S, CROWD, STALL_S, YOUNG_S, Admission
 
 STEPS = st.lists(st.tuples(
     st.sampled_from(["accept", "bytes", "whole", "answered", "gone", "room"]), st.integers(0, 11),
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,9 +16,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from sidecar_proxy.engine.body_buffers import MOST_BODY, WINDOW, Spool, Upload
+from sidecar_proxy.http1.outflow import Outflow
 from tests.sockets import LONG_S, Message, Script, Sidecar, Upstream, answer, eventually
-from wickspread.engine.bodies import MOST_BODY, WINDOW, Spool, Upload
-from wickspread.http1.outflow import Outflow
 
 MB = 1024 * 1024
 HEAD = "Host: b\r\nReq-Deadline: 5.0\r\n"
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -4,9 +4,8 @@
 
 import pytest
 
-from tests.world import START_US, World, settings, upstreams
-from wickspread.decisions.balance import Balancer
-from wickspread.decisions.interface import (
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.balancer.events import (
     AttemptEnded,
     Fail,
     Outcome,
@@ -20,7 +19,8 @@
     TimerFired,
     UpstreamsUpdated,
 )
-from wickspread.decisions.interface import ListKind as Kind
+from sidecar_proxy.balancer.events import ListKind as Kind
+from tests.world import START_US, World, settings, upstreams
 
 
 def test_events_about_what_is_unknown_change_nothing() -> None:
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -14,12 +14,12 @@
 
 import pytest
 
-from tests.operations.rig import Doored
-from tests.operations.test_upgrade import platform
+from tests.admin.rig import Doored
+from tests.admin.test_hot_restart import platform
 from tests.sockets import Sidecar, Upstream, eventually
 
 ROOT = Path(__file__).resolve().parent.parent
-ASK = "import wickspread, tiny.work; print(wickspread.compiled.state); print(tiny.work.__file__)"
+ASK = "import sidecar_proxy, tiny.work; print(sidecar_proxy.compiled.state); print(tiny.work.__file__)"
 TINY = '''def double(one: int) -> int:
     if one < 0:
         raise ValueError("below 0")
@@ -28,26 +28,27 @@
 
 
 def env(pure: str = "", **more: str) -> dict[str, str]:
-    kept = {name: value for name, value in os.environ.items() if name != "WICKSPREAD_PURE"}
-    return kept | {"PYTHONDONTWRITEBYTECODE": "1"} | ({"WICKSPREAD_PURE": pure} if pure else {}) | more
+    kept = {name: value for name, value in os.environ.items() if name != "SIDECAR_PROXY_PURE"}
+    return kept | {"PYTHONDONTWRITEBYTECODE": "1"} | ({"SIDECAR_PROXY_PURE": pure} if pure else {}) | more
 
 
 @pytest.fixture(scope="module")
 def made(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """A project of one small module, compiled by two builds at once."""
     root = tmp_path_factory.mktemp("tiny")
-    for name in ("deploy/compiled.py", "wickspread/compiled.py", "wickspread/__init__.py"):
+    for name in ("deploy/compiled.py", "sidecar_proxy/compiled.py", "sidecar_proxy/__init__.py",
+                 "sidecar_proxy/environment.py"):
         (root / name).parent.mkdir(exist_ok=True)
         shutil.copy(ROOT / name, root / name)
     (root / "tiny").mkdir()
     (root / "tiny/__init__.py").touch()
     (root / "tiny/work.py").write_text(TINY)
-    pin = '[tool.wickspread.compiled]\ncompiler = "mypy"\nmodules = ["tiny/work.py"]\n'
+    pin = '[tool.sidecar_proxy.compiled]\ncompiler = "mypy"\nmodules = ["tiny/work.py"]\n'
     (root / "pyproject.toml").write_text(pin)
     with ThreadPoolExecutor() as workers:
         done = list(workers.map(lambda _: build(root), range(2)))
     assert [one.returncode for one in done] == [0, 0], done
-    assert len(list((root / "wickspread/_compiled").iterdir())) == 1
+    assert len(list((root / "sidecar_proxy/_compiled").iterdir())) == 1
     return root
 
 
@@ -69,7 +70,7 @@
 
 
 def folder(root: Path) -> Path:
-    return next((root / "wickspread/_compiled").iterdir())
+    return next((root / "sidecar_proxy/_compiled").iterdir())
 
 
 def test_it_is_loaded_and_the_sources_are_on_request(tree: Path) -> None:
@@ -80,7 +81,7 @@
 
 
 def test_errors_keep_file_and_line_and_integers_may_be_of_any_size(tree: Path) -> None:
-    code = "import wickspread, tiny.work as t; print(t.double(2**80) == 2**81); t.double(-1)"
+    code = "import sidecar_proxy, tiny.work as t; print(t.double(2**80) == 2**81); t.double(-1)"
     lines = ask(tree, code)
     assert lines[0] == "True" and lines[-1] == "ValueError: below 0"
     assert 'File "tiny/work.py", line 3, in double' in "\n".join(lines)
@@ -89,7 +90,7 @@
 def test_nothing_that_is_compiled_calls_itself() -> None:
     """Compiled, it would have no limit but the stack: what goes too deep ends the process."""
     told = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]
-    modules = told["wickspread"]["compiled"]["modules"]
+    modules = told["sidecar_proxy"]["compiled"]["modules"]
     found = []
     for name in modules:
         for one in ast.walk(ast.parse((ROOT / name).read_text())):
@@ -107,7 +108,7 @@
     ("away", "malformed"), ("part", "")])
 def test_what_is_not_of_these_sources_or_not_whole_is_never_loaded(tree: Path, spoil: str, why: str) -> None:
     one = folder(tree)
-    library = next(one.glob("wickspread__mypyc*.so"))
+    library = next(one.glob("sidecar_proxy__mypyc*.so"))
     manifest = json.loads((one / "manifest.json").read_text())
     if spoil == "source":
         (tree / "tiny/work.py").write_text(TINY.replace("* 2", "* 3"))
@@ -134,11 +135,11 @@
     ("compiler", "no C compiler"), ("types", "error:"), ("folder", "can't be written")])
 def test_what_can_not_be_compiled_costs_one_line_and_runs_from_its_sources(tree: Path, trouble: str,
                                                                           why: str) -> None:
-    shutil.rmtree(tree / "wickspread/_compiled")
+    shutil.rmtree(tree / "sidecar_proxy/_compiled")
     if trouble == "types":
         (tree / "tiny/work.py").write_text(TINY.replace("one * 2", "'two'"))
     elif trouble == "folder":
-        (tree / "wickspread/_compiled").write_text("in the way")
+        (tree / "sidecar_proxy/_compiled").write_text("in the way")
     done = build(tree, **({"CC": "/nowhere/cc"} if trouble == "compiler" else {}))
     assert done.returncode == 1 and not done.stderr
     line, = done.stdout.splitlines()
@@ -151,7 +152,7 @@
     before = folder(tree).name
     (tree / "tiny/work.py").write_text(TINY + "\n\nMORE = 1\n")
     assert build(tree).returncode == 0
-    assert folder(tree).name != before and len(list((tree / "wickspread/_compiled").iterdir())) == 1
+    assert folder(tree).name != before and len(list((tree / "sidecar_proxy/_compiled").iterdir())) == 1
     assert ask(tree)[0] == f"compiled ({folder(tree).name})"
 
 
@@ -165,11 +166,11 @@
 def test_a_compiled_process_follows_one_from_sources_and_the_other_way_round() -> None:
     with Upstream() as one, Upstream() as two, platform() as (listener, shared):
         for first, second in (("1", "0"), ("0", "1")):
-            with Doored([one, two], shared, listener=listener, env={"WICKSPREAD_PURE": first}) as old:
+            with Doored([one, two], shared, listener=listener, env={"SIDECAR_PROXY_PURE": first}) as old:
                 for _ in range(20):
                     assert old.request("GET", "/read/7").status == 200
                 assert old.call(f"SUSPEND {one.name}") == "done"
-                with Doored([one, two], shared, listener=listener, env={"WICKSPREAD_PURE": second}) as new:
+                with Doored([one, two], shared, listener=listener, env={"SIDECAR_PROXY_PURE": second}) as new:
                     states = [next(line for line in each.lines if " runs " in line) for each in (old, new)]
                     assert sorted("compiled" in line for line in states) == [False, True]
                     eventually(lambda new=new: [  # type: ignore[misc]
@@ -182,16 +183,17 @@
 
 
 def test_a_fault_in_compiled_decisions_costs_one_request_and_says_where() -> None:
-    code = ("from wickspread.decisions import interface as api\n"
-            "from wickspread.decisions.balance import Balancer\n"
+    code = ("from sidecar_proxy.balancer import events as api\n"
+            "from sidecar_proxy.balancer.balancer import Balancer\n"
             "b = Balancer(api.Settings([api.RequestClass('read', 1000, 5000)]), 1, 0)\n"
             "try:\n    b.handle(0, api.RequestArrived(1, 5000, 9))\nexcept IndexError:\n"
             "    import traceback; traceback.print_exc()\n"
             "b.handle(5, api.RequestArrived(2, 5005)); print(len(b.requests) <= 1)")
     lines = ask(ROOT, code)
-    assert any('File "wickspread/decisions/balance.py", line ' in line for line in lines) and "True" in lines
+    place = 'File "sidecar_proxy/balancer/balancer.py", line '
+    assert any(place in line for line in lines) and "True" in lines
 
 
 def test_the_sidecar_says_first_which_of_the_two_it_runs() -> None:
-    with Upstream() as upstream, Sidecar([upstream], env={"WICKSPREAD_PURE": "1"}) as sidecar:
-        assert sidecar.lines[0] == "wickspread: runs from its sources, as WICKSPREAD_PURE says"
+    with Upstream() as upstream, Sidecar([upstream], env={"SIDECAR_PROXY_PURE": "1"}) as sidecar:
+        assert sidecar.lines[0] == "sidecar_proxy: runs from its sources, as SIDECAR_PROXY_PURE says"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -10,10 +10,10 @@
 
 import pytest
 
+from sidecar_proxy.balancer.settings import parse_settings
+from sidecar_proxy.config import platform_settings as config
 from tests.options import OPTIONS
 from tests.sockets import DEPLOY, ROOT, settings
-from wickspread.daemon import config
-from wickspread.decisions.settings import parse_settings
 
 GOOD: dict[str, Any] = {"seed": "8c1f", "limits": {"sockets": 512}, "settings": settings()}
 
@@ -62,4 +62,4 @@
     done = subprocess.run(["/bin/sh", "-c", DEPLOY["run"]], cwd=ROOT, env=env, capture_output=True, text=True,
                           timeout=60)
     assert done.returncode == 2, done.stderr
-    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("wickspread: ")
+    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("sidecar_proxy: ")
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -43,7 +43,7 @@
 def test_the_deployed_command_ends_on_a_bad_frame_with_one_line(sim: str) -> None:
     done = start(sim, bytes.fromhex(EMPTY) + b"\x01\x00")
     assert done.returncode != 0 and done.stdout == bytes(8)
-    assert done.stderr.decode().splitlines() == ["wickspread: batch 1: truncated header: 2 of 16 bytes"]
+    assert done.stderr.decode().splitlines() == ["sidecar_proxy: batch 1: truncated header: 2 of 16 bytes"]
 
 
 def test_the_decision_module_keeps_its_limits() -> None:
@@ -52,14 +52,14 @@
         lines += (ROOT / name).read_text().splitlines()
     assert sum(1 for line in lines if line.strip()) <= 1200
     assert max(map(len, lines)) <= 110
-    assert "wickspread/decisions/interface.py" in lines[0]
+    assert "sidecar_proxy/balancer/events.py" in lines[0]
 
 
 def test_the_package_needs_the_standard_library_only() -> None:
-    code = "import sys, wickspread.simulator.adapter; print(*sorted({m.split('.')[0] for m in sys.modules}))"
+    code = "import sys, sidecar_proxy.simulator_adapter.adapter\nprint(*sorted({m.split('.')[0] for m in sys.modules}))"
     found = subprocess.run([sys.executable, "-S", "-c", code], cwd=ROOT, capture_output=True, text=True,
                            check=True, timeout=60).stdout.split()
-    ours = {"wickspread", "wickspread__mypyc", "__main__", "sitecustomize"}
+    ours = {"sidecar_proxy", "sidecar_proxy__mypyc", "__main__", "sitecustomize"}
     assert set(found) - set(sys.stdlib_module_names) <= ours
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,13 +9,13 @@
 
 import pytest
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.platform_client import Discovery as Watcher
+from sidecar_proxy.engine.engine import Clock, Engine
+from sidecar_proxy.http1.upstream import Exchange, Pool
 from tests.sockets import LONG_S, Discovery, Message, Sidecar, Upstream, answer, eventually
 from tests.world import settings
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Clock, Engine
-from wickspread.http1.upstream import Exchange, Pool
-from wickspread.roster.discovery import Discovery as Watcher
-from wickspread.roster.listing import Directory
 
 
 def served_by(sidecar: Sidecar, upstream: Upstream) -> bool:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,11 +10,11 @@
 import pytest
 import uvloop
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.engine import Clock, Engine
+from sidecar_proxy.engine.interfaces import Answer, Call, Host
+from sidecar_proxy.http1.upstream import Connection, Exchange, Pool
 from tests.world import settings
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Clock, Engine
-from wickspread.engine.seams import Answer, Call, Host
-from wickspread.http1.upstream import Connection, Exchange, Pool
 
 Handle = Callable[[int, api.Event], list[api.Action]]
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
+from sidecar_proxy.balancer.endpoint_pool import COLD_SLOTS, Fleet, Server
+from sidecar_proxy.balancer.events import Upstream, UpstreamState
+from sidecar_proxy.balancer.ordered_index import BLOCK, Shelf, Sorted
 from tests import plain
 from tests.world import START_US, settings
-from wickspread.decisions.fleet import COLD_SLOTS, Fleet, Server
-from wickspread.decisions.interface import Upstream, UpstreamState
-from wickspread.decisions.shelf import BLOCK, Shelf, Sorted
 
 WARM_UP_US = 20_000_000
 DRAWS = 3_000
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -12,15 +12,15 @@
 
 import uvloop
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.engine import Clock, Engine
+from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.http1.server import Server
+from sidecar_proxy.http1.upstream import Pool
 from tests.grpc.rig import Node, Rig, run
 from tests.sockets import Client, Message, Upstream, answer
 from tests.test_engine import NoDiscovery
 from tests.world import settings
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Clock, Engine
-from wickspread.engine.seams import Host
-from wickspread.http1.server import Server
-from wickspread.http1.upstream import Pool
 
 ROUNDS = 30
 
@@ -47,7 +47,7 @@
     try:
         await play()
         gc.collect()
-        return [one for one in gc.garbage if type(one).__module__.startswith("wickspread")]
+        return [one for one in gc.garbage if type(one).__module__.startswith("sidecar_proxy")]
     finally:
         gc.set_debug(0)
         gc.garbage.clear()
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -4,9 +4,8 @@
 
 import heapq
 
-from tests.world import START_US, World, settings, upstreams
-from wickspread.decisions.balance import Balancer
-from wickspread.decisions.interface import (
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.balancer.events import (
     Event,
     ListKind,
     Outcome,
@@ -17,6 +16,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
+from tests.world import START_US, World, settings, upstreams
 
 
 def asking_world() -> World:
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -12,15 +12,15 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.discovery.endpoint_list import SLICE, Directory, ListError, Reading, changes
+from sidecar_proxy.discovery.platform_client import Call
+from sidecar_proxy.discovery.platform_client import Discovery as Watcher
+from sidecar_proxy.engine.engine import Clock, Engine
+from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.http1.upstream import Pool
 from tests.sockets import LONG_S, Discovery, Sidecar, Upstream, eventually
 from tests.world import settings
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Clock, Engine
-from wickspread.engine.seams import Host
-from wickspread.http1.upstream import Pool
-from wickspread.roster.discovery import Call
-from wickspread.roster.discovery import Discovery as Watcher
-from wickspread.roster.listing import SLICE, Directory, ListError, Reading, changes
 
 MANY = 10_000
 
@@ -209,7 +209,7 @@
         assert one.version == 1 and len(sink.hosts) == 1
         one.close()
 
-    with caplog.at_level(logging.WARNING, "wickspread"):
+    with caplog.at_level(logging.WARNING, "sidecar_proxy"):
         asyncio.run(asyncio.wait_for(test(), LONG_S))
     assert "of version 5 is older than 6" in caplog.text
 
