--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -16,11 +16,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.engine import Clock, Engine
+from sidecar_proxy.engine.interfaces import Answer, Call, Finished, Host
 from tests.world import classes
 from tests.world import settings as told
-from wickspread.decisions import interface as api
-from wickspread.engine.engine import Clock, Engine
-from wickspread.engine.seams import Answer, Call, Finished, Host
 
 MS = 1000  # microseconds
 HOSTS = 6  # of four cells, one or two each
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -13,34 +13,35 @@
 
 # A room and those below it that it may use; docs/design.md says what each is for.
 ROOMS: dict[str, set[str]] = {
-    "decisions": set(),
-    "engine": {"decisions"},
+    "balancer": set(),
+    "engine": {"balancer", "environment"},
     "http2": set(),
-    "simulator": {"decisions"},
-    "operator": {"engine"},
-    "http1": {"decisions", "engine"},
-    "roster": {"decisions", "engine", "http1"},
-    "operations": {"decisions", "engine", "roster"},
-    "grpc": {"decisions", "engine", "http1", "http2", "operator"},
-    "membership": {"decisions", "engine", "grpc", "http2", "operator", "roster"},
-    "gossip": {"decisions", "engine", "membership", "operator", "roster"},
-    "agreement": {"decisions", "engine", "gossip", "operations", "operator", "roster"},
-    "checking": {"agreement"},
-    "overload": {"decisions", "engine", "gossip", "operations", "operator"},
-    "recorder": {"decisions", "engine", "operator"},
-    "daemon": {"agreement", "compiled", "decisions", "engine", "gossip", "grpc", "http1", "membership",
-               "operations", "operator", "overload", "recorder", "roster"},
-    "lab": {"compiled", "decisions", "gossip", "grpc", "http2", "membership", "overload"},
-    "emulator": {"decisions", "lab", "overload"},
-    "compiled": set(),
-    "__main__": {"agreement", "daemon", "gossip", "lab", "membership", "operator", "recorder"},
+    "simulator_adapter": {"balancer"},
+    "config": {"balancer", "engine", "environment"},
+    "http1": {"balancer", "engine"},
+    "grpc": {"balancer", "config", "engine", "http1", "http2"},
+    "discovery": {"balancer", "config", "engine", "grpc", "http1", "http2"},
+    "admin": {"balancer", "discovery", "engine"},
+    "gossip": {"balancer", "config", "discovery", "engine"},
+    "consensus": {"admin", "balancer", "config", "discovery", "engine", "environment", "gossip"},
+    "model_checking": {"consensus"},
+    "overload_control": {"admin", "balancer", "config", "engine", "gossip"},
+    "recorder": {"balancer", "config", "engine"},
+    "daemon": {"admin", "balancer", "compiled", "config", "consensus", "discovery", "engine", "gossip", "grpc",
+               "http1", "overload_control", "recorder"},
+    "testbed": {"balancer", "compiled", "discovery", "gossip", "grpc", "http2", "overload_control"},
+    "emulator": {"balancer", "overload_control", "testbed"},
+    "cli": {"config", "discovery", "gossip", "recorder"},
+    "compiled": {"environment"},
+    "environment": set(),
+    "__main__": {"cli", "daemon", "testbed"},
     "": {"compiled"},
 }
 
 
 def modules() -> dict[str, Path]:
     found = {}
-    for path in sorted((ROOT / "wickspread").rglob("*.py")):
+    for path in sorted((ROOT / "sidecar_proxy").rglob("*.py")):
         name = ".".join(path.relative_to(ROOT).with_suffix("").parts)
         found[name.removesuffix(".__init__")] = path
     return found
@@ -50,7 +51,7 @@
     """The modules of the house that one names anywhere in it."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
-        if isinstance(node, ast.ImportFrom) and (node.module or "").partition(".")[0] == "wickspread":
+        if isinstance(node, ast.ImportFrom) and (node.module or "").partition(".")[0] == "sidecar_proxy":
             module = node.module or ""
             named = (f"{module}.{alias.name}" for alias in node.names)
             found |= {one if one in known else module for one in named}
@@ -78,7 +79,7 @@
 
 def test_neither_rooms_nor_modules_go_round_in_circles() -> None:
     assert list(TopologicalSorter(ROOMS).static_order())
-    assert len(GRAPH) > 80 and GRAPH["wickspread.daemon.__main__"]  # it is the house that was read
+    assert len(GRAPH) > 80 and GRAPH["sidecar_proxy.daemon.__main__"]  # it is the house that was read
     try:
         TopologicalSorter(GRAPH).prepare()
     except CycleError as error:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,9 +8,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from tests.world import START_US, World, classes, settings, upstreams
-from wickspread.decisions.balance import Balancer
-from wickspread.decisions.interface import (
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.balancer.events import (
     AttemptEnded,
     ListKind,
     Outcome,
@@ -22,6 +21,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
+from tests.world import START_US, World, classes, settings, upstreams
 
 FAULTS = [o for o in Outcome if o is not Outcome.TIMEOUT]
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -4,9 +4,8 @@
 
 import pytest
 
-from tests.world import World, settings, upstreams
-from wickspread.decisions.balance import PROBE_GAINS
-from wickspread.decisions.interface import (
+from sidecar_proxy.balancer.balancer import PROBE_GAINS
+from sidecar_proxy.balancer.events import (
     Fail,
     Log,
     Outcome,
@@ -17,6 +16,7 @@
     Upstream,
     UpstreamState,
 )
+from tests.world import World, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -7,15 +7,15 @@
 
 import pytest
 
-from tests.world import START_US, World, settings
-from wickspread.decisions.interface import (
+from sidecar_proxy.balancer.events import (
     CloseIdle,
     ListKind,
     Outcome,
     Upstream,
     UpstreamState,
 )
-from wickspread.decisions.subset import SHRINK_US, Subset
+from sidecar_proxy.balancer.subsetting import SHRINK_US, Subset
+from tests.world import START_US, World, settings
 
 READ, MARK = 0, 2
 MOST = 40
--- a/tests/test_suspected.py
+++ b/tests/test_suspected.py
@@ -7,9 +7,9 @@
 from hypothesis import settings as settings_of
 from hypothesis import strategies as st
 
+from sidecar_proxy.balancer.balancer import FRESH_US, MOST_TRIAL_US, TRIAL_US
+from sidecar_proxy.balancer.events import FleetSized, ListKind, Outcome, Suspected, UpstreamState
 from tests.world import World, settings, upstreams
-from wickspread.decisions.balance import FRESH_US, MOST_TRIAL_US, TRIAL_US
-from wickspread.decisions.interface import FleetSized, ListKind, Outcome, Suspected, UpstreamState
 
 BAD = 100
 GAP_US = 50_000
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from wickspread.engine.timers import MOST_EMPTY, TICK_S, Timer, Timers
+from sidecar_proxy.engine.timers import MOST_EMPTY, TICK_S, Timer, Timers
 
 
 class Loop:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -13,10 +13,10 @@
 
 import pytest
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.http1.upstream import REST_S, Exchange, Pool
 from tests.sockets import LONG_S, Message, Script, Sidecar, Upstream, answer, eventually
-from wickspread.decisions import interface as api
-from wickspread.engine.seams import Host
-from wickspread.http1.upstream import REST_S, Exchange, Pool
 
 
 def then_close(data: bytes) -> Script:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,11 +7,11 @@
 
 import pytest
 
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.balancer.settings import parse_settings
+from sidecar_proxy.simulator_adapter import adapter, wire
 from tests.options import OPTIONS
-from wickspread.decisions import interface as api
-from wickspread.decisions.balance import Balancer
-from wickspread.decisions.settings import parse_settings
-from wickspread.simulator import adapter, wire
 
 LIST = ("6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
         " f211902c 01 00 0000 01 0000c03f 20145d0000000000")
--- a/tests/lab/playing.py
+++ b/tests/testbed/playing.py
@@ -6,10 +6,10 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
 
+from sidecar_proxy.testbed.capacity import Machine
+from sidecar_proxy.testbed.checker import Breach, check, table
+from sidecar_proxy.testbed.scenario import Plan, Scene, bounds
 from tests.sockets import LONG_S
-from wickspread.lab.capacity import Machine
-from wickspread.lab.checker import Breach, check, table
-from wickspread.lab.scene import Plan, Scene, bounds
 
 PLAN = Plan(nodes=12, rate=120, seconds=4.0, seed=3, machine=Machine(work_us=8_000))
 
--- a/tests/lab/test_checker.py
+++ b/tests/testbed/test_checker.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from wickspread.lab.checker import Bounds, Kind, capacity_us, check, table
-from wickspread.lab.ledger import (
+from sidecar_proxy.testbed.checker import Bounds, Kind, capacity_us, check, table
+from sidecar_proxy.testbed.history import (
     Answered,
     Asked,
     Faulted,
--- a/tests/lab/test_customers.py
+++ b/tests/testbed/test_customers.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from tests.lab.playing import PLAN, play, served
-from wickspread.lab.checker import table
-from wickspread.lab.clients import Load, Manners
-from wickspread.lab.ledger import Answered, Told
-from wickspread.lab.scene import Plan
-from wickspread.lab.script import Fault
+from sidecar_proxy.testbed.checker import table
+from sidecar_proxy.testbed.clients import Load, Manners
+from sidecar_proxy.testbed.fault_schedule import Fault
+from sidecar_proxy.testbed.history import Answered, Told
+from sidecar_proxy.testbed.scenario import Plan
+from tests.testbed.playing import PLAN, play, served
 
 FAULTS = (Fault("drain", 0.8, 2.0, 0.25), Fault("crash", 1.2, 0.6, 2), Fault("restart", 1.6, 0.1, 3),
           Fault("roster_down", 2.0, 0.6))
--- a/tests/lab/test_grpc.py
+++ b/tests/testbed/test_grpc.py
@@ -6,13 +6,13 @@
 import zlib
 from collections import Counter
 
-from wickspread.lab.capacity import Machine
-from wickspread.lab.checker import REFUSED
-from wickspread.lab.clients import Crowd, Load, Manners
-from wickspread.lab.grpc import GrpcCrowd
-from wickspread.lab.ledger import Answered, Asked
-from wickspread.lab.scene import Plan, Scene
-from wickspread.lab.script import Fault
+from sidecar_proxy.testbed.capacity import Machine
+from sidecar_proxy.testbed.checker import REFUSED
+from sidecar_proxy.testbed.clients import Crowd, Load, Manners
+from sidecar_proxy.testbed.fault_schedule import Fault
+from sidecar_proxy.testbed.grpc import GrpcCrowd
+from sidecar_proxy.testbed.history import Answered, Asked
+from sidecar_proxy.testbed.scenario import Plan, Scene
 
 MACHINE = Machine(work_us=4_000, spread=0.2)
 # 13 operations in 100 meet a fault, the same one at every node and by either protocol
--- a/tests/lab/test_model.py
+++ b/tests/testbed/test_model.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from wickspread.lab.capacity import Capacity, Machine
-from wickspread.lab.nodes import MOST_NODES, address_of
-from wickspread.lab.script import Fault, ScriptError, read
+from sidecar_proxy.testbed.capacity import Capacity, Machine
+from sidecar_proxy.testbed.fault_schedule import Fault, ScriptError, read
+from sidecar_proxy.testbed.upstreams import MOST_NODES, address_of
 
 S = 1_000_000
 PLAIN = Machine(spread=0.0)
--- a/tests/lab/test_rig.py
+++ b/tests/testbed/test_rig.py
@@ -12,15 +12,15 @@
 
 import pytest
 
-from tests.lab.playing import PLAN, RIG, on_rig
+from sidecar_proxy.testbed import fault_schedule as script
+from sidecar_proxy.testbed.checker import absences, check
+from sidecar_proxy.testbed.fault_schedule import Fault, ScriptError
+from sidecar_proxy.testbed.history import Answered, Asked, Process, Received, Said
+from sidecar_proxy.testbed.invariants import overspent
+from sidecar_proxy.testbed.network_links import Links, Relay, host_of
+from sidecar_proxy.testbed.scenario import Scene, bounds
 from tests.sockets import LONG_S
-from wickspread.lab import script
-from wickspread.lab.checker import absences, check
-from wickspread.lab.invariants import overspent
-from wickspread.lab.ledger import Answered, Asked, Process, Received, Said
-from wickspread.lab.links import Links, Relay, host_of
-from wickspread.lab.scene import Scene, bounds
-from wickspread.lab.script import Fault, ScriptError
+from tests.testbed.playing import PLAN, RIG, on_rig
 
 
 async def until(holds: Callable[[], bool]) -> None:
--- a/tests/lab/test_scene.py
+++ b/tests/testbed/test_scenario.py
@@ -6,12 +6,12 @@
 from collections import Counter
 from dataclasses import replace
 
-from tests.lab.playing import PLAN, judged, play, served
+from sidecar_proxy.testbed.checker import table
+from sidecar_proxy.testbed.fault_schedule import Fault
+from sidecar_proxy.testbed.history import Answered, Faulted, Received, Told
+from sidecar_proxy.testbed.scenario import Scene
 from tests.sockets import LONG_S
-from wickspread.lab.checker import table
-from wickspread.lab.ledger import Answered, Faulted, Received, Told
-from wickspread.lab.scene import Scene
-from wickspread.lab.script import Fault
+from tests.testbed.playing import PLAN, judged, play, served
 
 
 def test_a_calm_fleet_serves_all() -> None:
--- a/tests/lab/test_scene_answers.py
+++ b/tests/testbed/test_scenario_answers.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from tests.lab.playing import PLAN, play, served
-from wickspread.lab.checker import table
-from wickspread.lab.clients import Manners
-from wickspread.lab.ledger import Told
-from wickspread.lab.script import Fault
+from sidecar_proxy.testbed.checker import table
+from sidecar_proxy.testbed.clients import Manners
+from sidecar_proxy.testbed.fault_schedule import Fault
+from sidecar_proxy.testbed.history import Told
+from tests.testbed.playing import PLAN, play, served
 
 
 def test_etcd_is_away_under_load_and_drains_are_written_at_its_return() -> None:
--- a/tests/world.py
+++ b/tests/world.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wickspread.decisions.balance import Balancer
-from wickspread.decisions.interface import (
+from sidecar_proxy.balancer.balancer import Balancer
+from sidecar_proxy.balancer.events import (
     Action,
     AttemptEnded,
     Cancel,
--- a/wickspread/roster/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The list of upstreams, as the platform tells it."""
