--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -41,13 +41,14 @@
 
 def spread(times: list[float]) -> str:
     times = sorted(times)
-    return (f"median {statistics.median(times):.2f}, 95 in 100 under {times[int(len(times) * 0.95)]:.2f}, "
-            f"worst {times[-1]:.2f} s of {len(times)}")
+    return (
+        f"median {statistics.median(times):.2f}, 95 in 100 under {times[int(len(times) * 0.95)]:.2f}, "
+        f"worst {times[-1]:.2f} s of {len(times)}"
+    )
 
 
 def plan(voters: int, sidecars: int) -> Plan:
-    return replace(AGREES, sidecars=sidecars, rate=0.0, seconds=0.0,
-                   extra=TABLE + f"voters = {voters}\n")
+    return replace(AGREES, sidecars=sidecars, rate=0.0, seconds=0.0, extra=TABLE + f"voters = {voters}\n")
 
 
 async def on(what: Plan, does: Callable[[Scene], Awaitable[Any]]) -> Any:
@@ -57,6 +58,7 @@
 
 # A leader's loss
 
+
 async def losses(scene: Scene, voters: int, count: int) -> None:
     """The time until any other names a new one is looked at each ten milliseconds."""
     leader = await begin(scene, voters)
@@ -98,6 +100,7 @@
 
 # Words
 
+
 async def words(scene: Scene, count: int) -> None:
     leader = await begin(scene)
     said, asked, synced = [], [], []
@@ -116,14 +119,19 @@
             synced.append(time.perf_counter() - start)
         os.close(file)
     median = [statistics.median(one) * 1000 for one in (said, asked, synced)]
-    print(f"a word at the leader's door: {median[0]:.2f} ms; the door alone {median[1]:.2f}, one write and "
-          f"sync {median[2]:.2f} (medians of {count})", flush=True)
+    print(
+        f"a word at the leader's door: {median[0]:.2f} ms; the door alone {median[1]:.2f}, one write and "
+        f"sync {median[2]:.2f} (medians of {count})",
+        flush=True,
+    )
 
 
 # At rest
 
+
 async def used(scene: Scene, seconds: float) -> tuple[list[float], list[int]]:
     """CPU seconds and bytes of agreed state, of each sidecar."""
+
     async def look() -> tuple[list[float], list[int]]:
         cpu = [one.usage()[0] for one in scene.sidecars]
         bytes_out = []
@@ -136,8 +144,10 @@
     before = await look()
     await asyncio.sleep(seconds)
     after = await look()
-    return ([(b - a) / seconds for a, b in zip(before[0], after[0], strict=True)],
-            [b - a for a, b in zip(before[1], after[1], strict=True)])
+    return (
+        [(b - a) / seconds for a, b in zip(before[0], after[0], strict=True)],
+        [b - a for a, b in zip(before[1], after[1], strict=True)],
+    )
 
 
 async def rest(scene: Scene, seconds: float, begun: bool) -> list[float]:
@@ -146,13 +156,16 @@
     cpu, sent = await used(scene, seconds)
     if begun:
         voters = (await told(scene, leader, "STATUS"))["voters"]
-        print(f"at rest, {len(voters)} voters and {len(scene.sidecars) - len(voters)} learners in processes: "
-              f"{sum(sent) / seconds:.0f} bytes a second in all, {max(sent) / seconds:.0f} of the leader")
+        print(
+            f"at rest, {len(voters)} voters and {len(scene.sidecars) - len(voters)} learners in processes: "
+            f"{sum(sent) / seconds:.0f} bytes a second in all, {max(sent) / seconds:.0f} of the leader"
+        )
     return cpu
 
 
 def virtual_rest(learners: int, seconds: float = 30.0) -> None:
     """Only what agreed state says; gossip's word of it is told apart."""
+
     class Counted(World):
         sent = said = 0
 
@@ -165,25 +178,31 @@
             Counted.said += 1
             for there in self.minds.values():
                 if there is not mind and (here.votes or there.name in ("m0", "m1", "m2", "m3")):
-                    self.later(self.dice.randrange(50_000, 1_200_000),
-                               partial(self.give, there, there.life, partial(self.hear, mind, here)))
+                    self.later(
+                        self.dice.randrange(50_000, 1_200_000),
+                        partial(self.give, there, there.life, partial(self.hear, mind, here)),
+                    )
 
     world = Counted(1, learners + 3, 3)
     world.run(40.0)
-    behind = sum(one.member.state.index < world.leaders()[0].member.state.index
-                 for one in world.minds.values())
+    behind = sum(
+        one.member.state.index < world.leaders()[0].member.state.index for one in world.minds.values()
+    )
     Counted.sent = Counted.said = 0
     start = time.process_time()
     world.run(seconds)
     cpu_us = (time.process_time() - start) / seconds / (learners + 3) * 1e6
-    print(f"at rest, 3 voters and {learners} learners in virtual time: {Counted.sent / seconds:.0f} bytes a "
-          f"second in all, {Counted.said / seconds:.2f} words by gossip; {behind} were behind after 40 s; "
-          f"{cpu_us:.0f} us of CPU a second and sidecar")
+    print(
+        f"at rest, 3 voters and {learners} learners in virtual time: {Counted.sent / seconds:.0f} bytes a "
+        f"second in all, {Counted.said / seconds:.2f} words by gossip; {behind} were behind after 40 s; "
+        f"{cpu_us:.0f} us of CPU a second and sidecar"
+    )
     mind = world.leaders()[0]
     world.perform(mind, mind.member.say(1, _word(), world.now_us))
     waited = 0.0
-    while any(one.member.state.index < mind.member.state.index
-              for one in world.minds.values()) or waited < 0.2:
+    while (
+        any(one.member.state.index < mind.member.state.index for one in world.minds.values()) or waited < 0.2
+    ):
         world.run(0.1)
         waited += 0.1
         if waited > 60:
@@ -199,6 +218,7 @@
 
 # Learners
 
+
 async def learners(scene: Scene, count: int) -> None:
     """A fifth of them behind links of half a second; words at doors in turn, and how long until each is in
     effect at all."""
@@ -218,8 +238,11 @@
                 if not left - set(slow) and len(times["quick"]) <= number:
                     times["quick"].append(time.monotonic() - start)
             times["all"].append(time.monotonic() - start)
-    print(f"{len(scene.sidecars) - 3} learners, {len(slow)} of them slow: a word in effect at the others: "
-          f"{spread(times['quick'])}; at all: {spread(times['all'])}", flush=True)
+    print(
+        f"{len(scene.sidecars) - 3} learners, {len(slow)} of them slow: a word in effect at the others: "
+        f"{spread(times['quick'])}; at all: {spread(times['all'])}",
+        flush=True,
+    )
 
 
 async def narrow(scene: Scene, count: int) -> None:
@@ -239,12 +262,16 @@
         goal = (await told(scene, leader, "STATUS"))["applied"]
         while (await told(scene, late, "STATUS"))["applied"] < goal:
             await asyncio.sleep(0.1)
-    print(f"{count} words in {said_s:.1f} s while a snapshot goes out at 4 kB a second; it is up to date "
-          f"after {time.monotonic() - start:.1f} s", flush=True)
+    print(
+        f"{count} words in {said_s:.1f} s while a snapshot goes out at 4 kB a second; it is up to date "
+        f"after {time.monotonic() - start:.1f} s",
+        flush=True,
+    )
 
 
 # Requests
 
+
 async def served(scene: Scene, order: list[int], choose: bool) -> float:
     """Each ten seconds the leader is killed, and started again after two; without agreed state those that
     were the leaders in the other play."""
@@ -267,8 +294,9 @@
 
 
 async def both() -> None:
-    busy = replace(AGREES, sidecars=5, nodes=12, rate=150.0, seconds=32.0, machine=Machine(work_us=8_000),
-                   extra=TABLE)
+    busy = replace(
+        AGREES, sidecars=5, nodes=12, rate=150.0, seconds=32.0, machine=Machine(work_us=8_000), extra=TABLE
+    )
     order: list[int] = []
     with_it = await on(busy, lambda scene: served(scene, order, True))
     without = await on(replace(busy, extra=""), lambda scene: served(scene, order, False))
@@ -277,6 +305,7 @@
 
 # The store
 
+
 def store(count: int) -> None:
     with tempfile.TemporaryDirectory(dir=Path.cwd()) as folder:
         ours = Store(Path(folder) / "ours")
@@ -296,15 +325,19 @@
         ours.close()
         base.close()
     own, other = [statistics.median(one) * 1e6 for one in times]
-    print(f"one save: {own:.0f} us by a file of records, {other:.0f} us by sqlite3 (WAL, full); medians of "
-          f"{count}")
+    print(
+        f"one save: {own:.0f} us by a file of records, {other:.0f} us by sqlite3 (WAL, full); medians of "
+        f"{count}"
+    )
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("what", nargs="*", default=[
-        "virtual", "words", "rest", "learners", "served", "store", "losses"])
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument(
+        "what", nargs="*", default=["virtual", "words", "rest", "learners", "served", "store", "losses"]
+    )
     parser.add_argument("--count", type=int, default=100)
     parser.add_argument("--voters", type=int, nargs="*", default=[3, 5])
     parser.add_argument("--learners", type=int, default=1000)
@@ -320,8 +353,10 @@
         on_cpu = asyncio.run(on(plan(3, 13), lambda scene: rest(scene, 20.0, True)))
         off_cpu = asyncio.run(on(replace(plan(3, 13), extra=""), lambda scene: rest(scene, 20.0, False)))
         more = [(a - b) * 100 for a, b in zip(on_cpu, off_cpu, strict=True)]
-        print(f"  CPU beside gossip's: {max(more):.2f}% of a core at the busiest, "
-              f"{statistics.mean(more):.2f}% on average ({statistics.mean(off_cpu) * 100:.2f}% without)")
+        print(
+            f"  CPU beside gossip's: {max(more):.2f}% of a core at the busiest, "
+            f"{statistics.mean(more):.2f}% on average ({statistics.mean(off_cpu) * 100:.2f}% without)"
+        )
         virtual_rest(asked.learners)
     if "learners" in asked.what:
         asyncio.run(on(plan(3, 53), partial(learners, count=20)))
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -38,7 +38,8 @@
     differ: int = 0  # steps that these decisions do otherwise
     seconds: defaultdict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
     upstreams: defaultdict[tuple[int, int], Counter[str]] = field(
-        default_factory=lambda: defaultdict(Counter))
+        default_factory=lambda: defaultdict(Counter)
+    )
     slots: defaultdict[int, list[tuple[float, int, float]]] = field(default_factory=lambda: defaultdict(list))
 
 
@@ -78,15 +79,23 @@
                 seen["for all"] += decisions.total.free(now_us) <= 0
                 seen["idle warm"] += sum(one.slots.free(now_us) > 0 for one in fleet.warm.items())
                 seen["idle cold"] += sum(
-                    not one.slots.used and one.slots.free(now_us) > 0 for one in fleet.cold.items())
+                    not one.slots.used and one.slots.free(now_us) > 0 for one in fleet.cold.items()
+                )
         if second != shown:
             shown = second
-            into.slots[second].append((decisions.total.window, decisions.total.used,
-                                       decisions.fleet.as_many_warm(now_us)))
-
-
-def ended(into: Counted, decisions: Balancer, second: int, now_us: int, event: api.AttemptEnded,
-          came: dict[int, tuple[int, int]]) -> None:
+            into.slots[second].append(
+                (decisions.total.window, decisions.total.used, decisions.fleet.as_many_warm(now_us))
+            )
+
+
+def ended(
+    into: Counted,
+    decisions: Balancer,
+    second: int,
+    now_us: int,
+    event: api.AttemptEnded,
+    came: dict[int, tuple[int, int]],
+) -> None:
     seen, there = into.seconds[second], into.upstreams[second, event.upstream]
     seen["timed out"] += event.outcome is api.Outcome.TIMEOUT
     there["timed out"] += event.outcome is api.Outcome.TIMEOUT
@@ -105,28 +114,36 @@
 
 
 def show(counted: Counted) -> None:
-    print(f"{counted.sidecars} sidecars" + (
-        f"; {counted.differ} steps differ: recorded with other decisions" if counted.differ else ""))
-    print("sec   came  again   sent (cold) served  late: cold warm here  t/o  failed  refused for-all "
-          " idle: warm cold   ms: cold warm   slots  used  upstreams")
+    print(
+        f"{counted.sidecars} sidecars"
+        + (f"; {counted.differ} steps differ: recorded with other decisions" if counted.differ else "")
+    )
+    print(
+        "sec   came  again   sent (cold) served  late: cold warm here  t/o  failed  refused for-all "
+        " idle: warm cold   ms: cold warm   slots  used  upstreams"
+    )
     for second, seen in sorted(counted.seconds.items()):
         refused = seen["refused"] or 1
         rows = counted.slots[second]
         window, used, many = (sum(row[n] for row in rows) for n in range(3))
         ms = [seen[f"us {one}"] / 1000 / (seen[f"served {one}"] or 1) for one in ("cold", "warm")]
-        print(f"{second:3} {seen['came']:6} {seen['again']:6} {seen['sent']:6} {seen['sent to cold']:6} "
-              f"{seen['served']:6} {seen['late cold']:10} {seen['late warm']:4} {seen['late here']:4} "
-              f"{seen['timed out']:4} {seen['failed']:7} {seen['refused']:8} {seen['for all']:7} "
-              f"{seen['idle warm'] / refused:11.1f} {seen['idle cold'] / refused:4.1f} "
-              f"{ms[0]:10.0f} {ms[1]:4.0f} {window:7.0f} {used:5} {many / (len(rows) or 1):10.1f}")
+        print(
+            f"{second:3} {seen['came']:6} {seen['again']:6} {seen['sent']:6} {seen['sent to cold']:6} "
+            f"{seen['served']:6} {seen['late cold']:10} {seen['late warm']:4} {seen['late here']:4} "
+            f"{seen['timed out']:4} {seen['failed']:7} {seen['refused']:8} {seen['for all']:7} "
+            f"{seen['idle warm'] / refused:11.1f} {seen['idle cold'] / refused:4.1f} "
+            f"{ms[0]:10.0f} {ms[1]:4.0f} {window:7.0f} {used:5} {many / (len(rows) or 1):10.1f}"
+        )
 
 
 def show_upstreams(counted: Counted, second: int) -> None:
     print(f"second {second}: upstream, sent, served, timed out, mean ms")
     found = {ident: seen for (when, ident), seen in counted.upstreams.items() if when == second}
     for ident, seen in sorted(found.items(), key=lambda one: -one[1]["sent"]):
-        print(f"{ident:12} {seen['sent']:5} {seen['served']:5} {seen['timed out']:4} "
-              f"{seen['us'] / 1000 / (seen['served'] or 1):6.0f}")
+        print(
+            f"{ident:12} {seen['sent']:5} {seen['served']:5} {seen['timed out']:4} "
+            f"{seen['us'] / 1000 / (seen['served'] or 1):6.0f}"
+        )
 
 
 def main() -> int:
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -28,19 +28,37 @@
 
 def settings(instances: int, most: int = 0) -> api.Settings:
     return api.Settings(
-        [api.RequestClass("buy", 400_000, 1_200_000, 10.0, 0.3, effect="at_most_once"),
-         api.RequestClass("topup", 750_000, 4_000_000, 8.0, 0.5, effect="deduplicated", group="cell",
-                          memory_us=8_000_000)],
-        instances=instances, max_attempts=4, cold_share=0.3, warm_up_us=5_000_000, overload_factor=2.5,
-        fall_us=2_000_000, max_retry_after_us=2_000_000, most_upstreams=most)
+        [
+            api.RequestClass("buy", 400_000, 1_200_000, 10.0, 0.3, effect="at_most_once"),
+            api.RequestClass(
+                "topup",
+                750_000,
+                4_000_000,
+                8.0,
+                0.5,
+                effect="deduplicated",
+                group="cell",
+                memory_us=8_000_000,
+            ),
+        ],
+        instances=instances,
+        max_attempts=4,
+        cold_share=0.3,
+        warm_up_us=5_000_000,
+        overload_factor=2.5,
+        fall_us=2_000_000,
+        max_retry_after_us=2_000_000,
+        most_upstreams=most,
+    )
 
 
 def entries(count: int) -> list[api.Upstream]:
     return [api.Upstream(7919 * n + 13, zone=n % 5, cell=n // 6) for n in range(count)]
 
 
-def time_requests(make: Callable[[api.Settings, int, int], Any], count: int, instances: int, requests: int,
-                  most: int = 0) -> float:
+def time_requests(
+    make: Callable[[api.Settings, int, int], Any], count: int, instances: int, requests: int, most: int = 0
+) -> float:
     """CPU microseconds a request, with a few out at any time and one failure in 50."""
     dice, now_us = random.Random(5), START_US
     balancer = make(settings(instances, most), 3, now_us)
@@ -119,16 +137,24 @@
     makes: dict[str, Callable[[api.Settings, int, int], Any]] = {"now": Balancer}
     if arguments.old:
         makes["old"] = load(arguments.old)
-    print("memory of 1,000 and 10,000 upstreams: "
-          + ", ".join(f"{memory(count, most):.1f} MB ({'all used' if not most else f'subset of {most}'})"
-                      for count, most in ((1000, 0), (1000, 104), (10_000, 0), (10_000, 104))))
+    print(
+        "memory of 1,000 and 10,000 upstreams: "
+        + ", ".join(
+            f"{memory(count, most):.1f} MB ({'all used' if not most else f'subset of {most}'})"
+            for count, most in ((1000, 0), (1000, 104), (10_000, 0), (10_000, 104))
+        )
+    )
     print("us CPU a request; in brackets against 16 upstreams of the same column")
     columns: list[tuple[str, Callable[[int], int], str, int]] = [
-        (f"{name}, {label}", count, name, most) for name in makes
-        for label, count, most in (("3 instances", lambda n: 3, 0),
-                                   ("n/3 instances", lambda n: max(1, n // 3), 0),
-                                   ("300, subset of 104", lambda n: 300, 104))
-        if not (most and name == "old")]
+        (f"{name}, {label}", count, name, most)
+        for name in makes
+        for label, count, most in (
+            ("3 instances", lambda n: 3, 0),
+            ("n/3 instances", lambda n: max(1, n // 3), 0),
+            ("300, subset of 104", lambda n: 300, 104),
+        )
+        if not (most and name == "old")
+    ]
     print(f"{'upstreams':>10} " + " ".join(f"{title:>26}" for title, *_ in columns))
     base: dict[str, float] = {}
     for size in SIZES:
@@ -143,9 +169,13 @@
             against = f"({cost / base[title]:8.2f})" if title in base else " " * 10
             cells.append(f"{cost:14.0f} {against}")
         print(f"{size:>10} " + " ".join(f"{cell:>26}" for cell in cells), flush=True)
-    print("one entry changed among 10,000: " + ", ".join(
-        f"{time_change(10_000, most):.0f} us CPU ({'all used' if not most else f'subset of {most}'})"
-        for most in (0, 104, 488)))
+    print(
+        "one entry changed among 10,000: "
+        + ", ".join(
+            f"{time_change(10_000, most):.0f} us CPU ({'all used' if not most else f'subset of {most}'})"
+            for most in (0, 104, 488)
+        )
+    )
     return 0
 
 
--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -41,8 +41,9 @@
 
     def last_us(self, sends: dict[str, list[int]]) -> int:
         """The last new send after it was written, in us from then; 0 for none."""
-        return max([at - self.from_us for at in sends[self.node] if self.from_us < at < self.to_us],
-                   default=0)
+        return max(
+            [at - self.from_us for at in sends[self.node] if self.from_us < at < self.to_us], default=0
+        )
 
 
 class Play:
@@ -128,8 +129,9 @@
 
 
 async def main(told: argparse.Namespace) -> int:
-    plan = Plan(nodes=20, rate=told.rate, seconds=1e6, seed=told.seed, etcd=3,
-                machine=Machine(cores=8, work_us=4_000))
+    plan = Plan(
+        nodes=20, rate=told.rate, seconds=1e6, seed=told.seed, etcd=3, machine=Machine(cores=8, work_us=4_000)
+    )
     async with Scene(plan) as scene:
         assert scene.registry is not None
         play = Play(scene, scene.registry, told.seed)
@@ -158,8 +160,12 @@
             p50, p99 = (times[int(share * len(times))] for share in (0.5, 0.99))
             print(f"{why:<26} {len(times):>5} drains  p50 {p50:8.2f}  p99 {p99:8.2f}  max {times[-1]:8.2f}")
         for name, rows in spans.items():
-            print(f"{told.away:.0f} s with etcd {name}: " + ", ".join(
-                f"{row.kind} {row.served} of {row.asked} served, {row.refused} refused" for row in rows))
+            print(
+                f"{told.away:.0f} s with etcd {name}: "
+                + ", ".join(
+                    f"{row.kind} {row.served} of {row.asked} served, {row.refused} refused" for row in rows
+                )
+            )
         breaches = scene.verdict()
         for breach in breaches[:10]:
             print(f"rule {breach.rule}: {breach.text}")
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -39,11 +39,13 @@
         rows = table(scene.ledger)
         breaches = scene.verdict()
     total = sum(row.asked for row in rows)
-    print(f"{plan.nodes} nodes, {plan.sockets} descriptors, {plan.rate:.0f} requests/s: "
-          f"{dialled / asked:.4f} new connections a request in the second half, {used} nodes used, "
-          f"{open_now} descriptors open, {resident / 1e6:.0f} MB resident, {cpu_s / total * 1e6:.0f} us CPU "
-          f"a request with the start, {sum(row.served for row in rows) / total:.2%} served, "
-          f"{len(breaches)} breaches of the rules")
+    print(
+        f"{plan.nodes} nodes, {plan.sockets} descriptors, {plan.rate:.0f} requests/s: "
+        f"{dialled / asked:.4f} new connections a request in the second half, {used} nodes used, "
+        f"{open_now} descriptors open, {resident / 1e6:.0f} MB resident, {cpu_s / total * 1e6:.0f} us CPU "
+        f"a request with the start, {sum(row.served for row in rows) / total:.2%} served, "
+        f"{len(breaches)} breaches of the rules"
+    )
 
 
 async def hold(count: int) -> None:
@@ -56,13 +58,31 @@
     discovery.sink = engine = Engine(told, 1, Clock(), pool, discovery)
 
     def text(first: int, seq: int) -> bytes:
-        return json.dumps({"seq": seq, "whole": True, "hosts": [
-            {"host": f"s-{n}", "dial": f"{address_of(n % 60_000)}:8000", "site": "makati", "class": "lab",
-             "block": n // 6, "health": "in_service", "share": 1.0, "born_ms": 0}
-            for n in range(first, first + count)]}).encode()
+        return json.dumps(
+            {
+                "seq": seq,
+                "whole": True,
+                "hosts": [
+                    {
+                        "host": f"s-{n}",
+                        "dial": f"{address_of(n % 60_000)}:8000",
+                        "site": "makati",
+                        "class": "lab",
+                        "block": n // 6,
+                        "health": "in_service",
+                        "share": 1.0,
+                        "born_ms": 0,
+                    }
+                    for n in range(first, first + count)
+                ],
+            }
+        ).encode()
 
-    for title, data in (("first whole list", text(0, 1)), ("the same again", text(0, 2)),
-                        ("a list of others", text(count, 3))):
+    for title, data in (
+        ("first whole list", text(0, 1)),
+        ("the same again", text(0, 2)),
+        ("a list of others", text(count, 3)),
+    ):
         longest, begin, before = 0.0, time.perf_counter(), time.perf_counter()
         discovery.told(data)
         while True:
@@ -71,17 +91,26 @@
             if not discovery.working:
                 break
             await asyncio.sleep(0)
-        print(f"{title} of {count}: {(time.perf_counter() - begin) * 1000:.0f} ms in all, "
-              f"the loop held for {longest * 1000:.1f} ms at most; {len(engine.balancer.entries)} known")
+        print(
+            f"{title} of {count}: {(time.perf_counter() - begin) * 1000:.0f} ms in all, "
+            f"the loop held for {longest * 1000:.1f} ms at most; {len(engine.balancer.entries)} known"
+        )
     discovery.close()
     pool.close()
 
 
 async def main(arguments: argparse.Namespace) -> None:
     await hold(arguments.nodes)
-    await connections(Plan(nodes=arguments.nodes, instances=300, rate=arguments.rate,
-                           seconds=arguments.seconds, sockets=arguments.sockets,
-                           machine=Machine(work_us=10_000)))
+    await connections(
+        Plan(
+            nodes=arguments.nodes,
+            instances=300,
+            rate=arguments.rate,
+            seconds=arguments.seconds,
+            sockets=arguments.sockets,
+            machine=Machine(work_us=10_000),
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/gossip.py
+++ b/benchmarks/gossip.py
@@ -79,21 +79,36 @@
         asked = sum(row.asked for row in table(scene.ledger))
         left_out = scene.sidecars[-1].name if name == "starved" else ""
         said = {record.request: record.status for record in scene.ledger if isinstance(record, Answered)}
-        unserved = sum(said.get(record.request) != 200 for record in scene.ledger
-                       if isinstance(record, Asked) and record.sidecar != left_out)
-        owners = {record.request: record.sidecar for record in scene.ledger if hasattr(record, "sidecar")
-                  and hasattr(record, "request")}
-        wasted = sorted((record.at_us - begin_us, owners.get(record.request, "")) for record in scene.ledger
-                        if isinstance(record, Received) and record.node == silent.name
-                        and begin_us <= record.first_us < end_us)
-        back = [record.at_us - end_us for record in scene.ledger if isinstance(record, Received)
-                and record.node == silent.name and record.first_us >= end_us]
+        unserved = sum(
+            said.get(record.request) != 200
+            for record in scene.ledger
+            if isinstance(record, Asked) and record.sidecar != left_out
+        )
+        owners = {
+            record.request: record.sidecar
+            for record in scene.ledger
+            if hasattr(record, "sidecar") and hasattr(record, "request")
+        }
+        wasted = sorted(
+            (record.at_us - begin_us, owners.get(record.request, ""))
+            for record in scene.ledger
+            if isinstance(record, Received)
+            and record.node == silent.name
+            and begin_us <= record.first_us < end_us
+        )
+        back = [
+            record.at_us - end_us
+            for record in scene.ledger
+            if isinstance(record, Received) and record.node == silent.name and record.first_us >= end_us
+        ]
         times = [round(wasted[int(share * len(wasted))][0] / 1e6, 2) for share in (0.5, 0.9) if wasted]
         by_sidecar = Counter(one for _, one in wasted)
         found: dict[str, object] = {
-            "wasted": len(wasted), "by the worst sidecar": max(by_sidecar.values(), default=0),
+            "wasted": len(wasted),
+            "by the worst sidecar": max(by_sidecar.values(), default=0),
             "half and nine tenths of them after, s": times,
-            "requests": asked, "not served": unserved,
+            "requests": asked,
+            "not served": unserved,
             "seconds till it has 50 requests again": round(back[49] / 1e6, 2) if len(back) > 49 else None,
             "CPU us a request": round(cpu / asked * 1e6),
             "breaches": len(scene.verdict()),
@@ -104,13 +119,16 @@
             seconds = plan.seconds + 8.0
             for name in ("bytes out", "packets out"):
                 rates = [state["counts"].get(name, 0) / seconds for state in states]
-                found[f"{name} a second and instance, mean and most"] = [round(sum(rates) / len(rates)),
-                                                                         round(max(rates))]
+                found[f"{name} a second and instance, mean and most"] = [
+                    round(sum(rates) / len(rates)),
+                    round(max(rates)),
+                ]
             found["instances known"] = min(len(state["peers"]) + 1 for state in states)
             for count in ("deaths", "suspicions", "refutations"):
                 found[count] = sum(state["counts"].get(count, 0) for state in states)
             found["held for dead at the end"] = Counter(
-                peer["name"] for state in states for peer in state["peers"] if peer["life"] == "dead")
+                peer["name"] for state in states for peer in state["peers"] if peer["life"] == "dead"
+            )
         if speaker is not None:
             speaker.close()
         return found
@@ -126,10 +144,18 @@
     parser.add_argument("--told", type=int, default=0, help="sidecars as the settings have it; 0 = as many")
     parser.add_argument("--plays", default="without,with,liar,again")
     asked = parser.parse_args()
-    plan = Plan(nodes=asked.nodes, sidecars=asked.sidecars, instances=asked.told, rate=asked.rate,
-                seconds=asked.seconds, seed=asked.seed, sockets=256,
-                sites=("makati", "pasig", "cebu", "davao", "iloilo"),
-                machine=Machine(cores=8, work_us=8_000), manners=Manners(tries=1))
+    plan = Plan(
+        nodes=asked.nodes,
+        sidecars=asked.sidecars,
+        instances=asked.told,
+        rate=asked.rate,
+        seconds=asked.seconds,
+        seed=asked.seed,
+        sockets=256,
+        sites=("makati", "pasig", "cebu", "davao", "iloilo"),
+        machine=Machine(cores=8, work_us=8_000),
+        manners=Manners(tries=1),
+    )
     # hazard: the collector walks the whole ledger; a stall of 280 ms of this loop, which is all clients and
     # all nodes, had 48 requests refused at once
     gc.disable()
@@ -143,8 +169,10 @@
         if one in shares and other in shares:
             kept = sorted(shares[one][node] / max(1, shares[other][node]) for node in healthy)
             total = sum(shares[one][node] for node in healthy) / sum(shares[other][node] for node in healthy)
-            print(f"requests of a healthy node, {one} against {other}: least {kept[0]:.3f}, median "
-                  f"{kept[len(kept) // 2]:.3f}, all {total:.3f}")
+            print(
+                f"requests of a healthy node, {one} against {other}: least {kept[0]:.3f}, median "
+                f"{kept[len(kept) // 2]:.3f}, all {total:.3f}"
+            )
     return 0
 
 
--- a/benchmarks/gossip_fuzz.py
+++ b/benchmarks/gossip_fuzz.py
@@ -26,11 +26,24 @@
 
 def statements(ring: Keyring, dice: random.Random, wall_us: int) -> list[codec.Signed]:
     made: list[Statement] = [
-        Bulletin([Count(f"n{dice.randrange(4)}", dice.choice((0, 5, codec.MOST_WHOLE)), *(
-            dice.choice((0, 1, 7, codec.MOST_WHOLE)) for _ in range(7))) for _ in range(dice.randrange(9))]),
+        Bulletin(
+            [
+                Count(
+                    f"n{dice.randrange(4)}",
+                    dice.choice((0, 5, codec.MOST_WHOLE)),
+                    *(dice.choice((0, 1, 7, codec.MOST_WHOLE)) for _ in range(7)),
+                )
+                for _ in range(dice.randrange(9))
+            ]
+        ),
         Accusation(f"i{dice.randrange(5)}", dice.choice((0, 1, wall_us // 1000, codec.MOST_WHOLE))),
-        codec.Alive(dice.choice(("10.0.0.1", "::1", "a.example", "10.0.0.1\n")),
-                    dice.choice((1, 1001, 65535)), dice.choice((0, codec.MOST_WHOLE)), ring.certificate)]
+        codec.Alive(
+            dice.choice(("10.0.0.1", "::1", "a.example", "10.0.0.1\n")),
+            dice.choice((1, 1001, 65535)),
+            dice.choice((0, codec.MOST_WHOLE)),
+            ring.certificate,
+        ),
+    ]
     return [ring.sign(one, wall_us) for one in dice.sample(made, dice.randrange(4))]
 
 
@@ -42,11 +55,11 @@
         if way == 0 and found:
             found[at % len(found)] ^= 1 << dice.randrange(8)
         elif way == 1:
-            del found[at:at + dice.randrange(1, 20)]
+            del found[at : at + dice.randrange(1, 20)]
         elif way == 2:
             found[at:at] = dice.randbytes(dice.randrange(1, 12))
         elif way == 3:
-            found[at:at] = found[at:at + dice.randrange(1, 40)]
+            found[at:at] = found[at : at + dice.randrange(1, 40)]
         else:
             del found[at:]
     return bytes(found)
@@ -61,7 +74,7 @@
         number = dice.choice((0, 5, codec.MOST_WHOLE))
         message = dice.choice((Ping(number, "i2"), Ack(number), Nack(number), Ask(number, "i0"), News()))
         data, state = ring.seal(message, told, wall_us), False
-    payload = mutated(data[codec.HEAD:], dice)
+    payload = mutated(data[codec.HEAD :], dice)
     if dice.random() < 0.7:  # a member that says nonsense
         return codec.closed(ring.key.sign(payload).signature, payload), state
     return mutated(data, dice), state
--- a/benchmarks/gossip_parts.py
+++ b/benchmarks/gossip_parts.py
@@ -38,8 +38,9 @@
 
 
 def bulletin() -> Bulletin:
-    return Bulletin([Count(f"s-5be2a07{n}", WALL_US // 1000, 40 + n, 5, 1, 0, 34 + n, 2, 130)
-                     for n in range(8)])
+    return Bulletin(
+        [Count(f"s-5be2a07{n}", WALL_US // 1000, 40 + n, 5, 1, 0, 34 + n, 2, 130) for n in range(8)]
+    )
 
 
 def protobuf() -> tuple[int, float, float]:
@@ -48,8 +49,9 @@
     kind = file.message_type.add(name="Count")
     for number, name in enumerate(FIELDS, 1):
         kind.field.add(name=name, number=number, label=1, type=9 if name == "node" else 4)
-    file.message_type.add(name="Bulletin").field.add(name="counts", number=1, label=3, type=11,
-                                                     type_name=".Count")
+    file.message_type.add(name="Bulletin").field.add(
+        name="counts", number=1, label=3, type=11, type_name=".Count"
+    )
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
     made: Any = message_factory.GetMessageClass(pool.FindMessageTypeByName("Bulletin"))
@@ -74,8 +76,10 @@
     as_json = msgspec.json.encode(told)
     size, writes, reads = protobuf()
     print("a bulletin of 8 nodes: bytes, us to write, us to read (into values)")
-    print(f"  MessagePack by msgspec {len(body):>6} {cost_us(lambda: codec.encode(told)):>7.1f} "
-          f"{cost_us(lambda: codec.read(codec.statements, body)):>7.1f}")
+    print(
+        f"  MessagePack by msgspec {len(body):>6} {cost_us(lambda: codec.encode(told)):>7.1f} "
+        f"{cost_us(lambda: codec.read(codec.statements, body)):>7.1f}"
+    )
     print(f"  protobuf               {size:>6} {writes:>7.1f} {reads:>7.1f}")
     print(f"  JSON, standard library {len(as_json):>6} {'':>7} {cost_us(lambda: json.loads(as_json)):>7.1f}")
     one, two = keyring(1, fleet), keyring(2, fleet)
@@ -83,8 +87,9 @@
     packet = one.seal(News(), rumours, WALL_US)
     seals = cost_us(lambda: one.seal(News(), rumours, WALL_US))
     signs = cost_us(lambda: one.sign(told, WALL_US))
-    print(f"a packet with it: {len(packet)} bytes; sealed in {seals:.0f} us, its rumour signed in "
-          f"{signs:.0f}")
+    print(
+        f"a packet with it: {len(packet)} bytes; sealed in {seals:.0f} us, its rumour signed in {signs:.0f}"
+    )
 
     def opened() -> None:
         two.heard.clear()
@@ -92,8 +97,10 @@
 
     rumour = cost_us(lambda: two.statement(rumours[0], one.certificate, 0, WALL_US))
     again, noise = cost_us(lambda: refused(two, packet)), cost_us(lambda: refused(two, packet[9:]))
-    print(f"verified and read in {cost_us(opened):.0f} us, its rumour in {rumour:.0f}; refused as heard "
-          f"before in {again:.1f}, as noise in {noise:.1f}")
+    print(
+        f"verified and read in {cost_us(opened):.0f} us, its rumour in {rumour:.0f}; refused as heard "
+        f"before in {again:.1f}, as noise in {noise:.1f}"
+    )
     own = Instance(one, ("10.0.0.1", 1), [], random.Random(1), 0, WALL_US, lambda node: 5)
     attempt = cost_us(lambda: own.attempt("n", 5, Outcome.OK, 1, WALL_US))
     print(f"an attempt that ended well: {attempt:.2f} us")
--- a/benchmarks/gossip_scale.py
+++ b/benchmarks/gossip_scale.py
@@ -28,8 +28,9 @@
     found = {"all known after, s": (fleet.now_us - begin_us) / 1e6}
     fleet.run(2.0)
     begin_us = fleet.now_us
-    tellers = [one for number, one in enumerate(fleet.all())
-               if number // SITES <= max(1, count // SITES // 5)]
+    tellers = [
+        one for number, one in enumerate(fleet.all()) if number // SITES <= max(1, count // SITES // 5)
+    ]
     for one in tellers:
         for _ in range(2):
             fleet.attempt(one, "n1", Outcome.TIMEOUT)
@@ -45,8 +46,9 @@
     before = [one.instance.counts.copy() for one in fleet.all()]
     fleet.run(20.0)
     for name in ("packets out", "bytes out"):
-        rates = [(one.instance.counts[name] - old[name]) / 20
-                 for one, old in zip(fleet.all(), before, strict=True)]
+        rates = [
+            (one.instance.counts[name] - old[name]) / 20 for one, old in zip(fleet.all(), before, strict=True)
+        ]
         found[f"{name} a second at rest"] = sum(rates) / len(rates)
     fleet.loss = loss
     for what, starved in (("loss", []), ("loss and one in a hundred starved", fleet.all()[::100])):
@@ -57,10 +59,14 @@
                 one.asleep_until_us = fleet.now_us + 399_500
             fleet.run(0.4)
         found[f"suspicions an hour and peer, {what}"] = (fleet.counted("suspicions") - was) / (
-            30 / 3600 * count * (count - 1))
+            30 / 3600 * count * (count - 1)
+        )
         found[f"pairs held for dead at the end, of those not starved, {what}"] = sum(
             peer.name not in names and peer.life.value == "dead"
-            for one in fleet.all() if one not in starved for peer in one.instance.core.peers.values())
+            for one in fleet.all()
+            if one not in starved
+            for peer in one.instance.core.peers.values()
+        )
     return found
 
 
--- a/benchmarks/grpc.py
+++ b/benchmarks/grpc.py
@@ -130,7 +130,9 @@
         else:
             _, peer = await asyncio.get_running_loop().create_connection(http1.ClientPeer, *address)
         head = b"POST /chapter-buy/7 HTTP/1.1\r\nHost: b\r\nReq-Id: %s-%d\r\nReq-Deadline: 5\r\n" % (
-            tag.encode(), number)
+            tag.encode(),
+            number,
+        )
         reply = await peer.ask(head + b"Content-Length: 64\r\n\r\n" + b"x" * 64)
         assert reply is not None and reply.status == 200, reply
         idle.append(peer)
@@ -149,8 +151,14 @@
     """MB a second, and CPU milliseconds a MB, of one stream of messages of 1 MB to a node."""
     loop = asyncio.get_running_loop()
     _, peer = await loop.create_connection(http2.ClientPeer, *address)
-    headers = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/bench.Komiks/Stream"),
-               (b":authority", b"b"), (b"te", b"trailers"), (b"content-type", b"application/grpc")]
+    headers = [
+        (b":method", b"POST"),
+        (b":scheme", b"http"),
+        (b":path", b"/bench.Komiks/Stream"),
+        (b":authority", b"b"),
+        (b"te", b"trailers"),
+        (b"content-type", b"application/grpc"),
+    ]
     peer.http2.limits = Limits(unsent=1 << 30, rates=Rates(1e9, 1e9, 1e9, 1e9, 1e9))
     number = peer.http2.open_stream(headers)
     assert number is not None
@@ -178,14 +186,30 @@
         plain = await loop.create_server(PlainNode, "127.0.0.1", 0)
         node = await loop.create_server(GrpcNode, "127.0.0.1", 0)
         ports.append(str(node.sockets[0].getsockname()[1]))
-        entries.append({"host": f"node-{number}", "dial": f"127.0.0.1:{plain.sockets[0].getsockname()[1]}",
-                        "dial_grpc": f"127.0.0.1:{ports[-1]}", "site": "makati", "class": "lab",
-                        "block": number // 6, "health": "in_service", "share": 1.0, "born_ms": 0})
+        entries.append(
+            {
+                "host": f"node-{number}",
+                "dial": f"127.0.0.1:{plain.sockets[0].getsockname()[1]}",
+                "dial_grpc": f"127.0.0.1:{ports[-1]}",
+                "site": "makati",
+                "class": "lab",
+                "block": number // 6,
+                "health": "in_service",
+                "share": 1.0,
+                "born_ms": 0,
+            }
+        )
     roster = Roster(Ledger(), entries)
-    config = {"discovery": await roster.serve("s"), "seed": "1", "limits": {"sockets": 1024},
-              "known": roster.known(), "settings": settings(Plan(loads=LOADS), 0)}
-    passing = await asyncio.create_subprocess_exec(sys.executable, "-c", PASS, *ports,
-                                                   stdout=asyncio.subprocess.PIPE)
+    config = {
+        "discovery": await roster.serve("s"),
+        "seed": "1",
+        "limits": {"sockets": 1024},
+        "known": roster.known(),
+        "settings": settings(Plan(loads=LOADS), 0),
+    }
+    passing = await asyncio.create_subprocess_exec(
+        sys.executable, "-c", PASS, *ports, stdout=asyncio.subprocess.PIPE
+    )
     with tempfile.TemporaryDirectory() as folder:
         forms = [SidecarProcess(name, config, folder, OPERATOR) for name in ("compiled", "sources")]
         forms[1].env = {"SIDECAR_PROXY_PURE": "1"}
@@ -199,17 +223,25 @@
                 row = [await by_grpc(through, passing.pid, calls, f"p{turn}")]
                 for one in forms:
                     assert one.process is not None
-                    row += [await by_grpc(one.address, one.process.pid, calls, f"g{turn}"),
-                            await by_http1(one.address, one.process.pid, calls, f"h{turn}")]
+                    row += [
+                        await by_grpc(one.address, one.process.pid, calls, f"g{turn}"),
+                        await by_http1(one.address, one.process.pid, calls, f"h{turn}"),
+                    ]
                 rows.append(row)
-                print(f"round {turn + 1}, us: grpc.aio passing on; gRPC and HTTP/1.1 compiled; both from the "
-                      f"sources: {' '.join(f'{one:.0f}' for one in row)}", flush=True)
+                print(
+                    f"round {turn + 1}, us: grpc.aio passing on; gRPC and HTTP/1.1 compiled; both from the "
+                    f"sources: {' '.join(f'{one:.0f}' for one in row)}",
+                    flush=True,
+                )
             aio, *ours = (statistics.median(column) for column in zip(*rows, strict=True))
             for one, grpc, plain_us in zip(forms, ours[::2], ours[1::2], strict=True):
-                print(f"CPU a call, medians, {one.name}: gRPC {grpc:.0f} us; {grpc / aio:.2f} of grpc.aio's "
-                      f"({aio:.0f}), {grpc / plain_us:.2f} of HTTP/1.1's ({plain_us:.0f})")
+                print(
+                    f"CPU a call, medians, {one.name}: gRPC {grpc:.0f} us; {grpc / aio:.2f} of grpc.aio's "
+                    f"({aio:.0f}), {grpc / plain_us:.2f} of HTTP/1.1's ({plain_us:.0f})"
+                )
             sides = [("grpc.aio", through, passing.pid)] + [
-                (one.name, one.address, one.process.pid) for one in forms if one.process is not None]
+                (one.name, one.address, one.process.pid) for one in forms if one.process is not None
+            ]
             for name, address, process in sides * 2:
                 rate, cost = await stream(address, process)
                 print(f"one stream of 1 MB messages, {name}: {rate:.0f} MB/s, {cost:.1f} ms CPU a MB")
@@ -261,8 +293,9 @@
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(SilentNode, "127.0.0.1", 0) for _ in range(NODES)]
     ports = [str(one.sockets[0].getsockname()[1]) for one in servers]
-    process = await asyncio.create_subprocess_exec(sys.executable, "-m", "benchmarks.grpc", "child", *ports,
-                                                   stdout=asyncio.subprocess.PIPE)
+    process = await asyncio.create_subprocess_exec(
+        sys.executable, "-m", "benchmarks.grpc", "child", *ports, stdout=asyncio.subprocess.PIPE
+    )
     try:
         assert process.stdout is not None
         address = ("127.0.0.1", int((await process.stdout.readline()).split()[1]))
@@ -295,5 +328,6 @@
     if sys.argv[1:2] == ["child"]:
         asyncio.run(child())
     else:
-        asyncio.run(asyncio.wait_for(main(int((sys.argv[1:] or ["4000"])[0]),
-                                          int((sys.argv[2:] or ["3"])[0])), 300))
+        asyncio.run(
+            asyncio.wait_for(main(int((sys.argv[1:] or ["4000"])[0]), int((sys.argv[2:] or ["3"])[0])), 300)
+        )
--- a/benchmarks/http2_libraries.py
+++ b/benchmarks/http2_libraries.py
@@ -15,9 +15,16 @@
 from pathlib import Path
 from typing import Any
 
-REQUEST = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/komiks.Purchase/BuyChapter"),
-           (b":authority", b"backend.local"), (b"te", b"trailers"), (b"content-type", b"application/grpc"),
-           (b"grpc-timeout", b"1S"), (b"user-agent", b"grpc-python/1.85.1")]
+REQUEST = [
+    (b":method", b"POST"),
+    (b":scheme", b"http"),
+    (b":path", b"/komiks.Purchase/BuyChapter"),
+    (b":authority", b"backend.local"),
+    (b"te", b"trailers"),
+    (b"content-type", b"application/grpc"),
+    (b"grpc-timeout", b"1S"),
+    (b"user-agent", b"grpc-python/1.85.1"),
+]
 ANSWER = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 TRAILERS = [(b"grpc-status", b"0"), (b"grpc-message", b"")]
 LIBRARIES = ("h2", "jh2", "ngh2")
@@ -35,10 +42,16 @@
     grown = resident() - before
 
     def make(client: bool) -> Any:
-        made = connection.H2Connection(config.H2Configuration(
-            client_side=client, header_encoding=None, validate_inbound_headers=checked,
-            validate_outbound_headers=checked, normalize_inbound_headers=checked,
-            normalize_outbound_headers=checked))
+        made = connection.H2Connection(
+            config.H2Configuration(
+                client_side=client,
+                header_encoding=None,
+                validate_inbound_headers=checked,
+                validate_outbound_headers=checked,
+                normalize_inbound_headers=checked,
+                normalize_outbound_headers=checked,
+            )
+        )
         made.initiate_connection()
         return made
 
@@ -72,8 +85,10 @@
         assert ended
         move(client, server)
     cost = (time.process_time() - begin) / calls * 1e6
-    print(f"{name:<6} {'validated' if checked else 'not validated':<14} {cost:6.0f} us a call, both sides; "
-          f"import {grown:.1f} MB")
+    print(
+        f"{name:<6} {'validated' if checked else 'not validated':<14} {cost:6.0f} us a call, both sides; "
+        f"import {grown:.1f} MB"
+    )
 
 
 def play_ngh2(calls: int) -> None:
@@ -130,5 +145,16 @@
     else:
         for library in LIBRARIES:
             for extra in ([], ["--checked"]) if library != "ngh2" else ([],):
-                subprocess.run([sys.executable, "-m", "benchmarks.http2_libraries", "--only", library,
-                                "--calls", str(found.calls), *extra], check=False)
+                subprocess.run(
+                    [
+                        sys.executable,
+                        "-m",
+                        "benchmarks.http2_libraries",
+                        "--only",
+                        library,
+                        "--calls",
+                        str(found.calls),
+                        *extra,
+                    ],
+                    check=False,
+                )
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -24,8 +24,10 @@
     scenes = SCENES | CROWDED
     parser.add_argument("--scenes", nargs="+", choices=scenes, default=list(scenes))
     told = parser.parse_args()
-    print("scene        sidecars  served refused failed  att/r  probes/r  dials/r  calls/r  calls/s  listed  "
-          "most-open  fallen  in-time   late")
+    print(
+        "scene        sidecars  served refused failed  att/r  probes/r  dials/r  calls/r  calls/s  listed  "
+        "most-open  fallen  in-time   late"
+    )
     for name in told.scenes:
         for instances in told.sidecars:
             load = 0.5 if name in CROWDED else 0.6
@@ -42,11 +44,15 @@
             fullest = max(max(one.most_open.values()) for one in seen)
             fallen = sum(len(one.fallen) for one in seen)
             first = sum(one.originals.total() for one in seen)
-            in_time, late = (sum(found.total() for found in kind) / first
-                             for kind in ([one.in_time for one in seen], [one.late for one in seen]))
-            print(f"{name:12} {instances:8}  {ok:6.3f} {refused:7.3f} {failed:6.3f} {attempts:6.2f} "
-                  f"{probes:9.3f} {dials:8.3f} {calls:8.4f} {busiest:8} {(listed - START_US) / 1e6:7.1f} "
-                  f"{fullest:10} {fallen:7} {in_time:8.3f} {late:6.3f}")
+            in_time, late = (
+                sum(found.total() for found in kind) / first
+                for kind in ([one.in_time for one in seen], [one.late for one in seen])
+            )
+            print(
+                f"{name:12} {instances:8}  {ok:6.3f} {refused:7.3f} {failed:6.3f} {attempts:6.2f} "
+                f"{probes:9.3f} {dials:8.3f} {calls:8.4f} {busiest:8} {(listed - START_US) / 1e6:7.1f} "
+                f"{fullest:10} {fallen:7} {in_time:8.3f} {late:6.3f}"
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -28,8 +28,17 @@
 
 
 def value(number: int, health: str) -> bytes:
-    return json.dumps({"host": f"s-{number}", "health": health, "dial": f"127.0.1.{number % 250 + 1}:{3000}",
-                       "site": "makati", "class": "m", "block": number // 6, "share": 1.0}).encode()
+    return json.dumps(
+        {
+            "host": f"s-{number}",
+            "health": health,
+            "dial": f"127.0.1.{number % 250 + 1}:{3000}",
+            "site": "makati",
+            "class": "m",
+            "block": number // 6,
+            "share": 1.0,
+        }
+    ).encode()
 
 
 def stand_in(pipe: Connection, nodes: int) -> None:
@@ -79,6 +88,7 @@
     before = memory_mb()
     from sidecar_proxy.config.schema import Etcd, Membership
     from sidecar_proxy.discovery.subsystem import Sources
+
     sources = Sources(Membership(Etcd(tuple(addresses), "/n/")), engine, directory, 1)
     found: dict[str, Any] = {"memory of the libraries, MB": round(memory_mb() - before, 1)}
     began = time.monotonic()
@@ -108,7 +118,8 @@
     cpu = time.process_time() - cpu
     times.sort()
     found["from an event to the decisions, ms (p50, p99, max)"] = [
-        round(times[int(len(times) * share)], 2) for share in (0.5, 0.99)] + [round(times[-1], 2)]
+        round(times[int(len(times) * share)], 2) for share in (0.5, 0.99)
+    ] + [round(times[-1], 2)]
     cpu = time.process_time()
     for _ in range(drains):  # at their own pace, so that waiting costs nothing
         pipe.send(("in_service", dice.randrange(nodes)))
@@ -126,14 +137,16 @@
     left = time.monotonic() - began
     while state.state != "watch" or state.unheard or state.tries:
         await asyncio.sleep(0.005)
-    found["to leave a silent member and to hear the next, s"] = [round(left, 2),
-                                                                round(time.monotonic() - began, 2)]
+    found["to leave a silent member and to hear the next, s"] = [
+        round(left, 2),
+        round(time.monotonic() - began, 2),
+    ]
     source.close()
     return found
 
 
 def main() -> int:
-    drains, nodes = (int(one) for one in (sys.argv[1:] + ["1000", "10000"][len(sys.argv) - 1:]))
+    drains, nodes = (int(one) for one in (sys.argv[1:] + ["1000", "10000"][len(sys.argv) - 1 :]))
     context = multiprocessing.get_context("spawn")
     mine, theirs = context.Pipe()
     other = context.Process(target=stand_in, args=(theirs, nodes), daemon=True)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -38,8 +38,17 @@
 def base(load: float, seed: int) -> Plan:
     """Six sidecars, twelve nodes of two cores and 100 ms of work."""
     machine = Machine(work_us=100_000, cores=2)
-    return Plan(nodes=12, sidecars=6, rate=load * 240, seconds=30.0, seed=seed, machine=machine, gossip=True,
-                relayed=True, manners=Manners(tries=5, honours=0.5))
+    return Plan(
+        nodes=12,
+        sidecars=6,
+        rate=load * 240,
+        seconds=30.0,
+        seed=seed,
+        machine=machine,
+        gossip=True,
+        relayed=True,
+        manners=Manners(tries=5, honours=0.5),
+    )
 
 
 def away(seconds: float, step_s: float = 0.0) -> Fault:
@@ -69,14 +78,14 @@
     "stopped": lambda plan: beside(plan, part("sidecar_stop", 13.0, 5.0, 1)),
     "wiped": lambda plan: beside(plan, part("sidecar_wipe", 14.5, 0.5, 2)),
     "clock": lambda plan: beside(plan, part("sidecar_clock", 10.0, 1.0, 3, size=3600.0)),
-    "slow-links": lambda plan: beside(plan, part("link_slow", 2.0, 40.0, size=0.5),
-                                      part("link_lossy", 2.0, 40.0, size=0.33)),
+    "slow-links": lambda plan: beside(
+        plan, part("link_slow", 2.0, 40.0, size=0.5), part("link_lossy", 2.0, 40.0, size=0.33)
+    ),
     "skewed": lambda plan: replace(plan, skew=0.67, faults=(away(6.0),)),
     "rude": lambda plan: replace(plan, manners=Manners(tries=12, honours=0.4), faults=(away(6.0),)),
     "uneven": lambda plan: beside(replace(plan, cores=(1, 2, 3))),
     "liar": lambda plan: beside(plan),  # see `play`: one more, certified, that tells ten times the load
-    "again": lambda plan: replace(plan, seconds=36.0, faults=(
-        away(6.0), Fault("crash", 16.0, 4.0, 12))),
+    "again": lambda plan: replace(plan, seconds=36.0, faults=(away(6.0), Fault("crash", 16.0, 4.0, 12))),
 }
 
 
@@ -169,13 +178,23 @@
     wished = sum(worths[one.kind] for one in first.values())
     probes = sum(node.asked_health for node in scene.nodes)
     return Figures(
-        good / wanted if wanted else 0.0, inverted / max(1, total),
-        sum(wishes.values()) / max(1, len(wishes)), jain,
+        good / wanted if wanted else 0.0,
+        inverted / max(1, total),
+        sum(wishes.values()) / max(1, len(wishes)),
+        jain,
         sum(worths[first[name].kind] for name in done if name in first) / max(1.0, wished),
-        sum(isinstance(one, Fell) for one in scene.ledger), len(scene.verdict()),
-        len(overspent(scene.ledger)), cpu_s * 1e6 / max(1, len(asked)), probes,
-        [sum(served[second].values()) / max(1.0, plan.machine.cores * plan.nodes * 1e6 / plan.machine.work_us)
-         for second in range(seconds)], kinds)
+        sum(isinstance(one, Fell) for one in scene.ledger),
+        len(scene.verdict()),
+        len(overspent(scene.ledger)),
+        cpu_s * 1e6 / max(1, len(asked)),
+        probes,
+        [
+            sum(served[second].values())
+            / max(1.0, plan.machine.cores * plan.nodes * 1e6 / plan.machine.work_us)
+            for second in range(seconds)
+        ],
+        kinds,
+    )
 
 
 async def play(plan: Plan, name: str) -> Figures:
@@ -205,9 +224,11 @@
 
 def row(name: str, how: str, one: Figures) -> str:
     kinds = " ".join(f"{share:.2f}" for share in one.classes.values())
-    return (f"{name:<12}{how:<5}{one.goodput:>8.2f}{one.inversions:>12.3f}{one.tries:>7.2f}{one.jain:>7.3f}"
-            f"{one.worth:>7.3f}  {kinds:<16}{one.fallen:>7}{one.breaches:>9}{one.overspent:>10}"
-            f"{one.cpu_us:>8.0f}{one.probes:>8}")
+    return (
+        f"{name:<12}{how:<5}{one.goodput:>8.2f}{one.inversions:>12.3f}{one.tries:>7.2f}{one.jain:>7.3f}"
+        f"{one.worth:>7.3f}  {kinds:<16}{one.fallen:>7}{one.breaches:>9}{one.overspent:>10}"
+        f"{one.cpu_us:>8.0f}{one.probes:>8}"
+    )
 
 
 def plot(path: str, lines: dict[str, list[float]]) -> None:
@@ -228,8 +249,9 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--scenes", default="calm,burst,outage,parted,stopped,skewed")
     parser.add_argument("--load", type=float, default=1.25, help="of what all nodes take, when warm")
     parser.add_argument("--seeds", default="1")
@@ -241,15 +263,22 @@
     found = parser.parse_args()
     kinds = "/".join(load.kind for load in LOADS)
     print(f"load {found.load:g}, seeds {found.seeds}; served by class: {kinds}")
-    print(f"{'scene':<12}{'part':<5}{'goodput':>8}{'inversions':>12}{'tries':>7}{'Jain':>7}{'worth':>7}  "
-          f"{'by class':<16}{'fallen':>7}{'breaches':>9}{'overspent':>10}{'CPU us':>8}{'probes':>8}")
+    print(
+        f"{'scene':<12}{'part':<5}{'goodput':>8}{'inversions':>12}{'tries':>7}{'Jain':>7}{'worth':>7}  "
+        f"{'by class':<16}{'fallen':>7}{'breaches':>9}{'overspent':>10}{'CPU us':>8}{'probes':>8}"
+    )
     for name in found.scenes.split(","):
         lines: dict[str, list[float]] = {}
         for seed in map(int, found.seeds.split(",")):
             for how in found.how.split(","):
                 load = 0.75 if name == "burst" else found.load
-                plan = replace(base(load, seed), sidecars=found.sidecars, return_s=found.return_s,
-                               probes=found.probes, extra=ON if how == "on" else "")
+                plan = replace(
+                    base(load, seed),
+                    sidecars=found.sidecars,
+                    return_s=found.return_s,
+                    probes=found.probes,
+                    extra=ON if how == "on" else "",
+                )
                 one = uvloop.run(play(SCENES[name](plan), name))
                 lines[how] = one.by_second
                 print(row(name, how, one), flush=True)
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -47,8 +47,11 @@
         self.body += body
 
     def on_message_complete(self) -> None:
-        self.through.forward(self, b"%s %s HTTP/1.1\r\n%s\r\n%s" % (
-            self.parser.get_method(), self.url, b"".join(self.head), self.body))
+        self.through.forward(
+            self,
+            b"%s %s HTTP/1.1\r\n%s\r\n%s"
+            % (self.parser.get_method(), self.url, b"".join(self.head), self.body),
+        )
 
 
 class Back(asyncio.Protocol):
@@ -80,8 +83,10 @@
         front, self.front = self.front, None
         self.through.idle[self.address].append(self)
         if front is not None:
-            front.transport.write(b"HTTP/1.1 %d OK\r\n%s\r\n%s" % (
-                self.parser.get_status_code(), b"".join(self.head), self.body))
+            front.transport.write(
+                b"HTTP/1.1 %d OK\r\n%s\r\n%s"
+                % (self.parser.get_status_code(), b"".join(self.head), self.body)
+            )
 
 
 class Through:
--- a/benchmarks/reconnect.py
+++ b/benchmarks/reconnect.py
@@ -55,8 +55,11 @@
         now_us, number, what = heapq.heappop(queue)
         one = followers[number]
         perform(number, now_us, one.up(now_us) if what == "up" else one.tick(now_us))
-    return ([dials[at] for at in range(int(away_s))], sorted(back.values()),
-            [after[at] for at in range(max(after, default=0) + 1)])
+    return (
+        [dials[at] for at in range(int(away_s))],
+        sorted(back.values()),
+        [after[at] for at in range(max(after, default=0) + 1)],
+    )
 
 
 def main() -> int:
@@ -67,10 +70,14 @@
     told = parser.parse_args()
     dials, back, after = play(told.sidecars, told.away, told.seed)
     print(f"{told.sidecars} sidecars, etcd away for {told.away:.0f} s, seed {told.seed}")
-    print(f"dials a second: {dials[0]} in the first, {max(dials[5:], default=0)} at most from the sixth on, "
-          f"over {ENDPOINTS} members")
-    print(f"back: watched again after {back[len(back) // 2]:.2f} s (median), {back[-1]:.2f} s (last); "
-          f"with at most {max(after)} dials in a tenth of a second; no lists")
+    print(
+        f"dials a second: {dials[0]} in the first, {max(dials[5:], default=0)} at most from the sixth on, "
+        f"over {ENDPOINTS} members"
+    )
+    print(
+        f"back: watched again after {back[len(back) // 2]:.2f} s (median), {back[-1]:.2f} s (last); "
+        f"with at most {max(after)} dials in a tenth of a second; no lists"
+    )
     return 0
 
 
--- a/benchmarks/same.py
+++ b/benchmarks/same.py
@@ -30,12 +30,33 @@
     classes = [
         api.RequestClass("read", aim_us=300_000, deadline_us=1_500_000, effect="idempotent", late_worth=0.3),
         api.RequestClass("pay", aim_us=300_000, deadline_us=600_000, worth=5, effect="at_most_once"),
-        api.RequestClass("mark", aim_us=400_000, deadline_us=2_000_000, worth=3, effect="deduplicated",
-                         group=dice.choice(("all", "zone", "cell")), memory_us=1_200_000)]
-    return api.Settings(classes, instances=dice.choice((1, 3, 40)), tick_us=4000, max_attempts=4, cancel=True,
-                        zones=["a", "b"], zone=0, cross_zone_fee=dice.choice((0.0, 0.02)),
-                        max_retry_after_us=1_000_000, retry_after=True, cold_share=0.2, warm_up_us=20_000_000,
-                        overload_factor=2.5, most_upstreams=dice.choice((0, 12)), list_on_request=True)
+        api.RequestClass(
+            "mark",
+            aim_us=400_000,
+            deadline_us=2_000_000,
+            worth=3,
+            effect="deduplicated",
+            group=dice.choice(("all", "zone", "cell")),
+            memory_us=1_200_000,
+        ),
+    ]
+    return api.Settings(
+        classes,
+        instances=dice.choice((1, 3, 40)),
+        tick_us=4000,
+        max_attempts=4,
+        cancel=True,
+        zones=["a", "b"],
+        zone=0,
+        cross_zone_fee=dice.choice((0.0, 0.02)),
+        max_retry_after_us=1_000_000,
+        retry_after=True,
+        cold_share=0.2,
+        warm_up_us=20_000_000,
+        overload_factor=2.5,
+        most_upstreams=dice.choice((0, 12)),
+        list_on_request=True,
+    )
 
 
 class Play:
@@ -54,10 +75,21 @@
 
     def list_of(self, kind: api.ListKind, count: int) -> api.UpstreamsUpdated:
         dice, states = self.dice, [api.UpstreamState.READY] * 6 + list(api.UpstreamState)
-        return api.UpstreamsUpdated(kind, [
-            api.Upstream(number, state=dice.choice(states), zone=number % 2, cell=number // 4, weight=1.0,
-                         started_us=dice.choice((0, self.now_us - 5_000_000)))
-            for number in dice.sample(range(100, 140), count)], self.now_us)
+        return api.UpstreamsUpdated(
+            kind,
+            [
+                api.Upstream(
+                    number,
+                    state=dice.choice(states),
+                    zone=number % 2,
+                    cell=number // 4,
+                    weight=1.0,
+                    started_us=dice.choice((0, self.now_us - 5_000_000)),
+                )
+                for number in dice.sample(range(100, 140), count)
+            ],
+            self.now_us,
+        )
 
     def tell(self, event: api.Event) -> None:
         for action in self.balancer.handle(self.now_us, event):
@@ -81,13 +113,28 @@
             attempt = self.tries.get(send.request, 0)
             self.tries[send.request] = attempt + 1
             outcome = dice.choice(OUTCOMES)
-            self.tell(api.AttemptEnded(send.request, attempt, send.upstream, outcome,
-                                       max(1, self.now_us - sent_us), outcome is api.Outcome.OK))
+            self.tell(
+                api.AttemptEnded(
+                    send.request,
+                    attempt,
+                    send.upstream,
+                    outcome,
+                    max(1, self.now_us - sent_us),
+                    outcome is api.Outcome.OK,
+                )
+            )
         elif chance < 0.96:
             number, self.next_request = self.next_request, self.next_request + 1
             kind = dice.randrange(3)
-            self.tell(api.RequestArrived(number, self.now_us + (1_500_000, 600_000, 2_000_000)[kind], kind,
-                                         key=dice.randrange(20), cost_us=dice.choice((0, 5_000))))
+            self.tell(
+                api.RequestArrived(
+                    number,
+                    self.now_us + (1_500_000, 600_000, 2_000_000)[kind],
+                    kind,
+                    key=dice.randrange(20),
+                    cost_us=dice.choice((0, 5_000)),
+                )
+            )
         elif chance < 0.98:
             self.tell(api.RequestGone(max(1, self.next_request - dice.randrange(1, 6))))
         elif chance < 0.995:
@@ -121,13 +168,30 @@
     said = []
     for pure in ("1", "0"):
         began = time.monotonic()
-        command = [sys.executable, "-m", "benchmarks.same", "--here",
-                   "--events", str(found.events), "--seed", str(found.seed)]
-        done = subprocess.run(command, cwd=ROOT, check=True, capture_output=True, text=True,
-                              env=os.environ | {"SIDECAR_PROXY_PURE": pure})
+        command = [
+            sys.executable,
+            "-m",
+            "benchmarks.same",
+            "--here",
+            "--events",
+            str(found.events),
+            "--seed",
+            str(found.seed),
+        ]
+        done = subprocess.run(
+            command,
+            cwd=ROOT,
+            check=True,
+            capture_output=True,
+            text=True,
+            env=os.environ | {"SIDECAR_PROXY_PURE": pure},
+        )
         said.append(done.stdout.split())
-        print(f"{said[-1][1]:>9}: {said[-1][0]}, {found.events} events, seed {found.seed}, "
-              f"{time.monotonic() - began:.0f} s", flush=True)
+        print(
+            f"{said[-1][1]:>9}: {said[-1][0]}, {found.events} events, seed {found.seed}, "
+            f"{time.monotonic() - began:.0f} s",
+            flush=True,
+        )
     return 0 if said[0][0] == said[1][0] and [one[1] for one in said] == ["from", "compiled"] else 1
 
 
--- a/benchmarks/sidecar.py
+++ b/benchmarks/sidecar.py
@@ -63,9 +63,11 @@
 def request(number: int) -> bytes:
     load = LOADS[number % 2]
     key = f"Idempotency-Key: key-{number}\r\n" if load.effect == "deduplicated" else ""
-    return (f"POST /{load.kind}/u{number % 997} HTTP/1.1\r\nHost: backend.local\r\n"
-            f"Req-Id: {os.getpid()}-{number}\r\nReq-Owner: acme\r\nReq-Deadline: 1.000\r\n{key}"
-            f"Content-Length: 64\r\n\r\n{'x' * 64}").encode()
+    return (
+        f"POST /{load.kind}/u{number % 997} HTTP/1.1\r\nHost: backend.local\r\n"
+        f"Req-Id: {os.getpid()}-{number}\r\nReq-Owner: acme\r\nReq-Deadline: 1.000\r\n{key}"
+        f"Content-Length: 64\r\n\r\n{'x' * 64}"
+    ).encode()
 
 
 async def drive(address: tuple[str, int], count: int, first: int) -> Counter[int]:
@@ -115,27 +117,57 @@
     return sorted(took_ms)
 
 
-async def measure(size: int, requests: int, rates: list[float], profile: str | None, recorder: bool,
-                  ) -> tuple[dict[str, list[float]], Counter[int], list[tuple[float, str, list[float]]]]:
+async def measure(
+    size: int,
+    requests: int,
+    rates: list[float],
+    profile: str | None,
+    recorder: bool,
+) -> tuple[dict[str, list[float]], Counter[int], list[tuple[float, str, list[float]]]]:
     """CPU us a request of each process under test, by turn; the sidecars' statuses; at each rate what each
     request took."""
     nodes = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "benchmarks.sidecar", "--nodes", str(size), cwd=ROOT,
-        stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, limit=1 << 20)
+        sys.executable,
+        "-m",
+        "benchmarks.sidecar",
+        "--nodes",
+        str(size),
+        cwd=ROOT,
+        stdin=asyncio.subprocess.PIPE,
+        stdout=asyncio.subprocess.PIPE,
+        limit=1 << 20,
+    )
     assert nodes.stdout is not None and nodes.stdin is not None
     ports = (await nodes.stdout.readline()).split()
-    entries = [{"host": f"node-{n}", "dial": f"{address_of(n)}:{int(port)}", "site": "makati", "class": "lab",
-                "block": n // 6, "health": "in_service", "share": 1.0, "born_ms": 0}
-               for n, port in enumerate(ports)]
+    entries = [
+        {
+            "host": f"node-{n}",
+            "dial": f"{address_of(n)}:{int(port)}",
+            "site": "makati",
+            "class": "lab",
+            "block": n // 6,
+            "health": "in_service",
+            "share": 1.0,
+            "born_ms": 0,
+        }
+        for n, port in enumerate(ports)
+    ]
     roster = Roster(Ledger(), entries)
     plan = Plan(instances=3, sites=("makati",))
     with tempfile.TemporaryDirectory() as folder:
-        config = {"discovery": await roster.serve("n0"), "seed": "5", "limits": {"sockets": 4096},
-                  "known": roster.known(), "settings": settings(plan, 0)}
+        config = {
+            "discovery": await roster.serve("n0"),
+            "seed": "5",
+            "limits": {"sockets": 4096},
+            "known": roster.known(),
+            "settings": settings(plan, 0),
+        }
         module = ["-m", "cProfile", "-o", profile, "-m"] if profile else ["-m"]
-        under_test = [Process("passthrough", config, folder, ["-m", "benchmarks.passthrough", "CONFIG"]),
-                      Process("compiled", config, folder, ["-B", *module, "sidecar_proxy.daemon"]),
-                      Process("sources", config, folder, ["-B", "-m", "sidecar_proxy.daemon"])]
+        under_test = [
+            Process("passthrough", config, folder, ["-m", "benchmarks.passthrough", "CONFIG"]),
+            Process("compiled", config, folder, ["-B", *module, "sidecar_proxy.daemon"]),
+            Process("sources", config, folder, ["-B", "-m", "sidecar_proxy.daemon"]),
+        ]
         under_test[2].env = {"SIDECAR_PROXY_PURE": "1"}
         if recorder:
             under_test.append(Process("recorded", config, folder, ["-B", "-m", "sidecar_proxy.daemon"]))
@@ -169,21 +201,27 @@
 
 async def main(arguments: argparse.Namespace) -> None:
     print(f"this Python runs sidecar_proxy {compiled.state}")
-    print(f"{'upstreams':>10} {'pass-through us':>16} {'sources us':>11} {'times':>6} "
-          f"{'compiled us':>12} {'times':>6}  statuses")
+    print(
+        f"{'upstreams':>10} {'pass-through us':>16} {'sources us':>11} {'times':>6} "
+        f"{'compiled us':>12} {'times':>6}  statuses"
+    )
     for size in map(int, arguments.sizes.split(",")):
         rates = [float(rate) for rate in arguments.rates.split(",") if rate]
-        costs, statuses, times = await measure(size, arguments.requests, rates, arguments.profile,
-                                               arguments.recorder)
+        costs, statuses, times = await measure(
+            size, arguments.requests, rates, arguments.profile, arguments.recorder
+        )
         bare, cells = costs["passthrough"], []
-        for name, width in (("sources", 11), ("compiled", 12), ("recorded", 12))[:2 + arguments.recorder]:
+        for name, width in (("sources", 11), ("compiled", 12), ("recorded", 12))[: 2 + arguments.recorder]:
             ratio = statistics.median(one / base for one, base in zip(costs[name], bare, strict=True))
             cells.append(f"{statistics.median(costs[name]):>{width}.0f} {ratio:>6.1f}")
         print(f"{size:>10} {statistics.median(bare):>16.0f} {' '.join(cells)}  {dict(statuses)}", flush=True)
         for rate, name, took_ms in times:
             p50, p99 = (took_ms[int(share * len(took_ms))] for share in (0.5, 0.99))
-            print(f"{'':>10} {rate:.0f} a second, {name}: p50 {p50:.2f} ms, p99 {p99:.2f}, "
-                  f"not served {took_ms.count(-1.0)} of {len(took_ms)}", flush=True)
+            print(
+                f"{'':>10} {rate:.0f} a second, {name}: p50 {p50:.2f} ms, p99 {p99:.2f}, "
+                f"not served {took_ms.count(-1.0)} of {len(took_ms)}",
+                flush=True,
+            )
 
 
 if __name__ == "__main__":
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -74,15 +74,20 @@
             one.select(0, lambda ident: True)
             moves.append(len(set(one.members) - before))
             before = set(one.members)
-        show(f"no zones, {size} wanted, {len(before)} used", loads,
-             f"; a change moves {sum(moves) / len(moves):.2f} in the mean, {max(moves)} at most")
+        show(
+            f"no zones, {size} wanted, {len(before)} used",
+            loads,
+            f"; a change moves {sum(moves) / len(moves):.2f} in the mean, {max(moves)} at most",
+        )
     idents = list(build(0, 1, -1, 12).zones)
     loads = defaultdict(float)
     for index in range(SIDECARS):
         give(loads, by_rendezvous(index, 52, idents))
     show("for comparison, rendezvous hashing, 52 used", loads)
-    for title, zone_of in (("sidecars of a site one after another", in_blocks),
-                           ("sidecars of the sites in turn", in_turn)):
+    for title, zone_of in (
+        ("sidecars of a site one after another", in_blocks),
+        ("sidecars of the sites in turn", in_turn),
+    ):
         loads = defaultdict(float)
         for index in range(SIDECARS):
             members = list(build(index, 5, zone_of(index), 52).members)
--- a/benchmarks/startup.py
+++ b/benchmarks/startup.py
@@ -22,13 +22,29 @@
 
 
 async def main(rounds: int) -> None:
-    entries = [{"host": f"node-{n}", "dial": f"127.0.0.1:{n + 1}", "site": "makati", "class": "lab",
-                "block": n // 6, "health": "in_service", "share": 1.0, "born_ms": 0} for n in range(16)]
+    entries = [
+        {
+            "host": f"node-{n}",
+            "dial": f"127.0.0.1:{n + 1}",
+            "site": "makati",
+            "class": "lab",
+            "block": n // 6,
+            "health": "in_service",
+            "share": 1.0,
+            "born_ms": 0,
+        }
+        for n in range(16)
+    ]
     roster = Roster(Ledger(), entries)
     found: dict[str, list[tuple[float, float, float]]] = {"sources": [], "compiled": []}
     with tempfile.TemporaryDirectory() as folder:
-        config = {"discovery": await roster.serve("n0"), "seed": "5", "limits": {"sockets": 1024},
-                  "known": roster.known(), "settings": settings(Plan(instances=3, sites=("makati",)), 0)}
+        config = {
+            "discovery": await roster.serve("n0"),
+            "seed": "5",
+            "limits": {"sockets": 1024},
+            "known": roster.known(),
+            "settings": settings(Plan(instances=3, sites=("makati",)), 0),
+        }
         for _ in range(rounds):
             for name, costs in found.items():
                 one = SidecarProcess(name, config, folder)
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -21,10 +21,20 @@
 
 
 def settings(instances: int) -> api.Settings:
-    classes = [api.RequestClass("pay", aim_us=AIM_US, deadline_us=DEADLINE_US, effect="at_most_once"),
-               api.RequestClass("read", aim_us=AIM_US, deadline_us=DEADLINE_US, effect="idempotent")]
-    return api.Settings(classes, instances=instances, max_attempts=4, cancel=True, cold_share=0.2,
-                        warm_up_us=20_000_000, overload_factor=2.5, max_retry_after_us=1_000_000)
+    classes = [
+        api.RequestClass("pay", aim_us=AIM_US, deadline_us=DEADLINE_US, effect="at_most_once"),
+        api.RequestClass("read", aim_us=AIM_US, deadline_us=DEADLINE_US, effect="idempotent"),
+    ]
+    return api.Settings(
+        classes,
+        instances=instances,
+        max_attempts=4,
+        cancel=True,
+        cold_share=0.2,
+        warm_up_us=20_000_000,
+        overload_factor=2.5,
+        max_retry_after_us=1_000_000,
+    )
 
 
 @dataclass
@@ -68,8 +78,10 @@
             takes_us = 900_000
         if takes_us > action.timeout_us > 0:
             outcome, takes_us = api.Outcome.TIMEOUT, action.timeout_us
-        self.later(self.now_us + takes_us, api.AttemptEnded(
-            action.request, attempt, node, outcome, takes_us, outcome is api.Outcome.OK))
+        self.later(
+            self.now_us + takes_us,
+            api.AttemptEnded(action.request, attempt, node, outcome, takes_us, outcome is api.Outcome.OK),
+        )
 
     def run(self, seconds: float, rate: float) -> None:
         end_us, at_us = self.now_us + int(seconds * 1e6), self.now_us
@@ -111,8 +123,9 @@
                 count = max(1, len(new.sent))
                 column.append((100 * new.served / count, 100 * new.refused / count, float(new.wasted)))
     for seconds, columns in rows.items():
-        pairs = [[sum(one[index] for one in column) / len(column) for column in columns]
-                 for index in range(3)]
+        pairs = [
+            [sum(one[index] for one in column) / len(column) for column in columns] for index in range(3)
+        ]
         print(f"{seconds:>6.0f} s " + " ".join(f"{a:>10.1f}{b:>10.1f}" for a, b in pairs))
 
 
--- a/deploy/build.py
+++ b/deploy/build.py
@@ -20,8 +20,9 @@
     python, noted = folder / "bin" / "python", folder / STAMP
     if not (python.exists() and noted.exists() and noted.read_text() == stamp):
         venv.create(folder, clear=True, symlinks=True, with_pip=True)
-        subprocess.run([python, "-m", "pip", "install", "--quiet", "--disable-pip-version-check", *pins],
-                       check=True)
+        subprocess.run(
+            [python, "-m", "pip", "install", "--quiet", "--disable-pip-version-check", *pins], check=True
+        )
         noted.write_text(stamp)
     return python
 
--- a/deploy/compiled.py
+++ b/deploy/compiled.py
@@ -81,9 +81,21 @@
     os.chdir(root)
     try:
         with quiet() as said:
-            return list(mypycify(["--config-file=", "--no-incremental", "--ignore-missing-imports",
-                                  "--follow-imports=silent", *modules], group_name=GROUP,
-                                 multi_file=True, target_dir=into, opt_level="2"))
+            return list(
+                mypycify(
+                    [
+                        "--config-file=",
+                        "--no-incremental",
+                        "--ignore-missing-imports",
+                        "--follow-imports=silent",
+                        *modules,
+                    ],
+                    group_name=GROUP,
+                    multi_file=True,
+                    target_dir=into,
+                    opt_level="2",
+                )
+            )
     except (SystemExit, Exception) as error:
         errors = [line for line in said.getvalue().splitlines() if "error:" in line]
         raise Failed(errors[0] if errors else f"mypyc: {str(error) or type(error).__name__}") from error
@@ -101,8 +113,13 @@
 def build(root: Path, part: Path, modules: list[str], compiler: str) -> None:
     """Fill the folder `part`. Raises Failed."""
     cc, suffix = compiler_command(), sysconfig.get_config_var("EXT_SUFFIX")
-    flags = [*shlex.split(sysconfig.get_config_var("CFLAGS") or ""), "-g0", "-fPIC", "-w",
-             f"-I{sysconfig.get_paths()['include']}"]
+    flags = [
+        *shlex.split(sysconfig.get_config_var("CFLAGS") or ""),
+        "-g0",
+        "-fPIC",
+        "-w",
+        f"-I{sysconfig.get_paths()['include']}",
+    ]
     link = shlex.split(sysconfig.get_config_var("LDSHARED") or "cc -shared")[1:]
     with tempfile.TemporaryDirectory() as work, ThreadPoolExecutor(os.cpu_count() or 1) as workers:
         extensions = translate(root, modules, work)
@@ -113,8 +130,22 @@
             for source in one.sources:
                 objects.append(f"{work}/{number}-{len(objects)}.o")
                 path = source if os.path.isabs(source) else str(root / source)
-                jobs.append(([*cc, *flags, *one.extra_compile_args, OPTIMIZE, *include, "-c", path,
-                              "-o", objects[-1]], one.name))
+                jobs.append(
+                    (
+                        [
+                            *cc,
+                            *flags,
+                            *one.extra_compile_args,
+                            OPTIMIZE,
+                            *include,
+                            "-c",
+                            path,
+                            "-o",
+                            objects[-1],
+                        ],
+                        one.name,
+                    )
+                )
             one.objects = objects
         for done in [workers.submit(run, *job) for job in jobs]:
             done.result()
--- a/sidecar_proxy/__main__.py
+++ b/sidecar_proxy/__main__.py
@@ -29,6 +29,7 @@
     try:
         import httptools  # noqa: F401
         import uvloop  # noqa: F401
+
         return
     except ImportError:
         pass
--- a/sidecar_proxy/admin/commands.py
+++ b/sidecar_proxy/admin/commands.py
@@ -31,8 +31,9 @@
 class Hand:
     """By hand: the calls and the state behind them."""
 
-    def __init__(self, engine: Engine, directory: Directory, server: Drained, handover: Handover,
-                 holding: Holding) -> None:
+    def __init__(
+        self, engine: Engine, directory: Directory, server: Drained, handover: Handover, holding: Holding
+    ) -> None:
         self.engine = engine
         self.holding = holding
         self.server = server
@@ -46,8 +47,14 @@
         self.share()
 
     def calls(self) -> dict[str, Call]:
-        return {"STATUS": self.status, "METRICS": self.metrics, "SUSPEND": self.suspend,
-                "RESTORE": self.restore, "PAUSE": self.pause, "RESUME": self.resume}
+        return {
+            "STATUS": self.status,
+            "METRICS": self.metrics,
+            "SUSPEND": self.suspend,
+            "RESTORE": self.restore,
+            "PAUSE": self.pause,
+            "RESUME": self.resume,
+        }
 
     # The calls
 
--- a/sidecar_proxy/admin/hot_restart.py
+++ b/sidecar_proxy/admin/hot_restart.py
@@ -182,7 +182,7 @@
             for one in os.listdir(path)[:MOST_SUSPENDED]:
                 if not one.endswith(PART):
                     with contextlib.suppress(FileNotFoundError):  # taken back just now
-                        names.add((path / one).read_bytes()[:4 * MOST_NAME].decode("utf-8", "replace"))
+                        names.add((path / one).read_bytes()[: 4 * MOST_NAME].decode("utf-8", "replace"))
         except OSError as error:
             log.warning("suspensions can't be read: %s", error)
             return None
--- a/sidecar_proxy/admin/server.py
+++ b/sidecar_proxy/admin/server.py
@@ -100,7 +100,7 @@
     def data_received(self, data: bytes) -> None:
         if self.answered or self.transport is None:
             return
-        self.text += data[:MOST_LINE + 1]
+        self.text += data[: MOST_LINE + 1]
         line, found, _ = self.text.partition(b"\n")
         if found and len(line) <= MOST_LINE:
             self.give(self.door.answer(line))
--- a/sidecar_proxy/admin/warm_start.py
+++ b/sidecar_proxy/admin/warm_start.py
@@ -27,8 +27,11 @@
         self.classes = [one.name for one in engine.settings.classes]
 
     def started_us(self) -> dict[int, int]:
-        return {ident: host.entry.started_us for ident, host in self.engine.known().items()
-                if host.entry.state is not api.UpstreamState.GONE}
+        return {
+            ident: host.entry.started_us
+            for ident, host in self.engine.known().items()
+            if host.entry.state is not api.UpstreamState.GONE
+        }
 
     def leave(self) -> None:
         """A successor is there: leave what is known now, from time to time till it serves."""
@@ -38,23 +41,38 @@
         self.next_at = now + LEAVE_S
         # hazard: the library takes memory, so it is imported at an upgrade alone
         from sidecar_proxy.admin.warm_start_codec import encode
-        self.handover.leave(encode(self.engine.balancer.learnt(), self.engine.clock.now_us(), self.classes,
-                                   self.directory.names, self.started_us()))
+
+        self.handover.leave(
+            encode(
+                self.engine.balancer.learnt(),
+                self.engine.clock.now_us(),
+                self.classes,
+                self.directory.names,
+                self.started_us(),
+            )
+        )
 
     async def take_over(self) -> None:
         """Tell the decisions what the process that serves now has learnt, if it leaves it soon."""
         from sidecar_proxy.admin.warm_start_codec import MOST_BYTES, Distrusted, believe, decode
+
         end = self.engine.loop.time() + WAIT_S
         found = self.handover.left(MOST_BYTES)
         while self.engine.loop.time() < end and (
-                found is None or self.engine.clock.now_us() / 1e6 - found[1] > FRESH_S):
+            found is None or self.engine.clock.now_us() / 1e6 - found[1] > FRESH_S
+        ):
             await asyncio.sleep(LOOK_S)
             found = self.handover.left(MOST_BYTES)
         if found is None:
             return  # it is of an older version, or can't write
         try:
-            learnt = believe(decode(found[0]), self.engine.clock.now_us(), self.classes,
-                             self.directory.numbers, self.started_us())
+            learnt = believe(
+                decode(found[0]),
+                self.engine.clock.now_us(),
+                self.classes,
+                self.directory.numbers,
+                self.started_us(),
+            )
         except Distrusted as error:
             log.warning("what the process before has left is not used: %s", error)
             return
--- a/sidecar_proxy/admin/warm_start_codec.py
+++ b/sidecar_proxy/admin/warm_start_codec.py
@@ -41,21 +41,25 @@
 
 class Remembered(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     at_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # Unix time
-    answers_us: dict[Annotated[str, msgspec.Meta(max_length=256)],
-                     Annotated[float, msgspec.Meta(ge=0, le=1e12)]]  # by class
+    answers_us: dict[
+        Annotated[str, msgspec.Meta(max_length=256)], Annotated[float, msgspec.Meta(ge=0, le=1e12)]
+    ]  # by class
     total: Annotated[float, msgspec.Meta(ge=0, le=1e6)]  # all slots, in first ones
     nodes: Annotated[list[Node], msgspec.Meta(max_length=MOST_UPSTREAMS)]
 
 
-def encode(told: api.Learnt, at_us: int, classes: list[str], names: Mapping[int, str],
-           started_us: Mapping[int, int]) -> bytes:
+def encode(
+    told: api.Learnt, at_us: int, classes: list[str], names: Mapping[int, str], started_us: Mapping[int, int]
+) -> bytes:
     """`names` and `started_us` are by number, as are the upstreams of `told`. Of more than MOST_UPSTREAMS
     those go in that differ most from one that nothing is known of."""
     known = [one for one in told.upstreams if one.upstream in names and one.upstream in started_us]
     if len(known) > MOST_UPSTREAMS:
         known.sort(key=lambda one: (-one.failing, one.window))
-    nodes = [Node(names[one.upstream], started_us[one.upstream], one.window, one.failing, one.answer_us)
-             for one in known[:MOST_UPSTREAMS]]
+    nodes = [
+        Node(names[one.upstream], started_us[one.upstream], one.window, one.failing, one.answer_us)
+        for one in known[:MOST_UPSTREAMS]
+    ]
     answers = dict(zip(classes, told.answers_us, strict=True))
     body = msgspec.msgpack.encode(Remembered(at_us, answers, told.total, nodes))
     return MAGIC + hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body
@@ -68,7 +72,7 @@
     head, _, body = data.partition(b"\n")
     if not head.startswith(MAGIC):
         raise Distrusted("of another version")
-    if head[len(MAGIC):] != hashlib.blake2b(body, digest_size=16).hexdigest().encode():
+    if head[len(MAGIC) :] != hashlib.blake2b(body, digest_size=16).hexdigest().encode():
         raise Distrusted("torn")
     try:
         return msgspec.msgpack.decode(body, type=Remembered)
@@ -85,8 +89,13 @@
     return min(1.0, (WORTHLESS_US - age_us) / (WORTHLESS_US - SURE_US))
 
 
-def believe(found: Remembered, now_us: int, classes: list[str], numbers: Mapping[str, int],
-            started_us: Mapping[int, int]) -> api.Learnt:
+def believe(
+    found: Remembered,
+    now_us: int,
+    classes: list[str],
+    numbers: Mapping[str, int],
+    started_us: Mapping[int, int],
+) -> api.Learnt:
     """What the decisions may be told of it. Upstreams that are not known here, or have started anew since,
     are left out. Raises Distrusted."""
     part = belief(now_us - found.at_us)
@@ -94,7 +103,10 @@
     for node in found.nodes:
         number = numbers.get(node.name, -1)
         if started_us.get(number, -1) == node.started_us:
-            upstreams.append(api.LearntUpstream(number, 1.0 + (node.window - 1.0) * part, node.failing * part,
-                                                node.answer_us))
+            upstreams.append(
+                api.LearntUpstream(
+                    number, 1.0 + (node.window - 1.0) * part, node.failing * part, node.answer_us
+                )
+            )
     answers = [found.answers_us.get(name, 0.0) if part == 1.0 else 0.0 for name in classes]
     return api.Learnt(answers, 1.0 + (found.total - 1.0) * part, upstreams)
--- a/sidecar_proxy/balancer/balancer.py
+++ b/sidecar_proxy/balancer/balancer.py
@@ -94,8 +94,13 @@
         self.entries: dict[int, api.Upstream] = {}  # the list
         self.fleet = Fleet(settings, self.home, now_us)  # what is known of those that this sidecar uses
         self.servers = self.fleet.servers
-        self.subset = Subset(settings.self_index, settings.instances, settings.most_upstreams, self.home,
-                             len(settings.zones) or 1)
+        self.subset = Subset(
+            settings.self_index,
+            settings.instances,
+            settings.most_upstreams,
+            self.home,
+            len(settings.zones) or 1,
+        )
         self.sharing = float(settings.instances)  # sidecars that use the same upstreams
         self.select_soon = False  # a member of the subset is ill
         self.busiest = 0  # sends that were out together since the order was renewed
@@ -105,8 +110,9 @@
         self.requests: dict[int, Request] = {}
         self.buffer: Request | None = None
         self.asking: dict[int, Request] = {}  # those that wait to hear the load of a few upstreams
-        self.reports = (settings.probes and "in_flight" in settings.report_names
-                        and settings.probe_fee <= PROBE_GAINS)
+        self.reports = (
+            settings.probes and "in_flight" in settings.report_names and settings.probe_fee <= PROBE_GAINS
+        )
         self.fresh_us = min(c.aim_us for c in settings.classes) // 20  # a report counts so long
         self.half_aims_us = [c.aim_us // 2 for c in settings.classes]
         self.quickest_us = min(self.half_aims_us)
@@ -215,8 +221,12 @@
         server, found = self.draw(request) if in_time else (None, [])
         short = server is None and in_time and self.may_send(request)
         self.short_us = self.now_us if short else self.short_us
-        if (server is not None and self.asks and server.shelf is self.fleet.warm
-                and len(self.asking) < len(self.fleet.warm)):
+        if (
+            server is not None
+            and self.asks
+            and server.shelf is self.fleet.warm
+            and len(self.asking) < len(self.fleet.warm)
+        ):
             self.ask(request, found[:ASKED])
         elif server is not None:
             self.send(request, server)
@@ -259,8 +269,11 @@
         one = few[min(costs)[1]] if costs else None
         if one is None or not self.may_send(request):
             self.place(request)
-        elif (told and one.crowd
-              and self.crowd(one) * self.answer_us[request.event.class_index] > request.kind.aim_us):
+        elif (
+            told
+            and one.crowd
+            and self.crowd(one) * self.answer_us[request.event.class_index] > request.kind.aim_us
+        ):
             self.finish(request)  # hazard: queues that outlast the aim serve nobody in time
         else:
             self.send(request, one)
@@ -314,8 +327,11 @@
         if request.done:
             return
         ident, kind = request.event.request, request.kind
-        harmless = (kind.effect == "idempotent" or request.first_that_may_have_run() is None
-                    or (kind.effect == "deduplicated" and kind.group == "all"))
+        harmless = (
+            kind.effect == "idempotent"
+            or request.first_that_may_have_run() is None
+            or (kind.effect == "deduplicated" and kind.group == "all")
+        )
         self.close(request)
         # about when a slot frees: one answer's time, spread lest refused clients return together
         after_us = int(self.answer_us[request.event.class_index] * (0.5 + self.random.random()))
@@ -456,25 +472,31 @@
         ordered = self.order(request) if self.settings.warm_keys else None
         found: list[Server] = []
         if group is not None or ordered is not None:
-            chosen, found = self.draw_listed(request, group if group is not None else ordered or [],
-                                             enough, tried, most)
+            chosen, found = self.draw_listed(
+                request, group if group is not None else ordered or [], enough, tried, most
+            )
         else:
             chosen = fleet.draw(self.random, enough, tried, most)
             if chosen is None and tried:
                 tried = []
                 chosen = fleet.draw(self.random, enough, tried, most)
             if asks:
-                found = (fleet.first_open(enough, tried, most, ASKED)
-                         or fleet.first_open(enough, tried, math.inf, ASKED))
+                found = fleet.first_open(enough, tried, most, ASKED) or fleet.first_open(
+                    enough, tried, math.inf, ASKED
+                )
         return (self.cold_turn(request, chosen, group) if len(fleet.cold) else chosen), found
 
-    def draw_listed(self, request: Request, ordered: Iterable[Server], enough: int, tried: list[Server],
-                    most: float) -> tuple[Server | None, list[Server]]:
+    def draw_listed(
+        self, request: Request, ordered: Iterable[Server], enough: int, tried: list[Server], most: float
+    ) -> tuple[Server | None, list[Server]]:
         """The same draw from few upstreams, or where each key has an order of its own."""
         found: list[Server] = []
         for server in ordered:
-            if (self.fleet.warmth(server, self.now_us) >= 1.0 and self.open_slots(server) > 0
-                    and self.in_group(request, server)):
+            if (
+                self.fleet.warmth(server, self.now_us) >= 1.0
+                and self.open_slots(server) > 0
+                and self.in_group(request, server)
+            ):
                 found.append(server)
                 if len(found) >= enough:
                     break
@@ -493,8 +515,10 @@
             group = [one for one in self.fleet.warm.items() if one.entry.zone == first.entry.zone]
         else:
             # hazard: a subset holds few of a cell; with those alone the work would fail for want of a place
-            group = [self.servers.get(ident) or self.new_server(self.entries[ident])
-                     for ident in self.cells.get(first.entry.cell, ())]
+            group = [
+                self.servers.get(ident) or self.new_server(self.entries[ident])
+                for ident in self.cells.get(first.entry.cell, ())
+            ]
         found = {server.entry.id: server for server in group}
         return [found[ident] for _, ident in sorted([(self.fleet.key(s), s.entry.id) for s in group])]
 
@@ -524,8 +548,9 @@
                 return self.spare_cold(request)
             if group is None:
                 return fleet.cold.any_open(self.random, ILL / 2)
-            open_now = [s for s in group if s.shelf is fleet.cold and s.failing <= ILL / 2
-                        and self.open_slots(s) > 0]
+            open_now = [
+                s for s in group if s.shelf is fleet.cold and s.failing <= ILL / 2 and self.open_slots(s) > 0
+            ]
             return self.random.choice(open_now) if open_now else None
         shares = fleet.cold_shares(self.now_us)
         rest = fleet.warm_size if len(fleet.warm) else fleet.cold_size
@@ -585,9 +610,10 @@
     def avoided(self) -> int:
         """How many of those listed get nothing now, or next to nothing."""
         ready = api.UpstreamState.READY
-        return (sum(entry.state is not ready for entry in self.entries.values())
-                + sum(server.entry.state is ready and server.seat is not None and self.troubled(server)
-                      for server in self.servers.values()))
+        return sum(entry.state is not ready for entry in self.entries.values()) + sum(
+            server.entry.state is ready and server.seat is not None and self.troubled(server)
+            for server in self.servers.values()
+        )
 
     def new_server(self, entry: api.Upstream) -> Server:
         # hazard: after a restart beside one other, all that came meanwhile comes at once; where all start
@@ -628,8 +654,11 @@
         first, kind = request.first_that_may_have_run(), request.kind
         if len(request.attempts) >= self.settings.max_attempts or request.out():
             return False  # one attempt at a time: second copies crowd more than they save
-        return (first is None or kind.effect == "idempotent"
-                or (kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.memory_us))
+        return (
+            first is None
+            or kind.effect == "idempotent"
+            or (kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.memory_us)
+        )
 
     def in_group(self, request: Request, server: Server) -> bool:
         """Rule 2: after a keyed attempt that may have run, only upstreams that drop its repeats."""
@@ -705,8 +734,11 @@
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
         request = self.requests.get(event.request)
-        if (request is None or event.attempt >= len(request.attempts)
-                or request.attempts[event.attempt].ended is not None):
+        if (
+            request is None
+            or event.attempt >= len(request.attempts)
+            or request.attempts[event.attempt].ended is not None
+        ):
             return  # late, or of a request not known
         attempt = request.attempts[event.attempt]
         attempt.ended = event.outcome
@@ -782,9 +814,15 @@
 
     def learnt(self) -> api.Learnt:
         """What the next process of this sidecar may begin with."""
-        return api.Learnt(list(self.answer_us), self.total.window / self.total.first, [
-            api.LearntUpstream(one.entry.id, one.kept or one.slots.window, one.failing, one.answer_us)
-            for one in self.servers.values() if one.answered_us > 0 or one.failing > 0.0])
+        return api.Learnt(
+            list(self.answer_us),
+            self.total.window / self.total.first,
+            [
+                api.LearntUpstream(one.entry.id, one.kept or one.slots.window, one.failing, one.answer_us)
+                for one in self.servers.values()
+                if one.answered_us > 0 or one.failing > 0.0
+            ],
+        )
 
     def on_learnt(self, event: api.Learnt) -> None:
         """In place of first guesses, never of what this process has seen itself. Hazard: a slot that rests
@@ -793,7 +831,7 @@
         slot."""
         windows = sorted(max(one.window, LEAST_LEARNT) for one in event.upstreams)
         scale = max(1.0, 1.0 / windows[len(windows) // 2]) if windows else 1.0
-        for kind, told_us in enumerate(event.answers_us[:len(self.answer_us)]):
+        for kind, told_us in enumerate(event.answers_us[: len(self.answer_us)]):
             self.answer_us[kind] = told_us or self.answer_us[kind]
         self.total.window = min(max(event.total, 0.5), MOST_SLOTS) * self.total.first
         for one in event.upstreams:
--- a/sidecar_proxy/balancer/endpoint_pool.py
+++ b/sidecar_proxy/balancer/endpoint_pool.py
@@ -52,9 +52,29 @@
 
 
 class Server:  # what this sidecar knows of one upstream
-    __slots__ = ("entry", "order", "slots", "crowd", "told_us", "size", "resting", "failing", "answer_us",
-                 "answered_us", "doubts", "askers", "kept", "well_us", "seat", "shelf", "ranked", "counted",
-                 "noted_us", "low", "turn")
+    __slots__ = (
+        "entry",
+        "order",
+        "slots",
+        "crowd",
+        "told_us",
+        "size",
+        "resting",
+        "failing",
+        "answer_us",
+        "answered_us",
+        "doubts",
+        "askers",
+        "kept",
+        "well_us",
+        "seat",
+        "shelf",
+        "ranked",
+        "counted",
+        "noted_us",
+        "low",
+        "turn",
+    )
 
     def __init__(self, entry: api.Upstream, order: float, opening: float) -> None:
         self.entry = entry
@@ -118,8 +138,11 @@
         if warmth >= 1.0:
             return free
         # rule 4: what is out together is what can be sent ahead of what it serves; that grows with its warmth
-        most = (int(self.leased_slots * warmth + server.turn) if self.leased(now_us)
-                else max(1, int(self.cold_slots * warmth)))
+        most = (
+            int(self.leased_slots * warmth + server.turn)
+            if self.leased(now_us)
+            else max(1, int(self.cold_slots * warmth))
+        )
         return min(free, most - server.slots.used)
 
     def leased(self, now_us: int) -> bool:
@@ -257,8 +280,12 @@
         while self.rests:
             until_us, ident = self.rests[0]
             server = self.servers.get(ident)
-            if server is not None and server.seat is not None and server.slots.window < 1.0 and (
-                    server.slots.rest_until_us == until_us):
+            if (
+                server is not None
+                and server.seat is not None
+                and server.slots.window < 1.0
+                and (server.slots.rest_until_us == until_us)
+            ):
                 return until_us
             heapq.heappop(self.rests)
         return 0
@@ -294,15 +321,21 @@
         """A free one of this sidecar's own slots at cold upstreams that fail at most so much."""
         if self.leased(now_us):
             return self.cold.any_open(dice, most)
-        found = [one for one in self.dealt.values()
-                 if self.cold_slots * self.warmth(one, now_us) + one.turn >= 1.0 and one.failing <= most
-                 and one not in barred and self.open_slots(one, now_us) > 0]
+        found = [
+            one
+            for one in self.dealt.values()
+            if self.cold_slots * self.warmth(one, now_us) + one.turn >= 1.0
+            and one.failing <= most
+            and one not in barred
+            and self.open_slots(one, now_us) > 0
+        ]
         return dice.choice(found) if found else None
 
     def first_open(self, first: int, barred: list[Server], most: float, wanted: int) -> list[Server]:
         """Of the first open ones some few that fail at most so much, in order."""
-        return list(islice((seat.item for seat in self.warm.walk(first, most) if seat.item not in barred),
-                           wanted))
+        return list(
+            islice((seat.item for seat in self.warm.walk(first, most) if seat.item not in barred), wanted)
+        )
 
     def cold_shares(self, now_us: int) -> float:
         """Size times warmth of all that are cold, in one step: each grows alike with time."""
--- a/sidecar_proxy/balancer/events.py
+++ b/sidecar_proxy/balancer/events.py
@@ -136,9 +136,20 @@
         _require(self.max_attempts >= 1, "a max_attempts of 1 or more", self.max_attempts)
         _require(0 < self.cold_share <= 1, "a cold_share above 0, at most 1", self.cold_share)
         _require(self.overload_factor > 0, "an overload_factor above 0", self.overload_factor)
-        for name in ("zone", "tick_us", "max_retry_after_us", "connect_timeout_us", "ask_within_us",
-                     "warm_up_us", "fall_us", "cross_zone_fee", "probe_fee", "idle_us", "probe_timeout_us",
-                     "most_upstreams"):
+        for name in (
+            "zone",
+            "tick_us",
+            "max_retry_after_us",
+            "connect_timeout_us",
+            "ask_within_us",
+            "warm_up_us",
+            "fall_us",
+            "cross_zone_fee",
+            "probe_fee",
+            "idle_us",
+            "probe_timeout_us",
+            "most_upstreams",
+        ):
             _require(getattr(self, name) >= 0, f"a {name} of 0 or more", getattr(self, name))
 
 
@@ -273,8 +284,20 @@
     payload: bytes
 
 
-Event = (UpstreamsUpdated | RequestArrived | RequestGone | AttemptEnded | StreamStarted | ProbeEnded
-         | Learnt | Suspected | FleetSized | Overload | TimerFired | PeerMessage)
+Event = (
+    UpstreamsUpdated
+    | RequestArrived
+    | RequestGone
+    | AttemptEnded
+    | StreamStarted
+    | ProbeEnded
+    | Learnt
+    | Suspected
+    | FleetSized
+    | Overload
+    | TimerFired
+    | PeerMessage
+)
 
 
 # Actions
@@ -352,5 +375,4 @@
     text: str
 
 
-Action = (Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle
-          | TellPeer | Log)
+Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle | TellPeer | Log
--- a/sidecar_proxy/balancer/ordered_index.py
+++ b/sidecar_proxy/balancer/ordered_index.py
@@ -43,8 +43,8 @@
         insort(block, value)
         if len(block) > BLOCK:
             half = len(block) // 2
-            self.blocks[index:index + 1] = [block[:half], block[half:]]
-            self.tops[index:index + 1] = [block[half - 1], block[-1]]
+            self.blocks[index : index + 1] = [block[:half], block[half:]]
+            self.tops[index : index + 1] = [block[half - 1], block[-1]]
         else:
             self.tops[index] = block[-1]
 
@@ -89,8 +89,23 @@
 class Seat(Generic[T]):
     """One item's place in the order of a shelf, and the sums of the subtree below it."""
 
-    __slots__ = ("item", "key", "priority", "open", "mass", "near", "failing", "left", "right", "up",
-                 "count", "total", "nears", "least", "near_least")
+    __slots__ = (
+        "item",
+        "key",
+        "priority",
+        "open",
+        "mass",
+        "near",
+        "failing",
+        "left",
+        "right",
+        "up",
+        "count",
+        "total",
+        "nears",
+        "least",
+        "near_least",
+    )
 
     def __init__(self, item: T, key: tuple[float, int], priority: int) -> None:
         self.item = item
@@ -192,7 +207,7 @@
 
     def refresh(self, seat: Seat[T], is_open: int, mass: float, near: float, failing: float) -> None:
         """What is known of an item has changed. `near` is `mass` where the item is preferred, else 0."""
-        if (seat.open == is_open and seat.mass == mass and seat.near == near and seat.failing == failing):
+        if seat.open == is_open and seat.mass == mass and seat.near == near and seat.failing == failing:
             return
         preferred = near > 0.0 or seat.near > 0.0  # else the sums of the near stay as they are
         seat.open, seat.mass, seat.near, seat.failing = is_open, mass, near, failing
@@ -300,8 +315,9 @@
                 rest.append((at, here, True))
             rest.append((at.left, before, False))
 
-    def pick(self, dice: random.Random, first: int, barred: Container[T], most: float = ANY,
-             near: bool = False) -> T | None:
+    def pick(
+        self, dice: random.Random, first: int, barred: Container[T], most: float = ANY, near: bool = False
+    ) -> T | None:
         """One of the first open seats by its weight, of those that fail at most so much, are not barred (and
         are near). By rejection, which has the very distribution of a list of them all; where next to none
         fit, these are listed instead."""
--- a/sidecar_proxy/balancer/settings.py
+++ b/sidecar_proxy/balancer/settings.py
@@ -9,11 +9,22 @@
 from sidecar_proxy.balancer import events as api
 
 # Load report values: the wire's names and ours; a name not known here is kept as it is.
-REPORT_NAMES = {"rif": "in_flight", "q": "queued", "busy": "utilization", "lat_ms": "latency_ms",
-                 "rate": "served_per_s", "fail_rate": "errors_per_s"}
+REPORT_NAMES = {
+    "rif": "in_flight",
+    "q": "queued",
+    "busy": "utilization",
+    "lat_ms": "latency_ms",
+    "rate": "served_per_s",
+    "fail_rate": "errors_per_s",
+}
 # The same values as an upstream's JSON names them.
-REPORT_FIELDS = {"inflight": "in_flight", "queue": "queued", "util": "utilization", "qps": "served_per_s",
-                  "eps": "errors_per_s"} | REPORT_NAMES
+REPORT_FIELDS = {
+    "inflight": "in_flight",
+    "queue": "queued",
+    "util": "utilization",
+    "qps": "served_per_s",
+    "eps": "errors_per_s",
+} | REPORT_NAMES
 
 
 class SettingsError(Exception):
@@ -106,8 +117,9 @@
 
 
 def tenant_of(options: Options, at: str) -> api.Tenant:
-    return api.Tenant(options.text(at + "name"), options.number(at + "allowance-per-s"),
-                      options.number(at + "share", "0"))
+    return api.Tenant(
+        options.text(at + "name"), options.number(at + "allowance-per-s"), options.number(at + "share", "0")
+    )
 
 
 def parse_settings(text: str) -> api.Settings:
--- a/sidecar_proxy/cli/config.py
+++ b/sidecar_proxy/cli/config.py
@@ -75,8 +75,10 @@
     """0; 2 for a file that can't be used."""
     parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy config", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
-    for name, text in (("check", "say what is wrong with a file, if anything is"),
-                       ("show", "every key as it holds with a file")):
+    for name, text in (
+        ("check", "say what is wrong with a file, if anything is"),
+        ("show", "every key as it holds with a file"),
+    ):
         one = commands.add_parser(name, help=text)
         one.add_argument("file")
         one.add_argument("--json", action="store_true")
--- a/sidecar_proxy/cli/fleet.py
+++ b/sidecar_proxy/cli/fleet.py
@@ -57,21 +57,30 @@
 def status(found: dict[str, Any]) -> list[str]:
     if not found["fleet"]:
         return [f"{found['name']}: no fleet was begun, as far as it knows"]
-    leads = (f"{found['leader']} leads since {found['leader_since_s']:.1f} s" if found["leader"] else
-             f"nobody leads, as far as it knows, since {found['leaderless_s']:.1f} s")
-    lines = [f"fleet {found['fleet']}, term {found['term']}: {leads}",
-             f"told by {found['name']}, {found['role']}; up to date {ago(found['age_s'])}; committed "
-             f"{found['commit']}, in effect {found['applied']}{', its disk is slow' * found['writing']}"]
+    leads = (
+        f"{found['leader']} leads since {found['leader_since_s']:.1f} s"
+        if found["leader"]
+        else f"nobody leads, as far as it knows, since {found['leaderless_s']:.1f} s"
+    )
+    lines = [
+        f"fleet {found['fleet']}, term {found['term']}: {leads}",
+        f"told by {found['name']}, {found['role']}; up to date {ago(found['age_s'])}; committed "
+        f"{found['commit']}, in effect {found['applied']}{', its disk is slow' * found['writing']}",
+    ]
     for one in found["sidecars"]:
-        lines.append(f"  {one['name']}{' votes,' if one['votes'] else ''} word {one['applied']}"
-                     f"{', ' + str(one['behind']) + ' behind' if one['behind'] else ''}")
+        lines.append(
+            f"  {one['name']}{' votes,' if one['votes'] else ''} word {one['applied']}"
+            f"{', ' + str(one['behind']) + ' behind' if one['behind'] else ''}"
+        )
     return lines + [f"  {node}: votes, and is not there" for node in found["lost"]]
 
 
 def members(found: dict[str, Any]) -> list[str]:
     there = {one["node"]: one for one in found["sidecars"]}
-    return [f"{node}  {'there' if node in there else 'not there'}"
-            f"{'  leads' if node == found['leader'] else ''}" for node in found["voters"]]
+    return [
+        f"{node}  {'there' if node in there else 'not there'}{'  leads' if node == found['leader'] else ''}"
+        for node in found["voters"]
+    ]
 
 
 def log(found: dict[str, Any]) -> list[str]:
@@ -81,32 +90,45 @@
         last = max((ms for ms in one["in_effect_ms"].values() if ms is not None), default=None)
         value = f" = {one['value']}" if one["value"] else ""
         state = f"not yet at {', '.join(missing[:5])}" if missing else f"in effect at all by {at(last)}"
-        lines.append(f"{one['index']}  {at(one['at_ms'])}  {one['kind']} {one['name']}{value}  "
-                     f"id {one['id']}, by {one['by']}; {state}")
+        lines.append(
+            f"{one['index']}  {at(one['at_ms'])}  {one['kind']} {one['name']}{value}  "
+            f"id {one['id']}, by {one['by']}; {state}"
+        )
     return lines
 
 
 def words(found: dict[str, Any]) -> list[str]:
-    lines = [f"fleet {found['fleet'] or '(none)'}, up to word {found['index']}; "
-             f"up to date {ago(found['age_s'])}"]
+    lines = [
+        f"fleet {found['fleet'] or '(none)'}, up to word {found['index']}; up to date {ago(found['age_s'])}"
+    ]
     lines += [f"{one['kind']} {name}  since word {one['index']}" for name, one in found["held"].items()]
-    lines += [f"{name} = {one['value']}  since word {one['index']}"
-              for name, one in found["settings"].items()]
-    lines += [f"{one['what']} {one['name']} holds a place since word {one['index']}, by {one['by']}"
-              f"{', forced: ' + one['forced'] if one['forced'] else ''}" for one in found["places"]]
+    lines += [
+        f"{name} = {one['value']}  since word {one['index']}" for name, one in found["settings"].items()
+    ]
+    lines += [
+        f"{one['what']} {one['name']} holds a place since word {one['index']}, by {one['by']}"
+        f"{', forced: ' + one['forced'] if one['forced'] else ''}"
+        for one in found["places"]
+    ]
     lines += [f"{name} waits for a place" for name in found["line"]]
     return lines + [f"word {index} is of a kind that this version does not know" for index in found["unread"]]
 
 
-SHOWS = {"status": ("STATUS", status, "who leads since when, who is behind and by how much"),
-         "members": ("STATUS", members, "who votes"),
-         "log": ("LOG", log, "the latest words: by whom, when, and where they are in effect"),
-         "words": ("WORDS", words, "what holds, as this sidecar knows it")}
-SAYS = {"suspend": "nothing new is sent to an upstream until it is resumed",
-        "drain": "nothing new is sent to an upstream until its next start",
-        "resume": "an upstream may be sent to again",
-        "permit": "take a place to be out, of node:NAME or sidecar:NAME", "return": "it is free again",
-        "set": "a setting for all", "unset": "none any more"}
+SHOWS = {
+    "status": ("STATUS", status, "who leads since when, who is behind and by how much"),
+    "members": ("STATUS", members, "who votes"),
+    "log": ("LOG", log, "the latest words: by whom, when, and where they are in effect"),
+    "words": ("WORDS", words, "what holds, as this sidecar knows it"),
+}
+SAYS = {
+    "suspend": "nothing new is sent to an upstream until it is resumed",
+    "drain": "nothing new is sent to an upstream until its next start",
+    "resume": "an upstream may be sent to again",
+    "permit": "take a place to be out, of node:NAME or sidecar:NAME",
+    "return": "it is free again",
+    "set": "a setting for all",
+    "unset": "none any more",
+}
 
 
 def show(told: argparse.Namespace) -> int:
@@ -119,7 +141,8 @@
 def say(told: argparse.Namespace) -> int:
     ident = told.id or secrets.token_hex(4)
     parts = {"begin": ["BEGIN"], "read": ["READ", told.name]}.get(
-        told.command, [told.command.upper(), ident, told.name])
+        told.command, [told.command.upper(), ident, told.name]
+    )
     if told.value:
         parts.append(told.value)
     if any(not part.isprintable() for part in parts):
@@ -134,8 +157,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy fleet", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        prog="python3 -m sidecar_proxy fleet",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     commands = parser.add_subparsers(dest="command", required=True)
 
     def command(name: str, text: str, run: Any) -> argparse.ArgumentParser:
--- a/sidecar_proxy/cli/gossip.py
+++ b/sidecar_proxy/cli/gossip.py
@@ -58,15 +58,21 @@
         print(json.dumps(found))
         return 0
     host, port = found["address"]
-    print(f"{found['name']} of {found['site']} at {host}:{port}, incarnation {found['incarnation']}, local "
-          f"health {found['health']} (0 is well); {found['instances']} instances to the decisions")
+    print(
+        f"{found['name']} of {found['site']} at {host}:{port}, incarnation {found['incarnation']}, local "
+        f"health {found['health']} (0 is well); {found['instances']} instances to the decisions"
+    )
     for peer in found["peers"]:
         accused = f", accused by {', '.join(peer['accusers'])}" if peer["accusers"] else ""
-        print(f"{peer['name']}  {peer['life']}  {peer['site']}  {peer['address'][0]}:{peer['address'][1]}  "
-              f"serial {peer['serial']}{accused}")
+        print(
+            f"{peer['name']}  {peer['life']}  {peer['site']}  {peer['address'][0]}:{peer['address'][1]}  "
+            f"serial {peer['serial']}{accused}"
+        )
     for node, told_of in found["nodes"].items():
-        by = ", ".join(f"{author} ({one['site']}): run {one['run']}, well {one['well']}"
-                       for author, one in told_of["by"].items())
+        by = ", ".join(
+            f"{author} ({one['site']}): run {one['run']}, well {one['well']}"
+            for author, one in told_of["by"].items()
+        )
         print(f"node {node}: weight {told_of['weight']}; {by}")
     for name in ("counts", "refused"):
         shown = ", ".join(f"{value} {key}" for key, value in sorted(found[name].items()))
--- a/sidecar_proxy/cli/members.py
+++ b/sidecar_proxy/cli/members.py
@@ -31,16 +31,22 @@
     for told in lines:
         if "sources" in told:
             for name, source in told["sources"].items():
-                print(f"source {name}: revision {source['revision']}"
-                      + (f" of {source['epoch']}" if source["epoch"] else ""), file=out)
+                print(
+                    f"source {name}: revision {source['revision']}"
+                    + (f" of {source['epoch']}" if source["epoch"] else ""),
+                    file=out,
+                )
             continue
         held = "" if told["decisions"] == told["state"] else f", {told['decisions']} to the decisions"
         because = f" ({told['because']})" if told["because"] else ""
         print(f"{told['name']}  {told['state']}{because}{held}  {told['dial']}", file=out)
         for name, word in told["words"].items():
             since = datetime.fromtimestamp(word["since"], UTC).isoformat("T", "milliseconds")
-            print(f"    {name}: {word['state']}{' (held)' if word['held'] else ''} at revision "
-                  f"{word['revision']}, since {since}", file=out)
+            print(
+                f"    {name}: {word['state']}{' (held)' if word['held'] else ''} at revision "
+                f"{word['revision']}, since {since}",
+                file=out,
+            )
 
 
 def main(arguments: list[str]) -> int:
--- a/sidecar_proxy/cli/recorder.py
+++ b/sidecar_proxy/cli/recorder.py
@@ -30,8 +30,10 @@
     head = recording.head
     describe(head)
     if not head.whole:
-        print("its first steps are no longer in it, so it can't be played again; `why` tells what is there",
-              file=sys.stderr)
+        print(
+            "its first steps are no longer in it, so it can't be played again; `why` tells what is there",
+            file=sys.stderr,
+        )
         return 2
     step = shown = 0
     for step, difference in differences(head, recording.frames()):
@@ -42,9 +44,14 @@
                 break
         if step % EVERY == 0:
             print(f"{step} steps ...", file=sys.stderr)
-    print(f"{step} steps, " + (
-        "the same actions to the last one" if not shown
-        else f"{shown} shown that differ; after the first the rest is of another state"))
+    print(
+        f"{step} steps, "
+        + (
+            "the same actions to the last one"
+            if not shown
+            else f"{shown} shown that differ; after the first the rest is of another state"
+        )
+    )
     return 1 if shown else 0
 
 
--- a/sidecar_proxy/compiled.py
+++ b/sidecar_proxy/compiled.py
@@ -70,11 +70,15 @@
     def __init__(self, paths: dict[str, str]) -> None:
         self.paths = paths
 
-    def find_spec(self, name: str, path: Sequence[str] | None = None,
-                  target: ModuleType | None = None) -> ModuleSpec | None:
+    def find_spec(
+        self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
+    ) -> ModuleSpec | None:
         found = self.paths.get(name)
-        return None if found is None else spec_from_file_location(
-            name, found, loader=ExtensionFileLoader(name, found))
+        return (
+            None
+            if found is None
+            else spec_from_file_location(name, found, loader=ExtensionFileLoader(name, found))
+        )
 
 
 def install(package: Path = PACKAGE) -> str:
--- a/sidecar_proxy/config/field_types.py
+++ b/sidecar_proxy/config/field_types.py
@@ -71,8 +71,11 @@
 
 
 def kind_of(one: structs.FieldInfo) -> Kind:
-    default = one.default if one.default is not NODEFAULT else (
-        one.default_factory() if one.default_factory is not NODEFAULT else None)
+    default = (
+        one.default
+        if one.default is not NODEFAULT
+        else (one.default_factory() if one.default_factory is not NODEFAULT else None)
+    )
     is_table = isinstance(one.type, type) and issubclass(one.type, Struct)
     return Kind(one.type, default, keys_of(one.type) if is_table else {})
 
--- a/sidecar_proxy/config/platform_settings.py
+++ b/sidecar_proxy/config/platform_settings.py
@@ -54,8 +54,11 @@
 
 
 def load(env: Mapping[str, str]) -> Config:
-    missing = [name for name in ("PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_CONFIG")
-               if not env.get(name)]
+    missing = [
+        name
+        for name in ("PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_CONFIG")
+        if not env.get(name)
+    ]
     if missing:
         raise ConfigError(f"{missing[0]} is not set")
     path = env["PROXY_CONFIG"]
--- a/sidecar_proxy/config/reader.py
+++ b/sidecar_proxy/config/reader.py
@@ -76,8 +76,9 @@
     for name in grpc.methods:
         parts = name.split("/")
         if len(parts) != 3 or parts[0] or not parts[1] or not parts[2] or not name.isascii():
-            raise OperatorError(f"grpc.methods.{shown(name)}: expected /package.Service/Method or "
-                                "/package.Service/*")
+            raise OperatorError(
+                f"grpc.methods.{shown(name)}: expected /package.Service/Method or /package.Service/*"
+            )
 
 
 def check_etcd(etcd: Etcd) -> None:
@@ -89,16 +90,22 @@
             raise OperatorError(f"membership.etcd.endpoints: the entry {number + 1}: {error}") from error
     if not etcd.prefix:
         raise OperatorError("membership.etcd.prefix: expected a prefix, got ''")
-    for key, needed in (("username", "password_file"), ("password_file", "username"),
-                        ("tls_key", "tls_cert")):
+    for key, needed in (
+        ("username", "password_file"),
+        ("password_file", "username"),
+        ("tls_key", "tls_cert"),
+    ):
         if getattr(etcd, key) and not getattr(etcd, needed):
             raise OperatorError(f"membership.etcd.{key}: needs {needed} as well")
 
 
 def check_gossip(gossip: Gossip) -> None:
     """What belongs together, and the form of addresses."""
-    for key, one in (("bind", gossip.bind), ("advertise", gossip.advertise), *(
-            ("seeds", one) for one in gossip.seeds)):
+    for key, one in (
+        ("bind", gossip.bind),
+        ("advertise", gossip.advertise),
+        *(("seeds", one) for one in gossip.seeds),
+    ):
         if one or key == "seeds":
             try:
                 parse_address(one)
@@ -108,8 +115,9 @@
     literal = reached[:1].isdigit() or reached.startswith("[")
     if reached and (not literal or reached.startswith(("0.0.0.0:", "[::]:"))):
         key = "advertise" if gossip.advertise else "bind"
-        raise OperatorError(f"gossip.{key}: expected an address that the others reach, as digits; got "
-                            f"{shown(reached)}")
+        raise OperatorError(
+            f"gossip.{key}: expected an address that the others reach, as digits; got {shown(reached)}"
+        )
     for key in ("key_file", "certificate_file", "fleet_keys"):
         if gossip.bind and not getattr(gossip, key):
             raise OperatorError(f"gossip.{key}: missing; gossip.bind needs it")
--- a/sidecar_proxy/consensus/disk.py
+++ b/sidecar_proxy/consensus/disk.py
@@ -30,7 +30,7 @@
     def write(self, file: int, data: bytes) -> None:
         left = memoryview(data)
         while left:
-            left = left[os.write(file, left):]
+            left = left[os.write(file, left) :]
 
     def sync(self, file: int) -> None:
         os.fsync(file)
@@ -69,8 +69,11 @@
         does()
 
     def write(self, file: int, data: bytes) -> None:
-        self.around("write", lambda: RealDisk.write(self, file, data),
-                    lambda: RealDisk.write(self, file, data[:len(data) // 2]))
+        self.around(
+            "write",
+            lambda: RealDisk.write(self, file, data),
+            lambda: RealDisk.write(self, file, data[: len(data) // 2]),
+        )
 
     def sync(self, file: int) -> None:
         self.around("sync", lambda: RealDisk.sync(self, file), lambda: None)
--- a/sidecar_proxy/consensus/disruption_budgets.py
+++ b/sidecar_proxy/consensus/disruption_budgets.py
@@ -105,8 +105,9 @@
     unknown = {name for name in out if name not in others} if what == "node" else set()
     others.pop(about.name, None)
     unknown.discard(about.name)
-    for number, (scope, setting) in enumerate((scope, budgets(settings, what).get(scope, ""))
-                                              for scope in SCOPES):
+    for number, (scope, setting) in enumerate(
+        (scope, budgets(settings, what).get(scope, "")) for scope in SCOPES
+    ):
         if not setting:
             continue
         most = limit(setting, facts.total[number]) or 0
@@ -119,8 +120,15 @@
     return ""
 
 
-def ask(places: Places, settings: Mapping[str, str], place: Place, facts: Facts | None, out: Iterable[str],
-        force: bool = False, wait: bool = False) -> str:
+def ask(
+    places: Places,
+    settings: Mapping[str, str],
+    place: Place,
+    facts: Facts | None,
+    out: Iterable[str],
+    force: bool = False,
+    wait: bool = False,
+) -> str:
     """One more is to be out. "" = it has its place; "queued…" = it waits for one; else why not."""
     key = key_of(place.what, place.member.name)
     held = places.held.get(key)
@@ -144,8 +152,15 @@
     return f"queued, {len(ahead)} before it: {why or 'others wait'}"
 
 
-def give_back(places: Places, settings: Mapping[str, str], what: str, name: str, facts: Facts | None,
-              out: Iterable[str], index: int) -> list[Place]:
+def give_back(
+    places: Places,
+    settings: Mapping[str, str],
+    what: str,
+    name: str,
+    facts: Facts | None,
+    out: Iterable[str],
+    index: int,
+) -> list[Place]:
     """A place is free, or one no longer waits; returns those who get theirs now, in the line's order: who
     does not fit holds up those behind it, so that nobody waits for ever."""
     places.held.pop(key_of(what, name), None)
--- a/sidecar_proxy/consensus/frames.py
+++ b/sidecar_proxy/consensus/frames.py
@@ -132,8 +132,9 @@
     frame = decoded(frame_decoder, data)
     if isinstance(frame, Message | Offer) and (frame.source != source or frame.target != target):
         raise FrameError("in another's name, or to another")
-    if isinstance(frame, Append) and any(one.index != frame.prev_index + 1 + n or one.term > frame.term
-                                         for n, one in enumerate(frame.entries)):
+    if isinstance(frame, Append) and any(
+        one.index != frame.prev_index + 1 + n or one.term > frame.term for n, one in enumerate(frame.entries)
+    ):
         raise FrameError("entries with gaps")
     return frame
 
--- a/sidecar_proxy/consensus/log.py
+++ b/sidecar_proxy/consensus/log.py
@@ -39,12 +39,12 @@
         if index < self.snapshot.index:
             raise Compacted(str(index))
         at = index - self.snapshot.index
-        return tuple(self.entries[at:at + most])
+        return tuple(self.entries[at : at + most])
 
     def between(self, first: int, last: int) -> list[Entry]:
         """From `first` to `last`, both among them."""
         base = self.snapshot.index + 1
-        return self.entries[max(0, first - base):max(0, last - base + 1)]
+        return self.entries[max(0, first - base) : max(0, last - base + 1)]
 
     def add(self, entries: Sequence[Entry]) -> int | None:
         """After a check of what stands before them: a conflict cuts the log, what is there stays. The index
@@ -55,7 +55,7 @@
                 continue
             if self.term_at(one.index) == one.term:
                 continue
-            del self.entries[one.index - self.snapshot.index - 1:]
+            del self.entries[one.index - self.snapshot.index - 1 :]
             self.entries += entries[number:]
             return one.index
         return None
@@ -85,14 +85,14 @@
         voters = self.snapshot.voters
         for one in self.between(self.snapshot.index + 1, index):
             voters = one.voters if one.voters is not None else voters
-        left = self.entries[index - self.snapshot.index:]
+        left = self.entries[index - self.snapshot.index :]
         self.snapshot, self.entries = Snapshot(index, term, voters, data), left
         return self.snapshot
 
     def install(self, snapshot: Snapshot) -> None:
         """What stands behind it and agrees is kept (thesis, figure 5.3)."""
         agrees = snapshot.index <= self.last_index and self.term_at(snapshot.index) == snapshot.term
-        left = self.entries[snapshot.index - self.snapshot.index:] if agrees else []
+        left = self.entries[snapshot.index - self.snapshot.index :] if agrees else []
         self.snapshot, self.entries = snapshot, left
 
 
--- a/sidecar_proxy/consensus/raft.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -89,8 +89,16 @@
 class Core:
     """A voter, or a learner while no one has taken it in."""
 
-    def __init__(self, me: Node, log: Log, hard: HardState, dice: random.Random,
-                 timing: Timing = Timing(), commit: int = 0, early: bool = False) -> None:  # noqa: B008
+    def __init__(
+        self,
+        me: Node,
+        log: Log,
+        hard: HardState,
+        dice: random.Random,
+        timing: Timing = Timing(),
+        commit: int = 0,
+        early: bool = False,
+    ) -> None:  # noqa: B008
         """`commit`: what was known to be committed when it ended; the caller has applied all up to there.
         `early`: the caller sends a Ready's Appends before it has written, and says `wrote` once it has
         (10.2.1): so a commit takes one sync and not two in a row."""
@@ -134,8 +142,15 @@
 
     def has_ready(self) -> bool:
         out = self.out
-        return bool(self.told != HardState(self.term, self.vote) or out.snapshot or out.entries
-                    or out.messages or out.reads or out.refused_reads or self.applied < self.commit)
+        return bool(
+            self.told != HardState(self.term, self.vote)
+            or out.snapshot
+            or out.entries
+            or out.messages
+            or out.reads
+            or out.refused_reads
+            or self.applied < self.commit
+        )
 
     def ready(self) -> Ready:
         """What is to be done now. Hazard: what it holds counts as written from here on."""
@@ -233,8 +248,9 @@
         asked = self.term + 1 if pre else self.term
         for node in self.voters:
             if node != self.me:
-                self.send(VoteRequest(self.me, node, asked, self.log.last_index, self.log.last_term, pre,
-                                      transfer))
+                self.send(
+                    VoteRequest(self.me, node, asked, self.log.last_index, self.log.last_term, pre, transfer)
+                )
 
     def won(self) -> bool:
         return sum(self.votes.get(node, False) for node in self.voters) >= self.majority()
@@ -253,8 +269,12 @@
         self.broadcast()
 
     def on_vote_request(self, asked: VoteRequest) -> None:
-        content = not asked.transfer and self.leader and self.elapsed < self.timing.election and (
-            self.timing.check_quorum)
+        content = (
+            not asked.transfer
+            and self.leader
+            and self.elapsed < self.timing.election
+            and (self.timing.check_quorum)
+        )
         if content:
             return  # 4.2.3: the leader is heard; who was cut off does not unseat it
         fresh = self.log.is_fresh(asked.last_index, asked.last_term)
@@ -275,8 +295,11 @@
         if reply.term > self.term and not (reply.pre and reply.granted):
             self.follow(reply.term, "")
             return
-        if self.role is not Role.CANDIDATE or reply.pre is not self.pre or (
-                reply.term != (self.term + 1 if self.pre else self.term)):
+        if (
+            self.role is not Role.CANDIDATE
+            or reply.pre is not self.pre
+            or (reply.term != (self.term + 1 if self.pre else self.term))
+        ):
             return
         if reply.source in self.voters:
             self.votes[reply.source] = reply.granted
@@ -466,8 +489,18 @@
                 self.send(Install(self.me, node, self.term, self.log.snapshot, self.round))
             return
         assert prev_term is not None
-        self.send(Append(self.me, node, self.term, one.next - 1, prev_term, entries,
-                         min(self.commit, one.next - 1 + len(entries)), self.round))
+        self.send(
+            Append(
+                self.me,
+                node,
+                self.term,
+                one.next - 1,
+                prev_term,
+                entries,
+                min(self.commit, one.next - 1 + len(entries)),
+                self.round,
+            )
+        )
 
     def on_append_reply(self, reply: AppendReply) -> None:
         one = self.peers.get(reply.source)
@@ -499,8 +532,13 @@
             return
         voters = self.voters
         own = self.stable if self.early else self.log.last_index
-        has = sorted((own if node == self.me else self.peers[node].match
-                      if node in self.peers else 0 for node in voters), reverse=True)
+        has = sorted(
+            (
+                own if node == self.me else self.peers[node].match if node in self.peers else 0
+                for node in voters
+            ),
+            reverse=True,
+        )
         index = has[self.majority() - 1]
         if index > self.commit and self.log.term_at(index) == self.term:
             self.commit = index
@@ -512,8 +550,10 @@
         voters = self.voters
         while self.reads:
             first = self.reads[0]
-            there = sum(node == self.me or (node in self.peers and self.peers[node].round >= first.round)
-                        for node in voters)
+            there = sum(
+                node == self.me or (node in self.peers and self.peers[node].round >= first.round)
+                for node in voters
+            )
             if there < self.majority():
                 return
             self.reads.pop(0)
--- a/sidecar_proxy/consensus/replica.py
+++ b/sidecar_proxy/consensus/replica.py
@@ -135,8 +135,17 @@
 
 
 class Member:
-    def __init__(self, name: str, site: str, kept: Kept, limits: Limits, dice: random.Random, now_us: int,
-                 wall_ms: int, timing: Timing = TIMING) -> None:
+    def __init__(
+        self,
+        name: str,
+        site: str,
+        kept: Kept,
+        limits: Limits,
+        dice: random.Random,
+        now_us: int,
+        wall_ms: int,
+        timing: Timing = TIMING,
+    ) -> None:
         """Raises WordError for a snapshot that can't be read."""
         self.name, self.site = name, site
         self.life = f"{dice.getrandbits(64):016x}"
@@ -248,8 +257,12 @@
         if here.fleet and self.state.fleet and here.fleet != self.state.fleet:
             if name not in self.quiet and len(self.quiet) < MOST_MEMBERS:
                 self.quiet.add(name)
-                self.out.append(Line(f"{name} is of another fleet ({here.fleet}, not {self.state.fleet}); "
-                                     "nothing of it is taken"))
+                self.out.append(
+                    Line(
+                        f"{name} is of another fleet ({here.fleet}, not {self.state.fleet}); "
+                        "nothing of it is taken"
+                    )
+                )
             return self.done(now_us)
         peer = self.peers.get(name)
         if peer is None:
@@ -360,8 +373,18 @@
         self.core.wrote(ready.entries)
         for message in ready.messages:
             if isinstance(message, Install):
-                self.out.append(Post(message.target, Offer(message.source, message.target, message.term,
-                                                           message.snapshot.index, message.round)))
+                self.out.append(
+                    Post(
+                        message.target,
+                        Offer(
+                            message.source,
+                            message.target,
+                            message.term,
+                            message.snapshot.index,
+                            message.round,
+                        ),
+                    )
+                )
             else:
                 self.out.append(Post(message.target, cast(Raft, message)))
         if ready.snapshot is not None:
@@ -380,9 +403,15 @@
                 continue
             node, ask = self.reading.pop(context)
             held, setting = self.state.held.get(ask.name), self.state.settings.get(ask.name)
-            text = json.dumps({"held": held.kind if held else None, "since": held.index if held else None,
-                               "value": setting.value if setting else None}, ensure_ascii=False)
-            self.answer(node, Answer(ask.number, DONE, self.state.index, text[:words.MOST_VALUE], self.me))
+            text = json.dumps(
+                {
+                    "held": held.kind if held else None,
+                    "since": held.index if held else None,
+                    "value": setting.value if setting else None,
+                },
+                ensure_ascii=False,
+            )
+            self.answer(node, Answer(ask.number, DONE, self.state.index, text[: words.MOST_VALUE], self.me))
         for context in ready.refused_reads:
             if context == BARRIER:
                 continue
@@ -393,9 +422,19 @@
         """By gossip, where there is something new to say."""
         core = self.core
         votes = self.me in core.voters
-        here = Here(self.incarnation, self.state.fleet, core.term if votes else 0,
-                    core.leader if votes else "", 0, votes, core.commit, self.state.index, self.applied_ms,
-                    self.life, self.limits.votes)
+        here = Here(
+            self.incarnation,
+            self.state.fleet,
+            core.term if votes else 0,
+            core.leader if votes else "",
+            0,
+            votes,
+            core.commit,
+            self.state.index,
+            self.applied_ms,
+            self.life,
+            self.limits.votes,
+        )
         self.unsaid = here != self.said
         if not self.unsaid or now_us < self.say_us:
             return
@@ -414,13 +453,20 @@
             leader = core.leader
         else:
             # of the latest term; a leader's own word before others'
-            best = max(((one.here.term, one.here.leader == one.node(name), one.here.leader)
-                        for name, one in self.voting.items() if one.here.leader),
-                       default=(0, False, ""))
+            best = max(
+                (
+                    (one.here.term, one.here.leader == one.node(name), one.here.leader)
+                    for name, one in self.voting.items()
+                    if one.here.leader
+                ),
+                default=(0, False, ""),
+            )
             leader = best[2]
         if core.leads:
-            heard = sorted((now_us if node == self.me else self.heard_us.get(node, 0)
-                            for node in core.voters), reverse=True)
+            heard = sorted(
+                (now_us if node == self.me else self.heard_us.get(node, 0) for node in core.voters),
+                reverse=True,
+            )
             if self.led:
                 self.fresh_us = max(self.fresh_us, heard[core.majority() - 1])
             else:
@@ -448,9 +494,11 @@
         core = self.core
         # hazard: who was itself away for a while (a process that was stopped) finds old answers and old times
         answered = {node for node, one in core.peers.items() if self.barrier and one.round >= self.barrier}
-        there = {name: Candidate(one.node(name), name, one.site, self.is_proven(one.node(name), answered))
-                 for name, one in self.peers.items()
-                 if one.here.fleet == self.state.fleet and (one.here.able or one.node(name) in core.voters)}
+        there = {
+            name: Candidate(one.node(name), name, one.site, self.is_proven(one.node(name), answered))
+            for name, one in self.peers.items()
+            if one.here.fleet == self.state.fleet and (one.here.able or one.node(name) in core.voters)
+        }
         there[self.name] = Candidate(self.me, self.name, self.site, True)
         away = {node: now_us - self.heard_us.get(node, now_us) for node in core.voters if node != self.me}
         look = Look(self.me, core.voters, there, away, answered, self.limits.voters, self.limits.replace_us)
@@ -478,8 +526,10 @@
     def prove(self, look: Look, now_us: int) -> None:
         """The best one that may be taken in gets the log from us; the next, if it does not answer."""
         wanted = look.to_prove()
-        if self.trying and (self.trying not in [one.node for one in wanted]
-                            or (now_us >= self.try_until_us and self.trying not in look.answered)):
+        if self.trying and (
+            self.trying not in [one.node for one in wanted]
+            or (now_us >= self.try_until_us and self.trying not in look.answered)
+        ):
             self.core.forget(self.trying)
             self.failed[name_of(self.trying)] = now_us
             self.trying = ""
@@ -555,8 +605,13 @@
             if waits.term != entry.term:
                 told = Answer(number, UNKNOWN, 0, "", self.core.leader)
             else:
-                told = Answer(number, ERROR if outcome.error else DONE, outcome.index,
-                              outcome.error or outcome.text, self.me)
+                told = Answer(
+                    number,
+                    ERROR if outcome.error else DONE,
+                    outcome.index,
+                    outcome.error or outcome.text,
+                    self.me,
+                )
             self.answer(node, told)
 
     # What is fetched
@@ -565,8 +620,9 @@
         """What is committed and not here. A voter has it told by the leader, and asks only if it has to."""
         if self.me in self.core.voters and not self.fetch.news:
             return
-        found = self.fetch.question(now_us, [one.node(name) for name, one in self.voting.items()],
-                                    self.core.commit)
+        found = self.fetch.question(
+            now_us, [one.node(name) for name, one in self.voting.items()], self.core.commit
+        )
         if found is not None:
             self.out.append(Post(*found))
 
@@ -578,8 +634,9 @@
     def offered(self, offer: Offer, now_us: int) -> None:
         """What the leader would have installed; first it is told how far we are."""
         commit = self.core.commit
-        self.core.step(Install(offer.source, offer.target, offer.term, Snapshot(min(commit, offer.index)),
-                               offer.round))
+        self.core.step(
+            Install(offer.source, offer.target, offer.term, Snapshot(min(commit, offer.index)), offer.round)
+        )
         if offer.index > commit and offer.term >= self.core.term:
             self.fetch.heard_of_more(now_us, 0)
 
@@ -627,23 +684,44 @@
     def described(self, now_us: int) -> dict[str, Any]:
         core = self.core
         votes = self.me in core.voters
-        applied = {self.me: self.state.index} | {one.node(name): one.here.applied
-                                                 for name, one in self.peers.items()}
+        applied = {self.me: self.state.index} | {
+            one.node(name): one.here.applied for name, one in self.peers.items()
+        }
         newest = max([core.commit, *(one.here.commit for one in self.peers.values() if one.here.votes)])
         since_us = now_us - self.leader_us
         if not votes:
-            since_us += max((one.here.since_ms * 1000 + self.leader_us - one.at_us
-                             for name, one in self.peers.items() if one.node(name) == self.leader), default=0)
+            since_us += max(
+                (
+                    one.here.since_ms * 1000 + self.leader_us - one.at_us
+                    for name, one in self.peers.items()
+                    if one.node(name) == self.leader
+                ),
+                default=0,
+            )
         return {
-            "name": self.name, "node": self.me, "fleet": self.state.fleet,
-            "role": core.role.value if votes else "learner", "term": core.term,
-            "leader": self.leader, "leader_since_s": round(since_us / 1e6, 1) if self.leader else None,
+            "name": self.name,
+            "node": self.me,
+            "fleet": self.state.fleet,
+            "role": core.role.value if votes else "learner",
+            "term": core.term,
+            "leader": self.leader,
+            "leader_since_s": round(since_us / 1e6, 1) if self.leader else None,
             "leaderless_s": round(self.leaderless_us(now_us) / 1e6, 1),
-            "voters": sorted(core.voters), "commit": core.commit, "applied": self.state.index,
+            "voters": sorted(core.voters),
+            "commit": core.commit,
+            "applied": self.state.index,
             "age_s": self.age_s(now_us),
             "writing": self.writing is not None,
-            "sidecars": [{"name": name_of(node), "node": node, "votes": node in core.voters, "applied": index,
-                          "behind": max(0, newest - index)} for node, index in sorted(applied.items())],
+            "sidecars": [
+                {
+                    "name": name_of(node),
+                    "node": node,
+                    "votes": node in core.voters,
+                    "applied": index,
+                    "behind": max(0, newest - index),
+                }
+                for node, index in sorted(applied.items())
+            ],
             "lost": sorted(node for node in core.voters if node not in applied),
         }
 
--- a/sidecar_proxy/consensus/replicated_commands.py
+++ b/sidecar_proxy/consensus/replicated_commands.py
@@ -120,8 +120,12 @@
 
 def check(word: Word) -> None:
     """Raises WordError."""
-    for what, text, most in (("id", word.id, MOST_ID), ("name", word.name, MOST_NAME),
-                             ("value", word.value, MOST_VALUE), ("sidecar", word.by, MOST_ID)):
+    for what, text, most in (
+        ("id", word.id, MOST_ID),
+        ("name", word.name, MOST_NAME),
+        ("value", word.value, MOST_VALUE),
+        ("sidecar", word.by, MOST_ID),
+    ):
         if len(text) > most or not text.isprintable():
             raise WordError(f"{what}: expected at most {most} printable characters")
     if word.kind not in KINDS:
@@ -211,7 +215,8 @@
         if word.kind == RESUME:
             state.held.pop(name, None)
         elif permits.key_of(what, name) not in state.places.held and not any(
-                one.place.member.name == name for one in state.places.line):
+            one.place.member.name == name for one in state.places.line
+        ):
             return "it holds no place and waits for none", ""
         elif what == "node" and name in state.held:
             return "it is held out: resume it", ""
@@ -240,10 +245,19 @@
     held = state.held.get(word.name)
     if held is None and len(state.held) >= MOST_HELD:
         return "too many are held"
-    if permits.budgets(limits(state), "node") and held is None and (
-            permits.key_of("node", word.name) not in state.places.held):
-        why = permits.ask(state.places, limits(state), place(word, "node", word.name, index), word.facts,
-                          state.held, word.value == FORCE)
+    if (
+        permits.budgets(limits(state), "node")
+        and held is None
+        and (permits.key_of("node", word.name) not in state.places.held)
+    ):
+        why = permits.ask(
+            state.places,
+            limits(state),
+            place(word, "node", word.name, index),
+            word.facts,
+            state.held,
+            word.value == FORCE,
+        )
         if why:
             return why
     if held is None or held.kind != SUSPEND:  # hazard: a drain ends by itself, a suspension must not
@@ -255,27 +269,59 @@
     what, _, name = word.name.partition(":")
     if not permits.budgets(limits(state), what):
         return f"there is no budget of {what}s (set out.{what})", ""
-    why = permits.ask(state.places, limits(state), place(word, what, name, index), word.facts, state.held,
-                      word.value == FORCE, word.value == WAIT)
+    why = permits.ask(
+        state.places,
+        limits(state),
+        place(word, what, name, index),
+        word.facts,
+        state.held,
+        word.value == FORCE,
+        word.value == WAIT,
+    )
     return ("", why) if why.startswith("queued") else (why, "")
 
 
 def shown(state: State) -> dict[str, Any]:
     """For people."""
     return {
-        "fleet": state.fleet, "index": state.index,
-        "held": {name: {"kind": one.kind, "index": one.index, "born_ms": one.born_ms}
-                 for name, one in sorted(state.held.items())},
-        "settings": {name: {"value": one.value, "index": one.index}
-                     for name, one in sorted(state.settings.items())},
+        "fleet": state.fleet,
+        "index": state.index,
+        "held": {
+            name: {"kind": one.kind, "index": one.index, "born_ms": one.born_ms}
+            for name, one in sorted(state.held.items())
+        },
+        "settings": {
+            name: {"value": one.value, "index": one.index} for name, one in sorted(state.settings.items())
+        },
         "unread": [index for index, _ in state.unread],
-        "places": [{"what": one.what, "name": one.member.name, "index": one.index, "by": one.by, "id": one.id,
-                    "at_ms": one.at_ms, "forced": one.forced} for one in state.places.held.values()],
-        "line": [one.place.member.name for one in state.places.line], "forced": state.places.forced,
+        "places": [
+            {
+                "what": one.what,
+                "name": one.member.name,
+                "index": one.index,
+                "by": one.by,
+                "id": one.id,
+                "at_ms": one.at_ms,
+                "forced": one.forced,
+            }
+            for one in state.places.held.values()
+        ],
+        "line": [one.place.member.name for one in state.places.line],
+        "forced": state.places.forced,
     }
 
 
 def log(state: State) -> list[dict[str, Any]]:
     """The latest words, oldest first."""
-    return [{"index": index, "kind": word.kind, "id": word.id, "by": word.by, "at_ms": word.at_ms,
-             "name": word.name, "value": word.value} for index, word in state.latest]
+    return [
+        {
+            "index": index,
+            "kind": word.kind,
+            "id": word.id,
+            "by": word.by,
+            "at_ms": word.at_ms,
+            "name": word.name,
+            "value": word.value,
+        }
+        for index, word in state.latest
+    ]
--- a/sidecar_proxy/consensus/state_transfer.py
+++ b/sidecar_proxy/consensus/state_transfer.py
@@ -69,8 +69,9 @@
         self.asked = self.asked if self.partial and self.asked in others else self.dice.choice(others)
         self.number, self.asked_us = self.dice.getrandbits(48) + 1, now_us
         have = self.partial
-        return self.asked, Want(self.number, after, have.index if have else 0, len(have.data) if have else 0,
-                                self.most)
+        return self.asked, Want(
+            self.number, after, have.index if have else 0, len(have.data) if have else 0, self.most
+        )
 
     def answered(self, answer: Batch | Piece | Later, now_us: int) -> bool:
         """Whether that is what was asked for."""
@@ -140,8 +141,18 @@
         return Batch(want.number, fleet, commit, tuple(entries))
     found = log.snapshot
     offset = want.offset if want.index == found.index and want.offset <= len(found.data) else 0
-    return Piece(want.number, fleet, commit, found.index, found.term, found.voters, len(found.data),
-                 digest(found.data), offset, found.data[offset:offset + want.most])
+    return Piece(
+        want.number,
+        fleet,
+        commit,
+        found.index,
+        found.term,
+        found.voters,
+        len(found.data),
+        digest(found.data),
+        offset,
+        found.data[offset : offset + want.most],
+    )
 
 
 def size(told: Batch | Piece) -> int:
--- a/sidecar_proxy/consensus/storage.py
+++ b/sidecar_proxy/consensus/storage.py
@@ -126,8 +126,14 @@
             self.disk.rename(self.path, self.folder / "log.damaged")
         return self.begin()
 
-    def save(self, hard: HardState | None, commit: int, snapshot: Snapshot | None, entries: Sequence[Entry],
-             known: HardState) -> None:
+    def save(
+        self,
+        hard: HardState | None,
+        commit: int,
+        snapshot: Snapshot | None,
+        entries: Sequence[Entry],
+        known: HardState,
+    ) -> None:
         """Of a Ready. `known`: the hard state that holds with it; synced before it returns."""
         if snapshot is not None:
             self.compact(snapshot, entries, known, commit)
@@ -140,7 +146,7 @@
     def compact(self, snapshot: Snapshot, entries: Sequence[Entry], hard: HardState, commit: int) -> None:
         """A snapshot and what stands behind it, in place of the file."""
         records: list[Record] = [self.owner, Whole(snapshot)]
-        records += [Entries(list(entries[at:at + SLICE])) for at in range(0, len(entries), SLICE)]
+        records += [Entries(list(entries[at : at + SLICE])) for at in range(0, len(entries), SLICE)]
         self.rewrite([*records, Hard(hard.term, hard.vote, commit)])
 
     def append(self, records: list[Record], synced: bool) -> None:
@@ -251,8 +257,8 @@
         end = at + HEAD.size + length + 1
         if there < end:
             return
-        payload = data[at + HEAD.size:end - 1]
-        if data[end - 1:end] != LAST or digest(chain, payload) != found:
+        payload = data[at + HEAD.size : end - 1]
+        if data[end - 1 : end] != LAST or digest(chain, payload) != found:
             raise Damaged("a record is not as it was written")
         yield decoder.decode(payload), end, found
         at, chain = end, found
@@ -270,5 +276,5 @@
         log, index = kept.log, one.entries[0].index
         if not log.snapshot.index < index <= log.last_index + 1:
             raise Damaged("entries with a gap")
-        del log.entries[index - log.snapshot.index - 1:]
+        del log.entries[index - log.snapshot.index - 1 :]
         log.entries += one.entries
--- a/sidecar_proxy/consensus/subsystem.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -45,16 +45,32 @@
 AGAIN_S = 0.5  # after a write that failed
 LOOK_S = 1.0
 COMPLAIN_S = 1.0
-SAYS = {"SUSPEND": words.SUSPEND, "DRAIN": words.DRAIN, "RESUME": words.RESUME, "SET": words.SET,
-        "UNSET": words.UNSET, "PERMIT": words.PERMIT, "RETURN": words.RETURN}
+SAYS = {
+    "SUSPEND": words.SUSPEND,
+    "DRAIN": words.DRAIN,
+    "RESUME": words.RESUME,
+    "SET": words.SET,
+    "UNSET": words.UNSET,
+    "PERMIT": words.PERMIT,
+    "RETURN": words.RETURN,
+}
 NOBODY = 0  # the context of a word that nobody waits for
 
 
 class Agreeing:
     """A sidecar that takes part."""
 
-    def __init__(self, told: Agreement, engine: Engine, directory: Directory, gossip: Gossiping,
-                 seed: int, holding: Holding, door: Door | None, serving: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        told: Agreement,
+        engine: Engine,
+        directory: Directory,
+        gossip: Gossiping,
+        seed: int,
+        holding: Holding,
+        door: Door | None,
+        serving: Callable[[], bool],
+    ) -> None:
         """Raises OperatorError for a folder that can't be used."""
         self.told = told
         self.engine = engine
@@ -62,8 +78,9 @@
         self.gossip = gossip
         self.holding = holding
         self.serving = serving  # clients are taken
-        self.limits = Limits(told.voters, told.votes, int(told.replace_s * 1e6), told.kib_per_s * 1024.0,
-                             told.compact)
+        self.limits = Limits(
+            told.voters, told.votes, int(told.replace_s * 1e6), told.kib_per_s * 1024.0, told.compact
+        )
         self.store = Store(Path(told.folder), of_this_process())
         self.thread = ThreadPoolExecutor(1, "agreement")
         self.failing = False  # the last write did
@@ -83,8 +100,16 @@
         self.witness = Witness(engine, directory, gossip, self.member)
         self.member.witness = self.witness.facts
         clock = engine.clock
-        self.links = Links(gossip.keyring, self.member.me, clock.now_us, self.address, self.local,
-                           self.received, self.unsent, self.broken)
+        self.links = Links(
+            gossip.keyring,
+            self.member.me,
+            clock.now_us,
+            self.address,
+            self.local,
+            self.received,
+            self.unsent,
+            self.broken,
+        )
         if door is not None:
             door.calls["FLEET"] = self.call
             for word, gives in (("PAUSE", False), ("RESUME", True)):
@@ -113,9 +138,12 @@
         self.gossip.listeners[TOPIC] = self.hear
         self.gossip.transport.doors[MAGIC] = self.links.serve
         state = self.member.state
-        log.info("agreement: %s, %s, %d upstreams held", self.member.me,
-                 f"fleet {state.fleet} up to {state.index}" if state.fleet else "of no fleet yet",
-                 len(state.held))
+        log.info(
+            "agreement: %s, %s, %d upstreams held",
+            self.member.me,
+            f"fleet {state.fleet} up to {state.index}" if state.fleet else "of no fleet yet",
+            len(state.held),
+        )
         self.effect()
         self.tick()
         self.look()
@@ -229,10 +257,12 @@
 
     def write(self, one: Write) -> None:
         if not self.closed:
-            done = self.thread.submit(self.store.save, one.hard, one.commit, one.snapshot, one.entries,
-                                      one.known)
+            done = self.thread.submit(
+                self.store.save, one.hard, one.commit, one.snapshot, one.entries, one.known
+            )
             done.add_done_callback(
-                lambda _: self.engine.loop.call_soon_threadsafe(self.written, one, done.exception()))
+                lambda _: self.engine.loop.call_soon_threadsafe(self.written, one, done.exception())
+            )
 
     def written(self, one: Write, error: BaseException | None) -> None:
         if self.closed:
@@ -252,12 +282,17 @@
             self.close()
 
     def effect(self) -> None:
-        held = {name: one.born_ms * 1000 + 999 if one.kind == words.DRAIN else ALWAYS
-                for name, one in self.member.state.held.items()}
+        held = {
+            name: one.born_ms * 1000 + 999 if one.kind == words.DRAIN else ALWAYS
+            for name, one in self.member.state.held.items()
+        }
         if held != self.holding.sources.get("fleet", {}):
             self.holding.put("fleet", held)
-            log.info("agreement: held for the fleet up to word %d: %s", self.member.state.index,
-                     ", ".join(sorted(held)[:10]) or "none")
+            log.info(
+                "agreement: held for the fleet up to word %d: %s",
+                self.member.state.index,
+                ", ".join(sorted(held)[:10]) or "none",
+            )
 
     # At the door
 
@@ -280,11 +315,12 @@
                 raise CallError(str(error)) from error
             return "done"
         if word == "READ" and rest:
-            name = rest[:words.MOST_NAME]
+            name = rest[: words.MOST_NAME]
             return await self.answered(lambda context: self.member.look(context, name, now_us))
         if word not in SAYS:
-            raise CallError("expected FLEET and one of BEGIN, STATUS, LOG, WORDS, READ NAME, "
-                            f"{', '.join(SAYS)} ID NAME")
+            raise CallError(
+                f"expected FLEET and one of BEGIN, STATUS, LOG, WORDS, READ NAME, {', '.join(SAYS)} ID NAME"
+            )
         ident, _, name = rest.partition(" ")
         value, born_ms = "", 0
         if word == "SET":
@@ -320,11 +356,19 @@
     async def place(self, kind: str, value: str) -> str:
         """Of this sidecar itself."""
         value = value if value == words.FORCE else ""
-        said = words.Word(kind, f"{kind}-{secrets.token_hex(6)}", self.member.name, wall_ms(),
-                          f"sidecar:{self.member.name}", 0, value)
+        said = words.Word(
+            kind,
+            f"{kind}-{secrets.token_hex(6)}",
+            self.member.name,
+            wall_ms(),
+            f"sidecar:{self.member.name}",
+            0,
+            value,
+        )
         try:
             return await self.answered(
-                lambda context: self.member.say(context, said, self.engine.clock.now_us()))
+                lambda context: self.member.say(context, said, self.engine.clock.now_us())
+            )
         except CallError as error:
             return str(error)
 
--- a/sidecar_proxy/consensus/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -103,10 +103,17 @@
 class Links:
     """All connections of one sidecar."""
 
-    def __init__(self, keyring: Keyring, me: Node, now_us: Callable[[], int],
-                 address: Callable[[Node], Address | None], local: Callable[[], Address | None],
-                 received: Callable[[Node, Frame], None], unsent: Callable[[Node, Frame], None],
-                 broken: Callable[[Node], None]) -> None:
+    def __init__(
+        self,
+        keyring: Keyring,
+        me: Node,
+        now_us: Callable[[], int],
+        address: Callable[[Node], Address | None],
+        local: Callable[[], Address | None],
+        received: Callable[[Node, Frame], None],
+        unsent: Callable[[Node, Frame], None],
+        broken: Callable[[Node], None],
+    ) -> None:
         self.keyring = keyring
         self.me = me
         self.now_us = now_us
@@ -204,8 +211,13 @@
             self.tasks.discard(task)
             writer.transport.abort()
 
-    async def listen(self, reader: asyncio.StreamReader, session: Session,
-                     writer: asyncio.StreamWriter | None, first: bytes | None = None) -> None:
+    async def listen(
+        self,
+        reader: asyncio.StreamReader,
+        session: Session,
+        writer: asyncio.StreamWriter | None,
+        first: bytes | None = None,
+    ) -> None:
         """Frames of one connection, until it ends. `writer`: it is another's, so questions come by it."""
         while not self.closed:
             if first is None:
@@ -235,8 +247,11 @@
         """One line a second at most, whatever comes."""
         if self.refused > self.told_refused and self.loop.time() >= self.next_complaint:
             self.next_complaint, self.told_refused = self.loop.time() + COMPLAIN_S, self.refused
-            log.warning("agreement: %d connections or frames refused so far, the last of %s", self.refused,
-                        self.last_refused)
+            log.warning(
+                "agreement: %d connections or frames refused so far, the last of %s",
+                self.refused,
+                self.last_refused,
+            )
 
     def look(self) -> None:
         """Now and then: connections of no use go, and those whose certificate was revoked meanwhile."""
--- a/sidecar_proxy/consensus/voters.py
+++ b/sidecar_proxy/consensus/voters.py
@@ -39,8 +39,9 @@
 
     def is_lost(self, node: Node) -> bool:
         now = self.there.get(name_of(node))
-        return node != self.me and (self.away_us.get(node, 0) >= self.replace_us
-                                    or (now is not None and now.node != node))
+        return node != self.me and (
+            self.away_us.get(node, 0) >= self.replace_us or (now is not None and now.node != node)
+        )
 
     def live(self) -> list[Node]:
         return [node for node in self.voters if not self.is_lost(node)]
@@ -53,8 +54,10 @@
         """Who may be taken in, the best first: of the site with the fewest voters."""
         live = self.live()
         sites, names = Counter(map(self.site, live)), set(map(name_of, live))
-        return sorted((one for one in self.there.values() if one.name not in names),
-                      key=lambda one: (sites[one.site], one.name))
+        return sorted(
+            (one for one in self.there.values() if one.name not in names),
+            key=lambda one: (sites[one.site], one.name),
+        )
 
     def is_settled(self) -> bool:
         """As many as are wanted, and none is lost."""
@@ -74,8 +77,9 @@
             going = []  # it may come back, and nobody can take its place
         elif not going and len(voters) > self.wanted:
             sites = Counter(map(self.site, live))
-            going = sorted(set(live) - {me},
-                           key=lambda node: (node in self.answered, -sites[self.site(node)], node))
+            going = sorted(
+                set(live) - {me}, key=lambda node: (node in self.answered, -sites[self.site(node)], node)
+            )
         if going:
             left = answering - (going[0] in live and going[0] in self.answered)
             if left >= majority(len(voters) - 1):
--- a/sidecar_proxy/consensus/witness.py
+++ b/sidecar_proxy/consensus/witness.py
@@ -48,8 +48,10 @@
         for number, host in self.engine.known().items():
             told, name = host.told or host.entry, self.directory.names.get(number)
             if name is not None and told.state is not UpstreamState.GONE:
-                yield (Member(name, zones.get(told.zone, ""), kinds.get(told.kind, ""), str(told.cell)),
-                       told.state is not UpstreamState.READY or weights.get(name, 0.0) >= BAD)
+                yield (
+                    Member(name, zones.get(told.zone, ""), kinds.get(told.kind, ""), str(told.cell)),
+                    told.state is not UpstreamState.READY or weights.get(name, 0.0) >= BAD,
+                )
 
     def sidecars(self) -> Iterator[tuple[Member, bool]]:
         """Each that is there, and whether gossip holds it for dead. In a cell's place is its process: a place
--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -53,16 +53,22 @@
     share = max(1, (config.sockets - OWN_DESCRIPTORS) // 2)
     operated = config.door is not None or config.accept_fd is not None
     handover = Handover.of(os.environ) if operated else None
-    settings = replace(settings, most_upstreams=share,  # of a fleet larger than that a part is used
-                       succeeds=handover is not None and not handover.alone())
+    settings = replace(
+        settings,
+        most_upstreams=share,  # of a fleet larger than that a part is used
+        succeeds=handover is not None and not handover.alone(),
+    )
     pool = Pool(settings.connect_timeout_us / 1e6 or 1.0, settings.idle_us / 1e6, share)
     discovery = Discovery(config.discovery, directory, version, pushed=not settings.list_on_request)
     engine = Engine(settings, config.seed, clock, pool, discovery)
     discovery.sink = engine
     server = Server(engine, share, Spool(spool_bytes(config.memory_mb)))
     hand, door = None, None
-    holding = Holding(engine, directory) if handover is not None or (
-        operator is not None and operator.agreement.folder) else None
+    holding = (
+        Holding(engine, directory)
+        if handover is not None or (operator is not None and operator.agreement.folder)
+        else None
+    )
     if handover is not None and holding is not None:
         hand = Hand(engine, directory, server, handover, holding)
     if config.door is not None and hand is not None:
@@ -70,8 +76,9 @@
         await door.open(config.door)
     running: list[Running] = []
     if operator is not None:
-        running = await start_wanted(Context(config, operator, engine, directory, server, discovery, door,
-                                             holding))
+        running = await start_wanted(
+            Context(config, operator, engine, directory, server, discovery, door, holding)
+        )
     log.info("runs %s", compiled.state)
     assert discovery.sink is not None
     discovery.sink.list_changed(api.ListKind.CACHED, known, version)
--- a/sidecar_proxy/daemon/subsystems.py
+++ b/sidecar_proxy/daemon/subsystems.py
@@ -102,9 +102,16 @@
     if not isinstance(gossip, Gossiping):
         raise OperatorError("agreement.folder: needs gossip; gossip.bind names no address")
     assert context.holding is not None
-    agreeing = Agreeing(context.operator.agreement, context.engine, context.directory, gossip,
-                        context.config.seed, context.holding, context.door,
-                        lambda: context.server.ready)
+    agreeing = Agreeing(
+        context.operator.agreement,
+        context.engine,
+        context.directory,
+        gossip,
+        context.config.seed,
+        context.holding,
+        context.door,
+        lambda: context.server.ready,
+    )
     agreeing.start()
     return agreeing
 
@@ -114,8 +121,12 @@
     # hazard: before all that may tell the decisions something, or a recording would not begin at their start
     Subsystem("recorder.enabled", "sidecar", lambda told: told.recorder.enabled, start_recorder),
     Subsystem("grpc.enabled", "grpc", lambda told: told.grpc.enabled, start_grpc),
-    Subsystem("membership.etcd", "etcd",
-              lambda told: bool(told.membership.etcd.endpoints or told.membership.socket), start_membership),
+    Subsystem(
+        "membership.etcd",
+        "etcd",
+        lambda told: bool(told.membership.etcd.endpoints or told.membership.socket),
+        start_membership,
+    ),
     Subsystem("gossip", "gossip", lambda told: bool(told.gossip.bind), start_gossip),
     Subsystem("overload.enabled", "gossip", lambda told: told.overload.enabled, start_overload),
     Subsystem("agreement.folder", "gossip", lambda told: bool(told.agreement.folder), start_agreement),
--- a/sidecar_proxy/discovery/endpoint_list.py
+++ b/sidecar_proxy/discovery/endpoint_list.py
@@ -21,8 +21,11 @@
 SLICE = 64  # entries that are read, or told to the decisions, in one go
 MOST_HOSTS = 50_000  # entries of one list
 
-STATES = {"in_service": api.UpstreamState.READY, "terminating": api.UpstreamState.DRAINING,
-          "terminated": api.UpstreamState.GONE}
+STATES = {
+    "in_service": api.UpstreamState.READY,
+    "terminating": api.UpstreamState.DRAINING,
+    "terminated": api.UpstreamState.GONE,
+}
 # A name listed twice has the state of the more careful entry. Hazard: to refuse such a list would leave a
 # drain that it tells unheard.
 CARE = {api.UpstreamState.READY: 0, api.UpstreamState.DRAINING: 1, api.UpstreamState.GONE: 2}
@@ -135,10 +138,13 @@
             fresh.append(number)
         return Host(
             api.Upstream(
-                number, state,
+                number,
+                state,
                 self.zones.setdefault(str(told["site"]).replace(" ", "_"), len(self.zones)),
                 self.kinds.setdefault(str(told.get("class", "")).replace(" ", "_"), len(self.kinds)),
-                cell, weight, born_ms * 1000,  # our clock counts from Unix time
+                cell,
+                weight,
+                born_ms * 1000,  # our clock counts from Unix time
             ),
             dial,
             grpc,
@@ -234,7 +240,7 @@
         """The next character that is no space; empty at the end."""
         while self.at < len(self.text) and self.text[self.at] in SPACE:
             self.at += 1
-        return self.text[self.at:self.at + 1]
+        return self.text[self.at : self.at + 1]
 
     def pass_comma(self, end: str) -> None:
         """Behind an element: a comma and another one, or the end, which stays."""
@@ -247,7 +253,7 @@
 
     def expect(self, mark: str) -> None:
         if self.peek() != mark:
-            raise ListError(f"byte {self.at}: expected {mark!r}, got {self.text[self.at:self.at + 20]!r}")
+            raise ListError(f"byte {self.at}: expected {mark!r}, got {self.text[self.at : self.at + 20]!r}")
         self.at += 1
 
 
@@ -259,8 +265,7 @@
     others: list[Host] = []
     for number, host in enumerate(told, 1):
         old = known.get(host.entry.id)
-        if old is None or old.entry != host.entry or (old.dial, old.dial_grpc) != (
-                host.dial, host.dial_grpc):
+        if old is None or old.entry != host.entry or (old.dial, old.dial_grpc) != (host.dial, host.dial_grpc):
             (others if host.entry.state is api.UpstreamState.READY else leaving).append(host)
         if number % (8 * SLICE) == 0:
             yield []
@@ -274,4 +279,4 @@
 
 
 def cut(hosts: list[Host]) -> Iterable[list[Host]]:
-    return (hosts[at:at + SLICE] for at in range(0, len(hosts), SLICE))
+    return (hosts[at : at + SLICE] for at in range(0, len(hosts), SLICE))
--- a/sidecar_proxy/discovery/etcd/follower.py
+++ b/sidecar_proxy/discovery/etcd/follower.py
@@ -267,9 +267,20 @@
 
     def watch(self, now_us: int) -> list[Action]:
         self.state, self.behind_us, self.wanted, self.events = "watch", 0, 0, []
-        return self.check(now_us, Watch(pb.WatchRequest(create_request=pb.WatchCreateRequest(
-            key=self.prefix, range_end=self.end, start_revision=self.revision + 1, progress_notify=True,
-            fragment=True))))
+        return self.check(
+            now_us,
+            Watch(
+                pb.WatchRequest(
+                    create_request=pb.WatchCreateRequest(
+                        key=self.prefix,
+                        range_end=self.end,
+                        start_revision=self.revision + 1,
+                        progress_notify=True,
+                        fragment=True,
+                    )
+                )
+            ),
+        )
 
     def check(self, now_us: int, asked: Watch) -> list[Action]:
         """Something that the watch answers at once, and a read that only a member in touch can answer."""
@@ -321,4 +332,4 @@
             return self.good.get(name)
 
     def name(self, key: bytes) -> str:
-        return key[len(self.prefix):].decode("utf-8", "backslashreplace")
+        return key[len(self.prefix) :].decode("utf-8", "backslashreplace")
--- a/sidecar_proxy/discovery/etcd/source.py
+++ b/sidecar_proxy/discovery/etcd/source.py
@@ -40,8 +40,9 @@
 
 MOST_MESSAGE = 16 * 1024 * 1024  # bytes of one answer
 MOST_PASSWORD = 4096
-LIMITS = Limits(streams=0, window=1024 * 1024, connection_window=4 * 1024 * 1024,
-                rates=Rates(windows=20_000.0))
+LIMITS = Limits(
+    streams=0, window=1024 * 1024, connection_window=4 * 1024 * 1024, rates=Rates(windows=20_000.0)
+)
 
 
 class Sink(Protocol):
@@ -49,8 +50,9 @@
 
     def listed(self, source: str, epoch: str, revision: int, entries: tuple[Entry, ...]) -> None: ...
 
-    def changed(self, source: str, epoch: str, revision: int,
-                changes: tuple[tuple[str, Entry | None], ...]) -> None: ...
+    def changed(
+        self, source: str, epoch: str, revision: int, changes: tuple[tuple[str, Entry | None], ...]
+    ) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -74,9 +76,15 @@
 
     def call(self, path: str, request: Message, metadata: Headers, call: Call, more: bool = False) -> int:
         """Begin a call; `more` messages may follow. Raises StreamError."""
-        headers = [(b":method", b"POST"), (b":scheme", b"http" if self.source.tls is None else b"https"),
-                   (b":path", path.encode()), (b":authority", self.host.encode()), (b"te", b"trailers"),
-                   (b"content-type", b"application/grpc"), *metadata]
+        headers = [
+            (b":method", b"POST"),
+            (b":scheme", b"http" if self.source.tls is None else b"https"),
+            (b":path", path.encode()),
+            (b":authority", self.host.encode()),
+            (b"te", b"trailers"),
+            (b"content-type", b"application/grpc"),
+            *metadata,
+        ]
         stream = self.http2.open_stream(headers)
         if stream is None:
             raise StreamError("the member takes no more calls")
@@ -150,8 +158,9 @@
 class Source:
     """etcd as it is followed, and who is told."""
 
-    def __init__(self, told: Etcd, follower: following.Follower, sink: Sink,
-                 now_us: Callable[[], int]) -> None:
+    def __init__(
+        self, told: Etcd, follower: following.Follower, sink: Sink, now_us: Callable[[], int]
+    ) -> None:
         self.told = told
         self.follower = follower
         self.sink = sink
@@ -220,8 +229,12 @@
             self.token = pb.AuthenticateResponse.FromString(data).token.encode()
             self.perform(self.follower.authenticated(self.now_us()))
 
-        self.call("/etcdserverpb.Auth/Authenticate",
-                  pb.AuthenticateRequest(name=self.told.username, password=password), [], message)
+        self.call(
+            "/etcdserverpb.Auth/Authenticate",
+            pb.AuthenticateRequest(name=self.told.username, password=password),
+            [],
+            message,
+        )
 
     def ask(self, request: pb.RangeRequest) -> None:
         def message(data: bytes) -> None:
@@ -244,8 +257,14 @@
     def metadata(self) -> Headers:
         return [(b"token", self.token)] if self.token else []
 
-    def call(self, path: str, request: Message, metadata: Headers, message: Callable[[bytes], None],
-             more: bool = False) -> int:
+    def call(
+        self,
+        path: str,
+        request: Message,
+        metadata: Headers,
+        message: Callable[[bytes], None],
+        more: bool = False,
+    ) -> int:
         link = self.link
         if link is None:
             raise StreamError("no connection")
--- a/sidecar_proxy/discovery/feed.py
+++ b/sidecar_proxy/discovery/feed.py
@@ -38,8 +38,11 @@
 
     def list_changed(self, kind: api.ListKind, hosts: list[Host], version: int) -> None:
         self.count += 1
-        words = [(name, None if host.entry.state is GONE else self.entry_of(name, host))
-                 for host in hosts if (name := self.directory.names.get(host.entry.id))]
+        words = [
+            (name, None if host.entry.state is GONE else self.entry_of(name, host))
+            for host in hosts
+            if (name := self.directory.names.get(host.entry.id))
+        ]
         if kind is api.ListKind.DELTA:
             changed = self.merge.changed("roster", "", self.count, words)
         else:
@@ -56,17 +59,26 @@
     def entry_of(self, name: str, host: Host) -> Entry:
         """The roster's word for a node, as the other sources would say it."""
         entry = host.entry
-        return Entry(name, entry.state, address(host.dial), address(host.dial_grpc) if host.dial_grpc else "",
-                     named(self.directory.zones, entry.zone), named(self.directory.kinds, entry.kind),
-                     entry.cell, entry.weight, entry.started_us // 1000)
+        return Entry(
+            name,
+            entry.state,
+            address(host.dial),
+            address(host.dial_grpc) if host.dial_grpc else "",
+            named(self.directory.zones, entry.zone),
+            named(self.directory.kinds, entry.kind),
+            entry.cell,
+            entry.weight,
+            entry.started_us // 1000,
+        )
 
     # Further sources
 
     def listed(self, source: str, epoch: str, revision: int, entries: tuple[Entry, ...]) -> None:
         self.mark(source, self.merge.listed(source, epoch, revision, entries))
 
-    def changed(self, source: str, epoch: str, revision: int,
-                changes: tuple[tuple[str, Entry | None], ...]) -> None:
+    def changed(
+        self, source: str, epoch: str, revision: int, changes: tuple[tuple[str, Entry | None], ...]
+    ) -> None:
         self.mark(source, self.merge.changed(source, epoch, revision, changes))
 
     def note(self, source: str, names: Iterable[str]) -> None:
@@ -91,7 +103,7 @@
             member = self.merge.member(name)
             (others if member is not None and member.entry.state is READY else leaving).append(name)
         for at in range(0, len(leaving), SLICE):
-            self.tell(leaving[at:at + SLICE])
+            self.tell(leaving[at : at + SLICE])
         self.waiting.update(dict.fromkeys(others))
         if answered:  # discovery has answered, whether anything is new or not
             self.engine.list_changed(api.ListKind.DELTA, [], 0)
@@ -122,8 +134,16 @@
             known = self.engine.known().get(number) if number is not None else None
             return None if known is None else Host(replace(known.entry, state=GONE), ("", 0))
         entry = member.entry
-        told = {"host": name, "health": HEALTH[entry.state], "dial": entry.dial, "site": entry.site,
-                "class": entry.kind, "block": entry.block, "share": entry.share, "born_ms": entry.born_ms}
+        told = {
+            "host": name,
+            "health": HEALTH[entry.state],
+            "dial": entry.dial,
+            "site": entry.site,
+            "class": entry.kind,
+            "block": entry.block,
+            "share": entry.share,
+            "born_ms": entry.born_ms,
+        }
         if entry.dial_grpc:
             told["dial_grpc"] = entry.dial_grpc
         return self.directory.entry(told, [])
--- a/sidecar_proxy/discovery/merge.py
+++ b/sidecar_proxy/discovery/merge.py
@@ -86,8 +86,9 @@
         found.epoch, found.revision = epoch, revision
         return changed | self.forget(changed)
 
-    def changed(self, source: str, epoch: str, revision: int,
-                changes: Iterable[tuple[str, Entry | None]]) -> set[str]:
+    def changed(
+        self, source: str, epoch: str, revision: int, changes: Iterable[tuple[str, Entry | None]]
+    ) -> set[str]:
         """What one revision changed, in order; None = deleted. The last word of a name counts."""
         found = self.sources[source]
         if epoch != found.epoch or revision <= found.revision:
@@ -104,11 +105,21 @@
 
     def elsewhere(self, source: Source, name: str) -> bool:
         """Another source has it."""
-        return any(name in other.words and other.words[name].state is not GONE
-                   for other in self.sources.values() if other is not source)
-
-    def say(self, source: Source, name: str, entry: Entry | None, revision: int, listed: bool = False,
-            fresh: bool = False) -> bool:
+        return any(
+            name in other.words and other.words[name].state is not GONE
+            for other in self.sources.values()
+            if other is not source
+        )
+
+    def say(
+        self,
+        source: Source,
+        name: str,
+        entry: Entry | None,
+        revision: int,
+        listed: bool = False,
+        fresh: bool = False,
+    ) -> bool:
         """One word. True if it is another one than before."""
         old = source.words.get(name)
         if entry is None or entry.state is GONE:
@@ -118,8 +129,9 @@
         else:
             held = False
             if listed and old is not None and old.state is DRAINING:
-                taken_back = entry.state is READY and (entry.born_ms > old.entry.born_ms
-                                                       or not (fresh or old.held))
+                taken_back = entry.state is READY and (
+                    entry.born_ms > old.entry.born_ms or not (fresh or old.held)
+                )
                 held = not taken_back and (entry.state is READY or old.held)
             word = Word(DRAINING if held else entry.state, entry, revision, held)
         source.words[name] = word
@@ -129,8 +141,9 @@
         """Those of these names of which every word is a deletion: nothing is left to be said of them."""
         gone = set()
         for name in names:
-            if all(source.words[name].state is GONE for source in self.sources.values()
-                   if name in source.words):
+            if all(
+                source.words[name].state is GONE for source in self.sources.values() if name in source.words
+            ):
                 gone.add(name)
                 self.starts.pop(name, None)
                 for source in self.sources.values():
--- a/sidecar_proxy/discovery/model.py
+++ b/sidecar_proxy/discovery/model.py
@@ -11,8 +11,11 @@
 
 MOST_VALUE = 64 * 1024  # bytes of one entry
 MOST_TEXT = 256  # characters of a name, an address, a site
-HEALTH = {"in_service": UpstreamState.READY, "terminating": UpstreamState.DRAINING,
-          "terminated": UpstreamState.GONE}
+HEALTH = {
+    "in_service": UpstreamState.READY,
+    "terminating": UpstreamState.DRAINING,
+    "terminated": UpstreamState.GONE,
+}
 
 
 class EntryError(ValueError):
@@ -59,9 +62,17 @@
         raise EntryError(f"{short(name)}: unknown health {short(str(health))}")
     if state is UpstreamState.GONE:
         return Entry(name, state)
-    return Entry(name, state, address(name, told, "dial", True), address(name, told, "dial_grpc", False),
-                 text(name, told, "site"), text(name, told, "class"), whole(name, told, "block"),
-                 share(name, told), whole(name, told, "born_ms"))
+    return Entry(
+        name,
+        state,
+        address(name, told, "dial", True),
+        address(name, told, "dial_grpc", False),
+        text(name, told, "site"),
+        text(name, told, "class"),
+        whole(name, told, "block"),
+        share(name, told),
+        whole(name, told, "born_ms"),
+    )
 
 
 def text(name: str, told: dict[str, Any], key: str) -> str:
--- a/sidecar_proxy/discovery/platform_client.py
+++ b/sidecar_proxy/discovery/platform_client.py
@@ -34,6 +34,7 @@
 STEP_S = 0.003  # a large list holds the loop for about so long before others have their turn
 RETRY_S = 0.25  # where lists are pushed, the agent is on this machine and costs nothing to ask
 
+
 class Discovery:
     """Carries out Subscribe and FetchList: each call is answered by one event. When a call is made anew is
     for the decisions to say, but where lists are pushed: there no call is theirs."""
@@ -186,8 +187,11 @@
         """Names of those that are gone go once nothing is out to them."""
         assert self.sink is not None
         known = self.sink.known()
-        self.leaving.update(dict.fromkeys(
-            one for one in numbers if one not in known or known[one].entry.state is api.UpstreamState.GONE))
+        self.leaving.update(
+            dict.fromkeys(
+                one for one in numbers if one not in known or known[one].entry.state is api.UpstreamState.GONE
+            )
+        )
         for number in list(self.leaving):
             if number not in known:
                 self.directory.forget(number)
--- a/sidecar_proxy/discovery/status_socket.py
+++ b/sidecar_proxy/discovery/status_socket.py
@@ -4,7 +4,6 @@
 `{"end": COUNT}`. Nothing is read from it.
 """
 
-
 from __future__ import annotations
 
 import asyncio
@@ -55,11 +54,18 @@
 
     async def write(self, writer: asyncio.StreamWriter) -> None:
         """Hazard: ten thousand nodes in one go would hold the loop for a tenth of a second."""
-        line(writer, {"sources": {name: {"epoch": source.epoch, "revision": source.revision}
-                                  for name, source in self.feed.merge.sources.items()}})
+        line(
+            writer,
+            {
+                "sources": {
+                    name: {"epoch": source.epoch, "revision": source.revision}
+                    for name, source in self.feed.merge.sources.items()
+                }
+            },
+        )
         names = sorted({name for source in self.feed.merge.sources.values() for name in source.words})
         for at in range(0, len(names), SLICE):
-            for name in names[at:at + SLICE]:
+            for name in names[at : at + SLICE]:
                 line(writer, self.node(name))
             await writer.drain()
             await asyncio.sleep(0)
@@ -76,11 +82,17 @@
             "because": "" if member is None else member.why,
             "dial": "" if member is None else member.entry.dial,
             "decisions": "gone" if host is None else host.entry.state.value,  # suspended by hand, it drains
-            "words": {source.name: {"state": word.state.value, "revision": word.revision, "held": word.held,
-                                    "born_ms": word.entry.born_ms,
-                                    "since": self.feed.since.get((source.name, name), 0.0)}
-                      for source in self.feed.merge.sources.values()
-                      if (word := source.words.get(name)) is not None},
+            "words": {
+                source.name: {
+                    "state": word.state.value,
+                    "revision": word.revision,
+                    "held": word.held,
+                    "born_ms": word.entry.born_ms,
+                    "since": self.feed.since.get((source.name, name), 0.0),
+                }
+                for source in self.feed.merge.sources.values()
+                if (word := source.words.get(name)) is not None
+            },
         }
 
     def close(self) -> None:
--- a/sidecar_proxy/emulator/fleet.py
+++ b/sidecar_proxy/emulator/fleet.py
@@ -222,9 +222,17 @@
         member = None
         if self.plan.as_one is not None:
             dice = random.Random(f"{self.plan.seed} {n} {life}")
-            member = Member(f"s{n}", n, settings.instances, [one.worth for one in settings.classes],
-                            settings.max_retry_after_us, self.plan.as_one, dice, self.now_us,
-                            min(one.aim_us for one in settings.classes) // 2)
+            member = Member(
+                f"s{n}",
+                n,
+                settings.instances,
+                [one.worth for one in settings.classes],
+                settings.max_retry_after_us,
+                self.plan.as_one,
+                dice,
+                self.now_us,
+                min(one.aim_us for one in settings.classes) // 2,
+            )
         balancer = Balancer(settings, self.plan.seed * 100_003 + n * 101 + life, self.now_us)
         return Sidecar(balancer, member, life)
 
@@ -258,7 +266,7 @@
         parts = max(1, math.ceil(math.log2(len(self.sidecars) + 1) / 2))
         each = math.ceil(len(others) / parts)
         for part in range(parts):
-            some = others[part * each:(part + 1) * each]
+            some = others[part * each : (part + 1) * each]
 
             def hear(some: list[int] = some) -> None:
                 for other in some:
@@ -310,7 +318,7 @@
 
     def told(self, n: int) -> None:
         sidecar = self.sidecars[n]
-        entries = self.changes[sidecar.version:]
+        entries = self.changes[sidecar.version :]
         sidecar.version = len(self.changes)
         self.tell_list(n, api.ListKind.DELTA, entries)
 
@@ -387,7 +395,7 @@
     def come_again(self, n: int, one: Try, after_us: int) -> None:
         if one.refused >= self.plan.again or self.dice.random() >= self.plan.again_share:
             return
-        wait_us = max(after_us, int(self.plan.backoff_us * 2 ** one.refused * (0.5 + self.dice.random())))
+        wait_us = max(after_us, int(self.plan.backoff_us * 2**one.refused * (0.5 + self.dice.random())))
         self.at(self.now_us + wait_us, partial(self.arrive, n, one))
 
     def answer(self, sidecar: Sidecar, request: int, how: str) -> Try:
@@ -500,5 +508,14 @@
             else:
                 self.seen.late[self.second] += 1
         final = attempt.request not in sidecar.tries
-        self.handle(attempt.sidecar, api.AttemptEnded(
-            attempt.request, attempt.number, attempt.upstream, outcome, self.now_us - attempt.sent_us, final))
+        self.handle(
+            attempt.sidecar,
+            api.AttemptEnded(
+                attempt.request,
+                attempt.number,
+                attempt.upstream,
+                outcome,
+                self.now_us - attempt.sent_us,
+                final,
+            ),
+        )
--- a/sidecar_proxy/emulator/scenarios.py
+++ b/sidecar_proxy/emulator/scenarios.py
@@ -11,22 +11,40 @@
 
 CLASSES = [
     api.RequestClass("chapter-buy", 400_000, 1_200_000, 10.0, 0.3, effect="at_most_once"),
-    api.RequestClass("coin-topup", 750_000, 4_000_000, 8.0, 0.5, effect="deduplicated", group="cell",
-                     memory_us=8_000_000),
+    api.RequestClass(
+        "coin-topup", 750_000, 4_000_000, 8.0, 0.5, effect="deduplicated", group="cell", memory_us=8_000_000
+    ),
 ]
 MACHINE = Machine(cores=2, work_us=60_000, spread=0.9)
 ZONES = ["north", "south", "east", "west", "islands"]
 
 
-def plan(instances: int, upstreams: int = 60, load: float = 0.6, seed: int = 1,
-         probe_fee: float = 0.08) -> Plan:
+def plan(
+    instances: int, upstreams: int = 60, load: float = 0.6, seed: int = 1, probe_fee: float = 0.08
+) -> Plan:
     """A fleet at this share of what its upstreams can do when they are warm."""
     settings = api.Settings(
-        CLASSES, instances=instances, max_attempts=4, max_retry_after_us=2_000_000,
-        connect_timeout_us=200_000, cancel=True, probes=True, second_copies=True, list_on_request=True,
-        ask_within_us=10_000_000, cold_share=0.32, warm_up_us=8_900_000, overload_factor=2.5,
-        fall_us=2_000_000, cross_zone_fee=0.02, probe_fee=probe_fee, report_names=["in_flight"],
-        weighted=True, zones=ZONES, idle_us=5_000_000)
+        CLASSES,
+        instances=instances,
+        max_attempts=4,
+        max_retry_after_us=2_000_000,
+        connect_timeout_us=200_000,
+        cancel=True,
+        probes=True,
+        second_copies=True,
+        list_on_request=True,
+        ask_within_us=10_000_000,
+        cold_share=0.32,
+        warm_up_us=8_900_000,
+        overload_factor=2.5,
+        fall_us=2_000_000,
+        cross_zone_fee=0.02,
+        probe_fee=probe_fee,
+        report_names=["in_flight"],
+        weighted=True,
+        zones=ZONES,
+        idle_us=5_000_000,
+    )
     # discovery can take a call of every sidecar in 4 s, however many they are
     rate = load * upstreams * MACHINE.cores / (MACHINE.work_us / 1e6)
     return Plan(settings, upstreams, rate, machine=MACHINE, call_us=4_000_000 // instances, seed=seed)
@@ -41,7 +59,7 @@
     fleet.run(1)
     fleet.seen.listed_us.clear()
     fleet.restart_sidecars(range(told.settings.instances * 7 // 10))
-    fleet.replace(list(fleet.nodes)[told.upstreams // 6: told.upstreams // 3])
+    fleet.replace(list(fleet.nodes)[told.upstreams // 6 : told.upstreams // 3])
     return fleet.run(10)
 
 
@@ -51,7 +69,7 @@
     fleet.run(4)
     part = told.upstreams * 3 // 10
     for first in (0, part):
-        fleet.replace(list(fleet.nodes)[first: first + part])
+        fleet.replace(list(fleet.nodes)[first : first + part])
         fleet.run(4)
     return fleet.run(3)
 
@@ -102,7 +120,7 @@
     part = told.upstreams * 3 // 10
     slow(fleet)
     for first in (0, part):
-        fleet.replace(list(fleet.nodes)[first: first + part])
+        fleet.replace(list(fleet.nodes)[first : first + part])
         fleet.run(3)
     return fleet.run(7)
 
--- a/sidecar_proxy/engine/body_buffers.py
+++ b/sidecar_proxy/engine/body_buffers.py
@@ -27,8 +27,19 @@
 class Upload:
     """A request's large body: first held, and once it is `started`, passed on as it comes."""
 
-    __slots__ = ("spool", "length", "data", "held", "whole", "failed", "started", "taken", "dropped", "more",
-                 "room")
+    __slots__ = (
+        "spool",
+        "length",
+        "data",
+        "held",
+        "whole",
+        "failed",
+        "started",
+        "taken",
+        "dropped",
+        "more",
+        "room",
+    )
 
     def __init__(self, spool: Spool, length: int | None) -> None:
         self.spool = spool
