--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -72,8 +72,9 @@
 
 
 class Engine:
-    def __init__(self, settings: api.Settings, seed: int, clock: Clock, pool: Nodes,
-                 discovery: Discovery) -> None:
+    def __init__(
+        self, settings: api.Settings, seed: int, clock: Clock, pool: Nodes, discovery: Discovery
+    ) -> None:
         self.settings = settings
         self.clock = clock
         self.pool = pool
@@ -106,8 +107,19 @@
         if self.recorder is not None:
             self.recorder.named(ident, call.ident)
         back_us = self.fleet.arrived(call) if self.fleet is not None else 0
-        self.tell(api.RequestArrived(ident, call.due_us, call.class_index, call.tenant, call.key,
-                                     call.cost_us, call.retried, False, back_us))
+        self.tell(
+            api.RequestArrived(
+                ident,
+                call.due_us,
+                call.class_index,
+                call.tenant,
+                call.key,
+                call.cost_us,
+                call.retried,
+                False,
+                back_us,
+            )
+        )
         return ident
 
     def uploaded(self, ident: int) -> None:
@@ -257,9 +269,13 @@
         out = Out(self, entry, ident, attempt, action, now_us)
         most_us = call.due_us - now_us if call.upload is None else call.after_us
         timeout_us = min(action.timeout_us or most_us, most_us)
-        if out.left_us() <= 0 or timeout_us <= 0 or attempt >= self.settings.max_attempts or (
-                entry.out > 1 and not self.settings.second_copies) or (
-                call.upload is not None and call.upload.taken):
+        if (
+            out.left_us() <= 0
+            or timeout_us <= 0
+            or attempt >= self.settings.max_attempts
+            or (entry.out > 1 and not self.settings.second_copies)
+            or (call.upload is not None and call.upload.taken)
+        ):
             out.ended(api.Outcome.NOT_SENT, None)
             return
         if action.until_us:
@@ -269,7 +285,8 @@
             carried.start(action.upstream, timeout_us / 1e6)
             return
         exchange = entry.attempts[attempt] = self.pool.exchange(
-            out.render, out.ended, out.wrote, out.opens if call.opens is not None else None, call.upload)
+            out.render, out.ended, out.wrote, out.opens if call.opens is not None else None, call.upload
+        )
         self.pool.start(action.upstream, exchange, timeout_us / 1e6)
 
     def probe(self, upstream: int) -> None:
@@ -329,8 +346,9 @@
 
     __slots__ = ("engine", "entry", "ident", "attempt", "upstream", "sent_us", "until_us", "window")
 
-    def __init__(self, engine: Engine, entry: Entry, ident: int, attempt: int, action: api.Send,
-                 now_us: int) -> None:
+    def __init__(
+        self, engine: Engine, entry: Entry, ident: int, attempt: int, action: api.Send, now_us: int
+    ) -> None:
         self.engine = engine
         self.entry = entry
         self.ident = ident  # of its request
@@ -379,8 +397,11 @@
         return flow
 
     def began(self) -> None:
-        self.engine.tell(api.StreamStarted(self.ident, self.attempt, self.upstream,
-                                           self.engine.clock.now_us() - self.sent_us))
+        self.engine.tell(
+            api.StreamStarted(
+                self.ident, self.attempt, self.upstream, self.engine.clock.now_us() - self.sent_us
+            )
+        )
 
     def ended(self, outcome: api.Outcome, answer: Answer | None) -> None:
         engine, entry = self.engine, self.entry
@@ -407,7 +428,16 @@
         elapsed_us = engine.clock.now_us() - self.sent_us
         if engine.fleet is not None:
             engine.fleet.ended(entry.call.class_index, outcome, elapsed_us)
-        engine.tell(api.AttemptEnded(self.ident, self.attempt, self.upstream, outcome, elapsed_us,
-                                     entry.answered, engine.report(load) if load else []))
+        engine.tell(
+            api.AttemptEnded(
+                self.ident,
+                self.attempt,
+                self.upstream,
+                outcome,
+                elapsed_us,
+                entry.answered,
+                engine.report(load) if load else [],
+            )
+        )
         if engine.observe is not None:
             engine.observe(self.upstream, outcome)
--- a/sidecar_proxy/engine/interfaces.py
+++ b/sidecar_proxy/engine/interfaces.py
@@ -125,9 +125,14 @@
     def update(self, hosts: list[Host], whole: bool) -> None:
         """Rule 3: to what is READY no more, nothing new goes from here on; its idle connections end."""
 
-    def exchange(self, render: Callable[[], list[bytes] | None], ended: Finished,
-                 wrote: Callable[[], None] | None = None, opens: OpensAnswer | None = None,
-                 upload: Upload | None = None) -> Attempt:
+    def exchange(
+        self,
+        render: Callable[[], list[bytes] | None],
+        ended: Finished,
+        wrote: Callable[[], None] | None = None,
+        opens: OpensAnswer | None = None,
+        upload: Upload | None = None,
+    ) -> Attempt:
         """One that is not begun. `render` is asked for the request's parts just before the first byte (None:
         it is no longer wanted); `wrote` is called once the kernel has the whole request."""
 
--- a/sidecar_proxy/gossip/codec.py
+++ b/sidecar_proxy/gossip/codec.py
@@ -165,7 +165,7 @@
     """Signature and payload of an envelope. Raises CodecError."""
     if not HEAD < len(data) <= most or not data.startswith(MAGIC):
         raise CodecError("no packet of this version")
-    return data[len(MAGIC):HEAD], data[HEAD:]
+    return data[len(MAGIC) : HEAD], data[HEAD:]
 
 
 def closed(signature: bytes, payload: bytes) -> bytes:
--- a/sidecar_proxy/gossip/core.py
+++ b/sidecar_proxy/gossip/core.py
@@ -118,9 +118,17 @@
 class Core:
     """One instance's view of the others."""
 
-    def __init__(self, name: str, site: str, seeds: list[tuple[str, int]], dice: random.Random, now_us: int,
-                 sign: Callable[[Statement], Signed], alive: Callable[[int], Alive],
-                 incarnation: int) -> None:
+    def __init__(
+        self,
+        name: str,
+        site: str,
+        seeds: list[tuple[str, int]],
+        dice: random.Random,
+        now_us: int,
+        sign: Callable[[Statement], Signed],
+        alive: Callable[[int], Alive],
+        incarnation: int,
+    ) -> None:
         self.name = name
         self.site = site
         self.seeds = dice.sample(seeds, len(seeds))
@@ -347,8 +355,15 @@
             if len(self.peers) >= MOST_PEERS:
                 self.counts["peers over the limit"] += 1
                 return []
-            peer = Peer(told.author, certificate.site, (alive.host, alive.port), alive.incarnation,
-                        certificate, told, since_us=now_us)
+            peer = Peer(
+                told.author,
+                certificate.site,
+                (alive.host, alive.port),
+                alive.incarnation,
+                certificate,
+                told,
+                since_us=now_us,
+            )
             self.peers.put(peer)
             self.order.insert(self.dice.randrange(len(self.order) + 1), peer.name)
         elif alive.incarnation <= peer.incarnation:
@@ -391,8 +406,11 @@
     def on_bulletin(self, told: Signed, bulletin: Bulletin, now_us: int) -> list[Action]:
         peer, last = self.peers.get(told.author), self.bulletins.get(told.author)
         # hazard: one that speaks without end would fill all packets of all
-        if peer is None or peer.life is Life.DEAD or (
-                last is not None and told.at_us - last.at_us < LEAST_GAP_US):
+        if (
+            peer is None
+            or peer.life is Life.DEAD
+            or (last is not None and told.at_us - last.at_us < LEAST_GAP_US)
+        ):
             return []
         self.bulletins[told.author] = told
         self.spread("bulletin", told)
--- a/sidecar_proxy/gossip/credentials.py
+++ b/sidecar_proxy/gossip/credentials.py
@@ -59,8 +59,10 @@
         found = load(self.told)
         before = self.now.certificate
         if (found.certificate.name, found.certificate.site) != (before.name, before.site):
-            raise files.FileError(f"{self.told.certificate_file}: it is of {found.certificate.name} of "
-                                  f"{found.certificate.site}; a new name or site takes a restart")
+            raise files.FileError(
+                f"{self.told.certificate_file}: it is of {found.certificate.name} of "
+                f"{found.certificate.site}; a new name or site takes a restart"
+            )
         if found == self.now:
             return None
         self.now, self.warned_s = found, 0.0
--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -91,15 +91,25 @@
 
 
 class Instance:
-    def __init__(self, keyring: Keyring, address: Address, seeds: list[Address], dice: random.Random,
-                 now_us: int, wall_us: int, born: Callable[[str], int | None], floor: int = 1) -> None:
+    def __init__(
+        self,
+        keyring: Keyring,
+        address: Address,
+        seeds: list[Address],
+        dice: random.Random,
+        now_us: int,
+        wall_us: int,
+        born: Callable[[str], int | None],
+        floor: int = 1,
+    ) -> None:
         self.keyring = keyring
         self.address = address
         self.born = born  # the start of a node that is in use here, in Unix ms; None = there is none
         self.wall_us = wall_us
         certificate = keyring.certificate
-        self.core = swim.Core(certificate.name, certificate.site, seeds, dice, now_us, self.sign, self.alive,
-                              wall_us // 1000)
+        self.core = swim.Core(
+            certificate.name, certificate.site, seeds, dice, now_us, self.sign, self.alive, wall_us // 1000
+        )
         self.own = Own()
         self.combiner = Combiner(certificate.site)
         self.weights: dict[str, float] = {}  # as they were told
@@ -267,8 +277,13 @@
         """Others suspect them, and we have had answers."""
         for name in names:
             seen = self.own.nodes.get(name)
-            if (seen is not None and seen.run == 0 and seen.well and now_us - seen.last_us < WINDOW_US
-                    and name not in self.own.wanted):
+            if (
+                seen is not None
+                and seen.run == 0
+                and seen.well
+                and now_us - seen.last_us < WINDOW_US
+                and name not in self.own.wanted
+            ):
                 self.own.wanted[name] = None
                 self.unsaid = True
 
--- a/sidecar_proxy/gossip/keys.py
+++ b/sidecar_proxy/gossip/keys.py
@@ -68,8 +68,14 @@
 class Keyring:
     """One instance's key and certificate, the fleet's keys, and who has been turned off."""
 
-    def __init__(self, key: SigningKey, certificate: Certificate, fleet: Iterable[bytes],
-                 revoked: Iterable[int] = (), budget: Budget | None = None) -> None:
+    def __init__(
+        self,
+        key: SigningKey,
+        certificate: Certificate,
+        fleet: Iterable[bytes],
+        revoked: Iterable[int] = (),
+        budget: Budget | None = None,
+    ) -> None:
         self.key = key
         self.certificate = certificate
         self.fleet = [VerifyKey(one) for one in fleet]
@@ -119,8 +125,15 @@
         self.admit(found.certificate, found.at_us, signature, payload, now_us, wall_us)
         return found
 
-    def admit(self, certificate: Certificate, at_us: int, signature: bytes, payload: bytes, now_us: int,
-              wall_us: int) -> None:
+    def admit(
+        self,
+        certificate: Certificate,
+        at_us: int,
+        signature: bytes,
+        payload: bytes,
+        now_us: int,
+        wall_us: int,
+    ) -> None:
         if certificate.name == self.certificate.name and certificate.key == self.certificate.key:
             raise Refused("our own")
         if abs(at_us - wall_us) > SKEW_US:
@@ -180,12 +193,14 @@
         if certificate.name != told.author:
             raise Refused("of another name")
         self.certified(certificate, now_us, wall_us)
-        self.verify(certificate.key, codec.of_statement(told.author, told.at_us, told.body), told.signature,
-                    now_us)
+        self.verify(
+            certificate.key, codec.of_statement(told.author, told.at_us, told.body), told.signature, now_us
+        )
         return found
 
-    def renew(self, key: SigningKey, certificate: Certificate, fleet: Iterable[bytes],
-              revoked: Iterable[int]) -> None:
+    def renew(
+        self, key: SigningKey, certificate: Certificate, fleet: Iterable[bytes], revoked: Iterable[int]
+    ) -> None:
         """In place of what held so far. What the old fleet keys vouched for is looked at anew."""
         self.key, self.certificate, self.revoked = key, certificate, frozenset(revoked)
         self.fleet = [VerifyKey(one) for one in fleet]
--- a/sidecar_proxy/gossip/outlier_reports.py
+++ b/sidecar_proxy/gossip/outlier_reports.py
@@ -19,8 +19,12 @@
 RUN = 2  # failures since the last good answer that make a whole vote
 MOST_NODES = 4096  # that are remembered, of one's own
 KEPT_WELL = 2  # instances of the own site that had an answer silence other sites
-FAILURES = {Outcome.TIMEOUT: "timed_out", Outcome.RESET: "reset", Outcome.CONNECT_FAILED: "reset",
-            Outcome.ERROR: "failed"}
+FAILURES = {
+    Outcome.TIMEOUT: "timed_out",
+    Outcome.RESET: "reset",
+    Outcome.CONNECT_FAILED: "reset",
+    Outcome.ERROR: "failed",
+}
 
 
 @dataclass(slots=True)
@@ -75,14 +79,29 @@
         fresh = [(name, one) for name, one in self.nodes.items() if now_us - one.last_us <= WINDOW_US]
         ill = [pair for pair in fresh if pair[1].run > 0]
         well = [pair for pair in fresh if pair[1].run == 0 and pair[0] in self.wanted]
-        chosen = [*sorted(ill, key=last, reverse=True)[:MOST_COUNTS - min(2, len(well))],
-                  *sorted(well, key=last, reverse=True)][:MOST_COUNTS]
+        chosen = [
+            *sorted(ill, key=last, reverse=True)[: MOST_COUNTS - min(2, len(well))],
+            *sorted(well, key=last, reverse=True),
+        ][:MOST_COUNTS]
         # hazard: with long names all of them would be too much for a packet, and nobody would hear of any
         while sum(len(name.encode()) + COUNT_BYTES for name, _ in chosen) > MOST_BYTES:
             chosen.pop()
-        return Bulletin([Count(name, min(one.born_ms, MOST_WHOLE), one.attempts, one.timed_out, one.reset,
-                               one.failed, one.well, one.run, (now_us - one.last_us) // 1000)
-                         for name, one in chosen])
+        return Bulletin(
+            [
+                Count(
+                    name,
+                    min(one.born_ms, MOST_WHOLE),
+                    one.attempts,
+                    one.timed_out,
+                    one.reset,
+                    one.failed,
+                    one.well,
+                    one.run,
+                    (now_us - one.last_us) // 1000,
+                )
+                for name, one in chosen
+            ]
+        )
 
 
 def last(pair: tuple[str, Seen]) -> int:
@@ -169,7 +188,7 @@
 
 def trimmed(votes: Iterable[tuple[float, float]], voters: int) -> float:
     """The mean of (vote, strength) without the highest few votes."""
-    return mean(sorted(votes, reverse=True)[tolerated(voters):])
+    return mean(sorted(votes, reverse=True)[tolerated(voters) :])
 
 
 def mean(left: Collection[tuple[float, float]]) -> float:
--- a/sidecar_proxy/gossip/subsystem.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -59,8 +59,9 @@
     def note(self, name: str, topic: str, body: bytes) -> None:
         """To one, if it comes through."""
         if self.transport is not None:
-            self.transport.perform(self.transport.instance.note(name, topic, body,
-                                                                self.engine.clock.now_us(), wall_us()))
+            self.transport.perform(
+                self.transport.instance.note(name, topic, body, self.engine.clock.now_us(), wall_us())
+            )
 
     async def start(self) -> None:
         """Raises OperatorError where an address can't be listened on."""
@@ -68,8 +69,16 @@
         bind = parse_address(told.bind)
         seeds = [parse_address(one) for one in told.seeds]
         dice = random.Random(f"{self.seed} {self.keyring.certificate.name}")
-        instance = Instance(self.keyring, bind, seeds, dice, engine.clock.now_us(), wall_us(), self.born,
-                            told.least_instances or engine.settings.instances)
+        instance = Instance(
+            self.keyring,
+            bind,
+            seeds,
+            dice,
+            engine.clock.now_us(),
+            wall_us(),
+            self.born,
+            told.least_instances or engine.settings.instances,
+        )
         self.transport = Transport(instance, engine.clock.now_us, self.take)
         try:
             address = await self.transport.open(bind)
@@ -81,8 +90,9 @@
                 self.window = await listen(told.socket, self.show)
         except OSError as error:
             raise OperatorError(f"gossip.socket: {error}") from error
-        log.info("gossip: %s of %s is heard at %s:%d", instance.core.name, instance.core.site,
-                 *instance.address)
+        log.info(
+            "gossip: %s of %s is heard at %s:%d", instance.core.name, instance.core.site, *instance.address
+        )
         engine.observe = self.observe
         self.transport.start()
         self.look()
@@ -100,8 +110,9 @@
         if name is None or entry is None or self.transport is None:
             return
         try:
-            outputs = self.transport.instance.attempt(name, entry.started_us // 1000, outcome,
-                                                      self.engine.clock.now_us(), wall_us())
+            outputs = self.transport.instance.attempt(
+                name, entry.started_us // 1000, outcome, self.engine.clock.now_us(), wall_us()
+            )
             if outputs:
                 self.transport.perform(outputs)
         except Exception:
@@ -138,8 +149,12 @@
         assert self.transport is not None
         same = found.certificate == self.keyring.certificate
         self.keyring.renew(found.key, found.certificate, found.fleet, found.revoked)
-        log.info("gossip: certificate %d, %d fleet keys, %d revoked from now on", found.certificate.serial,
-                 len(found.fleet), len(found.revoked))
+        log.info(
+            "gossip: certificate %d, %d fleet keys, %d revoked from now on",
+            found.certificate.serial,
+            len(found.fleet),
+            len(found.revoked),
+        )
         if not same:
             self.transport.perform(self.transport.instance.renewed(self.engine.clock.now_us(), wall_us()))
 
@@ -150,17 +165,36 @@
         instance = self.transport.instance
         core = instance.core
         return {
-            "name": core.name, "site": core.site, "address": list(instance.address),
-            "serial": self.keyring.certificate.serial, "until_s": self.keyring.certificate.until_s,
-            "incarnation": core.incarnation, "health": core.health, "instances": instance.sized.instances,
-            "peers": [{"name": one.name, "site": one.site, "address": list(one.address),
-                       "life": one.life.value, "accusers": sorted(one.accusers),
-                       "serial": one.certificate.serial, "until_s": one.certificate.until_s}
-                      for one in sorted(core.peers.values(), key=lambda one: one.name)],
-            "nodes": {name: {"weight": round(instance.weights.get(name, 0.0), 3),
-                             "by": {author: {"site": one.site, "run": one.count.run, "well": one.count.well}
-                                    for author, one in reports.items()}}
-                      for name, reports in sorted(instance.combiner.reports.items())},
+            "name": core.name,
+            "site": core.site,
+            "address": list(instance.address),
+            "serial": self.keyring.certificate.serial,
+            "until_s": self.keyring.certificate.until_s,
+            "incarnation": core.incarnation,
+            "health": core.health,
+            "instances": instance.sized.instances,
+            "peers": [
+                {
+                    "name": one.name,
+                    "site": one.site,
+                    "address": list(one.address),
+                    "life": one.life.value,
+                    "accusers": sorted(one.accusers),
+                    "serial": one.certificate.serial,
+                    "until_s": one.certificate.until_s,
+                }
+                for one in sorted(core.peers.values(), key=lambda one: one.name)
+            ],
+            "nodes": {
+                name: {
+                    "weight": round(instance.weights.get(name, 0.0), 3),
+                    "by": {
+                        author: {"site": one.site, "run": one.count.run, "well": one.count.well}
+                        for author, one in reports.items()
+                    },
+                }
+                for name, reports in sorted(instance.combiner.reports.items())
+            },
             "counts": {**instance.counts, **core.counts},
             "refused": dict(self.keyring.refused),
         }
--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -27,8 +27,9 @@
 class Transport(asyncio.DatagramProtocol):
     """One instance on its sockets."""
 
-    def __init__(self, instance: Instance, now_us: Callable[[], int],
-                 told: Callable[[Suspect | Sized | Word], None]) -> None:
+    def __init__(
+        self, instance: Instance, now_us: Callable[[], int], told: Callable[[Suspect | Sized | Word], None]
+    ) -> None:
         self.instance = instance
         self.now_us = now_us
         self.told = told  # who takes what comes of it
@@ -120,7 +121,7 @@
                     await send(writer, self.instance.state(wall_us()))
             writer.close()
             for at in range(0, len(told), SLICE):
-                self.perform(self.instance.exchanged(told[at:at + SLICE], self.now_us(), wall_us()))
+                self.perform(self.instance.exchanged(told[at : at + SLICE], self.now_us(), wall_us()))
                 await asyncio.sleep(0)
         except Refused as error:
             self.instance.keyring.refused[str(error)] += 1
@@ -167,8 +168,10 @@
         total = refused.total()
         if total > self.refused and self.loop.time() >= self.next_complaint:
             self.next_complaint, self.refused = self.loop.time() + COMPLAIN_S, total
-            log.warning("gossip: refused so far: %s", ", ".join(
-                f"{count} {why}" for why, count in refused.most_common(6)))
+            log.warning(
+                "gossip: refused so far: %s",
+                ", ".join(f"{count} {why}" for why, count in refused.most_common(6)),
+            )
 
     def close(self) -> None:
         self.closed = True
--- a/sidecar_proxy/grpc/deadline.py
+++ b/sidecar_proxy/grpc/deadline.py
@@ -4,8 +4,14 @@
 
 import re
 
-UNITS_NS = {b"H": 3_600_000_000_000, b"M": 60_000_000_000, b"S": 1_000_000_000, b"m": 1_000_000, b"u": 1000,
-            b"n": 1}
+UNITS_NS = {
+    b"H": 3_600_000_000_000,
+    b"M": 60_000_000_000,
+    b"S": 1_000_000_000,
+    b"m": 1_000_000,
+    b"u": 1000,
+    b"n": 1,
+}
 TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])\Z")
 MOST = 99_999_999  # eight digits
 
--- a/sidecar_proxy/grpc/front.py
+++ b/sidecar_proxy/grpc/front.py
@@ -52,8 +52,12 @@
         self.nodes = nodes
         self.idle_s = idle_s
         # a client sends no more than is kept before the rest is asked for
-        self.limits = Limits(streams=streams, window=KEPT, unsent=2 * WIDE,
-                             connection_window=min(streams * KEPT + WIDE, 1 << 30))
+        self.limits = Limits(
+            streams=streams,
+            window=KEPT,
+            unsent=2 * WIDE,
+            connection_window=min(streams * KEPT + WIDE, 1 << 30),
+        )
         self.numbers = itertools.count(1)
         self.stamp = b"%x" % (nodes.now_us() & 0xFFFFFFFFFF)
         self.watches: set[tuple[GrpcConnection, int]] = set()
@@ -103,7 +107,7 @@
             self.plain.data_received(data)
             return
         self.data += data
-        if not PREFACE.startswith(self.data[:len(PREFACE)]):
+        if not PREFACE.startswith(self.data[: len(PREFACE)]):
             transport.set_protocol(cast(asyncio.Protocol, self.plain))
             self.plain.data_received(self.data)
         elif len(self.data) >= len(PREFACE):
@@ -235,8 +239,18 @@
         if relay.over or relay.number:
             return
         request = relay.request
-        call = Call(request.class_index, request.due_us, b"", b"", request.tenant, request.key,
-                    request.cost_us, request.retried, request.ident, relay)
+        call = Call(
+            request.class_index,
+            request.due_us,
+            b"",
+            b"",
+            request.tenant,
+            request.key,
+            request.cost_us,
+            request.retried,
+            request.ident,
+            relay,
+        )
         relay.number = self.front.nodes.engine.accept(call, relay.reply)
 
     def on_data(self, stream: int, data: bytes, ended: bool) -> None:
@@ -305,8 +319,15 @@
             self.finish(stream)
 
     def reject_call(self, stream: int, error: Rejected) -> None:
-        self.send_headers(stream, [*OWN_HEADERS, (b"grpc-status", b"%d" % error.code),
-                                   (b"grpc-message", encode_message(str(error)))], True)
+        self.send_headers(
+            stream,
+            [
+                *OWN_HEADERS,
+                (b"grpc-status", b"%d" % error.code),
+                (b"grpc-message", encode_message(str(error))),
+            ],
+            True,
+        )
         self.finish(stream)
 
     # From relays
--- a/sidecar_proxy/grpc/health.py
+++ b/sidecar_proxy/grpc/health.py
@@ -35,7 +35,7 @@
             size, at = varint(body, at)
             if size > len(body) - at:
                 raise HealthError("cut short")
-            found = body[at:at + size] if tag >> 3 == 1 else found
+            found = body[at : at + size] if tag >> 3 == 1 else found
             at += size
         elif tag & 7 == VARINT:
             _, at = varint(body, at)
--- a/sidecar_proxy/grpc/metadata.py
+++ b/sidecar_proxy/grpc/metadata.py
@@ -14,11 +14,33 @@
 from sidecar_proxy.http1.request import ANSWER_MARGIN_US, REQ_ID, cost_us, decimal_us, key_number
 
 Headers = list[tuple[bytes, bytes]]
-ONCE = frozenset({b"req-id", b"idempotency-key", b"req-owner", b"req-key", b"req-cost", b"grpc-timeout",
-                  b"grpc-previous-rpc-attempts", b"content-type"})
+ONCE = frozenset(
+    {
+        b"req-id",
+        b"idempotency-key",
+        b"req-owner",
+        b"req-key",
+        b"req-cost",
+        b"grpc-timeout",
+        b"grpc-previous-rpc-attempts",
+        b"content-type",
+    }
+)
 # Between two neighbours only, or told anew at each hop.
-HOP = frozenset({b"grpc-timeout", b"te", b"connection", b"keep-alive", b"proxy-connection", b"upgrade",
-                 b"transfer-encoding", b"content-length", b"host", b"req-id"})
+HOP = frozenset(
+    {
+        b"grpc-timeout",
+        b"te",
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"upgrade",
+        b"transfer-encoding",
+        b"content-length",
+        b"host",
+        b"req-id",
+    }
+)
 OWN_ANSWER = frozenset({b"srv-load", b"srv-declined"})  # of an answer: for us, not for clients
 
 
@@ -60,15 +82,16 @@
         numbers = {one.name: number for number, one in enumerate(classes)}
         for method, name in told.items():
             if name not in numbers:
-                raise MethodError(f"grpc.methods.{method!r}: no class {name!r}; there are "
-                                  f"{', '.join(numbers)}")
+                raise MethodError(
+                    f"grpc.methods.{method!r}: no class {name!r}; there are {', '.join(numbers)}"
+                )
         self.classes = {method.encode(): numbers[name] for method, name in told.items()}
         self.services = {method.split("/")[1] for method in told}
 
     def find(self, path: bytes) -> int | None:
         found = self.classes.get(path)
         if found is None:
-            found = self.classes.get(path[:path.rfind(b"/") + 1] + b"*")
+            found = self.classes.get(path[: path.rfind(b"/") + 1] + b"*")
         return found
 
 
@@ -107,11 +130,16 @@
         if not keyed and b"idempotency-key" in found:
             raise Rejected(Code.INVALID_ARGUMENT, "the idempotency-key contradicts the class")
         return Request(
-            path, class_index, now_us + timeout_us - min(ANSWER_MARGIN_US, timeout_us // 4), ident,
+            path,
+            class_index,
+            now_us + timeout_us - min(ANSWER_MARGIN_US, timeout_us // 4),
+            ident,
             self.tenants.get(found.get(b"req-owner", b""), 0),
-            key_number(found.get(b"req-key", b"")), cost_us(found.get(b"req-cost", b"")),
+            key_number(found.get(b"req-key", b"")),
+            cost_us(found.get(b"req-cost", b"")),
             found.get(b"grpc-previous-rpc-attempts", b"0") != b"0",
-            (*onward, (b"te", b"trailers"), (b"req-id", ident)))
+            (*onward, (b"te", b"trailers"), (b"req-id", ident)),
+        )
 
     def timeout_us(self, found: Mapping[bytes, bytes], kind: api.RequestClass) -> int:
         """Hazard: by a deadline of hours one client would keep slots and the buffer for hours."""
--- a/sidecar_proxy/grpc/nodes.py
+++ b/sidecar_proxy/grpc/nodes.py
@@ -56,8 +56,9 @@
 
     def answering(self, attempt: Attempt) -> None: ...
 
-    def ending(self, attempt: Attempt, outcome: api.Outcome, ended: Ended | None) -> tuple[
-        api.Outcome, Answer | None]: ...
+    def ending(
+        self, attempt: Attempt, outcome: api.Outcome, ended: Ended | None
+    ) -> tuple[api.Outcome, Answer | None]: ...
 
     def pump(self) -> None: ...
 
@@ -65,12 +66,38 @@
 class Attempt:
     """One attempt at a node, and its one end."""
 
-    __slots__ = ("source", "nodes", "left_us", "ended", "began", "timer", "connection", "stream", "sent",
-                 "all_sent", "entire", "handed", "done", "headers", "trailers", "trailers_only", "unread",
-                 "owed", "passed", "wide", "since")
-
-    def __init__(self, source: Source, nodes: Nodes, left_us: Callable[[], int], ended: Finished,
-                 began: Callable[[], None]) -> None:
+    __slots__ = (
+        "source",
+        "nodes",
+        "left_us",
+        "ended",
+        "began",
+        "timer",
+        "connection",
+        "stream",
+        "sent",
+        "all_sent",
+        "entire",
+        "handed",
+        "done",
+        "headers",
+        "trailers",
+        "trailers_only",
+        "unread",
+        "owed",
+        "passed",
+        "wide",
+        "since",
+    )
+
+    def __init__(
+        self,
+        source: Source,
+        nodes: Nodes,
+        left_us: Callable[[], int],
+        ended: Finished,
+        began: Callable[[], None],
+    ) -> None:
         self.source = source
         self.nodes = nodes
         self.left_us = left_us
@@ -141,7 +168,7 @@
         if size <= 0 and not last:
             return
         try:
-            connection.http2.send_data(self.stream, bytes(source.buffer[start:start + max(size, 0)]), last)
+            connection.http2.send_data(self.stream, bytes(source.buffer[start : start + max(size, 0)]), last)
         except StreamError:
             return  # closed by the node; its event is on the way
         self.sent += max(size, 0)
@@ -191,8 +218,14 @@
         status = headers.get(b":status", b"")
         if not self.trailers:
             headers.pop(b"grpc-status", None)  # hazard: in headers with a body behind them it is none
-        told = Ended(end, self.handed, int(status) if status.isdigit() else 0,
-                     headers.get(b"content-type", b""), dict(self.trailers) or headers, code)
+        told = Ended(
+            end,
+            self.handed,
+            int(status) if status.isdigit() else 0,
+            headers.get(b"content-type", b""),
+            dict(self.trailers) or headers,
+            code,
+        )
         self.finish(api.Outcome.RESET, told)
 
     # From the engine
@@ -298,8 +331,7 @@
         buffer: which part is known only when all is gone."""
         if attempt.done:
             return True
-        attempt.handed = not attempt.entire or (attempt.all_sent
-                                                and not self.http2.unsent(attempt.stream))
+        attempt.handed = not attempt.entire or (attempt.all_sent and not self.http2.unsent(attempt.stream))
         return attempt.handed
 
     def data_received(self, data: bytes) -> None:
@@ -445,8 +477,9 @@
     def now_us(self) -> int:
         return self.engine.clock.now_us()
 
-    def attempt(self, source: Source, left_us: Callable[[], int], ended: Finished,
-                began: Callable[[], None]) -> Attempt:
+    def attempt(
+        self, source: Source, left_us: Callable[[], int], ended: Finished, began: Callable[[], None]
+    ) -> Attempt:
         return Attempt(source, self, left_us, ended, began)
 
     def start(self, upstream: int, attempt: Attempt, timeout_s: float) -> None:
--- a/sidecar_proxy/grpc/outcome.py
+++ b/sidecar_proxy/grpc/outcome.py
@@ -16,9 +16,19 @@
 
 REFUSED_STREAM = 0x7
 # About the request, not about the node: passed on as the final answer, and no sign that the node is ill.
-OF_THE_REQUEST = frozenset({
-    Code.INVALID_ARGUMENT, Code.NOT_FOUND, Code.ALREADY_EXISTS, Code.PERMISSION_DENIED,
-    Code.FAILED_PRECONDITION, Code.ABORTED, Code.OUT_OF_RANGE, Code.UNIMPLEMENTED, Code.UNAUTHENTICATED})
+OF_THE_REQUEST = frozenset(
+    {
+        Code.INVALID_ARGUMENT,
+        Code.NOT_FOUND,
+        Code.ALREADY_EXISTS,
+        Code.PERMISSION_DENIED,
+        Code.FAILED_PRECONDITION,
+        Code.ABORTED,
+        Code.OUT_OF_RANGE,
+        Code.UNIMPLEMENTED,
+        Code.UNAUTHENTICATED,
+    }
+)
 
 
 class End(enum.Enum):
@@ -95,8 +105,11 @@
 
 def refused(retry_after_us: int) -> list[tuple[bytes, bytes]]:
     """Trailers of a refusal: nothing has run, and when to come back (gRFC A6, pushback)."""
-    told = [(b"grpc-status", b"%d" % Code.UNAVAILABLE), (b"grpc-message", b"refused: nothing has run"),
-            (b"srv-declined", b"1")]
+    told = [
+        (b"grpc-status", b"%d" % Code.UNAVAILABLE),
+        (b"grpc-message", b"refused: nothing has run"),
+        (b"srv-declined", b"1"),
+    ]
     if retry_after_us > 0:
         told.append((b"grpc-retry-pushback-ms", b"%d" % max(1, -(-retry_after_us // 1000))))
     return told
--- a/sidecar_proxy/grpc/probe.py
+++ b/sidecar_proxy/grpc/probe.py
@@ -12,9 +12,24 @@
 from sidecar_proxy.grpc.nodes import Attempt, Nodes
 from sidecar_proxy.grpc.outcome import Ended, judge
 
-REQUEST = Request(health.CHECK, 0, 0, b"", 0, 0, 0, False, (
-    (b":method", b"POST"), (b":scheme", b"http"), (b":path", health.CHECK), (b":authority", b"backend.local"),
-    (b"content-type", b"application/grpc"), (b"te", b"trailers")))
+REQUEST = Request(
+    health.CHECK,
+    0,
+    0,
+    b"",
+    0,
+    0,
+    0,
+    False,
+    (
+        (b":method", b"POST"),
+        (b":scheme", b"http"),
+        (b":path", health.CHECK),
+        (b":authority", b"backend.local"),
+        (b"content-type", b"application/grpc"),
+        (b"te", b"trailers"),
+    ),
+)
 
 
 class Probe:
@@ -42,8 +57,9 @@
         if self.attempt is not None:
             self.attempt.pump()
 
-    def ending(self, attempt: Attempt, outcome: api.Outcome, ended: Ended | None) -> tuple[
-            api.Outcome, Answer | None]:
+    def ending(
+        self, attempt: Attempt, outcome: api.Outcome, ended: Ended | None
+    ) -> tuple[api.Outcome, Answer | None]:
         """Served only by an answer that says SERVING."""
         if ended is not None:
             outcome = judge(ended).outcome
--- a/sidecar_proxy/grpc/relay.py
+++ b/sidecar_proxy/grpc/relay.py
@@ -22,8 +22,11 @@
 PUSHBACK = b"grpc-retry-pushback-ms"
 KEPT = 64 * 1024  # bytes of a request that can be sent again
 OWN_HEADERS = [(b":status", b"200"), (b"content-type", b"application/grpc")]
-MESSAGES = {Code.DEADLINE_EXCEEDED: b"the time is out", Code.RESOURCE_EXHAUSTED: b"too much is unread",
-            Code.UNAVAILABLE: b"the node's connection ended"}
+MESSAGES = {
+    Code.DEADLINE_EXCEEDED: b"the time is out",
+    Code.RESOURCE_EXHAUSTED: b"too much is unread",
+    Code.UNAVAILABLE: b"the node's connection ended",
+}
 
 
 class Client(Protocol):
@@ -50,8 +53,24 @@
 class Relay(Holder):
     """A call, from its headers to its one final status. The engine's Carrier for it."""
 
-    __slots__ = ("client", "stream", "request", "nodes", "number", "buffer", "base", "whole", "attempts",
-                 "bound", "wide", "verdict", "final", "told", "over", "eager")
+    __slots__ = (
+        "client",
+        "stream",
+        "request",
+        "nodes",
+        "number",
+        "buffer",
+        "base",
+        "whole",
+        "attempts",
+        "bound",
+        "wide",
+        "verdict",
+        "final",
+        "told",
+        "over",
+        "eager",
+    )
 
     def __init__(self, client: Client, stream: int, request: Request, nodes: Nodes, eager: bool) -> None:
         super().__init__()
@@ -182,8 +201,9 @@
             self.nodes.held.change(self, -done)
             attempt.consumed(done)
 
-    def ending(self, attempt: Attempt, outcome: api.Outcome, ended: Ended | None) -> tuple[
-            api.Outcome, Answer | None]:
+    def ending(
+        self, attempt: Attempt, outcome: api.Outcome, ended: Ended | None
+    ) -> tuple[api.Outcome, Answer | None]:
         """An attempt is over. What the engine is to make of it."""
         self.attempts.remove(attempt)
         load = attempt.load()
@@ -229,8 +249,11 @@
         """A node's own answer. Hazard: by its status a client's retry policy may repeat an unsafe call."""
         trailers = answer_headers(final.trailers)
         kind = self.nodes.engine.settings.classes[self.request.class_index]
-        if (kind.effect == "at_most_once" and (b"grpc-status", b"0") not in trailers
-                and not any(name == PUSHBACK for name, _ in trailers)):
+        if (
+            kind.effect == "at_most_once"
+            and (b"grpc-status", b"0") not in trailers
+            and not any(name == PUSHBACK for name, _ in trailers)
+        ):
             trailers.append((PUSHBACK, b"-1"))
         if not self.told and final.trailers_only:
             self.client.send_headers(self.stream, trailers, True)
@@ -254,8 +277,11 @@
             waited = self.verdict is not None and self.verdict.outcome is api.Outcome.TIMEOUT
             if self.request.due_us <= self.nodes.engine.clock.now_us() + after_us * waited:
                 # to try again is harmless, as the marker says; but no time is left to come back in
-                trailers = [(b"grpc-status", b"%d" % Code.DEADLINE_EXCEEDED),
-                            (b"grpc-message", MESSAGES[Code.DEADLINE_EXCEEDED]), (b"srv-declined", b"1")]
+                trailers = [
+                    (b"grpc-status", b"%d" % Code.DEADLINE_EXCEEDED),
+                    (b"grpc-message", MESSAGES[Code.DEADLINE_EXCEEDED]),
+                    (b"srv-declined", b"1"),
+                ]
             return trailers
         code = self.verdict.code if self.verdict is not None else Code.INTERNAL
         if status == 504:
--- a/sidecar_proxy/grpc/status.py
+++ b/sidecar_proxy/grpc/status.py
@@ -29,12 +29,23 @@
 
 
 # Of an answer without a grpc-status, by its HTTP status; any other is UNKNOWN.
-OF_HTTP = {400: Code.INTERNAL, 401: Code.UNAUTHENTICATED, 403: Code.PERMISSION_DENIED,
-           404: Code.UNIMPLEMENTED, 429: Code.UNAVAILABLE, 502: Code.UNAVAILABLE, 503: Code.UNAVAILABLE,
-           504: Code.UNAVAILABLE}
+OF_HTTP = {
+    400: Code.INTERNAL,
+    401: Code.UNAUTHENTICATED,
+    403: Code.PERMISSION_DENIED,
+    404: Code.UNIMPLEMENTED,
+    429: Code.UNAVAILABLE,
+    502: Code.UNAVAILABLE,
+    503: Code.UNAVAILABLE,
+    504: Code.UNAVAILABLE,
+}
 # Of a stream that was reset, by HTTP/2's error code; any other is INTERNAL.
-OF_RESET = {0x7: Code.UNAVAILABLE, 0x8: Code.CANCELLED, 0xB: Code.RESOURCE_EXHAUSTED,
-            0xC: Code.PERMISSION_DENIED}
+OF_RESET = {
+    0x7: Code.UNAVAILABLE,
+    0x8: Code.CANCELLED,
+    0xB: Code.RESOURCE_EXHAUSTED,
+    0xC: Code.PERMISSION_DENIED,
+}
 NUMBER = re.compile(rb"(0|[1-9][0-9]?)\Z")
 MOST_MESSAGE = 1024  # bytes of a grpc-message that go on
 
@@ -50,11 +61,13 @@
 def encode_message(text: str) -> bytes:
     """A grpc-message: UTF-8, percent-encoded but for the printable ASCII without the percent sign."""
     raw = text.encode("utf-8", "replace")[:MOST_MESSAGE]
-    return b"".join(b"%c" % byte if 0x20 <= byte <= 0x7E and byte != 0x25 else b"%%%02X" % byte
-                    for byte in raw)
+    return b"".join(
+        b"%c" % byte if 0x20 <= byte <= 0x7E and byte != 0x25 else b"%%%02X" % byte for byte in raw
+    )
 
 
 def decode_message(raw: bytes) -> str:
     """As a receiver must: what is no valid encoding stays as it is, never an error."""
-    return re.sub(rb"%([0-9A-Fa-f]{2})", lambda found: bytes([int(found[1], 16)]),
-                  raw[:3 * MOST_MESSAGE]).decode("utf-8", "replace")
+    return re.sub(
+        rb"%([0-9A-Fa-f]{2})", lambda found: bytes([int(found[1], 16)]), raw[: 3 * MOST_MESSAGE]
+    ).decode("utf-8", "replace")
--- a/sidecar_proxy/http1/client.py
+++ b/sidecar_proxy/http1/client.py
@@ -49,8 +49,9 @@
             self.answered()
             self.connection.flush()
 
-    def open(self, head: bytes, length: int | None, source: Source,
-             ended: Callable[[bool | None], None]) -> Flow:
+    def open(
+        self, head: bytes, length: int | None, source: Source, ended: Callable[[bool | None], None]
+    ) -> Flow:
         """Its answer is a large one."""
         self.flow = Outflow(self, head, length, source, ended)
         if self.upload is not None and not self.upload.started:
@@ -166,8 +167,12 @@
 
     def left(self) -> bool:
         """While we do not read, the loop tells nothing of a client that leaves; the kernel knows."""
-        return bool(self.pending and self.transport is not None and not self.transport.is_closing()
-                    and hangup_poll(self.transport).poll(0))
+        return bool(
+            self.pending
+            and self.transport is not None
+            and not self.transport.is_closing()
+            and hangup_poll(self.transport).poll(0)
+        )
 
     def pause_writing(self) -> None:
         self.choked = True
@@ -352,8 +357,10 @@
             elif one.answer is not None:
                 status, head, body = one.answer
                 close = b"" if keep else b"Connection: close\r\n"
-                transport.write(b"HTTP/1.1 %d %s\r\n%s%sContent-Length: %d\r\n\r\n%s" % (
-                    status, REASONS.get(status, b""), head, close, len(body), body))
+                transport.write(
+                    b"HTTP/1.1 %d %s\r\n%s%sContent-Length: %d\r\n\r\n%s"
+                    % (status, REASONS.get(status, b""), head, close, len(body), body)
+                )
             else:
                 break
             self.pending.popleft()
--- a/sidecar_proxy/http1/listener.py
+++ b/sidecar_proxy/http1/listener.py
@@ -71,8 +71,9 @@
 
     def reply(self, status: int, head: bytes = b"", body: bytes = b"") -> None: ...
 
-    def open(self, head: bytes, length: int | None, source: Source,
-             ended: Callable[[bool | None], None]) -> Flow: ...
+    def open(
+        self, head: bytes, length: int | None, source: Source, ended: Callable[[bool | None], None]
+    ) -> Flow: ...
 
 
 class OtherFront(Protocol):
@@ -103,8 +104,15 @@
         """New connections are wanted."""
         raise NotImplementedError
 
-    def take(self, one: Asked, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]],
-             body: bytes, upload: Upload | None = None) -> None:
+    def take(
+        self,
+        one: Asked,
+        method: bytes,
+        target: bytes,
+        headers: list[tuple[bytes, bytes]],
+        body: bytes,
+        upload: Upload | None = None,
+    ) -> None:
         """A request has come, or its head has and `upload` will hold the rest. Raises Rejected."""
         raise NotImplementedError
 
--- a/sidecar_proxy/http1/outflow.py
+++ b/sidecar_proxy/http1/outflow.py
@@ -36,8 +36,14 @@
 class Outflow:
     """Begins when its request is the first in line on its connection; till then its source waits."""
 
-    def __init__(self, pending: InLine, head: bytes, length: int | None, source: Source,
-                 ended: Callable[[bool | None], None]) -> None:
+    def __init__(
+        self,
+        pending: InLine,
+        head: bytes,
+        length: int | None,
+        source: Source,
+        ended: Callable[[bool | None], None],
+    ) -> None:
         self.pending = pending
         self.head = head
         self.length = length  # None = not known before its end
@@ -58,8 +64,13 @@
         self.chunked = self.length is None and not self.pending.old
         # hazard: to a client of HTTP/1.0 the end of an answer of unknown length is the end of the connection
         self.keep = keep and (self.length is not None or self.chunked)
-        framing = (b"Transfer-Encoding: chunked\r\n" if self.chunked else b"" if self.length is None
-                   else b"Content-Length: %d\r\n" % self.length)
+        framing = (
+            b"Transfer-Encoding: chunked\r\n"
+            if self.chunked
+            else b""
+            if self.length is None
+            else b"Content-Length: %d\r\n" % self.length
+        )
         close = b"" if self.keep else b"Connection: close\r\n"
         transport.write(b"HTTP/1.1 200 OK\r\n%s%s%s\r\n" % (self.head, close, framing))
         waiting, self.waiting = self.waiting, []
--- a/sidecar_proxy/http1/request.py
+++ b/sidecar_proxy/http1/request.py
@@ -50,8 +50,15 @@
         self.classes = {one.name.encode(): number for number, one in enumerate(settings.classes)}
         self.tenants = {one.name.encode(): number for number, one in enumerate(settings.tenants)}
 
-    def read(self, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]], body: bytes,
-             now_us: int, upload: Upload | None = None) -> Call:
+    def read(
+        self,
+        method: bytes,
+        target: bytes,
+        headers: list[tuple[bytes, bytes]],
+        body: bytes,
+        now_us: int,
+        upload: Upload | None = None,
+    ) -> Call:
         parts = target.partition(b"?")[0].split(b"/")[1:]
         class_index = self.classes.get(parts[0]) if parts else None
         if class_index is None:
@@ -82,8 +89,13 @@
             raise Rejected(400, "a body where the class has none")
         tenant = self.tenants.get(found.get(b"req-owner", b""), 0)
         size = len(body) if upload is None else upload.length
-        length = (b"" if method != b"POST" else b"Transfer-Encoding: chunked\r\n" if size is None
-                  else b"Content-Length: %d\r\n" % size)
+        length = (
+            b""
+            if method != b"POST"
+            else b"Transfer-Encoding: chunked\r\n"
+            if size is None
+            else b"Content-Length: %d\r\n" % size
+        )
         # hazard: by a deadline of hours one client would keep slots and the buffer for hours
         after_us = min(decimal_us(deadline), kind.deadline_us) - ANSWER_MARGIN_US
         coming_us = 0 if upload is None else UPLOAD_US
@@ -94,8 +106,13 @@
             upload=upload,
             ident=found[b"req-id"],
             # a Connection header may name others that go no further
-            head=b"%s %s HTTP/1.1\r\n%s%s" % (method, target, end_to_end(headers, STOPPED)
-                                             if b"connection" in found else b"".join(lines), length),
+            head=b"%s %s HTTP/1.1\r\n%s%s"
+            % (
+                method,
+                target,
+                end_to_end(headers, STOPPED) if b"connection" in found else b"".join(lines),
+                length,
+            ),
             body=body,
             tenant=tenant,
             key=key_number(parts[-1]) if len(parts) > 1 else 0,
--- a/sidecar_proxy/http1/server.py
+++ b/sidecar_proxy/http1/server.py
@@ -61,8 +61,9 @@
             self.listener = socket.socket(fileno=inherited)
         else:
             family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-            self.listener = socket.create_server((address[0].strip("[]"), address[1]), family=family,
-                                                 backlog=BACKLOG)
+            self.listener = socket.create_server(
+                (address[0].strip("[]"), address[1]), family=family, backlog=BACKLOG
+            )
         self.listener.setblocking(False)
         self.resume()
         bound: Address = self.listener.getsockname()[:2]
@@ -185,8 +186,15 @@
             self.next_complaint = self.loop.time() + 1.0
             log.warning("%s", text)
 
-    def take(self, one: Asked, method: bytes, target: bytes, headers: list[tuple[bytes, bytes]],
-             body: bytes, upload: Upload | None = None) -> None:
+    def take(
+        self,
+        one: Asked,
+        method: bytes,
+        target: bytes,
+        headers: list[tuple[bytes, bytes]],
+        body: bytes,
+        upload: Upload | None = None,
+    ) -> None:
         if target == b"/ready" and method == b"GET":
             one.reply(200 if self.ready else 503)
             return
@@ -237,9 +245,13 @@
             old = self.loop.time() - DRAIN_NOTICE_S
             for connection in list(self.connections):
                 connection.leave()
-                if not connection.pending and not connection.deaf and not connection.reading and (
-                        connection.asked or (connection.since <= old and not connection.unparsed)
-                        ) and connection.quiet():
+                if (
+                    not connection.pending
+                    and not connection.deaf
+                    and not connection.reading
+                    and (connection.asked or (connection.since <= old and not connection.unparsed))
+                    and connection.quiet()
+                ):
                     self.drop(connection)
             await asyncio.sleep(LOOK_S)
 
--- a/sidecar_proxy/http1/upstream.py
+++ b/sidecar_proxy/http1/upstream.py
@@ -35,8 +35,19 @@
 # Ours, not the upstream's: too many descriptors, no memory, no free port.
 LOCAL_ERRORS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
 # Headers that speak of one connection only, or that we set ourselves, and so go no further.
-HOP_HEADERS = frozenset({b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer",
-               b"transfer-encoding", b"upgrade", b"expect", b"content-length"})
+HOP_HEADERS = frozenset(
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"content-length",
+    }
+)
 ANSWER_STOPPED = HOP_HEADERS | {b"srv-load"}  # of an answer: the load is for us
 
 
@@ -45,8 +56,12 @@
     header names (RFC 9110, 7.6.1)."""
     lows = [name.lower() for name, _ in headers]
     if b"connection" in lows:
-        stopped = stopped.union(part.strip().lower() for low, (_, value) in zip(lows, headers, strict=True)
-                                if low == b"connection" for part in value.split(b","))
+        stopped = stopped.union(
+            part.strip().lower()
+            for low, (_, value) in zip(lows, headers, strict=True)
+            if low == b"connection"
+            for part in value.split(b",")
+        )
     parts: list[bytes] = []
     for low, (name, value) in zip(lows, headers, strict=True):
         if low not in stopped:
@@ -69,9 +84,14 @@
 
     __slots__ = ("render", "ended", "wrote", "opens", "upload", "timeout_s", "timer", "connection", "done")
 
-    def __init__(self, render: Callable[[], list[bytes] | None],
-                 ended: Finished, wrote: Callable[[], None] | None = None, opens: OpensAnswer | None = None,
-                 upload: Upload | None = None) -> None:
+    def __init__(
+        self,
+        render: Callable[[], list[bytes] | None],
+        ended: Finished,
+        wrote: Callable[[], None] | None = None,
+        opens: OpensAnswer | None = None,
+        upload: Upload | None = None,
+    ) -> None:
         self.render = render  # the parts, asked for when they are to be written; None = no longer wanted
         self.ended = ended
         self.wrote = wrote  # called once the kernel has the whole request
@@ -192,8 +212,12 @@
 
     def usable(self) -> bool:
         """Hazard: an upstream's close may be waiting unread; a request written after it is a reset."""
-        return (self.transport is not None and not self.transport.is_closing()
-                and time.monotonic() - self.idle_since < self.pool.idle_s and not self.poll.poll(0))
+        return (
+            self.transport is not None
+            and not self.transport.is_closing()
+            and time.monotonic() - self.idle_since < self.pool.idle_s
+            and not self.poll.poll(0)
+        )
 
     def begin(self, exchange: Exchange) -> None:
         data = exchange.render() if self.host.wanted() else None
@@ -299,8 +323,11 @@
     # An answer that is passed on as it comes
 
     def streams(self) -> bool:
-        return (self.exchange is not None and self.exchange.opens is not None
-                and self.parser.get_status_code() == 200)
+        return (
+            self.exchange is not None
+            and self.exchange.opens is not None
+            and self.parser.get_status_code() == 200
+        )
 
     def open(self) -> None:
         """Pass on what has come, and what will. The exchange has ended well; its connection stays in use."""
@@ -426,8 +453,12 @@
             flow.end()
             return
         found = {name.lower(): value for name, value in self.headers}
-        answer = Answer(self.status, end_to_end(self.headers, ANSWER_STOPPED), bytes(self.body),
-                        found.get(b"srv-load", b""))
+        answer = Answer(
+            self.status,
+            end_to_end(self.headers, ANSWER_STOPPED),
+            bytes(self.body),
+            found.get(b"srv-load", b""),
+        )
         if answer.status == 200:
             outcome = api.Outcome.OK
         elif answer.status in (503, 504) and found.get(b"srv-declined") == b"1":
@@ -518,8 +549,11 @@
                     self.forget(host)
         for new in hosts:
             old = self.hosts.setdefault(new.entry.id, new)
-            if ((old.dial, old.dial_grpc, old.entry.started_us)
-                    != (new.dial, new.dial_grpc, new.entry.started_us)):
+            if (old.dial, old.dial_grpc, old.entry.started_us) != (
+                new.dial,
+                new.dial_grpc,
+                new.entry.started_us,
+            ):
                 # hazard: connections to the process before are dead, though they look open
                 old.generation += 1
                 old.odd = False
@@ -540,9 +574,14 @@
         if host.entry.state is api.UpstreamState.GONE and not host.open:
             self.hosts.pop(host.entry.id, None)
 
-    def exchange(self, render: Callable[[], list[bytes] | None], ended: Finished,
-                 wrote: Callable[[], None] | None = None, opens: OpensAnswer | None = None,
-                 upload: Upload | None = None) -> Exchange:
+    def exchange(
+        self,
+        render: Callable[[], list[bytes] | None],
+        ended: Finished,
+        wrote: Callable[[], None] | None = None,
+        opens: OpensAnswer | None = None,
+        upload: Upload | None = None,
+    ) -> Exchange:
         return Exchange(render, ended, wrote, opens, upload)
 
     def start(self, upstream: int, exchange: Attempt, timeout_s: float) -> None:
--- a/sidecar_proxy/http2/connection.py
+++ b/sidecar_proxy/http2/connection.py
@@ -109,11 +109,18 @@
         self.guard = Guard(limits.rates, now_us)
         self.core = ngh2.Connection(
             ngh2.Role.CLIENT if client else ngh2.Role.SERVER,
-            ngh2.Configuration(auto_window_update=False, max_inbound_header_list_size=limits.header_bytes,
-                               max_inbound_header_count=MOST_HEADERS, peer_max_concurrent_streams=100))
-        settings = {ngh2.Setting.MAX_CONCURRENT_STREAMS: limits.streams,
-                    ngh2.Setting.INITIAL_WINDOW_SIZE: limits.window,
-                    ngh2.Setting.MAX_HEADER_LIST_SIZE: limits.header_bytes}
+            ngh2.Configuration(
+                auto_window_update=False,
+                max_inbound_header_list_size=limits.header_bytes,
+                max_inbound_header_count=MOST_HEADERS,
+                peer_max_concurrent_streams=100,
+            ),
+        )
+        settings = {
+            ngh2.Setting.MAX_CONCURRENT_STREAMS: limits.streams,
+            ngh2.Setting.INITIAL_WINDOW_SIZE: limits.window,
+            ngh2.Setting.MAX_HEADER_LIST_SIZE: limits.header_bytes,
+        }
         if client:
             settings[ngh2.Setting.ENABLE_PUSH] = 0
         self.core.initiate_connection(settings)
@@ -338,8 +345,8 @@
     found, at = None, len(PREFACE) if data.startswith(PREFACE) else 0
     while at + 9 <= len(data):
         if data[at + 3] == GOAWAY:
-            found = int.from_bytes(data[at + 13:at + 17], "big")
-        at += 9 + int.from_bytes(data[at:at + 3], "big")
+            found = int.from_bytes(data[at + 13 : at + 17], "big")
+        at += 9 + int.from_bytes(data[at : at + 3], "big")
     return found
 
 
--- a/sidecar_proxy/http2/guard.py
+++ b/sidecar_proxy/http2/guard.py
@@ -45,8 +45,10 @@
     """The buckets of one connection."""
 
     def __init__(self, rates: Rates, now_us: int) -> None:
-        self.buckets = {name: Bucket(getattr(rates, name), now_us)
-                        for name in ("resets", "pings", "settings", "empty", "windows")}
+        self.buckets = {
+            name: Bucket(getattr(rates, name), now_us)
+            for name in ("resets", "pings", "settings", "empty", "windows")
+        }
 
     def allows(self, kind: str, now_us: int) -> bool:
         """False from the frame on that is one too many of its kind."""
--- a/sidecar_proxy/model_checking/consensus.py
+++ b/sidecar_proxy/model_checking/consensus.py
@@ -69,9 +69,18 @@
 
 def shape(core: Core) -> Hashable:
     """All of it that matters to what may follow."""
-    return (core.me, core.term, core.vote, core.role, core.leader, core.commit, tuple(core.log.entries),
-            tuple(sorted(core.votes.items())), core.pre,
-            tuple(sorted((node, one.next, one.match) for node, one in core.peers.items())))
+    return (
+        core.me,
+        core.term,
+        core.vote,
+        core.role,
+        core.leader,
+        core.commit,
+        tuple(core.log.entries),
+        tuple(sorted(core.votes.items())),
+        core.pre,
+        tuple(sorted((node, one.next, one.match) for node, one in core.peers.items())),
+    )
 
 
 class Consensus:
@@ -92,13 +101,23 @@
         cores = tuple(self.new(node, Log(start), HardState()) for node in NODES)
         world = World(cores, frozenset(), frozenset(), ())
         for wanted in self.begun:
-            world = next(after for name, after in sorted(self.steps(world), key=lambda one: one[0])
-                         if name.startswith(wanted))
+            world = next(
+                after
+                for name, after in sorted(self.steps(world), key=lambda one: one[0])
+                if name.startswith(wanted)
+            )
         return world
 
     def key(self, state: World) -> Hashable:
-        return (tuple(map(shape, state.cores)), state.net, state.leaders, state.committed, state.proposals,
-                state.restarts, state.wipes)
+        return (
+            tuple(map(shape, state.cores)),
+            state.net,
+            state.leaders,
+            state.committed,
+            state.proposals,
+            state.restarts,
+            state.wipes,
+        )
 
     def breach(self, state: World) -> str:
         return state.broken
@@ -114,13 +133,17 @@
                 yield f"{core.me} is given a word", self.after(told, at, partial(propose, data))
             if state.restarts < bounds.restarts and state.net:
                 fresh = self.new(core.me, Log(core.log.snapshot, list(core.log.entries)), core.told)
-                yield f"{core.me} starts anew", self.placed(
-                    replace(state, restarts=state.restarts + 1), at, fresh)
+                yield (
+                    f"{core.me} starts anew",
+                    self.placed(replace(state, restarts=state.restarts + 1), at, fresh),
+                )
             if state.wipes < bounds.wipes and state.net:
                 name = core.me if bounds.same_name else f"{core.me}'"
                 blank = self.new(name, Log(Snapshot(voters=NODES)), HardState())
-                yield f"{core.me} has lost its disk", self.placed(
-                    replace(state, wipes=state.wipes + 1), at, blank)
+                yield (
+                    f"{core.me} has lost its disk",
+                    self.placed(replace(state, wipes=state.wipes + 1), at, blank),
+                )
         places = {core.me: at for at, core in enumerate(state.cores)}
         for message in state.net:
             if message.target in places:
@@ -141,16 +164,19 @@
         for entry in ready.committed:
             if entry.index <= len(committed):
                 if committed[entry.index - 1] != entry:
-                    broken = (f"state machine safety: {core.me} applies {entry.data!r} of term {entry.term} "
-                              f"at {entry.index}, where {committed[entry.index - 1].data!r} of term "
-                              f"{committed[entry.index - 1].term} was applied")
+                    broken = (
+                        f"state machine safety: {core.me} applies {entry.data!r} of term {entry.term} "
+                        f"at {entry.index}, where {committed[entry.index - 1].data!r} of term "
+                        f"{committed[entry.index - 1].term} was applied"
+                    )
             else:
                 committed.append(entry)
-        return self.placed(replace(state, net=net, leaders=leaders, committed=tuple(committed),
-                                   broken=broken), at, core)
+        return self.placed(
+            replace(state, net=net, leaders=leaders, committed=tuple(committed), broken=broken), at, core
+        )
 
     def placed(self, state: World, at: int, core: Core) -> World:
-        cores = (*state.cores[:at], core, *state.cores[at + 1:])
+        cores = (*state.cores[:at], core, *state.cores[at + 1 :])
         state = replace(state, cores=cores)
         return state if state.broken else replace(state, broken=self.holds(state))
 
@@ -164,27 +190,34 @@
         for number, one in enumerate(logs):
             for other in logs[:number]:
                 same = False
-                for mine, theirs in zip(reversed(one[:len(other)]), reversed(other[:len(one)]), strict=True):
+                for mine, theirs in zip(
+                    reversed(one[: len(other)]), reversed(other[: len(one)]), strict=True
+                ):
                     same = same or mine.term == theirs.term
                     if same and mine != theirs:
                         return f"log matching: {mine} and {theirs}"
         for core in state.cores:
             if core.leads and core.term == max(one.term for one in state.cores):
                 for entry in state.committed:
-                    if entry.term < core.term and (len(core.log.entries) < entry.index
-                                                   or core.log.entries[entry.index - 1] != entry):
+                    if entry.term < core.term and (
+                        len(core.log.entries) < entry.index or core.log.entries[entry.index - 1] != entry
+                    ):
                         return f"leader completeness: {core.me} leads in term {core.term} without {entry}"
         return ""
 
 
 def described(message: Message) -> str:
-    fields = {name: getattr(message, name) for name in ("granted", "prev_index", "commit", "ok", "match")
-              if hasattr(message, name)}
+    fields = {
+        name: getattr(message, name)
+        for name in ("granted", "prev_index", "commit", "ok", "match")
+        if hasattr(message, name)
+    }
     if hasattr(message, "entries"):
         fields["entries"] = [(one.term, one.data.decode()) for one in message.entries]
     text = ", ".join(f"{name} {value}" for name, value in fields.items())
-    return (f"{message.target} hears {type(message).__name__} of {message.source}, term {message.term}"
-            + (f" ({text})" if text else ""))
+    return f"{message.target} hears {type(message).__name__} of {message.source}, term {message.term}" + (
+        f" ({text})" if text else ""
+    )
 
 
 SEARCHES = {
@@ -202,8 +235,9 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--most", type=int, default=200_000, help="states of each search")
     told = parser.parse_args()
     for name, bounds in SEARCHES.items():
--- a/sidecar_proxy/model_checking/fleets.py
+++ b/sidecar_proxy/model_checking/fleets.py
@@ -85,8 +85,15 @@
 
     def make(self, name: str, disk: Kept) -> Member:
         kept = Kept(disk.incarnation, disk.hard, disk.commit, Log(disk.log.snapshot, list(disk.log.entries)))
-        return self.makes(name, f"site{int(name[1:]) % 3}", kept, self.limits,
-                          random.Random(f"{name} {self.dice.random()}"), self.now_us, self.now_us // 1000)
+        return self.makes(
+            name,
+            f"site{int(name[1:]) % 3}",
+            kept,
+            self.limits,
+            random.Random(f"{name} {self.dice.random()}"),
+            self.now_us,
+            self.now_us // 1000,
+        )
 
     # Time
 
@@ -150,8 +157,9 @@
     def post(self, mind: Mind, one: Post) -> None:
         life, there = mind.life, self.minds[name_of(one.to)]
         if not there.up or there.member.me != one.to:
-            self.later(2000, lambda: self.give(
-                mind, life, lambda m: m.unsent(one.to, one.frame, self.now_us)))
+            self.later(
+                2000, lambda: self.give(mind, life, lambda m: m.unsent(one.to, one.frame, self.now_us))
+            )
             return
         if not self.reaches(mind.name, there.name):
             if self.dice.random() < 0.3:
@@ -159,15 +167,19 @@
             return
         target, source = there.life, mind.member.me
         for _ in range(2 if self.dice.random() < 0.03 else 1):
-            self.later(self.trip_us(), lambda: self.give(
-                there, target, lambda m: m.received(source, one.frame, self.now_us)))
+            self.later(
+                self.trip_us(),
+                lambda: self.give(there, target, lambda m: m.received(source, one.frame, self.now_us)),
+            )
 
     def spread(self, mind: Mind, here: Here) -> None:
         """Gossip: to all that can be reached, some sooner."""
         for there in self.minds.values():
             if there is not mind and self.reaches(mind.name, there.name):
-                self.later(self.dice.randrange(50_000, 1_200_000),
-                           partial(self.give, there, there.life, partial(self.hear, mind, here)))
+                self.later(
+                    self.dice.randrange(50_000, 1_200_000),
+                    partial(self.give, there, there.life, partial(self.hear, mind, here)),
+                )
 
     def hear(self, of: Mind, here: Here, member: Member) -> list[Output]:
         return member.heard(of.name, of.member.site, here, self.now_us)
@@ -181,8 +193,12 @@
             for there in self.minds.values():
                 if mind is there or not there.up:
                     continue
-                gone = not mind.up or mind.stopped or self.cut.get((mind.name, there.name)) and self.cut.get(
-                    (there.name, mind.name))
+                gone = (
+                    not mind.up
+                    or mind.stopped
+                    or self.cut.get((mind.name, there.name))
+                    and self.cut.get((there.name, mind.name))
+                )
                 said = mind.member.said
                 if gone:
                     self.give(there, there.life, partial(self.leave, mind.name))
@@ -268,13 +284,26 @@
         quorum has its disks and is well, until the lost one has been replaced. One that can't be heard is
         as good as lost: it may just have been replaced for it."""
         unheard = {name for way, marks in self.cut.items() if marks for name in way}
-        there = {node_of(one.name, one.disk.incarnation) for one in self.minds.values()
-                 if one.up and not one.stopped and not one.full and one.name not in unheard
-                 and one.disk_us[0] < 100_000}
-        sets = {voters for one in self.minds.values() for voters in (
-            one.disk.log.voters(), one.member.core.voters, one.disk.log.snapshot.voters) if voters}
-        return all(sum(node in there and node != mind.member.me for node in voters) > len(voters) // 2
-                   for voters in sets if mind.member.me in voters)
+        there = {
+            node_of(one.name, one.disk.incarnation)
+            for one in self.minds.values()
+            if one.up
+            and not one.stopped
+            and not one.full
+            and one.name not in unheard
+            and one.disk_us[0] < 100_000
+        }
+        sets = {
+            voters
+            for one in self.minds.values()
+            for voters in (one.disk.log.voters(), one.member.core.voters, one.disk.log.snapshot.voters)
+            if voters
+        }
+        return all(
+            sum(node in there and node != mind.member.me for node in voters) > len(voters) // 2
+            for voters in sets
+            if mind.member.me in voters
+        )
 
     def kill(self, mind: Mind) -> None:
         mind.up, mind.stopped, mind.inbox = False, False, []
@@ -340,8 +369,10 @@
                     name = self.dice.choice(NAMES)
                     self.ids.append((ident, kind, name))
                 self.asked[key] = Said(self.now_us, 0, "", 0, ident, kind, name)
-                self.perform(mind, mind.member.say(
-                    self.contexts, words.Word(kind, ident, mind.name, 0, name), self.now_us))
+                self.perform(
+                    mind,
+                    mind.member.say(self.contexts, words.Word(kind, ident, mind.name, 0, name), self.now_us),
+                )
 
     def look(self, mind: Mind, name: str) -> None:
         self.contexts += 1
@@ -356,8 +387,9 @@
         value = ""
         if not asked.id and told.what == "done":
             value = json.loads(told.text)["held"] or ""
-        self.history.append(Said(asked.called_us, self.now_us, told.what, told.index, asked.id, asked.kind,
-                                 asked.name, value))
+        self.history.append(
+            Said(asked.called_us, self.now_us, told.what, told.index, asked.id, asked.kind, asked.name, value)
+        )
         leaders = self.leaders()
         if asked.id and told.what == "done" and len(leaders) > 1:
             for one in leaders:
@@ -411,7 +443,7 @@
         return
     if one.entries:
         log = disk.log
-        del log.entries[one.entries[0].index - log.snapshot.index - 1:]
+        del log.entries[one.entries[0].index - log.snapshot.index - 1 :]
         log.entries += one.entries
     if whole:
         disk.hard = HardState(one.known.term, one.known.vote)
@@ -419,8 +451,11 @@
 
 
 def main(arguments: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python -m sidecar_proxy.model_checking.fleets", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        prog="python -m sidecar_proxy.model_checking.fleets",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--runs", type=int, default=100)
     told = parser.parse_args(arguments)
@@ -434,8 +469,10 @@
         if found:
             failed += 1
             print(f"seed {seed}: {found[0]} ({len(found)} in all)\n  " + "\n  ".join(world.story))
-    print(f"{told.runs} campaigns from seed {told.seed}: {failed} found something; answers " + ", ".join(
-        f"{count} {what or 'none'}" for what, count in sorted(answers.items())))
+    print(
+        f"{told.runs} campaigns from seed {told.seed}: {failed} found something; answers "
+        + ", ".join(f"{count} {what or 'none'}" for what, count in sorted(answers.items()))
+    )
     return 1 if failed else 0
 
 
--- a/sidecar_proxy/model_checking/history.py
+++ b/sidecar_proxy/model_checking/history.py
@@ -81,10 +81,13 @@
         while at < len(ends) and ends[at][0] < called:
             highest = max(highest, (ends[at][1], ends[at][2]))
             at += 1
-        if one.index < highest[0] or (one.id and one.index == highest[0] and one.id != highest[1]
-                                      and highest[1]):
-            found.append(f"{one.id or 'a look'} at {one.index} was called after {highest[1] or 'a look'} at "
-                         f"{highest[0]} had been answered")
+        if one.index < highest[0] or (
+            one.id and one.index == highest[0] and one.id != highest[1] and highest[1]
+        ):
+            found.append(
+                f"{one.id or 'a look'} at {one.index} was called after {highest[1] or 'a look'} at "
+                f"{highest[0]} had been answered"
+            )
     return found
 
 
--- a/sidecar_proxy/model_checking/search.py
+++ b/sidecar_proxy/model_checking/search.py
@@ -40,7 +40,8 @@
 
     def __str__(self) -> str:
         text = f"{self.states} states, {self.steps} steps, {self.depth} deep, " + (
-            "all of them" if self.whole else "not all")
+            "all of them" if self.whole else "not all"
+        )
         if self.breach:
             story = [f"  {number}. {step}" for number, step in enumerate(self.story, 1)]
             text += "\n".join(["", f"  {self.breach}", *story])
--- a/sidecar_proxy/overload_control/controller.py
+++ b/sidecar_proxy/overload_control/controller.py
@@ -99,14 +99,27 @@
 def mean_warmth(entries: Iterable[api.Upstream], settings: api.Settings, now_us: int) -> float:
     """Of the nodes that warm up, by the least that the rules allow them; 1 = none does."""
     ages = [now_us - one.started_us for one in entries if one.started_us] if settings.warm_up_us else []
-    cold = [settings.cold_share + (1.0 - settings.cold_share) * max(0, age_us) / settings.warm_up_us
-            for age_us in ages if age_us < settings.warm_up_us]
+    cold = [
+        settings.cold_share + (1.0 - settings.cold_share) * max(0, age_us) / settings.warm_up_us
+        for age_us in ages
+        if age_us < settings.warm_up_us
+    ]
     return sum(cold) / len(cold) if cold else 1.0
 
 
 class Member:
-    def __init__(self, name: str, index: int, instances: int, worths: Sequence[float], most_return_us: int,
-                 limits: Limits, dice: random.Random, now_us: int, slow_us: int = 0) -> None:
+    def __init__(
+        self,
+        name: str,
+        index: int,
+        instances: int,
+        worths: Sequence[float],
+        most_return_us: int,
+        limits: Limits,
+        dice: random.Random,
+        now_us: int,
+        slow_us: int = 0,
+    ) -> None:
         """`slow_us`: a node's answer that takes longer, when it is warm, comes of a queue; 0 = not known."""
         self.name = name
         self.index = index
@@ -179,8 +192,13 @@
         self.heard_of[author] = Heard(report, now_us)
         if report.index == self.index and author < self.name and not self.escrow.barred:
             self.escrow.barred = True
-            return [*self.decide(now_us), Note(f"{author} says that it is number {self.index} as well: this "
-                                               "one spends nothing of the fleet's budgets")]
+            return [
+                *self.decide(now_us),
+                Note(
+                    f"{author} says that it is number {self.index} as well: this "
+                    "one spends nothing of the fleet's budgets"
+                ),
+            ]
         return []
 
     def left(self, author: str) -> None:
@@ -222,7 +240,8 @@
         for name in [name for name, one in self.heard_of.items() if now_us - one.at_us > fresh_us]:
             del self.heard_of[name]
         self.escrow.barred = self.escrow.barred and any(
-            one.report.index == self.index and name < self.name for name, one in self.heard_of.items())
+            one.report.index == self.index and name < self.name for name, one in self.heard_of.items()
+        )
         if now_us >= self.line_us:
             self.line_us = now_us + len(self.heard_of) * LINE_US_EACH
             self.wanted = self.needed()
@@ -230,8 +249,13 @@
             # a line costs some CPU, and where nobody is short there is nothing to shed
             short = self.own.refused > 0 or any(one.report.refused for one in self.heard_of.values())
             self.line = cut.line(self.fresh(), self.worths, self.instances) if short else None
-        if self.storm.look(tries, self.repeats.value, self.refused_rate.value,
-                           self.line is not None and self.line.storm, now_us):
+        if self.storm.look(
+            tries,
+            self.repeats.value,
+            self.refused_rate.value,
+            self.line is not None and self.line.storm,
+            now_us,
+        ):
             word = "begins" if self.storm.on else "ends"
             found.append(Note(f"a storm {word}: {self.storm.why}"))
             self.report_us = now_us
@@ -242,8 +266,12 @@
             found.append(Say(self.report(now_us)))
         told = self.decided
         decided = self.decide(now_us)
-        if told is not None and told.until_us - now_us > HOLDS_US // 2 and self.decided is not None and (
-                replace(self.decided, until_us=told.until_us) == told):
+        if (
+            told is not None
+            and told.until_us - now_us > HOLDS_US // 2
+            and self.decided is not None
+            and (replace(self.decided, until_us=told.until_us) == told)
+        ):
             self.decided, decided = told, []  # it holds on as it was told
         return decided + found
 
@@ -290,12 +318,28 @@
             self.number, self.number_us = self.number + 1, now_us
 
     def report(self, now_us: int) -> Report:
-        work = [Work(int(one.demand.value * 1000), int(one.returns.value * 1000),
-                     int(one.served.value * 1000), int(one.busy.value)) for one in self.seen]
+        work = [
+            Work(
+                int(one.demand.value * 1000),
+                int(one.returns.value * 1000),
+                int(one.served.value * 1000),
+                int(one.busy.value),
+            )
+            for one in self.seen
+        ]
         loans = [Loan(to, parts) for to, parts in self.escrow.loans(now_us).items()]
-        return Report(self.index, self.number, self.storm.on, min(WHOLE, self.escrow.weight(now_us)),
-                      self.escrow.spare(self.wanted, now_us), int(self.refused_rate.value * 1000),
-                      *self.room(), self.promises.backlog(now_us), work, loans)
+        return Report(
+            self.index,
+            self.number,
+            self.storm.on,
+            min(WHOLE, self.escrow.weight(now_us)),
+            self.escrow.spare(self.wanted, now_us),
+            int(self.refused_rate.value * 1000),
+            *self.room(),
+            self.promises.backlog(now_us),
+            work,
+            loans,
+        )
 
     def room(self) -> tuple[int, bool]:
         """What nodes could take as it seems, in thousandths of what is served; and whether no limit is seen.
@@ -343,8 +387,14 @@
                     missing -= more
                     found.append(Post(one.lender, asked))
         lenders = {one.lender for one in escrow.held.values()}
-        spares = sorted(((one.report.spare, name) for name, one in self.heard_of.items()
-                         if one.report.spare >= LEAST and name not in lenders), reverse=True)
+        spares = sorted(
+            (
+                (one.report.spare, name)
+                for name, one in self.heard_of.items()
+                if one.report.spare >= LEAST and name not in lenders
+            ),
+            reverse=True,
+        )
         for spare, name in spares:
             if missing < LEAST:
                 break
@@ -370,10 +420,16 @@
         returning = list(line.returning) if line is not None else whole
         limits = self.limits
         told = api.Overload(
-            share=weight, kept=kept, returning=returning, number=self.number, return_us=back_us,
+            share=weight,
+            kept=kept,
+            returning=returning,
+            number=self.number,
+            return_us=back_us,
             until_us=until_us,
-            reissues_per_s=limits.reissues_per_s * weight, probes_per_s=limits.probes_per_s * weight,
-            tries_per_s=limits.tries_per_s * weight)
+            reissues_per_s=limits.reissues_per_s * weight,
+            probes_per_s=limits.probes_per_s * weight,
+            tries_per_s=limits.tries_per_s * weight,
+        )
         self.decided = told
         return [told]
 
@@ -387,13 +443,18 @@
     def described(self, now_us: int) -> dict[str, object]:
         line = self.line
         return {
-            "tries_per_s": round(self.tries.value, 1), "repeats_per_s": round(self.repeats.value, 1),
+            "tries_per_s": round(self.tries.value, 1),
+            "repeats_per_s": round(self.repeats.value, 1),
             "crowded_per_s": round(self.crowded.value, 1),
             "served_per_s": round(self.served_per_s, 1),
             "returns_per_s": round(sum(one.returns.value for one in self.seen), 1),
             "refused_per_s": round(self.refused_rate.value, 1),
-            "index": self.index, "instances": self.instances, "storm": self.storm.on, "why": self.storm.why,
-            "weight": self.escrow.weight(now_us), "owned": self.escrow.owned,
+            "index": self.index,
+            "instances": self.instances,
+            "storm": self.storm.on,
+            "why": self.storm.why,
+            "weight": self.escrow.weight(now_us),
+            "owned": self.escrow.owned,
             "lent": self.escrow.loans(now_us),
             "borrowed": {one.lender: one.parts for one in self.escrow.held.values() if one.until_us > now_us},
             "number": self.number,
--- a/sidecar_proxy/overload_control/retry_storm.py
+++ b/sidecar_proxy/overload_control/retry_storm.py
@@ -56,7 +56,8 @@
             holds = share >= BEGINS or (again >= REPEATS and share >= ENDS) or (fleet and share >= ENDS)
             wait_us = BEGIN_US
             why = f"{share:.0%} of {tries:.0f} tries a second refused, {again:.0%} repeats" + (
-                ", most of the fleet says so" if fleet else "")
+                ", most of the fleet says so" if fleet else ""
+            )
         if not holds:
             self.since_us = 0
         elif not self.since_us:
--- a/sidecar_proxy/overload_control/shedding_threshold.py
+++ b/sidecar_proxy/overload_control/shedding_threshold.py
@@ -41,8 +41,9 @@
     by_index: dict[int, int] = {}
     for one in reports.values():
         by_index[one.index] = by_index.get(one.index, 0) + 1
-    found = {name: owned // by_index[one.index] if one.index < instances else 0
-             for name, one in reports.items()}
+    found = {
+        name: owned // by_index[one.index] if one.index < instances else 0 for name, one in reports.items()
+    }
     lent: dict[str, int] = {}
     for name, one in reports.items():
         left = found[name]
@@ -80,9 +81,11 @@
     """By class, nodes' time for one request, in microseconds: the median of what sidecars see; 0 = none."""
     found = []
     for kind in range(kinds):
-        seen = [(one.classes[kind].busy_us / one.classes[kind].served * 1000, float(stakes.get(name, 0)))
-                for name, one in reports.items()
-                if kind < len(one.classes) and one.classes[kind].served >= 500]
+        seen = [
+            (one.classes[kind].busy_us / one.classes[kind].served * 1000, float(stakes.get(name, 0)))
+            for name, one in reports.items()
+            if kind < len(one.classes) and one.classes[kind].served >= 500
+        ]
         found.append(middle(seen))
     usual = middle([(one, 1.0) for one in found if one > 0.0])
     return [one or usual for one in found]
@@ -96,17 +99,26 @@
     kinds = len(worths)
     times_us = work_us(reports, stakes, kinds)
     # by sidecar and class, nodes' time for what comes anew and for those that come back in time
-    fresh, back = ({name: [getattr(one.classes[kind], field) / 1000 * times_us[kind]
-                           if kind < len(one.classes) else 0.0 for kind in range(kinds)]
-                    for name, one in reports.items()} for field in ("demand", "returns"))
+    fresh, back = (
+        {
+            name: [
+                getattr(one.classes[kind], field) / 1000 * times_us[kind] if kind < len(one.classes) else 0.0
+                for kind in range(kinds)
+            ]
+            for name, one in reports.items()
+        }
+        for field in ("demand", "returns")
+    )
     claims = {name: sum(fresh[name]) + sum(back[name]) for name in reports}
     counted = bounded(claims, stakes)
     # hazard: by the same times as the demand; nodes' times move threefold while queues come and go
     rooms = bounded({name: room_us(one, times_us, claims[name]) for name, one in reports.items()}, stakes)
     all_us = left_us = sum(rooms.values())
     parts = {name: counted[name] / claim for name, claim in claims.items() if claim > 0.0}
-    new_us, back_us = ([sum(told[name][kind] * part for name, part in parts.items()) for kind in range(kinds)]
-                       for told in (fresh, back))
+    new_us, back_us = (
+        [sum(told[name][kind] * part for name, part in parts.items()) for kind in range(kinds)]
+        for told in (fresh, back)
+    )
     kept, returning = [1.0] * kinds, [1.0] * kinds
     # the dearest of a node's time first; of equals the earlier class, so that all have one order. Within a
     # class who has waited goes first
@@ -117,14 +129,23 @@
                 left_us = max(0.0, left_us - wanted_us)
     backlogs = bounded({name: float(one.backlog) for name, one in reports.items()}, stakes)
     storm = sum(stakes[name] for name, one in reports.items() if one.storm)
-    return Line(tuple(kept), tuple(returning), number_of(reports, stakes), sum(new_us), all_us, left_us,
-                sum(backlogs.values()), 2 * storm > sum(stakes.values()))
+    return Line(
+        tuple(kept),
+        tuple(returning),
+        number_of(reports, stakes),
+        sum(new_us),
+        all_us,
+        left_us,
+        sum(backlogs.values()),
+        2 * storm > sum(stakes.values()),
+    )
 
 
 def room_us(one: Report, times_us: Sequence[float], claim_us: float) -> float:
     """What one could use, of nodes' time a second."""
-    served_us = sum(work.served / 1000 * time_us
-                    for work, time_us in zip(one.classes, times_us, strict=False))
+    served_us = sum(
+        work.served / 1000 * time_us for work, time_us in zip(one.classes, times_us, strict=False)
+    )
     found = served_us * one.grows / 1000 + max(times_us, default=0.0)
     return max(found, AMPLE * claim_us) if one.easy else found
 
--- a/sidecar_proxy/overload_control/subsystem.py
+++ b/sidecar_proxy/overload_control/subsystem.py
@@ -26,8 +26,9 @@
 class Together:
     """A sidecar that handles overload with the others."""
 
-    def __init__(self, told: Overload, engine: Engine, gossip: Gossiping, seed: int,
-                 door: Door | None) -> None:
+    def __init__(
+        self, told: Overload, engine: Engine, gossip: Gossiping, seed: int, door: Door | None
+    ) -> None:
         self.engine = engine
         self.gossip = gossip
         self.told = told
@@ -35,10 +36,17 @@
         most_us = settings.max_retry_after_us * settings.retry_after
         # hazard: numbers of loans of a process before this one must not come again
         dice = random.Random(f"{seed} {gossip.name} {now_us}")
-        self.member = Member(gossip.name, settings.self_index, settings.instances,
-                             [one.worth for one in settings.classes], most_us,
-                             Limits(told.reissues_per_s, told.probes_per_s, told.tries_per_s), dice, now_us,
-                             min(one.aim_us for one in settings.classes) // 2)
+        self.member = Member(
+            gossip.name,
+            settings.self_index,
+            settings.instances,
+            [one.worth for one in settings.classes],
+            most_us,
+            Limits(told.reissues_per_s, told.probes_per_s, told.tries_per_s),
+            dice,
+            now_us,
+            min(one.aim_us for one in settings.classes) // 2,
+        )
         self.timer: asyncio.TimerHandle | None = None
         self.traced = ""
         self.bad = self.bad_logged = 0
@@ -126,8 +134,11 @@
             if isinstance(one, Say):
                 if self.told.trace:
                     at_us = self.engine.clock.now_us() - self.engine.clock.base_ns // 1000
-                    log.info("said overload %d %s", at_us, json.dumps(
-                        self.member.described(self.engine.clock.now_us())))
+                    log.info(
+                        "said overload %d %s",
+                        at_us,
+                        json.dumps(self.member.described(self.engine.clock.now_us())),
+                    )
                 self.gossip.say(words.TOPIC, words.encode(one.report))
             elif isinstance(one, Post):
                 self.gossip.note(one.to, words.TOPIC, words.encode(one.word))
--- a/sidecar_proxy/recorder/record_framing.py
+++ b/sidecar_proxy/recorder/record_framing.py
@@ -24,13 +24,40 @@
     ident: str
 
 
-EVENTS = {one.__name__: form_of(one) for one in (
-    api.UpstreamsUpdated, api.RequestArrived, api.RequestGone, api.AttemptEnded, api.StreamStarted,
-    api.ProbeEnded, api.Learnt, api.Suspected, api.FleetSized, api.Overload, api.TimerFired,
-    api.PeerMessage, Named)}
-ACTIONS = {one.__name__: form_of(one) for one in (
-    api.Send, api.Refuse, api.Fail, api.Cancel, api.Probe, api.SetTimer, api.Subscribe, api.FetchList,
-    api.CloseIdle, api.TellPeer, api.Log)}
+EVENTS = {
+    one.__name__: form_of(one)
+    for one in (
+        api.UpstreamsUpdated,
+        api.RequestArrived,
+        api.RequestGone,
+        api.AttemptEnded,
+        api.StreamStarted,
+        api.ProbeEnded,
+        api.Learnt,
+        api.Suspected,
+        api.FleetSized,
+        api.Overload,
+        api.TimerFired,
+        api.PeerMessage,
+        Named,
+    )
+}
+ACTIONS = {
+    one.__name__: form_of(one)
+    for one in (
+        api.Send,
+        api.Refuse,
+        api.Fail,
+        api.Cancel,
+        api.Probe,
+        api.SetTimer,
+        api.Subscribe,
+        api.FetchList,
+        api.CloseIdle,
+        api.TellPeer,
+        api.Log,
+    )
+}
 
 encode = msgspec.msgpack.Encoder().encode
 Fields = dict[str, Any]
--- a/sidecar_proxy/recorder/record_schema.py
+++ b/sidecar_proxy/recorder/record_schema.py
@@ -16,15 +16,21 @@
 from sidecar_proxy.balancer import events as api
 
 INNER: dict[tuple[str, str], Any] = {
-    ("AttemptEnded", "report"): list[float], ("ProbeEnded", "report"): list[float],
-    ("Learnt", "answers_us"): list[float], ("Overload", "kept"): list[float],
-    ("Overload", "returning"): list[float], ("TellPeer", "to"): int | None,
-    ("Settings", "report_names"): list[str], ("Settings", "zones"): list[str],
+    ("AttemptEnded", "report"): list[float],
+    ("ProbeEnded", "report"): list[float],
+    ("Learnt", "answers_us"): list[float],
+    ("Overload", "kept"): list[float],
+    ("Overload", "returning"): list[float],
+    ("TellPeer", "to"): int | None,
+    ("Settings", "report_names"): list[str],
+    ("Settings", "zones"): list[str],
     ("Settings", "kinds"): list[str],
 }
 RECORDS: dict[tuple[str, str], Any] = {  # lists of records
-    ("UpstreamsUpdated", "upstreams"): api.Upstream, ("Learnt", "upstreams"): api.LearntUpstream,
-    ("Settings", "classes"): api.RequestClass, ("Settings", "tenants"): api.Tenant,
+    ("UpstreamsUpdated", "upstreams"): api.Upstream,
+    ("Learnt", "upstreams"): api.LearntUpstream,
+    ("Settings", "classes"): api.RequestClass,
+    ("Settings", "tenants"): api.Tenant,
 }
 
 
@@ -51,8 +57,9 @@
 def form_of(kind: Any) -> Form:
     """Of one of the decisions' records, or of a dataclass like them."""
     hints, name = get_type_hints(kind), kind.__name__
-    inner = {one.name: form_of(RECORDS[name, one.name]) for one in fields(kind)
-             if (name, one.name) in RECORDS}
+    inner = {
+        one.name: form_of(RECORDS[name, one.name]) for one in fields(kind) if (name, one.name) in RECORDS
+    }
     told: list[Any] = []
     for one in fields(kind):
         hint = INNER.get((name, one.name), hints[one.name])
--- a/sidecar_proxy/recorder/recording.py
+++ b/sidecar_proxy/recorder/recording.py
@@ -125,8 +125,8 @@
                 raise RecordingError(f"{self.name}: a part of it is too large or not whole")
             at = 0
             while at < len(data):
-                size = int.from_bytes(data[at:at + 4], "big")
-                frame, at = data[at + 4:at + 4 + size], at + 4 + size
+                size = int.from_bytes(data[at : at + 4], "big")
+                frame, at = data[at + 4 : at + 4 + size], at + 4 + size
                 if at > len(data):
                     raise RecordingError(f"{self.name}: a part of it is damaged")
                 try:
--- a/sidecar_proxy/recorder/request_trace.py
+++ b/sidecar_proxy/recorder/request_trace.py
@@ -9,12 +9,16 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.recorder.record_framing import Frame, Named
 
-ENDS = {api.Outcome.OK: "answered well", api.Outcome.ERROR: "answered with an error",
-        api.Outcome.FULL: "declined it: it never ran",
-        api.Outcome.TIMEOUT: "had not answered in time; it may have run",
-        api.Outcome.CONNECT_FAILED: "could not be reached: it never ran",
-        api.Outcome.RESET: "broke off; it may have run", api.Outcome.CANCELLED: "was told to stop",
-        api.Outcome.NOT_SENT: "was sent nothing, or only said that the request is bad"}
+ENDS = {
+    api.Outcome.OK: "answered well",
+    api.Outcome.ERROR: "answered with an error",
+    api.Outcome.FULL: "declined it: it never ran",
+    api.Outcome.TIMEOUT: "had not answered in time; it may have run",
+    api.Outcome.CONNECT_FAILED: "could not be reached: it never ran",
+    api.Outcome.RESET: "broke off; it may have run",
+    api.Outcome.CANCELLED: "was told to stop",
+    api.Outcome.NOT_SENT: "was sent nothing, or only said that the request is bad",
+}
 RECENT = 400  # attempts' ends that are kept, for what an upstream had been like
 
 
@@ -63,8 +67,11 @@
             kind = self.settings.classes[event.class_index]
             again = ", tried before by its client" if event.retried else ""
             left_ms = (event.due_us - now_us) / 1000
-            yield self.at(now_us, f"request {self.number} arrived: {kind.name} ({kind.effect}{again}), "
-                                  f"{left_ms:.0f} ms to be answered in; {self.out - 1} others were under way")
+            yield self.at(
+                now_us,
+                f"request {self.number} arrived: {kind.name} ({kind.effect}{again}), "
+                f"{left_ms:.0f} ms to be answered in; {self.out - 1} others were under way",
+            )
         elif isinstance(event, api.AttemptEnded) and event.request == self.number:
             final = "; that was its answer" if event.final else ""
             what = f"upstream {event.upstream} {ENDS[event.outcome]}"
--- a/sidecar_proxy/recorder/subsystem.py
+++ b/sidecar_proxy/recorder/subsystem.py
@@ -126,13 +126,18 @@
         except OSError as error:
             log.warning("recorder: %s: %s", path, error.strerror or error)
             return
-        log.info("recorder: %s: %d frames, %s (%s)", path, frames,
-                 "from the start" if head.whole else "the last of them", head.why)
+        log.info(
+            "recorder: %s: %d frames, %s (%s)",
+            path,
+            frames,
+            "from the start" if head.whole else "the last of them",
+            head.why,
+        )
 
     def tidy(self) -> None:
         """Only the last few recordings of this sidecar are kept."""
         found = sorted(Path(self.folder).glob(f"wickspread-{self.name}-*.rec"))
-        for path in found[:-self.told.files]:
+        for path in found[: -self.told.files]:
             if str(path) != self.spooled:
                 path.unlink(missing_ok=True)
 
--- a/sidecar_proxy/simulator_adapter/wire.py
+++ b/sidecar_proxy/simulator_adapter/wire.py
@@ -28,8 +28,13 @@
 _U32 = struct.Struct("<I")
 
 _OUTCOMES = {
-    0: api.Outcome.OK, 5: api.Outcome.ERROR, 11: api.Outcome.FULL, 110: api.Outcome.TIMEOUT,
-    111: api.Outcome.CONNECT_FAILED, 104: api.Outcome.RESET, 125: api.Outcome.CANCELLED,
+    0: api.Outcome.OK,
+    5: api.Outcome.ERROR,
+    11: api.Outcome.FULL,
+    110: api.Outcome.TIMEOUT,
+    111: api.Outcome.CONNECT_FAILED,
+    104: api.Outcome.RESET,
+    125: api.Outcome.CANCELLED,
     114: api.Outcome.NOT_SENT,
 }
 _STATES = {0: api.UpstreamState.GONE, 1: api.UpstreamState.READY, 2: api.UpstreamState.DRAINING}
@@ -99,7 +104,7 @@
         end = self.at + size
         if end > len(self.data):
             raise WireError(f"truncated: {size} bytes wanted, {len(self.data) - self.at} left")
-        piece = self.data[self.at:end]
+        piece = self.data[self.at : end]
         self.at = end
         return piece
 
@@ -120,8 +125,11 @@
         ):
             if not math.isfinite(weight):
                 raise WireError(f"upstream {upstream} has a weight that is not a finite number")
-            entries.append(api.Upstream(upstream, _known(_STATES, state, "upstream condition"), zone, kind,
-                                        cell, weight, started))
+            entries.append(
+                api.Upstream(
+                    upstream, _known(_STATES, state, "upstream condition"), zone, kind, cell, weight, started
+                )
+            )
         self.lists[number] = entries
 
 
@@ -153,14 +161,22 @@
 
 def _accept(frame: Decoder) -> Record:
     request, class_index, tenant, key, cost, marks, due = frame.fields(_ACCEPT)
-    return api.RequestArrived(request, due, class_index, tenant, key, cost if marks & 1 else 0,
-                              bool(marks & 2), bool(marks & 4))
+    return api.RequestArrived(
+        request, due, class_index, tenant, key, cost if marks & 1 else 0, bool(marks & 2), bool(marks & 4)
+    )
 
 
 def _completed(frame: Decoder) -> Record:
     request, attempt, upstream, verdict, spent, last, count = frame.fields(_COMPLETED)
-    return api.AttemptEnded(request, attempt, upstream, _known(_OUTCOMES, verdict, "outcome"), spent,
-                            bool(last), frame.floats(count))
+    return api.AttemptEnded(
+        request,
+        attempt,
+        upstream,
+        _known(_OUTCOMES, verdict, "outcome"),
+        spent,
+        bool(last),
+        frame.floats(count),
+    )
 
 
 def _begun(frame: Decoder) -> Record:
@@ -179,10 +195,16 @@
 
 
 _READERS: dict[int, Callable[[Decoder], Record]] = {
-    10: _completed, 20: _begun, 30: _datagram, 40: _stopped,
+    10: _completed,
+    20: _begun,
+    30: _datagram,
+    40: _stopped,
     50: lambda frame: api.TimerFired(frame.fields(_U32)[0]),
     60: lambda frame: api.RequestGone(frame.fields(_U32)[0]),
-    70: _accept, 80: _members, 90: _health, 100: _started,
+    70: _accept,
+    80: _members,
+    90: _health,
+    100: _started,
 }
 
 
--- a/sidecar_proxy/testbed/campaign.py
+++ b/sidecar_proxy/testbed/campaign.py
@@ -37,8 +37,18 @@
 CROWD = 0.5  # of the returns told within a second, that may fall on one tenth of a second
 MOST_FAULTS = 6
 WORTHS = (10.0, 8.0, 1.0)
-KINDS = ("sidecar_kill", "sidecar_stop", "sidecar_wipe", "link_part", "link_oneway", "link_bridge",
-         "link_slow", "link_lossy", "link_double", "link_reorder")
+KINDS = (
+    "sidecar_kill",
+    "sidecar_stop",
+    "sidecar_wipe",
+    "link_part",
+    "link_oneway",
+    "link_bridge",
+    "link_slow",
+    "link_lossy",
+    "link_double",
+    "link_reorder",
+)
 Makes = Callable[..., Member]
 
 
@@ -74,8 +84,14 @@
 class World:
     """A fleet's parts in overload on a network of ours. One seed and one script are one run."""
 
-    def __init__(self, sidecars: int, seed: int, faults: Sequence[Fault], makes: Makes = Member,
-                 decides: Decides = Balancer) -> None:
+    def __init__(
+        self,
+        sidecars: int,
+        seed: int,
+        faults: Sequence[Fault],
+        makes: Makes = Member,
+        decides: Decides = Balancer,
+    ) -> None:
         self.decides = decides
         self.dice = random.Random(seed)
         self.makes = makes
@@ -87,8 +103,15 @@
         self.sized: dict[tuple[int, int], dict[str, float]] = {}
         self.findings: list[Finding] = []
         self.told: list[tuple[int, int]] = []  # returns: when told, to when
-        self.minds = [Mind(n, 1.0 + (self.dice.random() - 0.5) * DRIFT * 0.9, self.fresh(n, 0),
-                           decides(settings(sidecars, n), n, FIRST_US)) for n in range(sidecars)]
+        self.minds = [
+            Mind(
+                n,
+                1.0 + (self.dice.random() - 0.5) * DRIFT * 0.9,
+                self.fresh(n, 0),
+                decides(settings(sidecars, n), n, FIRST_US),
+            )
+            for n in range(sidecars)
+        ]
         # a demand that moves: some have far more than their part, and not always the same ones
         self.demand = [[40.0 * self.dice.lognormvariate(0.0, 1.0) for _ in range(4)] for _ in range(sidecars)]
         for mind in self.minds:
@@ -254,8 +277,9 @@
 
     def look(self) -> None:
         self.at(STEP_US, self.look)
-        weights = {mind.number: mind.member.escrow.weight(self.clock(mind))
-                   for mind in self.minds if not mind.away}
+        weights = {
+            mind.number: mind.member.escrow.weight(self.clock(mind)) for mind in self.minds if not mind.away
+        }
         if sum(weights.values()) > WHOLE:
             self.find(f"all may spend {sum(weights.values())} parts of {WHOLE}: {weights}")
         for mind in self.minds:
@@ -264,8 +288,10 @@
                 continue
             # what the decisions go by must not outlast what it rests on
             if told.share * WHOLE > weights[mind.number] + 1:
-                self.find(f"s{mind.number} goes by {told.share:.4f} of the budgets until {told.until_us} and "
-                          f"may spend {weights[mind.number]} parts")
+                self.find(
+                    f"s{mind.number} goes by {told.share:.4f} of the budgets until {told.until_us} and "
+                    f"may spend {weights[mind.number]} parts"
+                )
         self.look_at_returns()
 
     def look_at_returns(self) -> None:
@@ -285,8 +311,9 @@
 
 def settings(sidecars: int, number: int) -> api.Settings:
     kinds = [api.RequestClass(f"k{worth}", 300_000, 1_000_000, worth) for worth in WORTHS]
-    return api.Settings(kinds, instances=sidecars, self_index=number, max_attempts=4,
-                        max_retry_after_us=2_000_000)
+    return api.Settings(
+        kinds, instances=sidecars, self_index=number, max_attempts=4, max_retry_after_us=2_000_000
+    )
 
 
 def draw(seed: int, sidecars: int, seconds: float = SECONDS) -> list[Fault]:
@@ -299,12 +326,23 @@
         if kind == "link_bridge":
             some = dice.sample(range(sidecars), min(2, sidecars))
         elif kind.startswith("sidecar"):
-            some = some[:max(1, sidecars // 3)]
+            some = some[: max(1, sidecars // 3)]
         at_s = round(dice.uniform(0.0, seconds * 0.8), 2)
-        size = {"link_slow": dice.uniform(0.05, 1.0), "link_lossy": dice.uniform(0.1, 0.9),
-                "link_double": dice.uniform(0.1, 1.0), "link_reorder": dice.uniform(0.1, 1.0)}.get(kind, 0.0)
-        found.append(Fault(kind, at_s, round(dice.uniform(0.2, 8.0), 2), size=round(size, 2),
-                           sidecars=tuple(sorted(some))))
+        size = {
+            "link_slow": dice.uniform(0.05, 1.0),
+            "link_lossy": dice.uniform(0.1, 0.9),
+            "link_double": dice.uniform(0.1, 1.0),
+            "link_reorder": dice.uniform(0.1, 1.0),
+        }.get(kind, 0.0)
+        found.append(
+            Fault(
+                kind,
+                at_s,
+                round(dice.uniform(0.2, 8.0), 2),
+                size=round(size, 2),
+                sidecars=tuple(sorted(some)),
+            )
+        )
     return sorted(found, key=lambda one: one.at_s)
 
 
@@ -319,26 +357,26 @@
     while again:
         again = False
         for number in range(len(left)):
-            fewer = left[:number] + left[number + 1:]
+            fewer = left[:number] + left[number + 1 :]
             if plays(seed, fewer):
                 left, again = fewer, True
                 break
     for number, one in enumerate(left):
         for part in (4, 2):
-            tried = [*left[:number], replace(one, for_s=round(one.for_s / part, 2)), *left[number + 1:]]
+            tried = [*left[:number], replace(one, for_s=round(one.for_s / part, 2)), *left[number + 1 :]]
             if plays(seed, tried):
                 left = tried
                 break
     return left
 
 
-def virtual(sidecars: int, seconds: float, makes: Makes = Member,
-            decides: Decides = Balancer) -> Plays:
+def virtual(sidecars: int, seconds: float, makes: Makes = Member, decides: Decides = Balancer) -> Plays:
     return lambda seed, faults: World(sidecars, seed, faults, makes, decides).run(seconds)
 
 
 def real(sidecars: int, seconds: float) -> Plays:
     """The same on the rig."""
+
     def plays(seed: int, faults: Sequence[Fault]) -> list[Finding]:
         import uvloop
 
@@ -350,8 +388,16 @@
 async def on_rig(sidecars: int, seconds: float, seed: int, faults: Sequence[Fault]) -> list[Finding]:
     from sidecar_proxy.testbed.scenario import Plan, Scene
 
-    plan = Plan(sidecars=sidecars, rate=40.0 * sidecars, seconds=seconds, seed=seed, faults=tuple(faults),
-                gossip=True, relayed=True, extra="[overload]\nenabled = true\ntrace = true\n")
+    plan = Plan(
+        sidecars=sidecars,
+        rate=40.0 * sidecars,
+        seconds=seconds,
+        seed=seed,
+        faults=tuple(faults),
+        gossip=True,
+        relayed=True,
+        extra="[overload]\nenabled = true\ntrace = true\n",
+    )
     async with Scene(plan) as scene:
         await scene.play()
     return [Finding(0.0, f"rule {one.rule}: {one.text}") for one in scene.verdict()]
@@ -381,21 +427,29 @@
             if found:
                 self.tell(number + 1, seed, faults, found)
                 return number + 1
-        print(f"{chr(13) if lively else ''}{self.runs} runs of {self.sidecars} sidecars from seed "
-              f"{self.seed}: nothing found", file=self.out)
+        print(
+            f"{chr(13) if lively else ''}{self.runs} runs of {self.sidecars} sidecars from seed "
+            f"{self.seed}: nothing found",
+            file=self.out,
+        )
         return 0
 
     def tell(self, number: int, seed: int, faults: list[Fault], found: list[Finding]) -> None:
         print(f"\nrun {number}, seed {seed}: at {found[0].at_s:.2f} s: {found[0].text}", file=self.out)
         left = smaller(seed, faults, self.plays)
-        print(f"{len(left)} of {len(faults)} faults are enough; with `--play FILE --seed {seed}`:\n",
-              file=self.out)
+        print(
+            f"{len(left)} of {len(faults)} faults are enough; with `--play FILE --seed {seed}`:\n",
+            file=self.out,
+        )
         print(written(left), file=self.out)
 
 
 def main(arguments: list[str]) -> int:
-    parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy campaign", description=__doc__,
-                                     formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        prog="python3 -m sidecar_proxy campaign",
+        description=__doc__,
+        formatter_class=argparse.RawDescriptionHelpFormatter,
+    )
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--runs", type=int, default=200)
     parser.add_argument("--sidecars", type=int, default=6)
--- a/sidecar_proxy/testbed/capacity.py
+++ b/sidecar_proxy/testbed/capacity.py
@@ -65,7 +65,7 @@
         machine = self.machine
         if machine.spread == 0:
             return machine.work_us
-        sigma = math.sqrt(math.log(1.0 + machine.spread ** 2))
+        sigma = math.sqrt(math.log(1.0 + machine.spread**2))
         return max(1, int(machine.work_us * self.dice.lognormvariate(-sigma * sigma / 2, sigma)))
 
     def offer(self, now_us: int, job: str, work_us: int) -> bool:
--- a/sidecar_proxy/testbed/checker.py
+++ b/sidecar_proxy/testbed/checker.py
@@ -98,8 +98,10 @@
     if asked is None or asked.sidecar not in away:
         return False
     last_us = max([asked.due_us, *(one.at_us for one in story.answers)])
-    return any(from_us <= last_us and asked.at_us <= to_us + bounds.slack_us
-               for from_us, to_us in away[asked.sidecar])
+    return any(
+        from_us <= last_us and asked.at_us <= to_us + bounds.slack_us
+        for from_us, to_us in away[asked.sidecar]
+    )
 
 
 def answers(name: str, story: Story, bounds: Bounds) -> list[Breach]:
@@ -137,15 +139,18 @@
     kind, found = bounds.kinds[story.asked.kind], []
     for one in taken[1:]:
         if kind.effect == "at_most_once":
-            found.append(Breach(2, one.at_us, f"{name}: unsafe, sent to {one.node} though {taken[0].node} "
-                                              "may have run it"))
+            found.append(
+                Breach(
+                    2, one.at_us, f"{name}: unsafe, sent to {one.node} though {taken[0].node} may have run it"
+                )
+            )
         if kind.effect == "deduplicated" and kind.group == "cell" and one.cell != taken[0].cell:
-            found.append(Breach(2, one.at_us, f"{name}: keyed, sent to cell {one.cell} after cell "
-                                              f"{taken[0].cell}"))
+            found.append(
+                Breach(2, one.at_us, f"{name}: keyed, sent to cell {one.cell} after cell {taken[0].cell}")
+            )
         if kind.effect == "deduplicated" and kind.group == "zone" and one.site != taken[0].site:
             found.append(Breach(2, one.at_us, f"{name}: keyed, sent to {one.site} after {taken[0].site}"))
-        if (kind.effect == "deduplicated"
-                and one.first_us > taken[0].at_us + kind.memory_us + bounds.slack_us):
+        if kind.effect == "deduplicated" and one.first_us > taken[0].at_us + kind.memory_us + bounds.slack_us:
             found.append(Breach(2, one.at_us, f"{name}: keyed, repeated when its nodes had forgotten it"))
     harmless = kind.effect == "idempotent" or (kind.effect == "deduplicated" and kind.group == "all")
     for answer in story.answers:
@@ -158,11 +163,17 @@
     """Rule 2, over a client's retries: what may happen once was taken by one request at most."""
     takers: dict[str, list[Story]] = defaultdict(list)
     for story in stories.values():
-        if (story.asked is not None and bounds.kinds[story.asked.kind].effect == "at_most_once"
-                and any(one.taken for one in story.received)):
+        if (
+            story.asked is not None
+            and bounds.kinds[story.asked.kind].effect == "at_most_once"
+            and any(one.taken for one in story.received)
+        ):
             takers[story.asked.operation].append(story)
-    return [Breach(2, several[1].received[0].at_us, f"operation {name}: taken for {len(several)} requests")
-            for name, several in takers.items() if len(several) > 1]
+    return [
+        Breach(2, several[1].received[0].at_us, f"operation {name}: taken for {len(several)} requests")
+        for name, several in takers.items()
+        if len(several) > 1
+    ]
 
 
 def drains(listed: list[Record], stories: dict[str, Story], bounds: Bounds) -> list[Breach]:
@@ -187,11 +198,21 @@
             sidecar = story.asked.sidecar if story.asked is not None else ""
             told_us = since.get((sidecar, record.node))
             if told_us is not None:  # a stopped one hears of it once it wakes
-                told_us = max([told_us, *(to_us for from_us, to_us in away.get(sidecar, ())
-                                          if from_us <= told_us <= to_us)])
+                told_us = max(
+                    [
+                        told_us,
+                        *(to_us for from_us, to_us in away.get(sidecar, ()) if from_us <= told_us <= to_us),
+                    ]
+                )
             if told_us is not None and at_us > told_us + bounds.drain_us + bounds.slack_us:
-                found.append(Breach(3, at_us, f"{record.request}: sent to {record.node} "
-                                              f"{(at_us - told_us) // 1000} ms after its drain was told"))
+                found.append(
+                    Breach(
+                        3,
+                        at_us,
+                        f"{record.request}: sent to {record.node} "
+                        f"{(at_us - told_us) // 1000} ms after its drain was told",
+                    )
+                )
     return found
 
 
@@ -221,8 +242,14 @@
                     first += 1
                 can_us = capacity_us(start, one.at_us - bounds.fall_us, one.at_us)
                 if held_us > bounds.multiple * can_us + bounds.burst_us:
-                    found.append(Breach(4, one.at_us, f"{node}: cold, given {held_us / 1000:.0f} ms of work "
-                                                      f"in a window in which it can do {can_us / 1000:.0f}"))
+                    found.append(
+                        Breach(
+                            4,
+                            one.at_us,
+                            f"{node}: cold, given {held_us / 1000:.0f} ms of work "
+                            f"in a window in which it can do {can_us / 1000:.0f}",
+                        )
+                    )
                     break  # one a start tells enough
                 assert last >= first
     return found
@@ -231,6 +258,7 @@
 def capacity_us(start: Started, from_us: int, to_us: int) -> float:
     """The work that a node can do between two times: its cores times its warmth, which grows evenly. What
     lies before its start counts as at the start: a window is always whole."""
+
     def warmth(at_us: int) -> float:
         age = min(max(0, at_us - start.at_us), start.warm_up_us) / start.warm_up_us
         return start.cold_share + (1.0 - start.cold_share) * age
--- a/sidecar_proxy/testbed/client_fleet.py
+++ b/sidecar_proxy/testbed/client_fleet.py
@@ -62,8 +62,14 @@
 
 
 class Fleet:
-    def __init__(self, count: int, sites: int = 2, seed: int = 1, nodes: tuple[str, ...] = ("n1", "n2"),
-                 cheap: bool = False) -> None:
+    def __init__(
+        self,
+        count: int,
+        sites: int = 2,
+        seed: int = 1,
+        nodes: tuple[str, ...] = ("n1", "n2"),
+        cheap: bool = False,
+    ) -> None:
         self.cheap = cheap  # no real signatures
         self.dice = random.Random(seed)
         self.now_us = 1_000_000
@@ -81,8 +87,9 @@
 
     def keyring(self, number: int, site: str, name: str = "") -> Keyring:
         if self.cheap:
-            bare = Certificate(number + 1, name or f"i{number}", site, number.to_bytes(32, "big"), 1 << 40,
-                               bytes(64))
+            bare = Certificate(
+                number + 1, name or f"i{number}", site, number.to_bytes(32, "big"), 1 << 40, bytes(64)
+            )
             return CheapKeys(bare)
         key = SigningKey(number.to_bytes(32, "big"))
         until_s, public = WALL_US // 1_000_000 + 86_400, key.verify_key.encode()
@@ -92,8 +99,16 @@
     def add(self, number: int, site: str, clock_us: int = 0) -> Member:
         address = ("10.0.0.1", 1000 + number)
         seeds = [("10.0.0.1", 1000), ("10.0.0.1", 1001)]
-        instance = Instance(self.keyring(number, site), address, seeds, random.Random(self.dice.random()),
-                            self.now_us, self.wall_us(clock_us), self.born, floor=1)
+        instance = Instance(
+            self.keyring(number, site),
+            address,
+            seeds,
+            random.Random(self.dice.random()),
+            self.now_us,
+            self.wall_us(clock_us),
+            self.born,
+            floor=1,
+        )
         member = self.members[address] = Member(instance, clock_us)
         self.arm(member)
         return member
@@ -161,8 +176,13 @@
 
     def exchange(self, member: Member, address: Address) -> None:
         other, own = self.members.get(address), member.instance.address
-        if (other is None or other.stopped or other is member or not self.passes(own, address)
-                or not self.passes(address, own)):
+        if (
+            other is None
+            or other.stopped
+            or other is member
+            or not self.passes(own, address)
+            or not self.passes(address, own)
+        ):
             return
         for one, two in ((member, other), (other, member)):
             data = one.instance.state(self.wall_us(one.clock_us))
@@ -196,8 +216,10 @@
     # What is seen
 
     def attempt(self, member: Member, node: str, outcome: Outcome) -> None:
-        self.perform(member, member.instance.attempt(node, BORN_MS, outcome, self.now_us,
-                                                     self.wall_us(member.clock_us)))
+        self.perform(
+            member,
+            member.instance.attempt(node, BORN_MS, outcome, self.now_us, self.wall_us(member.clock_us)),
+        )
 
     def counted(self, name: str) -> int:
         """Of all together."""
--- a/sidecar_proxy/testbed/clients.py
+++ b/sidecar_proxy/testbed/clients.py
@@ -43,8 +43,15 @@
 
     tag = ""  # of its requests' names
 
-    def __init__(self, ledger: Ledger, sidecar: str, address: tuple[str, int], loads: list[Load],
-                 manners: Manners, seed: int) -> None:
+    def __init__(
+        self,
+        ledger: Ledger,
+        sidecar: str,
+        address: tuple[str, int],
+        loads: list[Load],
+        manners: Manners,
+        seed: int,
+    ) -> None:
         self.ledger = ledger
         self.sidecar = sidecar
         self.address = address
@@ -129,8 +136,12 @@
 
     def head(self, load: Load, request: str, operation: str, deadline_s: float, tries: int) -> bytes:
         method = "GET" if load.effect == "idempotent" else "POST"
-        lines = [f"{method} /{load.kind}/{operation} HTTP/1.1", "Host: backend.local", f"Req-Id: {request}",
-                 f"Req-Deadline: {deadline_s:.3f}"]
+        lines = [
+            f"{method} /{load.kind}/{operation} HTTP/1.1",
+            "Host: backend.local",
+            f"Req-Id: {request}",
+            f"Req-Deadline: {deadline_s:.3f}",
+        ]
         if load.effect == "deduplicated":
             lines.append(f"Idempotency-Key: key-{operation}")
         if tries > 1:
@@ -150,8 +161,11 @@
             return None
         data = self.head(load, request, operation, load.deadline_s, tries)
         at_us = now_us()
-        self.ledger.add(Asked(at_us, request, operation, load.kind, self.sidecar,
-                              at_us + int(load.deadline_s * 1e6), tries))
+        self.ledger.add(
+            Asked(
+                at_us, request, operation, load.kind, self.sidecar, at_us + int(load.deadline_s * 1e6), tries
+            )
+        )
         self.asked += 1
         self.out += 1
         try:
@@ -164,8 +178,9 @@
         quits = self.dice.random() < self.manners.quits
         return quits, load.deadline_s * self.dice.random() if quits else load.deadline_s + GRACE_S
 
-    async def answer(self, peer: ClientPeer, data: bytes, request: str, load: Load,
-                     reused: bool) -> Reply | None:
+    async def answer(
+        self, peer: ClientPeer, data: bytes, request: str, load: Load, reused: bool
+    ) -> Reply | None:
         quits, patience_s = self.patience(load)
         waiting = peer.ask(data)
         done, _ = await asyncio.wait([waiting], timeout=patience_s)
--- a/sidecar_proxy/testbed/etcd.py
+++ b/sidecar_proxy/testbed/etcd.py
@@ -21,7 +21,15 @@
 from sidecar_proxy.testbed.http2 import Http2Peer, Stream
 
 OK, INVALID, NOT_FOUND, PRECONDITION, RANGE, UNIMPLEMENTED, UNAVAILABLE, UNAUTHENTICATED = (
-    0, 3, 5, 9, 11, 12, 14, 16)
+    0,
+    3,
+    5,
+    9,
+    11,
+    12,
+    14,
+    16,
+)
 WATCH = b"/etcdserverpb.Watch/Watch"
 STREAMED = (WATCH, b"/etcdserverpb.Lease/LeaseKeepAlive")
 
@@ -114,9 +122,14 @@
                 gone = pb.KeyValue(key=raw, mod_revision=self.revision)
                 events.append(pb.Event(type=pb.Event.DELETE, kv=gone))
                 continue
-            kv = pb.KeyValue(key=raw, value=value, mod_revision=self.revision,
-                             create_revision=old.create_revision if old else self.revision,
-                             version=old.version + 1 if old else 1, lease=lease)
+            kv = pb.KeyValue(
+                key=raw,
+                value=value,
+                mod_revision=self.revision,
+                create_revision=old.create_revision if old else self.revision,
+                version=old.version + 1 if old else 1,
+                lease=lease,
+            )
             self.keys[raw] = kv
             if lease:
                 self.leases[lease].keys.add(raw)
@@ -215,8 +228,9 @@
         return self.store.revision if self.limit is None else min(self.limit, self.store.revision)
 
     def header(self) -> pb.ResponseHeader:
-        return pb.ResponseHeader(cluster_id=self.store.cluster, member_id=1, revision=self.revision,
-                                 raft_term=2)
+        return pb.ResponseHeader(
+            cluster_id=self.store.cluster, member_id=1, revision=self.revision, raft_term=2
+        )
 
     def range(self, request: pb.RangeRequest) -> pb.RangeResponse:
         if self.cut_off and not request.serializable:
@@ -225,7 +239,7 @@
         if revision > self.revision:
             raise CallError(RANGE, "etcdserver: mvcc: required revision is a future revision")
         found = self.store.at(revision, request.key, request.range_end)
-        some = found[:request.limit] if request.limit else found
+        some = found[: request.limit] if request.limit else found
         return pb.RangeResponse(header=self.header(), kvs=some, more=len(some) < len(found), count=len(found))
 
     def publish(self) -> None:
@@ -237,14 +251,25 @@
         if self.cut_off or self.silent:
             return
         begin = bisect.bisect_left(self.store.history, watcher.next, key=lambda one: one[0])
-        events = [event for revision, told in self.store.history[begin:] if revision <= self.revision
-                  for event in told if within(event.kv.key, watcher.start, watcher.end)]
+        events = [
+            event
+            for revision, told in self.store.history[begin:]
+            if revision <= self.revision
+            for event in told
+            if within(event.kv.key, watcher.start, watcher.end)
+        ]
         watcher.next = max(watcher.next, self.revision + 1)
         size = self.fragment or max(1, len(events))
         for at in range(0, len(events), size):
-            watcher.peer.say(watcher.stream, pb.WatchResponse(
-                header=self.header(), watch_id=watcher.ident, events=events[at:at + size],
-                fragment=at + size < len(events)))
+            watcher.peer.say(
+                watcher.stream,
+                pb.WatchResponse(
+                    header=self.header(),
+                    watch_id=watcher.ident,
+                    events=events[at : at + size],
+                    fragment=at + size < len(events),
+                ),
+            )
 
 
 def bound(port: int) -> socket.socket:
@@ -289,16 +314,18 @@
             elif not self.member.silent:
                 ident = pb.LeaseKeepAliveRequest.FromString(data).ID
                 left_s = self.member.store.keep(ident)
-                self.say(stream, pb.LeaseKeepAliveResponse(header=self.member.header(), ID=ident,
-                                                           TTL=int(left_s)))
+                self.say(
+                    stream, pb.LeaseKeepAliveResponse(header=self.member.header(), ID=ident, TTL=int(left_s))
+                )
 
     def whole(self, stream: int, told: Stream) -> None:
         if told.reset is not None or told.headers.get(b":path") in STREAMED:
             self.streams.pop(stream, None)
             if told.reset is None and stream in self.begun:
                 self.fail(stream, OK, "")
-            self.member.watchers = [one for one in self.member.watchers
-                                    if one.peer is not self or one.stream != stream]
+            self.member.watchers = [
+                one for one in self.member.watchers if one.peer is not self or one.stream != stream
+            ]
             return
         del self.streams[stream]
         reads = told.headers.get(b":path") == b"/etcdserverpb.KV/Range"
@@ -378,8 +405,12 @@
         first = create.start_revision or member.revision + 1
         self.say(stream, pb.WatchResponse(header=member.header(), watch_id=0, created=True))
         if first <= member.store.compacted:
-            self.say(stream, pb.WatchResponse(header=member.header(), watch_id=0, canceled=True,
-                                              compact_revision=member.store.compacted))
+            self.say(
+                stream,
+                pb.WatchResponse(
+                    header=member.header(), watch_id=0, canceled=True, compact_revision=member.store.compacted
+                ),
+            )
             return
         watcher = Watcher(self, stream, 0, create.key, create.range_end, first)
         member.watchers.append(watcher)
@@ -393,7 +424,7 @@
                 self.http2.send_headers(stream, HEAD)
             if self.member.half and getattr(answer, "events", None):
                 self.member.half, self.member.silent = False, True
-                data = data[:len(data) // 2]
+                data = data[: len(data) // 2]
             self.http2.send_data(stream, data)
         except StreamError:
             return
--- a/sidecar_proxy/testbed/fault_injection.py
+++ b/sidecar_proxy/testbed/fault_injection.py
@@ -9,11 +9,23 @@
 from sidecar_proxy.testbed.network_links import Links, Way
 from sidecar_proxy.testbed.process import SidecarProcess
 
-SIDECAR_KINDS = ("sidecar_kill", "sidecar_stop", "sidecar_term", "sidecar_wipe", "sidecar_full",
-                 "sidecar_clock")
+SIDECAR_KINDS = (
+    "sidecar_kill",
+    "sidecar_stop",
+    "sidecar_term",
+    "sidecar_wipe",
+    "sidecar_full",
+    "sidecar_clock",
+)
 # what of a Way each sets, and to what where a script says no size
-SIZED = {"link_slow": ("delay_s", 0.5), "link_narrow": ("bytes_s", 2000.0), "link_lossy": ("lost", 0.33),
-         "link_double": ("doubled", 0.5), "link_reorder": ("reordered", 0.5), "link_chop": ("chop", 300.0)}
+SIZED = {
+    "link_slow": ("delay_s", 0.5),
+    "link_narrow": ("bytes_s", 2000.0),
+    "link_lossy": ("lost", 0.33),
+    "link_double": ("doubled", 0.5),
+    "link_reorder": ("reordered", 0.5),
+    "link_chop": ("chop", 300.0),
+}
 LINK_KINDS = ("link_part", "link_oneway", "link_bridge", "link_dead", *SIZED)
 
 
@@ -26,8 +38,12 @@
         numbers, others = numbers[:1], numbers[-1:]
     elif kind != "link_part":
         others = list(range(count))
-    both = (pair for one, other in itertools.product(numbers, others) if one != other
-            for pair in ((one, other), (other, one)))
+    both = (
+        pair
+        for one, other in itertools.product(numbers, others)
+        if one != other
+        for pair in ((one, other), (other, one))
+    )
     return list(dict.fromkeys(both))
 
 
--- a/sidecar_proxy/testbed/fault_schedule.py
+++ b/sidecar_proxy/testbed/fault_schedule.py
@@ -16,8 +16,22 @@
 from sidecar_proxy.testbed.process import SidecarProcess
 from sidecar_proxy.testbed.upstreams import Node
 
-KINDS = ("silent", "slow", "errors", "lost", "reset", "half", "drain", "restart", "crash", "roster_down",
-         "roster_late", "etcd_down", *SIDECAR_KINDS, *LINK_KINDS)
+KINDS = (
+    "silent",
+    "slow",
+    "errors",
+    "lost",
+    "reset",
+    "half",
+    "drain",
+    "restart",
+    "crash",
+    "roster_down",
+    "roster_late",
+    "etcd_down",
+    *SIDECAR_KINDS,
+    *LINK_KINDS,
+)
 SHARES = ("errors", "lost", "reset", "half", "link_lossy", "link_double", "link_reorder")
 MOST_FAULTS = 1000
 
@@ -83,8 +97,12 @@
             values[key] = float(value)
         elif wanted[key] is str and isinstance(value, str):
             values[key] = value
-        elif wanted[key] is list and isinstance(value, list) and len(value) <= MOST_FAULTS and all(
-                type(one) is int and one >= 0 for one in value):
+        elif (
+            wanted[key] is list
+            and isinstance(value, list)
+            and len(value) <= MOST_FAULTS
+            and all(type(one) is int and one >= 0 for one in value)
+        ):
             values[key] = tuple(value)
         else:
             expected = "list of whole numbers" if wanted[key] is list else wanted[key].__name__
@@ -113,9 +131,17 @@
 class Player:
     """Does what the script says to the nodes, the roster, the sidecars and their links."""
 
-    def __init__(self, faults: list[Fault], nodes: list[Node], roster: Roster, ledger: Ledger,
-                 seed: int, registry: Registry | None = None, sidecars: list[SidecarProcess] | None = None,
-                 links: Links | None = None) -> None:
+    def __init__(
+        self,
+        faults: list[Fault],
+        nodes: list[Node],
+        roster: Roster,
+        ledger: Ledger,
+        seed: int,
+        registry: Registry | None = None,
+        sidecars: list[SidecarProcess] | None = None,
+        links: Links | None = None,
+    ) -> None:
         self.faults = sorted(faults, key=lambda fault: fault.at_s)
         self.nodes = nodes
         self.roster = roster
@@ -157,8 +183,11 @@
             task.cancel()
 
     def choose(self, fault: Fault) -> list[Node]:
-        able = [node for node in self.nodes if node.server is not None and node.health == "in_service"
-                and fault.site in ("", node.site)]
+        able = [
+            node
+            for node in self.nodes
+            if node.server is not None and node.health == "in_service" and fault.site in ("", node.site)
+        ]
         count = round(fault.nodes if fault.nodes >= 1 else fault.nodes * len(able))
         return self.dice.sample(able, min(len(able), max(1, count)))
 
@@ -232,8 +261,7 @@
                 setattr(node.trouble, fault.kind, (fault.size or 0.5) if on else 0.0)
 
     async def replace(self, fault: Fault, chosen: list[Node]) -> None:
-        """A drain is told first, and the process ends later; a crash is told by nobody; all come back cold.
-        """
+        """A drain is told first, and the process ends later; a crash is told by nobody; all come back cold."""
         if fault.kind == "drain":
             for node in chosen:
                 node.health = "terminating"
--- a/sidecar_proxy/testbed/gossip.py
+++ b/sidecar_proxy/testbed/gossip.py
@@ -37,17 +37,25 @@
         one = certify(self.fleet, self.serial, name, site, public, until_s)
         return Keyring(key, one, [self.fleet.verify_key.encode()])
 
-    def table(self, name: str, site: str, seeds: list[str], bind: tuple[str, int] = ("127.0.0.1", 0),
-              advertise: tuple[str, int] | None = None) -> str:
+    def table(
+        self,
+        name: str,
+        site: str,
+        seeds: list[str],
+        bind: tuple[str, int] = ("127.0.0.1", 0),
+        advertise: tuple[str, int] | None = None,
+    ) -> str:
         """That instance's part of the operator file."""
         ring, path = self.keyring(name, site), self.folder / name
         files.put(f"{path}.key", ring.key.encode().hex(), secret=True)
         files.put(f"{path}.cert", codec.encode(ring.certificate).hex())
         told = f'advertise = "{advertise[0]}:{advertise[1]}"\n' if advertise else ""
-        return (f'[gossip]\nbind = "{bind[0]}:{bind[1]}"\n{told}seeds = {json.dumps(seeds)}\n'
-                f'key_file = "{path}.key"\n'
-                f'certificate_file = "{path}.cert"\nfleet_keys = ["{self.folder / "fleet.pub"}"]\n'
-                f'revoked_file = "{self.folder / "revoked"}"\nsocket = "{path}.sock"\n')
+        return (
+            f'[gossip]\nbind = "{bind[0]}:{bind[1]}"\n{told}seeds = {json.dumps(seeds)}\n'
+            f'key_file = "{path}.key"\n'
+            f'certificate_file = "{path}.cert"\nfleet_keys = ["{self.folder / "fleet.pub"}"]\n'
+            f'revoked_file = "{self.folder / "revoked"}"\nsocket = "{path}.sock"\n'
+        )
 
     def revoke(self, name: str) -> None:
         """That instance's certificate: nobody listens to it from now on."""
@@ -58,8 +66,9 @@
 class Liar:
     """Takes part as any other, and says of all its nodes that they are silent, or that they are well."""
 
-    def __init__(self, ring: Keyring, seed: tuple[str, int], nodes: list[str], born_ms: int = 0,
-                 well: bool = False) -> None:
+    def __init__(
+        self, ring: Keyring, seed: tuple[str, int], nodes: list[str], born_ms: int = 0, well: bool = False
+    ) -> None:
         self.instance = Instance(ring, ("127.0.0.1", 0), [seed], random.Random(1), now_us(), wall_us(), none)
         self.transport = Transport(self.instance, now_us, unheard)
         self.nodes = nodes
--- a/sidecar_proxy/testbed/grpc.py
+++ b/sidecar_proxy/testbed/grpc.py
@@ -44,8 +44,9 @@
         self.node = node
 
     def on_call(self, stream: int, told: Stream) -> None:
-        request = Request(b"POST", told.headers.get(b":path", b""), told.headers, told.message(),
-                          told.first_us, now_us())
+        request = Request(
+            b"POST", told.headers.get(b":path", b""), told.headers, told.message(), told.first_us, now_us()
+        )
         self.node.receive(GrpcCall(self, stream), request)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -85,8 +86,15 @@
 
     tag = "g"
 
-    def __init__(self, ledger: Ledger, sidecar: str, address: tuple[str, int], loads: list[Load],
-                 manners: Manners, seed: int) -> None:
+    def __init__(
+        self,
+        ledger: Ledger,
+        sidecar: str,
+        address: tuple[str, int],
+        loads: list[Load],
+        manners: Manners,
+        seed: int,
+    ) -> None:
         super().__init__(ledger, sidecar, address, loads, manners, seed)
         self.channels: list[ClientPeer] = []
 
@@ -122,8 +130,17 @@
                 return None
             if not asked:
                 at_us = now_us()
-                self.ledger.add(Asked(at_us, ident, operation, load.kind, self.sidecar,
-                                      at_us + int(load.deadline_s * 1e6), tries))
+                self.ledger.add(
+                    Asked(
+                        at_us,
+                        ident,
+                        operation,
+                        load.kind,
+                        self.sidecar,
+                        at_us + int(load.deadline_s * 1e6),
+                        tries,
+                    )
+                )
                 self.asked += 1
                 asked = True
             told = await self.wait(peer, *begun, ident, load)
@@ -139,8 +156,9 @@
             return reply
         return None
 
-    async def wait(self, peer: ClientPeer, stream: int, future: asyncio.Future[Stream | None], ident: str,
-                   load: Load) -> Stream | None:
+    async def wait(
+        self, peer: ClientPeer, stream: int, future: asyncio.Future[Stream | None], ident: str, load: Load
+    ) -> Stream | None:
         quits, patience_s = self.patience(load)
         self.out += 1
         try:
--- a/sidecar_proxy/testbed/history.py
+++ b/sidecar_proxy/testbed/history.py
@@ -128,8 +128,10 @@
 
 
 Record = Asked | Answered | Quit | Received | Ran | Told | Started | Fell | Faulted | Process | Said
-KINDS: dict[str, type[Any]] = {one.__name__: one for one in (
-    Asked, Answered, Quit, Received, Ran, Told, Started, Fell, Faulted, Process, Said)}
+KINDS: dict[str, type[Any]] = {
+    one.__name__: one
+    for one in (Asked, Answered, Quit, Received, Ran, Told, Started, Fell, Faulted, Process, Said)
+}
 
 
 FITTING: dict[str, tuple[type, ...]] = {"int": (int,), "str": (str,), "bool": (bool,), "float": (int, float)}
--- a/sidecar_proxy/testbed/http1.py
+++ b/sidecar_proxy/testbed/http1.py
@@ -77,8 +77,9 @@
         self.begin()
 
     def on_message_complete(self) -> None:
-        request = Request(self.parser.get_method(), self.target, self.headers, bytes(self.body),
-                          self.first_us, now_us())
+        request = Request(
+            self.parser.get_method(), self.target, self.headers, bytes(self.body), self.first_us, now_us()
+        )
         self.first_us = 0
         self.on_request(request)
 
@@ -87,8 +88,9 @@
 
     def answer(self, status: bytes, body: bytes = b"", head: bytes = b"") -> None:
         if self.transport is not None and not self.transport.is_closing():
-            self.transport.write(b"HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s" % (
-                status, head, len(body), body))
+            self.transport.write(
+                b"HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s" % (status, head, len(body), body)
+            )
 
 
 class ClientPeer(Peer):
--- a/sidecar_proxy/testbed/http2.py
+++ b/sidecar_proxy/testbed/http2.py
@@ -23,8 +23,9 @@
 from sidecar_proxy.http2.guard import Rates
 from sidecar_proxy.testbed.history import now_us
 
-LIMITS = Limits(streams=10_000, window=1 << 20, connection_window=1 << 30,
-                rates=Rates(1e9, 1e9, 1e9, 1e9, 1e9))
+LIMITS = Limits(
+    streams=10_000, window=1 << 20, connection_window=1 << 30, rates=Rates(1e9, 1e9, 1e9, 1e9, 1e9)
+)
 
 
 @dataclass(slots=True)
@@ -109,8 +110,13 @@
     def on_call(self, stream: int, told: Stream) -> None:
         raise NotImplementedError
 
-    def answer(self, stream: int, status: int, body: bytes | None = None,
-               more: list[tuple[bytes, bytes]] | None = None) -> None:
+    def answer(
+        self,
+        stream: int,
+        status: int,
+        body: bytes | None = None,
+        more: list[tuple[bytes, bytes]] | None = None,
+    ) -> None:
         """A message, if there is one, and the status; trailers-only where there is none."""
         head = [(b":status", b"200"), (b"content-type", b"application/grpc")]
         trailers = [(b"grpc-status", b"%d" % status), *(more or [])]
@@ -147,16 +153,27 @@
         self.waiting: dict[int, asyncio.Future[Stream | None]] = {}
 
     def usable(self) -> bool:
-        return (not self.lost and self.refused_above is None and self.transport is not None
-                and not self.transport.is_closing())
-
-    def call(self, path: bytes, metadata: list[tuple[bytes, bytes]],
-             body: bytes) -> tuple[int, asyncio.Future[Stream | None]] | None:
+        return (
+            not self.lost
+            and self.refused_above is None
+            and self.transport is not None
+            and not self.transport.is_closing()
+        )
+
+    def call(
+        self, path: bytes, metadata: list[tuple[bytes, bytes]], body: bytes
+    ) -> tuple[int, asyncio.Future[Stream | None]] | None:
         """A unary call: its stream, and what came back; the future holds None if the connection ended first.
         None where the peer allows no more."""
-        headers = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", path),
-                   (b":authority", b"backend.local"), (b"te", b"trailers"),
-                   (b"content-type", b"application/grpc"), *metadata]
+        headers = [
+            (b":method", b"POST"),
+            (b":scheme", b"http"),
+            (b":path", path),
+            (b":authority", b"backend.local"),
+            (b"te", b"trailers"),
+            (b"content-type", b"application/grpc"),
+            *metadata,
+        ]
         stream = self.http2.open_stream(headers)
         if stream is None:
             return None
--- a/sidecar_proxy/testbed/invariants.py
+++ b/sidecar_proxy/testbed/invariants.py
@@ -29,8 +29,9 @@
         parts, loans = json.loads(one.data)
         own[one.sidecar] = int(parts)
         held[one.sidecar] = [(int(borrowed), int(until_us)) for borrowed, until_us in loans]
-        total = sum(own.values()) + sum(borrowed for some in held.values() for borrowed, until_us in some
-                                        if until_us > one.at_us)
+        total = sum(own.values()) + sum(
+            borrowed for some in held.values() for borrowed, until_us in some if until_us > one.at_us
+        )
         if total > WHOLE:
             found.append(Breach(5, one.at_us, f"all may spend {total} parts of {WHOLE}: {own}, {held}"))
     return found
--- a/sidecar_proxy/testbed/network_links.py
+++ b/sidecar_proxy/testbed/network_links.py
@@ -172,7 +172,7 @@
             if wait_s > 0:
                 await asyncio.sleep(wait_s)
             if way.chop and passed + len(data) > way.chop:
-                writer.write(data[:max(0, way.chop - passed)])
+                writer.write(data[: max(0, way.chop - passed)])
                 await writer.drain()
                 self.links.counts["streams chopped"] += 1
                 raise Broken
--- a/sidecar_proxy/testbed/process.py
+++ b/sidecar_proxy/testbed/process.py
@@ -31,8 +31,9 @@
 class SidecarProcess:
     """One real sidecar, as the deploy file's `run` starts it. It may be started again after it has ended."""
 
-    def __init__(self, name: str, config: dict[str, Any], folder: str, operator: str = "",
-                 ledger: Ledger | None = None) -> None:
+    def __init__(
+        self, name: str, config: dict[str, Any], folder: str, operator: str = "", ledger: Ledger | None = None
+    ) -> None:
         self.name = name
         self.config = config
         self.path = Path(folder) / f"{name}.json"
@@ -59,23 +60,37 @@
     async def start(self) -> None:
         self.path.write_text(json.dumps(self.config))
         self.folder.mkdir(exist_ok=True)
-        env = {name: value for name, value in os.environ.items()
-               if not name.startswith(("PYTHON", "VIRTUAL_ENV", "PROXY_", "SIDECAR_PROXY_"))}
+        env = {
+            name: value
+            for name, value in os.environ.items()
+            if not name.startswith(("PYTHON", "VIRTUAL_ENV", "PROXY_", "SIDECAR_PROXY_"))
+        }
         if self.operator:
             path = self.path.with_suffix(".toml")
             path.write_text(self.operator.replace(FOLDER, str(self.folder)))
             env["SIDECAR_PROXY_OPERATOR"] = str(path)
             env["SIDECAR_PROXY_CLOCK_FILE"] = str(self.clock)
             env["SIDECAR_PROXY_DISK_FILE"] = str(self.disk)
-        env |= {"PROXY_NAME": self.name, "PROXY_LISTEN": "127.0.0.1:0", "PROXY_CONFIG": str(self.path),
-                "PROXY_DISCOVERY": self.config["discovery"], "TMPDIR": str(self.folder)} | self.env
+        env |= {
+            "PROXY_NAME": self.name,
+            "PROXY_LISTEN": "127.0.0.1:0",
+            "PROXY_CONFIG": str(self.path),
+            "PROXY_DISCOVERY": self.config["discovery"],
+            "TMPDIR": str(self.folder),
+        } | self.env
         if self.door is not None:
             env["PROXY_MGMT"] = f"{self.door[0]}:{self.door[1]}"
         self.meant = self.stopped = False
         # a session of its own: Ctrl-C is ours to pass on, once what is out has been answered
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *self.command, cwd=ROOT, env=env, stdin=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.PIPE, start_new_session=True)
+            sys.executable,
+            *self.command,
+            cwd=ROOT,
+            env=env,
+            stdin=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.PIPE,
+            start_new_session=True,
+        )
         self.up = asyncio.get_running_loop().create_future()
         self.reader = asyncio.get_running_loop().create_task(self.read())
         try:
--- a/sidecar_proxy/testbed/registry.py
+++ b/sidecar_proxy/testbed/registry.py
@@ -28,7 +28,7 @@
         """Their operator file's tables."""
         self.sidecars = list(sidecars)
         addresses = [await member.serve() for member in self.members]
-        return f"[membership.etcd]\nendpoints = {json.dumps(addresses)}\nprefix = \"{PREFIX}\"\n"
+        return f'[membership.etcd]\nendpoints = {json.dumps(addresses)}\nprefix = "{PREFIX}"\n'
 
     def put(self, *entries: dict[str, Any]) -> None:
         """Entries of discovery's form, in one transaction; those that are `terminated` are deleted."""
--- a/sidecar_proxy/testbed/scenario.py
+++ b/sidecar_proxy/testbed/scenario.py
@@ -23,8 +23,11 @@
     from sidecar_proxy.testbed.registry import Registry
 
 CELL = 6  # nodes of one cell
-LOADS = [Load("chapter-buy", "at_most_once", 0.6, 1.2, worth=10.0),
-         Load("coin-topup", "deduplicated", 0.3, 4.0, worth=8.0), Load("read", "idempotent", 0.1, 1.0)]
+LOADS = [
+    Load("chapter-buy", "at_most_once", 0.6, 1.2, worth=10.0),
+    Load("coin-topup", "deduplicated", 0.3, 4.0, worth=8.0),
+    Load("read", "idempotent", 0.1, 1.0),
+]
 
 
 @dataclass(slots=True, frozen=True)
@@ -67,38 +70,71 @@
     classes = []
     for load in plan.loads:
         keyed = load.effect == "deduplicated"
-        classes.append({
-            "name": load.kind, "aim": str(int(load.deadline_s * 333_000)),
-            "deadline": str(int(load.deadline_s * 1e6)), "worth": str(load.worth), "late-worth": "0.3",
-            "effect": load.effect, "group": load.group if keyed else "all",
-            "memory-span": str(int(load.memory_s * 1e6)) if keyed else "0", "stream": "false",
-            "aim-stretch": "0"})
+        classes.append(
+            {
+                "name": load.kind,
+                "aim": str(int(load.deadline_s * 333_000)),
+                "deadline": str(int(load.deadline_s * 1e6)),
+                "worth": str(load.worth),
+                "late-worth": "0.3",
+                "effect": load.effect,
+                "group": load.group if keyed else "all",
+                "memory-span": str(int(load.memory_s * 1e6)) if keyed else "0",
+                "stream": "false",
+                "aim-stretch": "0",
+            }
+        )
     machine = plan.machine
     return {
-        "areas": list(plan.sites), "kinds": ["lab"], "instances": str(plan.instances or plan.sidecars),
-        "self-index": str(index), "locality": str(index % len(plan.sites)), "granularity": "1000",
-        "registry-mode": "pushed" if plan.pushed else "on_request", "request-classes": classes,
+        "areas": list(plan.sites),
+        "kinds": ["lab"],
+        "instances": str(plan.instances or plan.sidecars),
+        "self-index": str(index),
+        "locality": str(index % len(plan.sites)),
+        "granularity": "1000",
+        "registry-mode": "pushed" if plan.pushed else "on_request",
+        "request-classes": classes,
         "weights": "none",
-        "report": {"how": "none", "names": ""}, "fees": {"cross-zone": "0.02"},
-        "bounds": {"cancel": str(plan.cancel).lower(), "probes": str(plan.probes).lower(),
-                   "retry-after": str(plan.retry_after).lower(),
-                   "second-copies": str(plan.second_copies).lower(), "peers": "false", "most-tries": "4",
-                   "dial-timeout": "200000", "conn-idle": str(int(plan.idle_s * 1e6)),
-                   "max-retry-after": str(int(plan.return_s * 1e6))},
-        "invariants": {"ask-within": "10000000", "drain-grace": str(int(plan.drain_s * 1e6)),
-                       "cold-share": str(machine.cold_share),
-                       "warm-up": str(machine.warm_up_us), "overload-factor": str(machine.multiple),
-                       "fall": str(machine.fall_us)},
+        "report": {"how": "none", "names": ""},
+        "fees": {"cross-zone": "0.02"},
+        "bounds": {
+            "cancel": str(plan.cancel).lower(),
+            "probes": str(plan.probes).lower(),
+            "retry-after": str(plan.retry_after).lower(),
+            "second-copies": str(plan.second_copies).lower(),
+            "peers": "false",
+            "most-tries": "4",
+            "dial-timeout": "200000",
+            "conn-idle": str(int(plan.idle_s * 1e6)),
+            "max-retry-after": str(int(plan.return_s * 1e6)),
+        },
+        "invariants": {
+            "ask-within": "10000000",
+            "drain-grace": str(int(plan.drain_s * 1e6)),
+            "cold-share": str(machine.cold_share),
+            "warm-up": str(machine.warm_up_us),
+            "overload-factor": str(machine.multiple),
+            "fall": str(machine.fall_us),
+        },
     }
 
 
 def bounds(plan: Plan) -> Bounds:
     """The figures of the rules for the checker."""
-    kinds = {load.kind: Kind(load.effect, load.group, int(load.memory_s * 1e6))
-             if load.effect == "deduplicated" else Kind(load.effect) for load in plan.loads}
+    kinds = {
+        load.kind: Kind(load.effect, load.group, int(load.memory_s * 1e6))
+        if load.effect == "deduplicated"
+        else Kind(load.effect)
+        for load in plan.loads
+    }
     machine = plan.machine
-    return Bounds(kinds, drain_us=int(plan.drain_s * 1e6), multiple=machine.multiple,
-                  fall_us=machine.fall_us, burst_us=machine.burst_us)
+    return Bounds(
+        kinds,
+        drain_us=int(plan.drain_s * 1e6),
+        multiple=machine.multiple,
+        fall_us=machine.fall_us,
+        burst_us=machine.burst_us,
+    )
 
 
 def machine_of(plan: Plan, number: int) -> Machine:
@@ -112,9 +148,18 @@
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
         self.ledger = Ledger()
-        self.nodes = [Node(n, self.ledger, machine_of(plan, n), plan.seed * 1_000_003 + n,
-                           plan.sites[n % len(plan.sites)], n // CELL, plan.keep_nodes)
-                      for n in range(plan.nodes)]
+        self.nodes = [
+            Node(
+                n,
+                self.ledger,
+                machine_of(plan, n),
+                plan.seed * 1_000_003 + n,
+                plan.sites[n % len(plan.sites)],
+                n // CELL,
+                plan.keep_nodes,
+            )
+            for n in range(plan.nodes)
+        ]
         self.sidecars: list[SidecarProcess] = []
         self.crowds: list[Crowd] = []
         self.roster: Roster | None = None
@@ -141,9 +186,13 @@
         operator = self.operator() + await self.listed_in_etcd()
         for index in range(plan.sidecars):
             name = f"sidecar-{index}"
-            config = {"discovery": await self.roster.serve(name), "seed": f"{plan.seed * 7919 + index:x}",
-                      "limits": {"sockets": plan.sockets}, "known": self.roster.known(),
-                      "settings": settings(plan, index)}
+            config = {
+                "discovery": await self.roster.serve(name),
+                "seed": f"{plan.seed * 7919 + index:x}",
+                "limits": {"sockets": plan.sockets},
+                "known": self.roster.known(),
+                "settings": settings(plan, index),
+            }
             self.sidecars.append(SidecarProcess(name, config, self.folder.name, operator, self.ledger))
         if plan.gossip:
             await self.start_gossiping()
@@ -151,13 +200,22 @@
             await asyncio.gather(*[one.start() for one in self.sidecars])
         for index, one in enumerate(self.sidecars):
             for kind, share in self.protocols():
-                crowd = kind(self.ledger, one.name, one.address, list(plan.loads), plan.manners,
-                             plan.seed * 31 + index)
+                crowd = kind(
+                    self.ledger, one.name, one.address, list(plan.loads), plan.manners, plan.seed * 31 + index
+                )
                 crowd.rate = plan.rate * share * self.part(index)
                 self.crowds.append(crowd)
                 one.moved.append(crowd.move)
-        self.player = Player(list(plan.faults), self.nodes, self.roster, self.ledger, plan.seed,
-                             self.registry, self.sidecars, self.links)
+        self.player = Player(
+            list(plan.faults),
+            self.nodes,
+            self.roster,
+            self.ledger,
+            plan.seed,
+            self.registry,
+            self.sidecars,
+            self.links,
+        )
 
     def part(self, index: int) -> float:
         """Of all requests, those that come to this sidecar."""
@@ -228,8 +286,9 @@
         """The clients' requests and the faults; returns when all is answered."""
         assert self.player is not None
         self.player.play()
-        await asyncio.gather(*[crowd.play(crowd.rate, self.plan.seconds, self.plan.most)
-                               for crowd in self.crowds])
+        await asyncio.gather(
+            *[crowd.play(crowd.rate, self.plan.seconds, self.plan.most) for crowd in self.crowds]
+        )
         await asyncio.gather(*[crowd.finish() for crowd in self.crowds])
         await self.player.mend()
 
--- a/sidecar_proxy/testbed/upstreams.py
+++ b/sidecar_proxy/testbed/upstreams.py
@@ -84,8 +84,16 @@
 class Node:
     """One node: its listener, its machine, its entry in the roster."""
 
-    def __init__(self, number: int, ledger: Ledger, machine: Machine, seed: int, site: str, cell: int,
-                 keep_records: bool = True) -> None:
+    def __init__(
+        self,
+        number: int,
+        ledger: Ledger,
+        machine: Machine,
+        seed: int,
+        site: str,
+        cell: int,
+        keep_records: bool = True,
+    ) -> None:
         self.number = number
         self.name = f"node-{number}"
         self.ledger = ledger
@@ -110,8 +118,9 @@
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: NodePeer(self), address_of(self.number), self.port,
-                                               backlog=64, reuse_address=True)
+        self.server = await loop.create_server(
+            lambda: NodePeer(self), address_of(self.number), self.port, backlog=64, reuse_address=True
+        )
         self.port = self.server.sockets[0].getsockname()[1]
 
     @property
@@ -120,8 +129,16 @@
 
     def entry(self) -> dict[str, Any]:
         """Its entry in the roster."""
-        return {"host": self.name, "dial": self.address, "site": self.site, "class": "lab",
-                "block": self.cell, "health": self.health, "share": 1.0, "born_ms": self.born_ms}
+        return {
+            "host": self.name,
+            "dial": self.address,
+            "site": self.site,
+            "class": "lab",
+            "block": self.cell,
+            "health": self.health,
+            "share": 1.0,
+            "born_ms": self.born_ms,
+        }
 
     def stop(self) -> None:
         """The process dies: connections are reset, new ones refused, what it had is lost."""
@@ -142,8 +159,9 @@
         at_us = now_us()
         self.capacity = Capacity(self.machine, self.seed + self.incarnation, at_us, warm=False)
         self.capacity.slow = self.trouble.slow
-        self.record(Started(at_us, self.name, self.machine.cores, self.machine.cold_share,
-                            self.machine.warm_up_us))
+        self.record(
+            Started(at_us, self.name, self.machine.cores, self.machine.cold_share, self.machine.warm_up_us)
+        )
 
     def record(self, record: Received | Ran | Started | Fell) -> None:
         if self.keep_records:
@@ -162,10 +180,16 @@
         fate = self.trouble.scripted(ident) if self.trouble.scripted is not None else ""
         failing = self.dice.random() < self.trouble.errors or fate == "error"
         was_up = not self.capacity.fallen
-        taken = self.trouble.silent or failing or (
-            fate != "declined" and self.capacity.offer(request.last_us, job, work_us))
-        self.record(Received(request.last_us, request.first_us, ident, self.name, self.cell, taken, work_us,
-                             self.site))
+        taken = (
+            self.trouble.silent
+            or failing
+            or (fate != "declined" and self.capacity.offer(request.last_us, job, work_us))
+        )
+        self.record(
+            Received(
+                request.last_us, request.first_us, ident, self.name, self.cell, taken, work_us, self.site
+            )
+        )
         if self.capacity.fallen and was_up:
             self.record(Fell(request.last_us, self.name))
             self.stop()
@@ -203,7 +227,7 @@
         elif chance < trouble.lost + trouble.reset or fate == "reset":
             peer.cut(b"")
         elif chance < trouble.lost + trouble.reset + trouble.half or fate == "half":
-            peer.cut(body[:len(body) // 2])
+            peer.cut(body[: len(body) // 2])
         else:
             peer.answer(b"200 OK", body)
         self.go_on()
--- a/tests/admin/rig.py
+++ b/tests/admin/rig.py
@@ -20,8 +20,9 @@
 class Doored(Sidecar):
     """`call` says one line at its door."""
 
-    def __init__(self, upstreams: list[Upstream], folder: str, discovery: Discovery | None = None,
-                 **more: Any) -> None:
+    def __init__(
+        self, upstreams: list[Upstream], folder: str, discovery: Discovery | None = None, **more: Any
+    ) -> None:
         self.door = ("127.0.0.1", free_port())
         env = {"PROXY_MGMT": f"127.0.0.1:{self.door[1]}", "TMPDIR": folder} | more.pop("env", {})
         super().__init__(upstreams, discovery, env=env, **more)
--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -71,8 +71,14 @@
                 assert new.call("STATUS") == "done"
                 before = sum(len(caller.found) for caller in callers)
                 assert old.stop() == 0, old.lines
-                eventually(lambda before=before: sum(  # type: ignore[misc]
-                    len(caller.found) for caller in callers) > before + 50)
+                eventually(
+                    lambda before=before: (
+                        sum(  # type: ignore[misc]
+                            len(caller.found) for caller in callers
+                        )
+                        > before + 50
+                    )
+                )
                 old = new
             for caller in callers:
                 caller.done.set()
@@ -85,9 +91,13 @@
 
 def test_a_process_that_follows_another_of_a_large_fleet_asks_for_its_list_at_once() -> None:
     """A fleet's first calls are spread over 5 s; a drain that was told must bind it all the same."""
-    with (Upstream() as one, Upstream() as two, platform() as (listener, folder),
-          Discovery([one.entry(), two.entry(health="terminating")]) as discovery,
-          Doored([one, two], folder, discovery=discovery, listener=listener, instances="400") as old):
+    with (
+        Upstream() as one,
+        Upstream() as two,
+        platform() as (listener, folder),
+        Discovery([one.entry(), two.entry(health="terminating")]) as discovery,
+        Doored([one, two], folder, discovery=discovery, listener=listener, instances="400") as old,
+    ):
         eventually(lambda: len(discovery.watches) == 1)
         late = Doored([one, two], folder, discovery=discovery, listener=listener, instances="400")
         late.config["seed"] = "0000000000000002"  # by its dice its turn would come after 4.8 s
@@ -106,8 +116,12 @@
             held.wait(LONG_S)
         return answer(b"ok")
 
-    with (Upstream(script=script) as one, Upstream(script=script) as two, platform() as (listener, folder),
-          Doored([one, two], folder, listener=listener) as old):
+    with (
+        Upstream(script=script) as one,
+        Upstream(script=script) as two,
+        platform() as (listener, folder),
+        Doored([one, two], folder, listener=listener) as old,
+    ):
         client, idle = old.client(), old.client()
         assert idle.request("GET", "/read/7").status == 200
         client.send("POST", "/pay/7", b"hold")
@@ -134,8 +148,11 @@
         held.wait(LONG_S)
         return answer(b"late")
 
-    with (Upstream(script=script) as upstream, platform() as (listener, folder),
-          Doored([upstream], folder, listener=listener) as old):
+    with (
+        Upstream(script=script) as upstream,
+        platform() as (listener, folder),
+        Doored([upstream], folder, listener=listener) as old,
+    ):
         client = old.client()
         client.send("POST", "/pay/7", b"x", Req_Deadline="15.0")
         eventually(lambda: upstream.requests)
@@ -161,11 +178,16 @@
 
 
 def test_a_successor_says_yes_once_it_has_the_list_and_so_knows_who_drains() -> None:
-    with (Upstream(b"one") as one, Upstream(b"two") as two, platform() as (listener, folder),
-          Doored([one, two], folder, listener=listener) as old,
-          Late([one.entry(health="terminating"), two.entry()]) as discovery):
-        second = Doored([one, two], folder, discovery=discovery, listener=listener,
-                        known=[one.entry(), two.entry()])
+    with (
+        Upstream(b"one") as one,
+        Upstream(b"two") as two,
+        platform() as (listener, folder),
+        Doored([one, two], folder, listener=listener) as old,
+        Late([one.entry(health="terminating"), two.entry()]) as discovery,
+    ):
+        second = Doored(
+            [one, two], folder, discovery=discovery, listener=listener, known=[one.entry(), two.entry()]
+        )
         entering = threading.Thread(target=second.__enter__)
         entering.start()
         try:
@@ -185,9 +207,13 @@
 
 
 def test_a_successor_does_not_wait_for_a_list_for_good() -> None:
-    with (Upstream(b"one") as one, platform() as (listener, folder),
-          Doored([one], folder, listener=listener), Late([one.entry()]) as discovery,
-          Doored([one], folder, discovery=discovery, listener=listener) as new):
+    with (
+        Upstream(b"one") as one,
+        platform() as (listener, folder),
+        Doored([one], folder, listener=listener),
+        Late([one.entry()]) as discovery,
+        Doored([one], folder, discovery=discovery, listener=listener) as new,
+    ):
         assert new.call("STATUS") == "done" and not discovery.free.is_set()
         discovery.free.set()
 
--- a/tests/admin/test_pure.py
+++ b/tests/admin/test_pure.py
@@ -22,11 +22,22 @@
         figures.answered(1, status)
     figures.taken()
     lines = list(figures.lines(5, 2))
-    assert lines[:6] == ["app.completed.read:0|c", "app.rejected.read:0|c", "app.failed.read:0|c",
-                         "app.completed.pay:2|c", "app.rejected.pay:2|c", "app.failed.pay:3|c"]
-    assert lines[6:] == ["app.upstream_requests:0|c", "app.pending:1|g", "app.members:5|g",
-                         "app.members_unavailable:2|g", "app.config_reloads:0|c",
-                         "app.config_reload_errors:0|c"]
+    assert lines[:6] == [
+        "app.completed.read:0|c",
+        "app.rejected.read:0|c",
+        "app.failed.read:0|c",
+        "app.completed.pay:2|c",
+        "app.rejected.pay:2|c",
+        "app.failed.pay:3|c",
+    ]
+    assert lines[6:] == [
+        "app.upstream_requests:0|c",
+        "app.pending:1|g",
+        "app.members:5|g",
+        "app.members_unavailable:2|g",
+        "app.config_reloads:0|c",
+        "app.config_reload_errors:0|c",
+    ]
 
 
 def test_only_names_that_were_listed_can_be_suspended_and_they_stay_known() -> None:
@@ -74,10 +85,17 @@
 
 
 def test_who_serves_is_known_from_the_lock_even_after_a_kill(tmp_path: Path) -> None:
-    code = ("import sys, pathlib; from sidecar_proxy.admin.hot_restart import Handover\n"
-            "h = Handover(pathlib.Path(sys.argv[1])); print(h.alone(), flush=True); sys.stdin.read()")
-    with subprocess.Popen([sys.executable, "-c", code, str(tmp_path)], cwd=ROOT, stdin=subprocess.PIPE,
-                          stdout=subprocess.PIPE, text=True) as other:
+    code = (
+        "import sys, pathlib; from sidecar_proxy.admin.hot_restart import Handover\n"
+        "h = Handover(pathlib.Path(sys.argv[1])); print(h.alone(), flush=True); sys.stdin.read()"
+    )
+    with subprocess.Popen(
+        [sys.executable, "-c", code, str(tmp_path)],
+        cwd=ROOT,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+    ) as other:
         assert other.stdout is not None and other.stdout.readline() == "True\n"
         mine = Handover(tmp_path)
         assert not mine.alone()
@@ -86,8 +104,13 @@
         other.wait(LONG_S)
         assert mine.alone() and mine.alone() and not mine.succeeded()
     # the next one comes; killed, it is no successor any more
-    with subprocess.Popen([sys.executable, "-c", code, str(tmp_path)], cwd=ROOT, stdin=subprocess.PIPE,
-                          stdout=subprocess.PIPE, text=True) as other:
+    with subprocess.Popen(
+        [sys.executable, "-c", code, str(tmp_path)],
+        cwd=ROOT,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+    ) as other:
         assert other.stdout is not None and other.stdout.readline() == "False\n"
         assert mine.succeeded() and mine.alone()
         other.send_signal(signal.SIGKILL)
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -50,8 +50,12 @@
         eventually(lambda: len(upstream.requests) == 5)
         found = sidecar.figures()
         assert {name: value for name, value in found.items() if value} == {
-            "app.completed.read": 3, "app.failed.pay": 1, "app.upstream_requests": 5, "app.pending": 1,
-            "app.members": 1}
+            "app.completed.read": 3,
+            "app.failed.pay": 1,
+            "app.upstream_requests": 5,
+            "app.pending": 1,
+            "app.members": 1,
+        }
         held.set()
         assert client.read() is not None
         assert sidecar.figures()["app.pending"] == 0
@@ -59,8 +63,12 @@
 
 
 def test_a_suspended_upstream_gets_nothing_whatever_the_list_says_until_it_is_restored() -> None:
-    with (Upstream(b"one") as one, Upstream(b"two") as two,
-          Discovery([one.entry(), two.entry()]) as discovery, doored(one, two, discovery=discovery) as s):
+    with (
+        Upstream(b"one") as one,
+        Upstream(b"two") as two,
+        Discovery([one.entry(), two.entry()]) as discovery,
+        doored(one, two, discovery=discovery) as s,
+    ):
         while not (one.requests and two.requests):
             assert s.request("GET", "/read/7").status == 200
         assert s.call(f"SUSPEND {one.name}") == "done" == s.call(f"SUSPEND {one.name}")
@@ -79,8 +87,12 @@
 
 
 def test_a_draining_upstream_is_not_put_to_work_by_its_restore() -> None:
-    with (Upstream(b"one") as one, Upstream(b"two") as two,
-          Discovery([one.entry(), two.entry()]) as discovery, doored(one, two, discovery=discovery) as s):
+    with (
+        Upstream(b"one") as one,
+        Upstream(b"two") as two,
+        Discovery([one.entry(), two.entry()]) as discovery,
+        doored(one, two, discovery=discovery) as s,
+    ):
         s.call(f"SUSPEND {one.name}")
         discovery.tell(one.entry(health="terminating"))
         s.call(f"RESTORE {one.name}")
@@ -103,8 +115,13 @@
 
 
 def test_two_processes_of_one_sidecar_hold_to_the_same_suspensions() -> None:
-    with (Upstream(b"one") as one, Upstream(b"two") as two, tempfile.TemporaryDirectory() as folder,
-          Doored([one, two], folder) as old, Doored([one, two], folder) as new):
+    with (
+        Upstream(b"one") as one,
+        Upstream(b"two") as two,
+        tempfile.TemporaryDirectory() as folder,
+        Doored([one, two], folder) as old,
+        Doored([one, two], folder) as new,
+    ):
         assert old.call(f"SUSPEND {one.name}") == "done"
         eventually(lambda: new.figures()["app.members_unavailable"] == 1)
         assert {new.request("GET", "/read/7").body for _ in range(20)} == {b"two"}
--- a/tests/admin/test_warm_start_codec.py
+++ b/tests/admin/test_warm_start_codec.py
@@ -36,8 +36,11 @@
 NAMES = {number: f"node-{number}" for number in range(100, 106)}
 NUMBERS = {name: number for number, name in NAMES.items()}
 BORN = dict.fromkeys(NAMES, 7)
-TOLD = Learnt([40_000.0, 30_000.0, 0.0], 1.5, [LearntUpstream(100, 1 / 64, 0.9, 1_000.0),
-                                                LearntUpstream(101, 4.0, 0.0, 20_000.0)])
+TOLD = Learnt(
+    [40_000.0, 30_000.0, 0.0],
+    1.5,
+    [LearntUpstream(100, 1 / 64, 0.9, 1_000.0), LearntUpstream(101, 4.0, 0.0, 20_000.0)],
+)
 LEFT = encode(TOLD, START_US, CLASSES, NAMES, BORN)
 
 
@@ -61,9 +64,10 @@
 
 @given(st.integers(0, len(LEFT) - 1), st.integers(1, 255), st.booleans(), st.binary(max_size=200))
 @settings(max_examples=400, deadline=None, derandomize=True)
-def test_torn_or_foreign_bytes_are_told_apart_and_nothing_else_happens(at: int, change: int, cut: bool,
-                                                                     foreign: bytes) -> None:
-    torn = LEFT[:at] if cut else LEFT[:at] + bytes([LEFT[at] ^ change]) + LEFT[at + 1:]
+def test_torn_or_foreign_bytes_are_told_apart_and_nothing_else_happens(
+    at: int, change: int, cut: bool, foreign: bytes
+) -> None:
+    torn = LEFT[:at] if cut else LEFT[:at] + bytes([LEFT[at] ^ change]) + LEFT[at + 1 :]
     body = hashlib.blake2b(foreign, digest_size=16).hexdigest().encode() + b"\n" + foreign
     for data in (torn, foreign, remembered.MAGIC + body, b"x" * (remembered.MOST_BYTES + 1)):
         with pytest.raises(Distrusted):
@@ -79,8 +83,9 @@
             now_us += 2_000
             sent.append(sends[0].upstream)
             outcome = Outcome.ERROR if sends[0].upstream in ill else Outcome.OK
-            todo = balancer.handle(now_us, AttemptEnded(
-                request, 0, sends[0].upstream, outcome, 2_000, outcome is Outcome.OK))
+            todo = balancer.handle(
+                now_us, AttemptEnded(request, 0, sends[0].upstream, outcome, 2_000, outcome is Outcome.OK)
+            )
         now_us += 5_000
     return sent
 
@@ -99,8 +104,10 @@
         old = fresh(seed)
         drive(old, 400, ill, START_US)
         learnt = old.learnt()
-        counts = [sum(one in ill for one in drive(fresh(seed + 100, told), 60, ill, START_US + 4_000_000))
-                  for told in (None, learnt)]
+        counts = [
+            sum(one in ill for one in drive(fresh(seed + 100, told), 60, ill, START_US + 4_000_000))
+            for told in (None, learnt)
+        ]
         began.append(counts)
         well = drive(fresh(seed + 100, learnt), 2_000, set(), START_US + 4_000_000)
         assert sum(one in ill for one in well[-500:]) > 60  # of 167 were all alike
@@ -111,7 +118,8 @@
 @given(st.floats(-1e9, 1e9), st.floats(-5, 5), st.floats(-1e9, 1e12), st.integers(0, 2**32))
 @settings(max_examples=100, deadline=None, derandomize=True)
 def test_nothing_that_is_told_opens_more_than_own_experience_or_shuts_an_upstream_for_good(
-        window: float, failing: float, answer_us: float, seed: int) -> None:
+    window: float, failing: float, answer_us: float, seed: int
+) -> None:
     told = Learnt([0.0] * 9, window, [LearntUpstream(n, window, failing, answer_us) for n in range(99, 108)])
     cold = [Upstream(105, zone=2, cell=2, started_us=START_US)]  # rule 4
     balancer = fresh(seed, told, upstreams(5) + cold)
@@ -132,8 +140,13 @@
         with lock:
             return answer(b"", "500 Internal Server Error") if dice.random() < 0.9 else answer(b"ok")
 
-    with (Node() as well, Node() as other, Node(script=fails) as ill, platform() as (listener, folder),
-          Doored([well, other, ill], folder, listener=listener) as old):
+    with (
+        Node() as well,
+        Node() as other,
+        Node(script=fails) as ill,
+        platform() as (listener, folder),
+        Doored([well, other, ill], folder, listener=listener) as old,
+    ):
         for _ in range(60):
             old.request("GET", "/read/7")
         asked = len(ill.requests)
@@ -146,6 +159,7 @@
             assert len(ill.requests) - asked <= asked
             path = Path(folder) / "wickspread" / "remembered"
             assert path.stat().st_size < 400
-            with Doored([well, other, ill], folder, listener=listener,
-                        env={"TMPDIR": folder + "/none"}) as third:  # nobody is there to leave it anything
+            with Doored(
+                [well, other, ill], folder, listener=listener, env={"TMPDIR": folder + "/none"}
+            ) as third:  # nobody is there to leave it anything
                 assert not [one for one in third.lines if "takes over" in one]
--- a/tests/check.sh
+++ b/tests/check.sh
@@ -17,6 +17,7 @@
         cp pyproject.toml .venv-check/pins.toml
     fi
 fi
+"$python" -m ruff format --check .
 "$python" -m ruff check .
 "$python" -m mypy
 # the tests of the deploy file build .venv; done here, two of them never do it at once
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -21,9 +21,15 @@
 FILES = st.builds(
     lambda methods, streams, idle_s, probe, files, floor: Operator(
         Grpc(True, {f"/a.B/M{n}": one for n, one in enumerate(methods)}, streams, idle_s=idle_s, probe=probe),
-        gossip=Gossip(key_file=files[0], fleet_keys=tuple(files), least_instances=floor)),
-    st.lists(TEXT, max_size=3), st.integers(1, 10_000), st.floats(0.1, 86_400.0),
-    st.sampled_from(["http", "grpc"]), st.lists(TEXT, min_size=1, max_size=3), st.integers(0, 100_000))
+        gossip=Gossip(key_file=files[0], fleet_keys=tuple(files), least_instances=floor),
+    ),
+    st.lists(TEXT, max_size=3),
+    st.integers(1, 10_000),
+    st.floats(0.1, 86_400.0),
+    st.sampled_from(["http", "grpc"]),
+    st.lists(TEXT, min_size=1, max_size=3),
+    st.integers(0, 100_000),
+)
 
 
 @given(FILES)
@@ -45,8 +51,9 @@
 
 @pytest.mark.parametrize("bad", ["nan", "-inf", "-1", "1e99", "[[]]", "2026-12-01", "{a = {b = 1}}"])
 @pytest.mark.parametrize(("table", "key", "kind"), leaves(whole()))
-def test_each_key_refuses_what_it_can_not_be_in_one_line_that_names_it(table: str, key: str, kind: Kind,
-                                                                       bad: str) -> None:
+def test_each_key_refuses_what_it_can_not_be_in_one_line_that_names_it(
+    table: str, key: str, kind: Kind, bad: str
+) -> None:
     with pytest.raises(OperatorError) as found:
         read(f"[{table}]\n{key} = {bad}")
     said = str(found.value)
--- a/tests/consensus/rig.py
+++ b/tests/consensus/rig.py
@@ -15,11 +15,14 @@
 from tests.sockets import LONG_S
 from tests.testbed.playing import RIG
 
-AGREES = replace(RIG, extra="""[agreement]
+AGREES = replace(
+    RIG,
+    extra="""[agreement]
 folder = "@folder@"
 replace_s = 3.0
 compact = 64
-""")
+""",
+)
 
 
 async def fleet(scene: Scene, number: int, line: str) -> str:
@@ -64,8 +67,9 @@
     nodes: dict[str, int] = {one["node"]: number for one, number in zip(found, numbers, strict=True)}
     if len(leaders) != 1 or not leaders <= nodes.keys() or len({one["applied"] for one in found}) != 1:
         return 0
-    if voters and any(len(one["voters"]) != voters or not set(one["voters"]) <= nodes.keys()
-                      for one in found):
+    if voters and any(
+        len(one["voters"]) != voters or not set(one["voters"]) <= nodes.keys() for one in found
+    ):
         return 0
     return nodes[leaders.pop()] + 1
 
@@ -85,6 +89,7 @@
 
 async def all_hold(scene: Scene, numbers: Any, names: set[str]) -> None:
     """Each of these sidecars comes to hold just these upstreams."""
+
     async def hold() -> bool:
         return all([await held(scene, number) == names for number in numbers])
 
--- a/tests/consensus/test_disruption_budgets.py
+++ b/tests/consensus/test_disruption_budgets.py
@@ -31,8 +31,16 @@
     return words.apply(state, Entry(1, index, words.fitting(word)))
 
 
-@given(st.lists(st.tuples(st.sampled_from(["drain", "suspend", "resume", "permit", "wait", "return"]),
-                          st.sampled_from(NODES), st.sets(st.sampled_from(NODES), max_size=1)), max_size=40))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["drain", "suspend", "resume", "permit", "wait", "return"]),
+            st.sampled_from(NODES),
+            st.sets(st.sampled_from(NODES), max_size=1),
+        ),
+        max_size=40,
+    )
+)
 def test_never_more_are_out_than_each_budget_says(script: list[tuple[str, Member, set[Member]]]) -> None:
     state = State()
     for key, value in BUDGETS.items():
@@ -40,8 +48,13 @@
     for kind, node, down in script:
         before = set(state.held) | {one.member.name for one in state.places.held.values()}
         name = node.name if kind in ("drain", "suspend", "resume") else f"node:{node.name}"
-        outcome = said(state, "permit" if kind == "wait" else kind, name, "wait" if kind == "wait" else "",
-                       facts(node, tuple(down)))
+        outcome = said(
+            state,
+            "permit" if kind == "wait" else kind,
+            name,
+            "wait" if kind == "wait" else "",
+            facts(node, tuple(down)),
+        )
         out = set(state.held) | {one.member.name for one in state.places.held.values()}
         assert set(state.held) <= {one.member.name for one in state.places.held.values()}
         if not out - before:
@@ -52,7 +65,10 @@
             for value in {one.under(scope) for one in NODES if one.name in out - before} if key else ():
                 most = limit(BUDGETS[key], sum(one.under(scope) == value for one in NODES))
                 assert most is not None and sum(one.under(scope) == value for one in there) <= most, (
-                    kind, outcome, out)
+                    kind,
+                    outcome,
+                    out,
+                )
     again = words.restored(words.kept(state))
     assert words.shown(again) == words.shown(state)
 
@@ -78,21 +94,24 @@
 def test_twelve_drains_at_six_doors_at_once_and_in_a_partition() -> None:
     """Three are done, whoever asks; a side without a quorum takes nothing out; a node that comes back with
     a later start gives its place back; one that is down by itself counts."""
+
     async def test(scene: Scene) -> None:
         await begin(scene)
         names = [node.name for node in scene.nodes]
         await says(scene, [0], "SET out.node 25%", "budget")
         await all_six(scene)
-        answers = await asyncio.gather(*[fleet(scene, number % 6, f"DRAIN d-{name} {name}")
-                                         for number, name in enumerate(names)])
+        answers = await asyncio.gather(
+            *[fleet(scene, number % 6, f"DRAIN d-{name} {name}") for number, name in enumerate(names)]
+        )
         done = [name for name, answer in zip(names, answers, strict=True) if answer.startswith("done")]
         assert len(done) == 3, answers
         assert all("3 nodes are out" in one for one in answers if not one.startswith("done")), answers
         await all_hold(scene, range(6), set(done))
         left = [name for name in names if name not in done]
         with spoiled(scene, "link_part", [3, 4, 5]):
-            both = await asyncio.gather(*[fleet(scene, number, f"DRAIN p-{number} {left[number]}")
-                                          for number in range(6)])
+            both = await asyncio.gather(
+                *[fleet(scene, number, f"DRAIN p-{number} {left[number]}") for number in range(6)]
+            )
             assert not [one for one in both if one.startswith("done")], both
         await leads(scene, range(6))
         await all_hold(scene, range(6), set(done))
@@ -138,6 +157,7 @@
 
 def test_six_sidecars_paused_at_once_and_one_that_comes_back() -> None:
     """One is paused; it gives its place back as it resumes, or as another process; force is done and told."""
+
     async def test(scene: Scene) -> None:
         await begin(scene)
         await says(scene, [0], "SET out.sidecar 1", "budget")
@@ -146,8 +166,11 @@
         answers = await asyncio.gather(*[one.call("PAUSE") for one in doors])
         paused = [number for number, answer in enumerate(answers) if answer == "done"]
         assert len(paused) == 1, answers
-        assert all("not paused: 1 sidecars are out" in answer for number, answer in enumerate(answers)
-                   if number not in paused), answers
+        assert all(
+            "not paused: 1 sidecars are out" in answer
+            for number, answer in enumerate(answers)
+            if number not in paused
+        ), answers
         first, second, third, *_ = paused + [number for number in range(6) if number not in paused]
         assert await doors[first].call("RESUME") == "done"
 
--- a/tests/consensus/test_fleet.py
+++ b/tests/consensus/test_fleet.py
@@ -40,6 +40,7 @@
 
 def test_a_word_at_one_door_holds_at_all_and_outlives_two_machines_and_their_disks() -> None:
     """The second one is lost once the first has been replaced."""
+
     async def test(scene: Scene) -> None:
         leader = await begin(scene)
         name, other = scene.nodes[0].name, scene.nodes[1].name
@@ -71,6 +72,7 @@
 
 def test_the_leader_killed_stopped_isolated_heard_one_way_and_bridged() -> None:
     """Each time another one leads, words go on, and the old one finds its way back."""
+
     async def test(scene: Scene) -> None:
         leader = await begin(scene)
         names = [node.name for node in scene.nodes]
@@ -81,9 +83,13 @@
                 await one.kill()
             elif kind == "stop":
                 one.pause()
-            with spoiled(scene, {"heard": "link_oneway"}.get(kind, kind),
-                         rest if kind == "heard" else [leader]) if kind[0] in "lh" else spoiled(
-                             scene, "link_part", []):
+            with (
+                spoiled(
+                    scene, {"heard": "link_oneway"}.get(kind, kind), rest if kind == "heard" else [leader]
+                )
+                if kind[0] in "lh"
+                else spoiled(scene, "link_part", [])
+            ):
                 if kind != "link_bridge":  # with one link cut of all it may go on
                     assert await leads(scene, rest) != leader, kind
                 words += 1
@@ -92,7 +98,7 @@
                 await one.start()
             one.wake()
             leader = await leads(scene, others(scene))
-            await all_hold(scene, others(scene), set(names[1:words + 1]))
+            await all_hold(scene, others(scene), set(names[1 : words + 1]))
 
     on_rig(replace(AGREES, sidecars=3), test)
 
@@ -117,8 +123,10 @@
         # alone, without peers, it holds what it has learned
         await scene.sidecars[left].start()
         assert await held(scene, left) == {name}
-        assert any(f"held for the fleet up to word {status['applied']}: {name}" in line
-                   for line in scene.sidecars[left].lines)
+        assert any(
+            f"held for the fleet up to word {status['applied']}: {name}" in line
+            for line in scene.sidecars[left].lines
+        )
         for number in gone:
             await scene.sidecars[number].start()
         await leads(scene, others(scene))
@@ -190,6 +198,7 @@
 def test_clocks_links_strangers_and_a_later_version() -> None:
     """The wall clock of one an hour off; streams that break, double and stall; one whose certificate is
     revoked; a kind of word that only one of them knows; noise at the address."""
+
     async def test(scene: Scene) -> None:
         later = scene.sidecars[0]
         await later.kill()
@@ -201,8 +210,9 @@
         name, other = scene.nodes[0].name, scene.nodes[1].name
         await says(scene, [1], f"SUSPEND {name}", "one")
         await all_hold(scene, others(scene), {name})
-        assert (await told(scene, 2, "WORDS"))["unread"] == [index] and not (
-            await told(scene, 0, "WORDS"))["unread"]
+        assert (await told(scene, 2, "WORDS"))["unread"] == [index] and not (await told(scene, 0, "WORDS"))[
+            "unread"
+        ]
         assert "expected FLEET" in await fleet(scene, 1, "HUSH y anything")
         scene.sidecars[1].step(3600.0)
         with spoiled(scene, "link_chop", [0, 1, 2], 900.0), spoiled(scene, "link_lossy", [0, 1, 2], 0.1):
@@ -212,8 +222,13 @@
         await all_hold(scene, others(scene), {name})
         assert scene.keys is not None
         host, _, port = tomllib.loads(scene.sidecars[0].operator)["gossip"]["bind"].partition(":")
-        for noise in (b"wsa\x01", b"wsa\x01\xff\xff\xff\xff", b"wsa\x01\0\0\0\x04abcd", bytes(4),
-                      b"wsa\x02rest"):
+        for noise in (
+            b"wsa\x01",
+            b"wsa\x01\xff\xff\xff\xff",
+            b"wsa\x01\0\0\0\x04abcd",
+            bytes(4),
+            b"wsa\x02rest",
+        ):
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(noise)
             writer.write_eof()
@@ -266,19 +281,28 @@
         assert (await told(scene, late, "WORDS"))["settings"]["key-7"]["value"] == "w" * 200
 
         def command(*line: str) -> tuple[int, str]:
-            done = subprocess.run([sys.executable, "-m", "sidecar_proxy", "fleet", *line], cwd=ROOT,
-                                  capture_output=True, text=True, timeout=LONG_S)
+            done = subprocess.run(
+                [sys.executable, "-m", "sidecar_proxy", "fleet", *line],
+                cwd=ROOT,
+                capture_output=True,
+                text=True,
+                timeout=LONG_S,
+            )
             assert "Traceback" not in done.stderr, done.stderr
             return done.returncode, done.stdout + done.stderr
 
         door = "{}:{}".format(*(scene.sidecars[late].door or ("", 0)))
         for line, code, holds in (
-                (("status", door), 0, "leads since"), (("members", door), 0, "  leads"),
-                (("log", door), 0, f"suspend {name}  id one, by "), (("words", door), 0, f"suspend {name}"),
-                (("begin", door), 1, "there is a fleet already"),
-                (("resume", door, name, "--id", "two"), 0, "done "),
-                (("read", door, name), 0, '"held": null'),
-                (("set", door, "a", "b c"), 0, "done"), (("status", "127.0.0.1:1"), 1, "sidecar_proxy: ")):
+            (("status", door), 0, "leads since"),
+            (("members", door), 0, "  leads"),
+            (("log", door), 0, f"suspend {name}  id one, by "),
+            (("words", door), 0, f"suspend {name}"),
+            (("begin", door), 1, "there is a fleet already"),
+            (("resume", door, name, "--id", "two"), 0, "done "),
+            (("read", door, name), 0, '"held": null'),
+            (("set", door, "a", "b c"), 0, "done"),
+            (("status", "127.0.0.1:1"), 1, "sidecar_proxy: "),
+        ):
             found = await asyncio.to_thread(command, *line)
             assert found[0] == code and holds in found[1], (line, found)
         code, text = await asyncio.to_thread(command, "status", door, "--json")
@@ -287,10 +311,13 @@
     on_rig(AGREES, test)
 
 
-@pytest.mark.parametrize(("text", "line"), [
-    ('[agreement]\nfolder = "/tmp/x"', "agreement.folder: needs gossip; gossip.bind names no address"),
-    ("[agreement]\nvoters = 2", "agreement.voters: expected 1 or 3 or 5, got 2"),
-    ("[agreement]\nreplace_s = 1", "agreement.replace_s: expected a number from 2 to 86400, got 1"),
-])
+@pytest.mark.parametrize(
+    ("text", "line"),
+    [
+        ('[agreement]\nfolder = "/tmp/x"', "agreement.folder: needs gossip; gossip.bind names no address"),
+        ("[agreement]\nvoters = 2", "agreement.voters: expected 1 or 3 or 5, got 2"),
+        ("[agreement]\nreplace_s = 1", "agreement.replace_s: expected a number from 2 to 86400, got 1"),
+    ],
+)
 def test_a_wrong_setting_is_one_line_and_the_end(text: str, line: str, tmp_path: Path) -> None:
     assert line in refused_start(text, "agreement", tmp_path)
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -70,7 +70,7 @@
                 disk.log = Log(ready.snapshot, [])
                 self.applied[node] = [b"snapshot"]
             if ready.entries:
-                del disk.log.entries[ready.entries[0].index - disk.log.snapshot.index - 1:]
+                del disk.log.entries[ready.entries[0].index - disk.log.snapshot.index - 1 :]
                 disk.log.entries += ready.entries
             assert disk.log.entries == core.log.entries, "what is written is not what is held"
             self.wire += ready.messages
@@ -89,8 +89,11 @@
             self.pass_on(self.wire.pop(0))
 
     def pass_on(self, message: Message) -> None:
-        if (message.source, message.target) in self.cut or message.target in self.stopped or (
-                message.target not in self.cores):
+        if (
+            (message.source, message.target) in self.cut
+            or message.target in self.stopped
+            or (message.target not in self.cores)
+        ):
             return
         self.cores[message.target].step(message)
         self.take(message.target)
@@ -283,10 +286,15 @@
 def test_words_of_strangers_and_of_another_time_change_nothing() -> None:
     core = Core("a", Log(Snapshot(voters=("a", "b", "c"))), HardState(5, "b"), random.Random(1))
     for message in (
-            VoteReply("x", "a", 5, True), AppendReply("b", "a", 5, True, 9),
-            AppendReply("b", "a", 4, True, 9),
-            TimeoutNow("x", "a", 5), VoteRequest("c", "a", 5, 9, 9), Append("b", "z", 9, 0, 0, (), 0),
-            VoteRequest("c", "a", 4, 9, 9), VoteRequest("c", "a", 6, 9, 9, pre=True)):
+        VoteReply("x", "a", 5, True),
+        AppendReply("b", "a", 5, True, 9),
+        AppendReply("b", "a", 4, True, 9),
+        TimeoutNow("x", "a", 5),
+        VoteRequest("c", "a", 5, 9, 9),
+        Append("b", "z", 9, 0, 0, (), 0),
+        VoteRequest("c", "a", 4, 9, 9),
+        VoteRequest("c", "a", 6, 9, 9, pre=True),
+    ):
         core.step(message)
     assert (core.term, core.vote, core.role) == (5, "b", Role.FOLLOWER)
     granted = [one.granted for one in core.ready().messages if isinstance(one, VoteReply)]
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -29,7 +29,7 @@
 
 def known(at: int) -> HardState:
     """The hard state that holds with that Write."""
-    return [one[0] for one in LIFE[:at + 1] if one[0] is not None][-1]
+    return [one[0] for one in LIFE[: at + 1] if one[0] is not None][-1]
 
 
 def live(store: Store, promised: list[Kept] | None = None) -> None:
@@ -84,7 +84,7 @@
     whole = path.read_bytes()
     for at in range(len(whole)):
         for bit in (1, 16, 128):
-            path.write_bytes(whole[:at] + bytes([whole[at] ^ bit]) + whole[at + 1:])
+            path.write_bytes(whole[:at] + bytes([whole[at] ^ bit]) + whole[at + 1 :])
             with pytest.raises(Damaged):
                 Store(lived[0]).open()
     store = Store(lived[0])
@@ -111,7 +111,7 @@
         self.room = room
 
     def write(self, file: int, data: bytes) -> None:
-        super().write(file, data[:self.room])
+        super().write(file, data[: self.room])
         if len(data) > self.room:
             raise OSError(28, "no space")
         self.room -= len(data)
@@ -144,9 +144,11 @@
 @pytest.mark.parametrize("operation", ["write", "sync", "rename"])
 def test_killed_at_each_operation_what_was_promised_is_there(operation: str, tmp_path: Path) -> None:
     """By SIGKILL, in a process of its own; the runs go side by side."""
-    program = ("import sys; from pathlib import Path; from tests.consensus.test_storage import live, Store;"
-               "from sidecar_proxy.consensus.disk import BrokenDisk;"
-               "store = Store(Path(sys.argv[1]), BrokenDisk(Path(sys.argv[2]))); store.open(); live(store)")
+    program = (
+        "import sys; from pathlib import Path; from tests.consensus.test_storage import live, Store;"
+        "from sidecar_proxy.consensus.disk import BrokenDisk;"
+        "store = Store(Path(sys.argv[1]), BrokenDisk(Path(sys.argv[2]))); store.open(); live(store)"
+    )
     reference = Store(tmp_path / "whole")
     reference.open()
     promised: list[Kept] = []
@@ -165,7 +167,7 @@
         killed += process.returncode == -9
         done = len(out.split())
         kept = Store(folder).open()
-        now, later = said(kept), [said(one) for one in promised[max(0, done - 1):done + 1]]
+        now, later = said(kept), [said(one) for one in promised[max(0, done - 1) : done + 1]]
         if done == 0:
             later.append((HardState(), Snapshot(), []))
         # what was not promised may be there as well, or some of its records: the hard state comes last
--- a/tests/consensus/test_voters.py
+++ b/tests/consensus/test_voters.py
@@ -10,16 +10,19 @@
 REPLACE_US = 60_000_000
 
 
-def look(there: list[Candidate], voters: tuple[str, ...], away: dict[str, int], answered: set[str],
-         wanted: int) -> Look:
+def look(
+    there: list[Candidate], voters: tuple[str, ...], away: dict[str, int], answered: set[str], wanted: int
+) -> Look:
     return Look("s0#0", voters, {one.name: one for one in there}, away, answered, wanted, REPLACE_US)
 
 
 @st.composite
 def fleets(draw: st.DrawFn) -> tuple[list[Candidate], tuple[str, ...], dict[str, int], set[str], int]:
     """Sidecars, some of another incarnation than the voter of that name, some away, some without the log."""
-    there = [Candidate(f"s{n}#{draw(st.integers(0, 1))}", f"s{n}", f"site{n % 3}", draw(st.booleans()))
-             for n in draw(st.sets(st.integers(1, 8), max_size=7))]
+    there = [
+        Candidate(f"s{n}#{draw(st.integers(0, 1))}", f"s{n}", f"site{n % 3}", draw(st.booleans()))
+        for n in draw(st.sets(st.integers(1, 8), max_size=7))
+    ]
     me = Candidate("s0#0", "s0", "site0", True)
     others = draw(st.sets(st.sampled_from([f"s{n}#0" for n in range(1, 9)]), max_size=5))
     voters = ("s0#0", *sorted(others))
@@ -30,7 +33,8 @@
 
 @given(fleets())
 def test_one_at_a_time_never_the_leader_and_always_with_a_quorum_of_the_next(
-        fleet: tuple[list[Candidate], tuple[str, ...], dict[str, int], set[str], int]) -> None:
+    fleet: tuple[list[Candidate], tuple[str, ...], dict[str, int], set[str], int],
+) -> None:
     there, voters, away, answered, wanted = fleet
     found = look(there, voters, away, answered, wanted).next_voters()
     if found is None:
@@ -46,7 +50,8 @@
 
 @given(fleets())
 def test_it_comes_to_rest_with_as_many_as_are_wanted_where_they_are_there(
-        fleet: tuple[list[Candidate], tuple[str, ...], dict[str, int], set[str], int]) -> None:
+    fleet: tuple[list[Candidate], tuple[str, ...], dict[str, int], set[str], int],
+) -> None:
     """Everybody who is there answers; voters that are not there have been away for long."""
     there, voters, _, _, wanted = fleet
     nodes = {one.node for one in there}
@@ -67,6 +72,6 @@
 def test_a_site_that_has_none_gets_the_next() -> None:
     there = [Candidate(f"s{n}#0", f"s{n}", f"site{n // 2}", True) for n in range(6)]
     voters: tuple[str, ...] = ("s0#0",)
-    while (found := look(there, voters, {}, {one.node for one in there}, 3).next_voters()):
+    while found := look(there, voters, {}, {one.node for one in there}, 3).next_voters():
         voters = found
     assert voters == ("s0#0", "s2#0", "s4#0")
