--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -83,8 +83,11 @@
         (one,) = [cast(Connection, idle) for idle in host.idle]
         before_s = time.monotonic()
         over_s = one.rest_left_s() + before_s
-        assert one.idle_since + ODD_REST_S >= over_s >= one.idle_since + ODD_REST_S - (
-            time.monotonic() - before_s)
+        assert (
+            one.idle_since + ODD_REST_S
+            >= over_s
+            >= one.idle_since + ODD_REST_S - (time.monotonic() - before_s)
+        )
         one.idle_since += LONG_S  # however busy the machine is, it rests
         await exchange()
         assert upstream.accepted == 3  # a new one
@@ -124,6 +127,7 @@
     """An answer of unknown length begins small, so a time is set at which it is passed on as it is. It grows
     large before, is passed on for that and ends; the next one on that connection takes longer than that time.
     It was begun when nothing of it had come, also where its work could not be repeated."""
+
     async def test(listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
@@ -176,6 +180,7 @@
 def test_a_connection_rests_by_a_clock_that_neither_rounds_nor_stands() -> None:
     """The loop's clock has whole milliseconds and stands during a turn: by it a second answer 4 ms late could
     meet the next request after 3."""
+
     async def test(upstream: Upstream) -> None:
         pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
         pool.update([host_of(upstream)], whole=True)
--- a/tests/crossings/test_dials.py
+++ b/tests/crossings/test_dials.py
@@ -44,6 +44,7 @@
 def test_a_dial_that_comes_up_at_its_time_out_gives_its_place_back() -> None:
     """The loop is held up just when the connection is there, and meets the time-out next. It tells nobody
     that such a connection has ended, so its place was taken for good."""
+
     async def test(listener: socket.socket) -> None:
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
         loop = HeldUp(pool.loop, 0.4)
@@ -64,6 +65,7 @@
 
 def test_a_connection_that_ends_while_it_rests_for_a_request_given_up_is_not_kept() -> None:
     """Kept, it would stand among those that make room at the limit of descriptors, and make none."""
+
     async def test(upstream: Upstream) -> None:
         pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
         host = host_of(upstream)
--- a/tests/crossings/test_ending.py
+++ b/tests/crossings/test_ending.py
@@ -19,8 +19,10 @@
         first.send("POST", "/pay/1", b"first", Req_Deadline="15.0")
         eventually(lambda: upstream.requests)
         sidecar.process.terminate()
-        half.socket.sendall(b"POST /pay/2 HTTP/1.1\r\nHost: b\r\nReq-Id: half\r\nReq-Deadline: 3.0\r\n"
-                            b"Content-Length: %d\r\n\r\n" % len(SLOW) + SLOW[1:])
+        half.socket.sendall(
+            b"POST /pay/2 HTTP/1.1\r\nHost: b\r\nReq-Id: half\r\nReq-Deadline: 3.0\r\n"
+            b"Content-Length: %d\r\n\r\n" % len(SLOW) + SLOW[1:]
+        )
         found = first.read()
         assert found is not None and found.status == 504  # given up
         half.socket.sendall(SLOW[:1])
--- a/tests/crossings/test_grpc_leaving.py
+++ b/tests/crossings/test_grpc_leaving.py
@@ -32,6 +32,7 @@
 def test_a_call_that_waits_is_not_sent_once_its_client_has_left(how: str, reads: bool) -> None:
     """The decisions keep it waiting, and send it as soon as they hear that it is gone. A client that does not
     read what it is given puts off the end of its connection."""
+
     async def test() -> None:
         gone = asyncio.Event()
 
--- a/tests/crossings/test_leaving.py
+++ b/tests/crossings/test_leaving.py
@@ -93,8 +93,7 @@
 @LEAVES
 def test_while_its_connection_to_the_upstream_comes_up(leaves: Leaves) -> None:
     """The settings forbid cancel."""
-    with (Late() as upstream,
-          Sidecar([upstream], cancel="false", dial_timeout="15000000", **AIM) as sidecar):
+    with Late() as upstream, Sidecar([upstream], cancel="false", dial_timeout="15000000", **AIM) as sidecar:
         client = sidecar.client()
         client.send("POST", "/pay/1", b"left", Req_Deadline="15.0")
         seen(sidecar)
@@ -172,9 +171,10 @@
 def test_behind_a_large_answer_that_it_does_not_read(leaves: Leaves, slots: int) -> None:
     """What is written to it goes nowhere; a request behind that waits in the buffer, by itself."""
     gate = Gate()
-    with (gate.upstream as upstream, Sidecar([upstream], instances="1", **AIM) as sidecar):
+    with gate.upstream as upstream, Sidecar([upstream], instances="1", **AIM) as sidecar:
         upstream.script = lambda request, client: (
-            answer(b"y" * BEYOND) if request.body == b"large" else gate.script(request, client))
+            answer(b"y" * BEYOND) if request.body == b"large" else gate.script(request, client)
+        )
         client = sidecar.client()
         client.send("POST", "/pay/1", b"large", Req_Deadline="15.0")
         eventually(lambda: b"large" in upstream.bodies())
--- a/tests/crossings/test_making_room.py
+++ b/tests/crossings/test_making_room.py
@@ -12,16 +12,17 @@
 from tests.sockets import LONG_S
 from tests.test_engine import engine_of
 
-ASK = (b"POST /pay/1 HTTP/1.1\r\nHost: b\r\nReq-Id: %016x\r\nReq-Deadline: 5.0\r\n"
-       b"Content-Length: 0\r\n\r\n")
+ASK = b"POST /pay/1 HTTP/1.1\r\nHost: b\r\nReq-Id: %016x\r\nReq-Deadline: 5.0\r\nContent-Length: 0\r\n\r\n"
 
 
 def test_an_answer_goes_before_its_connection_makes_room_in_the_same_turn() -> None:
     """At the limit of connections a new one ends the one that rests since just now. If its answer were still
     in the loop's buffer, it would be dropped with it: the loop hands it to the kernel at once."""
+
     async def test() -> None:
-        engine, _ = engine_of(lambda event: (
-            [api.Refuse(event.request)] if isinstance(event, api.RequestArrived) else []))
+        engine, _ = engine_of(
+            lambda event: [api.Refuse(event.request)] if isinstance(event, api.RequestArrived) else []
+        )
         server = Server(engine, 1)
         host, port = server.listen(("127.0.0.1", 0))
         loop = asyncio.get_running_loop()
--- a/tests/crossings/test_time_out.py
+++ b/tests/crossings/test_time_out.py
@@ -19,8 +19,9 @@
 HEAD = b"POST /pay/1 HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n"
 
 
-async def sent(listener: socket.socket, size: int,
-               ends: list[api.Outcome]) -> tuple[Pool, Exchange, socket.socket]:
+async def sent(
+    listener: socket.socket, size: int, ends: list[api.Outcome]
+) -> tuple[Pool, Exchange, socket.socket]:
     """A request with a body of so many bytes, as far as the kernel takes it; and the upstream's side."""
     pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
     pool.update([Host(api.Upstream(1), listener.getsockname())], whole=True)
@@ -36,6 +37,7 @@
 def test_what_is_told_as_never_sent_never_comes_whole(taken_first: bool) -> None:
     """The upstream takes all that is there, so the kernel has room again, and the time is out: the loop meets
     both in one turn. Told as not sent, an unsafe request is repeated, so its last byte must not go."""
+
     async def test(listener: socket.socket) -> None:
         ends: list[api.Outcome] = []
         pool, exchange, upstream = await sent(listener, BODY, ends)
@@ -79,14 +81,23 @@
         uvloop.run(asyncio.wait_for(test(listener), LONG_S))
 
 
-@pytest.mark.parametrize(("how", "outcome"), [
-    ("its time is out", api.Outcome.CONNECT_FAILED), ("its client left", api.Outcome.NOT_SENT),
-    ("its window is over", api.Outcome.NOT_SENT)])
+@pytest.mark.parametrize(
+    ("how", "outcome"),
+    [
+        ("its time is out", api.Outcome.CONNECT_FAILED),
+        ("its client left", api.Outcome.NOT_SENT),
+        ("its window is over", api.Outcome.NOT_SENT),
+    ],
+)
 def test_what_is_half_written_ends_with_its_request_and_is_held_against_who_took_none(
-        how: str, outcome: api.Outcome) -> None:
+    how: str, outcome: api.Outcome
+) -> None:
     async def test(listener: socket.socket) -> None:
-        engine, decisions = engine_of(lambda event: (
-            [api.Send(event.request, 1, 0, 1 << 60)] if isinstance(event, api.RequestArrived) else []))
+        engine, decisions = engine_of(
+            lambda event: (
+                [api.Send(event.request, 1, 0, 1 << 60)] if isinstance(event, api.RequestArrived) else []
+            )
+        )
         engine.pool.update([Host(api.Upstream(1), listener.getsockname())], whole=True)
         asked = call(engine)
         asked.body = bytes(BODY)
@@ -117,9 +128,11 @@
 @pytest.mark.parametrize("reads", ["before", "after"])
 @pytest.mark.parametrize("size", [BODY // 8, BODY // 4, BODY // 2, BODY])  # bytes; kernels differ
 def test_what_is_half_written_when_the_upstream_ends_its_sending_never_comes_whole(
-        reads: str, size: int) -> None:
+    reads: str, size: int
+) -> None:
     """It reads on: the loop would write the rest before it closes. Told as never sent, unsafe work is
     repeated. If the upstream has read before the loop sees its end, there is room in that very turn."""
+
     async def test(listener: socket.socket) -> None:
         ends: list[api.Outcome] = []
         pool, exchange, upstream = await sent(listener, size, ends)
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -86,22 +86,39 @@
 
 
 @pytest.mark.parametrize("mode", ["on_request", "pushed"])
-@pytest.mark.parametrize(("end", "crowd"), [  # a reset takes with it what the sender's kernel still has
-    (ends, 0), (closes, 0), (resets, 0), (ends, 2000), (closes, 2000)])
+@pytest.mark.parametrize(
+    ("end", "crowd"),
+    [  # a reset takes with it what the sender's kernel still has
+        (ends, 0),
+        (closes, 0),
+        (resets, 0),
+        (ends, 2000),
+        (closes, 2000),
+    ],
+)
 def test_all_that_is_told_before_a_watch_ends_is_heeded(
-        mode: str, end: Callable[[socket.socket], None], crowd: int) -> None:
+    mode: str, end: Callable[[socket.socket], None], crowd: int
+) -> None:
     """Two drains in one read with the watch's end, and discovery is down from then on: nobody tells them
     again. Behind a large list, which is read in steps, the second was dropped."""
-    with (Upstream() as one, Upstream() as two, Upstream() as left,
-          Sidecar([one, two, left], **lists(mode)) as sidecar):
+    with (
+        Upstream() as one,
+        Upstream() as two,
+        Upstream() as left,
+        Sidecar([one, two, left], **lists(mode)) as sidecar,
+    ):
         served(sidecar)
         watch = eventually(lambda: sidecar.discovery.watches)[0]
         others = [one.entry(host=f"s-crowd-{n}", health="terminating") for n in range(crowd)]
         watch.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * 1024 * 1024)
         with stopped(sidecar):
             sidecar.discovery.reply = UNAVAILABLE
-            watch.sendall(chunk(line(2, one.entry(health="terminating"), *others)
-                                + line(3, two.entry(health="terminating"))))
+            watch.sendall(
+                chunk(
+                    line(2, one.entry(health="terminating"), *others)
+                    + line(3, two.entry(health="terminating"))
+                )
+            )
             end(watch)
         eventually(lambda: len(sidecar.discovery.calls) >= 2)  # it has noticed
         alone(sidecar, left, one, two)
@@ -126,6 +143,7 @@
 def test_what_has_come_on_a_watch_is_heeded_though_another_takes_its_place(left: str) -> None:
     """The lines are in the kernel, and the loop has not looked: they have been told, and were dropped. Held
     up for long, the loop meets the time for silence before them."""
+
     async def test(listener: socket.socket) -> None:
         sink, loop = Sink(), asyncio.get_running_loop()
         watcher = Watcher(listener.getsockname(), Directory(told), 0, pushed=False)
@@ -181,15 +199,19 @@
     """An object was taken to be one line, so the watch failed each time."""
     with Upstream() as one, Upstream() as two, Upstream() as left, Discovery([]) as discovery:
         discovery.hosts = [one.entry(), two.entry(), left.entry()]
-        discovery.whole = lambda: json.dumps(  # type: ignore[method-assign]
-            {"seq": 1, "whole": True, "hosts": discovery.hosts}, indent=indent).encode() + b"\n"
+        discovery.whole = lambda: (
+            json.dumps(  # type: ignore[method-assign]
+                {"seq": 1, "whole": True, "hosts": discovery.hosts}, indent=indent
+            ).encode()
+            + b"\n"
+        )
         with Sidecar([one], discovery) as sidecar:
             eventually(lambda: spared(sidecar) and left.requests)
             odd = two.entry(health="terminating", site='}{ "\\" \n')
             text = b"\n\n" + line(2, odd, indent=indent) + b"\n"
             text += line(3, one.entry(health="terminating"), indent=indent)
             for at in range(0, len(text), 7):  # braces, strings and lines are cut anywhere
-                discovery.line(discovery.watches[0], text[at:at + 7])
+                discovery.line(discovery.watches[0], text[at : at + 7])
             eventually(lambda: spared(sidecar, one, two))
             alone(sidecar, left, one, two)
             assert len(discovery.calls) == 1 and not [text for text in sidecar.lines if "bad list" in text]
@@ -197,8 +219,7 @@
 
 def test_a_pushed_watch_that_falls_silent_is_opened_anew() -> None:
     """What it misses counts as told 6 s later, whether lists are pushed or asked for."""
-    with (Upstream() as one, Upstream() as left,
-          Sidecar([one, left], **lists("pushed")) as sidecar):
+    with Upstream() as one, Upstream() as left, Sidecar([one, left], **lists("pushed")) as sidecar:
         eventually(lambda: sidecar.discovery.watches)
         sidecar.discovery.hosts = [one.entry(health="terminating"), left.entry()]  # told on no open watch
         sidecar.discovery.seq = 2
--- a/tests/crossings/test_windows.py
+++ b/tests/crossings/test_windows.py
@@ -9,15 +9,18 @@
 from tests.sockets import LONG_S, Sidecar
 
 KEYED: dict[str, Any] = {
-    "instances": "1", "dial_timeout": "15000000", "request-classes.2.aim": "16000000",
-    "request-classes.2.deadline": "90000000", "request-classes.2.memory-span": "600000"}
+    "instances": "1",
+    "dial_timeout": "15000000",
+    "request-classes.2.aim": "16000000",
+    "request-classes.2.deadline": "90000000",
+    "request-classes.2.memory-span": "600000",
+}
 
 
 def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_sent() -> None:
     """The first attempt may have run. The second begins inside the window, and its connection comes up after
     it: who remembers the key no more would run it again."""
-    with (Late(first=1) as upstream,
-          Sidecar([upstream], **KEYED) as sidecar):
+    with Late(first=1) as upstream, Sidecar([upstream], **KEYED) as sidecar:
         client = sidecar.client()
         client.send("POST", "/mark/7", b"keyed", Idempotency_Key="k1", Req_Deadline="15.0")
         # it is answered at the end of its window, and not when the connection is up or its time is over
@@ -25,6 +28,8 @@
         upstream.opened.set()
         found = client.read()
         assert found is not None and found.status == 502 and given_up
-        assert sidecar.request("POST", "/mark/8", b"last", Idempotency_Key="k2",
-                               Req_Deadline="15.0").status == 200
+        assert (
+            sidecar.request("POST", "/mark/8", b"last", Idempotency_Key="k2", Req_Deadline="15.0").status
+            == 200
+        )
         assert upstream.bodies() == [b"keyed", b"last"]
--- a/tests/discovery/test_etcd.py
+++ b/tests/discovery/test_etcd.py
@@ -39,8 +39,9 @@
         self.lists += 1
         self.merge.listed(source, epoch, revision, entries)
 
-    def changed(self, source: str, epoch: str, revision: int,
-                changes: tuple[tuple[str, Entry | None], ...]) -> None:
+    def changed(
+        self, source: str, epoch: str, revision: int, changes: tuple[tuple[str, Entry | None], ...]
+    ) -> None:
         self.revisions.append(revision)
         self.merge.changed(source, epoch, revision, changes)
 
@@ -68,8 +69,9 @@
     async def start(self, nodes: int = 5) -> None:
         for at in range(0, nodes, 100):
             self.store.commit(*[(f"/n/s-{n}", value()) for n in range(at, min(at + 100, nodes))])
-        addresses = tuple([await member.serve(0, tls)
-                           for member, tls in zip(self.members, self.tls, strict=True)])
+        addresses = tuple(
+            [await member.serve(0, tls) for member, tls in zip(self.members, self.tls, strict=True)]
+        )
         told = Etcd(endpoints=addresses, prefix="/n/", **self.more)
         follower = Follower("/n/", len(addresses), bool(told.username), random.Random(3))
         self.follower = follower
@@ -185,8 +187,12 @@
             old = scene.current()
             setattr(old, wrong, True)
             scene.store.commit(("/n/s-1", value("terminating" if wrong == "silent" else "in_service")))
-            await until(lambda wrong=wrong: scene.told.state("s-1") is  # type: ignore[misc]
-                        (DRAINING if wrong == "silent" else READY))
+            await until(
+                lambda wrong=wrong: (
+                    scene.told.state("s-1")  # type: ignore[misc]
+                    is (DRAINING if wrong == "silent" else READY)
+                )
+            )
             await until(lambda old=old: scene.current() is not old)  # type: ignore[misc]
         assert scene.told.lists == 1
 
@@ -256,8 +262,13 @@
         await until(lambda: scene.told.state("s-2") is DRAINING)
         assert not scene.members[0].calls
 
-    play(test, members=2, tls_ca=str(tmp_path / "ca.pem"), tls_cert=str(tmp_path / "side.pem"),
-         tls_key=str(tmp_path / "side.key"))
+    play(
+        test,
+        members=2,
+        tls_ca=str(tmp_path / "ca.pem"),
+        tls_cert=str(tmp_path / "side.pem"),
+        tls_key=str(tmp_path / "side.key"),
+    )
 
 
 def test_a_watch_that_stops_in_the_middle_of_a_frame_is_left() -> None:
@@ -341,6 +352,7 @@
 
 def test_the_stand_in_serves_a_client_of_other_hands() -> None:
     """So that our reading of the protocol is not wrong on both sides alike."""
+
     async def test(scene: Scene) -> None:
         await scene.start()
         await scene.listed()
--- a/tests/discovery/test_follower.py
+++ b/tests/discovery/test_follower.py
@@ -110,8 +110,9 @@
 
 def test_events_of_one_transaction_are_told_together_and_in_order() -> None:
     one = watching()
-    found = one.watched(1, events(12, put("a", 11, value("terminating")), gone("b", 11), put("b", 11),
-                                  put("c", 12)))
+    found = one.watched(
+        1, events(12, put("a", 11, value("terminating")), gone("b", 11), put("b", 11), put("c", 12))
+    )
     first, second = only(Changed, found)
     assert isinstance(first, Changed) and isinstance(second, Changed)
     deleted = [(name, entry is None) for name, entry in first.changes]
@@ -256,7 +257,9 @@
     found = one.watched(1, events(12, put("a", 11, data), put("c", 12)))
     changes = [change for action in only(Changed, found) for change in action.changes]  # type: ignore[union-attr]
     assert [(name, entry is not None and entry.dial) for name, entry in changes] == [
-        ("a", "10.0.0.1:1"), ("c", "10.0.0.1:1")]
+        ("a", "10.0.0.1:1"),
+        ("c", "10.0.0.1:1"),
+    ]
     assert len(only(Complain, found)) == 1
     one.watched(2, pb.WatchResponse(header=header(90), canceled=True, compact_revision=80))
     one.up(3)
--- a/tests/discovery/test_merge.py
+++ b/tests/discovery/test_merge.py
@@ -122,15 +122,24 @@
     assert len(merge.members()) == 10
 
 
-@pytest.mark.parametrize(("value", "part"), [
-    (b"{", "not JSON"), (b"[]", "not an object"), (b"[" * 60_000, "not JSON"), (b"x" * 70_000, "70000 bytes"),
-    (b"{}", "unknown health"), (b'{"health": ["x"]}', "unknown health"),
-    (b'{"health": "in_service"}', "dial is"), (b'{"health": "in_service", "dial": "a:99999"}', "dial is"),
-    (b'{"health": "in_service", "dial": "a:1", "born_ms": -1}', "born_ms is '-1'"),
-    (b'{"health": "in_service", "dial": "a:1", "block": true}', "block is"),
-    (b'{"health": "in_service", "dial": "a:1", "share": 1e999}', "share is"),
-    (b'{"health": "in_service", "dial": "a:1", "host": "b"}', "host is"),
-    (b'{"health": "in_service", "dial": "a:1", "site": 3}', "site is")])
+@pytest.mark.parametrize(
+    ("value", "part"),
+    [
+        (b"{", "not JSON"),
+        (b"[]", "not an object"),
+        (b"[" * 60_000, "not JSON"),
+        (b"x" * 70_000, "70000 bytes"),
+        (b"{}", "unknown health"),
+        (b'{"health": ["x"]}', "unknown health"),
+        (b'{"health": "in_service"}', "dial is"),
+        (b'{"health": "in_service", "dial": "a:99999"}', "dial is"),
+        (b'{"health": "in_service", "dial": "a:1", "born_ms": -1}', "born_ms is '-1'"),
+        (b'{"health": "in_service", "dial": "a:1", "block": true}', "block is"),
+        (b'{"health": "in_service", "dial": "a:1", "share": 1e999}', "share is"),
+        (b'{"health": "in_service", "dial": "a:1", "host": "b"}', "host is"),
+        (b'{"health": "in_service", "dial": "a:1", "site": 3}', "site is"),
+    ],
+)
 def test_an_entry_that_can_t_be_used(value: bytes, part: str) -> None:
     with pytest.raises(EntryError) as found:
         parse("a", value)
@@ -138,8 +147,17 @@
 
 
 def test_an_entry() -> None:
-    told = {"host": "a", "dial": "10.1.0.18:3000", "dial_grpc": "10.1.0.18:3001", "site": "a", "class": "m2",
-            "block": 3, "health": "terminating", "share": 0.5, "born_ms": 7}
+    told = {
+        "host": "a",
+        "dial": "10.1.0.18:3000",
+        "dial_grpc": "10.1.0.18:3001",
+        "site": "a",
+        "class": "m2",
+        "block": 3,
+        "health": "terminating",
+        "share": 0.5,
+        "born_ms": 7,
+    }
     found = parse("a", json.dumps(told).encode())
     assert found == Entry("a", DRAINING, "10.1.0.18:3000", "10.1.0.18:3001", "a", "m2", 3, 0.5, 7)
     assert parse("a", b'{"health": "terminated"}') == Entry("a", GONE)
@@ -178,8 +196,12 @@
     @rule(source=st.sampled_from(["one", "two"]), name=st.sampled_from(NAMES), told=STATES)
     def change(self, source: str, name: str, told: UpstreamState) -> None:
         self.revision[source] += 1
-        self.merge.changed(source, str(self.epoch[source]), self.revision[source],
-                           [(name, entry(name, told, self.born[name]))])
+        self.merge.changed(
+            source,
+            str(self.epoch[source]),
+            self.revision[source],
+            [(name, entry(name, told, self.born[name]))],
+        )
         if told is DRAINING:
             self.drains[source, name] = self.born[name]
         else:
@@ -203,8 +225,9 @@
         """Another cluster, that knows nothing of drains."""
         self.epoch[source] += 1
         self.revision[source] = 0
-        self.merge.listed(source, str(self.epoch[source]), 0,
-                          [entry(name, born_ms=self.born[name]) for name in NAMES])
+        self.merge.listed(
+            source, str(self.epoch[source]), 0, [entry(name, born_ms=self.born[name]) for name in NAMES]
+        )
 
     @rule(later=st.integers(0, 1))
     def empty(self, later: int) -> None:
--- a/tests/discovery/test_sidecar.py
+++ b/tests/discovery/test_sidecar.py
@@ -188,9 +188,15 @@
             assert sidecar.stop() == 0
 
 
-@pytest.mark.parametrize(("more", "key"), [
-    ('username = "u"\n', "membership.etcd.username"), ('tls_ca = "/nowhere"\n', "membership.etcd.tls_ca"),
-    ("endpoint = 5\n", "membership.etcd.endpoint"), ('password_file = 5\n', "membership.etcd.password_file")])
+@pytest.mark.parametrize(
+    ("more", "key"),
+    [
+        ('username = "u"\n', "membership.etcd.username"),
+        ('tls_ca = "/nowhere"\n', "membership.etcd.tls_ca"),
+        ("endpoint = 5\n", "membership.etcd.endpoint"),
+        ("password_file = 5\n", "membership.etcd.password_file"),
+    ],
+)
 def test_what_can_not_be_used_ends_the_start_with_one_line(more: str, key: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(f'[membership.etcd]\nendpoints = ["127.0.0.1:1"]\n{more}')
--- a/tests/gossip/test_core.py
+++ b/tests/gossip/test_core.py
@@ -24,8 +24,11 @@
 
 
 def lives(fleet: Fleet, name: str) -> list[Life]:
-    return [one.instance.core.peers[name].life for one in fleet.all()
-            if not one.stopped and name in one.instance.core.peers]
+    return [
+        one.instance.core.peers[name].life
+        for one in fleet.all()
+        if not one.stopped and name in one.instance.core.peers
+    ]
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
@@ -92,8 +95,9 @@
         starved.asleep_until_us = fleet.now_us + 399_500
         fleet.run(0.4)
         worst = max(worst, starved.instance.core.health)
-        dead |= {peer.name for one in others for peer in one.instance.core.peers.values()
-                 if peer.life is Life.DEAD}
+        dead |= {
+            peer.name for one in others for peer in one.instance.core.peers.values() if peer.life is Life.DEAD
+        }
     assert worst >= 2 and dead <= {"i7"}
 
 
@@ -133,9 +137,13 @@
             one.instance.core.rumours.clear()  # those of the start: log n each, and n of them
         before = [one.instance.counts.copy() for one in fleet.all()]
         fleet.run(20.0)
-        rates[count] = [max((one.instance.counts[name] - old[name]) / 20
-                            for one, old in zip(fleet.all(), before, strict=True))
-                        for name in ("packets out", "bytes out")]
+        rates[count] = [
+            max(
+                (one.instance.counts[name] - old[name]) / 20
+                for one, old in zip(fleet.all(), before, strict=True)
+            )
+            for name in ("packets out", "bytes out")
+        ]
     assert rates[120][0] <= 1.5 * rates[10][0] + 1 and rates[120][1] <= 1.5 * rates[10][1] + 500
 
 
--- a/tests/gossip/test_keys.py
+++ b/tests/gossip/test_keys.py
@@ -95,9 +95,11 @@
     own = ring()
     told = ONE.sign(Bulletin([Count("n", 1, 9, 9, 0, 0, 0, 9, 0)]), WALL_US)
     assert own.statement(told, ONE.certificate, 0, WALL_US)
-    for forged in (codec.Signed("i0", told.at_us, told.body, told.signature),
-                   codec.Signed("i1", told.at_us + 1, told.body, told.signature),
-                   codec.Signed("i1", told.at_us, told.body[:-1] + b"\x08", told.signature)):
+    for forged in (
+        codec.Signed("i0", told.at_us, told.body, told.signature),
+        codec.Signed("i1", told.at_us + 1, told.body, told.signature),
+        codec.Signed("i1", told.at_us, told.body[:-1] + b"\x08", told.signature),
+    ):
         with pytest.raises(Refused):
             own.statement(forged, ONE.certificate, 0, WALL_US)
     with pytest.raises(Refused, match="of nobody known"):
@@ -169,8 +171,13 @@
 def test_bytes_of_any_kind_are_refused_and_nothing_else(noise: bytes, cut: int, flip: int) -> None:
     flipped = bytearray(PACKET)
     flipped[flip // 8] ^= 1 << flip % 8
-    for data in (noise, codec.MAGIC + noise, PACKET[:cut] + noise, bytes(flipped),
-                 codec.closed(bytes(64), noise)):
+    for data in (
+        noise,
+        codec.MAGIC + noise,
+        PACKET[:cut] + noise,
+        bytes(flipped),
+        codec.closed(bytes(64), noise),
+    ):
         if data != PACKET:
             with pytest.raises(Refused):
                 ring().packet(data, 0, WALL_US)
@@ -189,7 +196,7 @@
     for body in bodies:
         signature = liar.keyring.key.sign(codec.of_statement("i1", own.wall_us() + at, body)).signature
         told.append(codec.Signed("i1", own.wall_us() + at, body, signature))
-    data = liar.keyring.seal(News(), told[:codec.MOST_RUMOURS], own.wall_us())
+    data = liar.keyring.seal(News(), told[: codec.MOST_RUMOURS], own.wall_us())
     found = target.receive(data, ("10.0.0.1", 1001), own.now_us, own.wall_us())
     assert all(isinstance(one, Datagram) for one in found)
     own.run(1.0)
--- a/tests/gossip/test_outlier_reports.py
+++ b/tests/gossip/test_outlier_reports.py
@@ -28,19 +28,24 @@
     return one.weight("n", BORN_MS, dict.fromkeys([*votes, site], size), NOW_US)
 
 
-@given(voters=st.integers(1, 60), honest=st.lists(st.integers(0, 9), max_size=40),
-       lies=st.lists(st.tuples(st.integers(0, 1000), st.integers(0, 9999)), max_size=12))
-def test_as_many_liars_as_are_tolerated_raise_nothing(voters: int, honest: list[int],
-                                                      lies: list[tuple[int, int]]) -> None:
+@given(
+    voters=st.integers(1, 60),
+    honest=st.lists(st.integers(0, 9), max_size=40),
+    lies=st.lists(st.tuples(st.integers(0, 1000), st.integers(0, 9999)), max_size=12),
+)
+def test_as_many_liars_as_are_tolerated_raise_nothing(
+    voters: int, honest: list[int], lies: list[tuple[int, int]]
+) -> None:
     """Whatever they say, and however loud, of a node that answers the honest ones, or that they don't use."""
     votes = [(0.0, min(1.0, well / 10)) for well in honest]
-    votes += [(min(1.0, run), strength / 9999) for run, strength in lies[:tolerated(voters)]]
+    votes += [(min(1.0, run), strength / 9999) for run, strength in lies[: tolerated(voters)]]
     assert trimmed(votes, voters) == 0.0
 
 
 @given(st.lists(st.tuples(st.floats(0, 1), st.floats(0, 1)), max_size=30), st.integers(1, 60))
-def test_a_weight_is_a_share_and_more_votes_against_never_lower_it(votes: list[tuple[float, float]],
-                                                                    voters: int) -> None:
+def test_a_weight_is_a_share_and_more_votes_against_never_lower_it(
+    votes: list[tuple[float, float]], voters: int
+) -> None:
     weight = trimmed(votes, voters)
     assert 0.0 <= weight <= 1.0
     assert trimmed([*votes, (1.0, 1.0)], voters) >= weight - 1e-9
--- a/tests/gossip/test_peers.py
+++ b/tests/gossip/test_peers.py
@@ -36,20 +36,28 @@
         assert sorted(one.name for one in peers.living()) == sorted(living)
         assert peers.sites == Counter(peers[name].site for name in living) and 0 not in peers.sites.values()
         assert {one.name for one in peers.suspects()} == {
-            one.name for one in peers.values() if one.life is Life.SUSPECT}
+            one.name for one in peers.values() if one.life is Life.SUSPECT
+        }
         assert {one.name for one in peers.dead()} == set(peers) - set(living)
 
 
-@given(st.lists(st.tuples(NAMES, st.booleans(), st.integers(1, 1024)), max_size=30), st.integers(1, 6),
-       st.integers(1, 4))
+@given(
+    st.lists(st.tuples(NAMES, st.booleans(), st.integers(1, 1024)), max_size=30),
+    st.integers(1, 6),
+    st.integers(1, 4),
+)
 def test_rumours_go_out_least_told_first_and_each_so_many_times_unless_no_packet_holds_it(
-        put: list[tuple[str, bool, int]], most: int, times: int) -> None:
+    put: list[tuple[str, bool, int]], most: int, times: int
+) -> None:
     rumours, told = Rumours(), Counter[Signed]()
     for name, late, length in put:
         rumours.put((name,), signed(name, length), late)
     whole = dict(rumours.by_key)
-    assert set(whole) == {(name,) for name, length in {name: length for name, _, length in put}.items()
-                          if size_of(signed(name, length)) <= ROOM}
+    assert set(whole) == {
+        (name,)
+        for name, length in {name: length for name, _, length in put}.items()
+        if size_of(signed(name, length)) <= ROOM
+    }
     while rumours.by_key:
         least = min(one.level for one in rumours.by_key.values())
         chosen = rumours.choose(most, ROOM, times)
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -32,8 +32,9 @@
 
 async def speaker(number: int, seeds: list[tuple[str, int]]) -> Transport:
     ring = KEYS.keyring(f"i{number}", "s")
-    instance = Instance(ring, ("127.0.0.1", 0), seeds, random.Random(number), now_us(), wall_us(),
-                        lambda node: 5, floor=1)
+    instance = Instance(
+        ring, ("127.0.0.1", 0), seeds, random.Random(number), now_us(), wall_us(), lambda node: 5, floor=1
+    )
     one = Transport(instance, now_us, lambda told: None)
     instance.move(await one.open(("127.0.0.1", 0)))
     one.start()
@@ -65,7 +66,8 @@
 
 @pytest.mark.parametrize("manner", ["silent", "a byte at a time", "too large", "half", "noise", "leaves"])
 def test_a_peer_that_stalls_in_an_exchange_is_left_and_costs_the_others_nothing(
-        manner: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    manner: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(sockets, "EXCHANGE_S", 0.4)
 
     async def test(one: Transport, two: Transport) -> None:
@@ -78,7 +80,7 @@
             try:
                 if manner == "a byte at a time":
                     for at in range(len(with_size)):
-                        writer.write(with_size[at:at + 1])
+                        writer.write(with_size[at : at + 1])
                         await asyncio.sleep(0.05)
                 elif manner == "too large":
                     writer.write(b"\xff\xff\xff\xff")
@@ -127,7 +129,8 @@
     async def test(one: Transport, two: Transport) -> None:
         await until(lambda: knows(one, 1) and knows(two, 1))
         udp, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            asyncio.DatagramProtocol, remote_addr=one.instance.address)
+            asyncio.DatagramProtocol, remote_addr=one.instance.address
+        )
         dice = random.Random(4)
         for size in (0, 1, 60, 500, 1300, 9000):
             udp.sendto(dice.randbytes(size))
@@ -197,8 +200,22 @@
                 for number, name in enumerate(("one", "two")):
                     assert main(["keygen", f"{folder}/{name}2"]) == 0
                     os.replace(f"{folder}/{name}2", f"{folder}/{name}.key")  # before its certificate
-                    assert main(["certify", new, f"{folder}/{name}2.pub", name, "s", f"{folder}/{name}.cert",
-                                 "--serial", str(100 + number), "--replace"]) == 0
+                    assert (
+                        main(
+                            [
+                                "certify",
+                                new,
+                                f"{folder}/{name}2.pub",
+                                name,
+                                "s",
+                                f"{folder}/{name}.cert",
+                                "--serial",
+                                str(100 + number),
+                                "--replace",
+                            ]
+                        )
+                        == 0
+                    )
                     assert [side.request("POST", "/pay/7", b"x").status for side in (one, two)] == [200, 200]
                 eventually(lambda: "serial 101" in members(keys, "one"))
                 eventually(lambda: "serial 100" in members(keys, "two"))
@@ -222,42 +239,65 @@
     assert "n0 of makati" in said.out and "it is there already" in said.err and "Traceback" not in said.err
 
 
-@pytest.mark.parametrize(("changes", "line"), [
-    ({"key_file": None}, "gossip.key_file: missing; gossip.bind needs it"),
-    ({"key_file": "/nowhere"}, "gossip: /nowhere: No such file"),
-    ({"certificate_file": "KEY.pub"}, "no certificate"),
-    ({}, "gossip.certificate_file"),
-    ({"bind": "here"}, "gossip.bind: "), ({"seeds": ["x"]}, "gossip.seeds: "),
-    ({"bind": "0.0.0.0:0"}, "gossip.bind: expected an address that the others reach"),
-    ({"advertise": "a.example:7"}, "gossip.advertise: expected an address"),
-    ({"bind": "192.0.2.1:7000"}, "gossip.bind: ")])  # an address that is no machine's
-def test_what_can_not_be_used_ends_the_start_with_one_line(changes: dict[str, Any], line: str,
-                                                           tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    ("changes", "line"),
+    [
+        ({"key_file": None}, "gossip.key_file: missing; gossip.bind needs it"),
+        ({"key_file": "/nowhere"}, "gossip: /nowhere: No such file"),
+        ({"certificate_file": "KEY.pub"}, "no certificate"),
+        ({}, "gossip.certificate_file"),
+        ({"bind": "here"}, "gossip.bind: "),
+        ({"seeds": ["x"]}, "gossip.seeds: "),
+        ({"bind": "0.0.0.0:0"}, "gossip.bind: expected an address that the others reach"),
+        ({"advertise": "a.example:7"}, "gossip.advertise: expected an address"),
+        ({"bind": "192.0.2.1:7000"}, "gossip.bind: "),
+    ],
+)  # an address that is no machine's
+def test_what_can_not_be_used_ends_the_start_with_one_line(
+    changes: dict[str, Any], line: str, tmp_path: Path
+) -> None:
     key, other = str(tmp_path / "k"), str(tmp_path / "other")
     main(["keygen", key])
     main(["keygen", other])
     of = other if line == "gossip.certificate_file" else key
     main(["certify", key, of + ".pub", "n", "s", key + ".cert"])
-    table = {"bind": "127.0.0.1:0", "key_file": key, "certificate_file": key + ".cert",
-             "fleet_keys": [key + ".pub"]} | changes
+    table = {
+        "bind": "127.0.0.1:0",
+        "key_file": key,
+        "certificate_file": key + ".cert",
+        "fleet_keys": [key + ".pub"],
+    } | changes
     text = json.dumps({name: one for name, one in table.items() if one is not None}).replace("KEY", key)
-    (tmp_path / "operator.toml").write_text("[gossip]\n" + "\n".join(
-        f"{name} = {json.dumps(one)}" for name, one in json.loads(text).items()))
+    (tmp_path / "operator.toml").write_text(
+        "[gossip]\n" + "\n".join(f"{name} = {json.dumps(one)}" for name, one in json.loads(text).items())
+    )
     (tmp_path / "config.json").write_text(json.dumps({"seed": "1", "settings": settings(Plan(), 0)}))
-    env = os.environ | {"PROXY_NAME": "n", "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:9",
-                        "PROXY_CONFIG": str(tmp_path / "config.json"),
-                        "SIDECAR_PROXY_OPERATOR": str(tmp_path / "operator.toml")}
-    done = subprocess.run([sys.executable, "-m", "sidecar_proxy.daemon"], cwd=ROOT, env=env, text=True,
-                          capture_output=True, timeout=LONG_S)
+    env = os.environ | {
+        "PROXY_NAME": "n",
+        "PROXY_LISTEN": "127.0.0.1:0",
+        "PROXY_DISCOVERY": "127.0.0.1:9",
+        "PROXY_CONFIG": str(tmp_path / "config.json"),
+        "SIDECAR_PROXY_OPERATOR": str(tmp_path / "operator.toml"),
+    }
+    done = subprocess.run(
+        [sys.executable, "-m", "sidecar_proxy.daemon"],
+        cwd=ROOT,
+        env=env,
+        text=True,
+        capture_output=True,
+        timeout=LONG_S,
+    )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and line in done.stderr, done.stderr
 
 
 def test_a_fault_in_gossip_costs_no_request() -> None:
     """The engine tells how each attempt ended; whatever becomes of that, the answer stands."""
-    code = ("import sys; from sidecar_proxy.gossip.instance import Instance\n"
-            "def fault(*_): raise RuntimeError('a fault')\n"
-            "Instance.attempt = fault\n"
-            "from sidecar_proxy.daemon.__main__ import main; sys.exit(main())")
+    code = (
+        "import sys; from sidecar_proxy.gossip.instance import Instance\n"
+        "def fault(*_): raise RuntimeError('a fault')\n"
+        "Instance.attempt = fault\n"
+        "from sidecar_proxy.daemon.__main__ import main; sys.exit(main())"
+    )
     with tempfile.TemporaryDirectory() as folder, Upstream(b"ok") as good:
         keys = Keys(folder)
         path = keys.folder / "one.toml"
--- a/tests/grpc/rig.py
+++ b/tests/grpc/rig.py
@@ -33,8 +33,14 @@
 from tests.world import settings
 
 LONG_S = 20.0
-OPEN = Limits(streams=10_000, window=1 << 20, connection_window=1 << 28, header_bytes=1 << 20, unsent=1 << 28,
-              rates=Rates(1e9, 1e9, 1e9, 1e9, 1e9))
+OPEN = Limits(
+    streams=10_000,
+    window=1 << 20,
+    connection_window=1 << 28,
+    header_bytes=1 << 20,
+    unsent=1 << 28,
+    rates=Rates(1e9, 1e9, 1e9, 1e9, 1e9),
+)
 ANSWER = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 # classes of tests/world.py's settings: 0 idempotent, 1 unsafe, 2 keyed
 METHODS = {"/t.T/Read": "read", "/t.T/Pay": "pay", "/t.T/Top": "top", "/t.S/*": "stream"}
@@ -103,11 +109,16 @@
 class Client(Peer):
     client = True
 
-    def call(self, path: str, body: bytes | None = b"hello", ended: bool = True,
-             **metadata: str) -> int:
-        headers = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", path.encode()),
-                   (b":authority", b"backend"), (b"te", b"trailers"), (b"content-type", b"application/grpc"),
-                   *[(name.replace("_", "-").encode(), value.encode()) for name, value in metadata.items()]]
+    def call(self, path: str, body: bytes | None = b"hello", ended: bool = True, **metadata: str) -> int:
+        headers = [
+            (b":method", b"POST"),
+            (b":scheme", b"http"),
+            (b":path", path.encode()),
+            (b":authority", b"backend"),
+            (b"te", b"trailers"),
+            (b"content-type", b"application/grpc"),
+            *[(name.replace("_", "-").encode(), value.encode()) for name, value in metadata.items()],
+        ]
         stream = self.http2.open_stream(headers)
         assert stream is not None
         if body is not None:
@@ -126,6 +137,7 @@
 
     async def answer(self, stream: int) -> tuple[int, dict[bytes, bytes], bytes]:
         """Code, trailers and message data; code -1 where the stream was reset or the connection is lost."""
+
         def over() -> bool:
             ended = any(isinstance(one, Ended) for one in self.events)
             return bool(self.status(stream) is not None or self.of(StreamReset, stream) or self.lost or ended)
@@ -147,8 +159,9 @@
 class Node(Peer):
     """One connection to a scripted node."""
 
-    def __init__(self, script: Callable[[Node, int], None] | None = None, limits: Limits = OPEN,
-                 frames: bool = True) -> None:
+    def __init__(
+        self, script: Callable[[Node, int], None] | None = None, limits: Limits = OPEN, frames: bool = True
+    ) -> None:
         super().__init__(limits, frames)
         self.script = script  # called when a request is whole
 
@@ -162,8 +175,9 @@
     def calls(self) -> list[int]:
         return [one.stream for one in self.events if isinstance(one, HeadersReceived)]
 
-    def serve(self, stream: int, body: bytes = b"done", status: bytes = b"0",
-              *more: tuple[bytes, bytes]) -> None:
+    def serve(
+        self, stream: int, body: bytes = b"done", status: bytes = b"0", *more: tuple[bytes, bytes]
+    ) -> None:
         self.http2.send_headers(stream, ANSWER)
         self.http2.send_data(stream, framed(body))
         self.http2.send_trailers(stream, [(b"grpc-status", status), *more])
@@ -177,15 +191,21 @@
 class Rig:
     """Engine, listener, gRPC; decisions by the test, or the real ones; nodes that are listeners here."""
 
-    def __init__(self, act: Callable[[api.Event], list[api.Action]] | None = None, told: Grpc | None = None,
-                 connect_s: float = 0.5) -> None:
+    def __init__(
+        self,
+        act: Callable[[api.Event], list[api.Action]] | None = None,
+        told: Grpc | None = None,
+        connect_s: float = 0.5,
+    ) -> None:
         self.settings = settings()
         self.settings.classes = [
             api.RequestClass("read", 500_000, 5_000_000),
             api.RequestClass("pay", 500_000, 5_000_000, effect="at_most_once"),
-            api.RequestClass("top", 500_000, 5_000_000, effect="deduplicated", group="cell",
-                             memory_us=8_000_000),
-            api.RequestClass("stream", 500_000, 5_000_000, effect="at_most_once", stream=True)]
+            api.RequestClass(
+                "top", 500_000, 5_000_000, effect="deduplicated", group="cell", memory_us=8_000_000
+            ),
+            api.RequestClass("stream", 500_000, 5_000_000, effect="at_most_once", stream=True),
+        ]
         self.settings.max_attempts = 4
         self.pool = Pool(connect_s=connect_s, idle_s=5.0, most=64)
         self.engine = Engine(self.settings, 1, Clock(), self.pool, NoDiscovery())
@@ -261,6 +281,7 @@
 
 def send_to(*upstreams: int) -> Callable[[api.Event], list[api.Action]]:
     """Decisions: each request to these in turn, as attempts fail; then it is failed."""
+
     def act(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.RequestArrived):
             return [api.Send(event.request, upstreams[0])]
--- a/tests/grpc/test_front.py
+++ b/tests/grpc/test_front.py
@@ -30,7 +30,7 @@
     frame,
 )
 
-REQUEST = (b"\x83\x86\x44\x09/t.T/Read\x41\x01a\x5f\x10application/grpc\x40\x02te\x08trailers")
+REQUEST = b"\x83\x86\x44\x09/t.T/Read\x41\x01a\x5f\x10application/grpc\x40\x02te\x08trailers"
 
 
 def hello() -> bytes:
@@ -43,10 +43,14 @@
 
 
 ATTACKS = {
-    "rapid reset": lambda: b"".join(frame(HEADERS, END_HEADERS | END_STREAM, n, REQUEST)
-                                    + frame(RST, 0, n, struct.pack(">I", 8)) for n in range(1, 4001, 2)),
-    "continuation": lambda: frame(HEADERS, 0, 1, REQUEST) + b"".join(
-        frame(CONTINUATION, 0, 1, b"\x40\x01a\x01b") for _ in range(1000)),
+    "rapid reset": lambda: b"".join(
+        frame(HEADERS, END_HEADERS | END_STREAM, n, REQUEST) + frame(RST, 0, n, struct.pack(">I", 8))
+        for n in range(1, 4001, 2)
+    ),
+    "continuation": lambda: (
+        frame(HEADERS, 0, 1, REQUEST)
+        + b"".join(frame(CONTINUATION, 0, 1, b"\x40\x01a\x01b") for _ in range(1000))
+    ),
     "hpack bomb": lambda: frame(HEADERS, END_HEADERS | END_STREAM, 1, bomb()),
     "pings": lambda: frame(PING, 0, 0, b"12345678") * 500,
     "settings": lambda: frame(SETTINGS, 0, 0, b"") * 500,
@@ -69,8 +73,15 @@
         assert (await good.answer(good.call("/t.T/Read")))[0] == 0
         bad.write(hello() + ATTACKS[name]())
         if name == "hpack bomb":  # that stream alone, or the connection
-            await bad.until(lambda: bad.lost or any(kind in (RST, GOAWAY) or (kind == HEADERS and stream == 1)
-                                                    for kind, _, stream, _ in bad.frames()))
+            await bad.until(
+                lambda: (
+                    bad.lost
+                    or any(
+                        kind in (RST, GOAWAY) or (kind == HEADERS and stream == 1)
+                        for kind, _, stream, _ in bad.frames()
+                    )
+                )
+            )
         else:
             await bad.until(lambda: bad.lost)
             codes = [payload[4:8] for kind, _, _, payload in bad.frames() if kind == GOAWAY]
@@ -90,12 +101,15 @@
 
 def test_10_000_streams_at_once() -> None:
     """The first hundred are taken; the others are refused as never begun, and nothing grows."""
+
     async def test() -> None:
         rig = Rig(send_to(1))
         await rig.node(Node)
         bad = await rig.client(frames=False)
-        bad.write(hello() + b"".join(frame(HEADERS, END_HEADERS | END_STREAM, n, REQUEST)
-                                     for n in range(1, 20_001, 2)))
+        bad.write(
+            hello()
+            + b"".join(frame(HEADERS, END_HEADERS | END_STREAM, n, REQUEST) for n in range(1, 20_001, 2))
+        )
         good = await rig.client()
         assert (await good.answer(good.call("/u.U/X")))[0] == Code.UNIMPLEMENTED
         assert len(rig.engine.requests) <= 100
@@ -142,9 +156,16 @@
     async def test() -> None:
         rig = Rig(send_to(1))
         client = await rig.client()
-        stream = client.http2.open_stream([
-            (b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/t.T/Read"), (b":authority", b"a"),
-            (b"content-type", b"text/html")], True)
+        stream = client.http2.open_stream(
+            [
+                (b":method", b"POST"),
+                (b":scheme", b"http"),
+                (b":path", b"/t.T/Read"),
+                (b":authority", b"a"),
+                (b"content-type", b"text/html"),
+            ],
+            True,
+        )
         client.flush()
         assert stream is not None
         await client.answer(stream)
@@ -187,8 +208,18 @@
     run(test)
 
 
-@pytest.mark.parametrize("data", [b"", b"\x01\0\0\0\0", b"\0\0\0\0\1", b"\0\0\0\0\2\x0a\5", b"\0\0\0\0\1\x0f",
-                                  b"\0\0\0\0\4\x0a\2\xff\xfe", b"\0\0\0\0\x0b" + b"\xff" * 11])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"",
+        b"\x01\0\0\0\0",
+        b"\0\0\0\0\1",
+        b"\0\0\0\0\2\x0a\5",
+        b"\0\0\0\0\1\x0f",
+        b"\0\0\0\0\4\x0a\2\xff\xfe",
+        b"\0\0\0\0\x0b" + b"\xff" * 11,
+    ],
+)
 def test_health_requests_that_are_none(data: bytes) -> None:
     with pytest.raises(HealthError):
         service_of(data)
@@ -225,6 +256,7 @@
         rig.settings.probes = True
         answers = {1: health.response(Serving.SERVING)[5:], 2: health.response(Serving.NOT_SERVING)[5:]}
         for number in (1, 2):
+
             def script(node: Node, stream: int, number: int = number) -> None:
                 assert node.request(stream)[b":path"] == health.CHECK
                 node.serve(stream, answers[number])
--- a/tests/grpc/test_grpcio.py
+++ b/tests/grpc/test_grpcio.py
@@ -23,8 +23,12 @@
 from sidecar_proxy.testbed.scenario import Plan, settings
 
 LONG_S = 20.0
-LOADS = (Load("chapter-buy", "at_most_once", 0.5, 10.0), Load("coin-topup", "deduplicated", 0.3, 10.0),
-         Load("read", "idempotent", 0.2, 10.0), Load("quick", "at_most_once", 0.1, 2.0))
+LOADS = (
+    Load("chapter-buy", "at_most_once", 0.5, 10.0),
+    Load("coin-topup", "deduplicated", 0.3, 10.0),
+    Load("read", "idempotent", 0.2, 10.0),
+    Load("quick", "at_most_once", 0.1, 2.0),
+)
 OPERATOR = """
 [grpc]
 enabled = true
@@ -50,15 +54,24 @@
         if details.method == health.CHECK.decode():
             return None
         self.calls[name] += 1
-        kinds = {"Down": grpc.unary_stream_rpc_method_handler, "Up": grpc.stream_unary_rpc_method_handler,
-                 "Chat": grpc.stream_stream_rpc_method_handler}
+        kinds = {
+            "Down": grpc.unary_stream_rpc_method_handler,
+            "Up": grpc.stream_unary_rpc_method_handler,
+            "Chat": grpc.stream_stream_rpc_method_handler,
+        }
         return kinds.get(name, grpc.unary_unary_rpc_method_handler)(getattr(self, name.lower(), self.echo))
 
     def echo(self, request: bytes, context: Any) -> bytes:
         told = dict(context.invocation_metadata())
         context.send_initial_metadata((("first", "1"),))
-        context.set_trailing_metadata((("last-bin", b"\x00\xff"), ("left", str(context.time_remaining())),
-                                       ("told", told.get("mine", "")), ("req", told.get("req-id", ""))))
+        context.set_trailing_metadata(
+            (
+                ("last-bin", b"\x00\xff"),
+                ("left", str(context.time_remaining())),
+                ("told", told.get("mine", "")),
+                ("req", told.get("req-id", "")),
+            )
+        )
         if len(request) == 100_000:
             context.set_compression(grpc.Compression.Gzip)
         return request
@@ -104,13 +117,26 @@
         self.channel = grpc.insecure_channel("{}:{}".format(*self.sidecar.address), options=LARGE)
 
     async def start(self) -> None:
-        entry = {"host": "node-0", "dial": "127.0.0.1:9", "dial_grpc": f"127.0.0.1:{self.port}",
-                 "site": "makati", "class": "lab", "block": 0, "health": "in_service", "share": 1.0,
-                 "born_ms": 0}
+        entry = {
+            "host": "node-0",
+            "dial": "127.0.0.1:9",
+            "dial_grpc": f"127.0.0.1:{self.port}",
+            "site": "makati",
+            "class": "lab",
+            "block": 0,
+            "health": "in_service",
+            "share": 1.0,
+            "born_ms": 0,
+        }
         self.roster = Roster(Ledger(), [entry])
         plan = Plan(loads=LOADS)
-        config = {"discovery": await self.roster.serve("s"), "seed": "1", "limits": {"sockets": 256},
-                  "known": self.roster.known(), "settings": settings(plan, 0)}
+        config = {
+            "discovery": await self.roster.serve("s"),
+            "seed": "1",
+            "limits": {"sockets": 256},
+            "known": self.roster.known(),
+            "settings": settings(plan, 0),
+        }
         self.sidecar = SidecarProcess("s", config, self.folder.name, OPERATOR)
         await self.sidecar.start()
 
@@ -213,8 +239,10 @@
 
 
 def test_what_is_wrong_is_answered_here(made: Installation) -> None:
-    for path, code in (("/komiks.Other/Echo", grpc.StatusCode.UNIMPLEMENTED),
-                       ("/komiks.Test/TopUp", grpc.StatusCode.INVALID_ARGUMENT)):
+    for path, code in (
+        ("/komiks.Other/Echo", grpc.StatusCode.UNIMPLEMENTED),
+        ("/komiks.Test/TopUp", grpc.StatusCode.INVALID_ARGUMENT),
+    ):
         with pytest.raises(grpc.RpcError) as found:
             made.channel.unary_unary(path)(b"", timeout=5)
         assert found.value.code() is code
@@ -224,9 +252,20 @@
 
 
 def test_clients_own_retries_do_not_repeat_an_unsafe_call(made: Installation) -> None:
-    policy = {"methodConfig": [{"name": [{}], "retryPolicy": {
-        "maxAttempts": 4, "initialBackoff": "0.01s", "maxBackoff": "0.05s", "backoffMultiplier": 1,
-        "retryableStatusCodes": ["UNAVAILABLE", "INTERNAL", "ABORTED", "UNKNOWN"]}}]}
+    policy = {
+        "methodConfig": [
+            {
+                "name": [{}],
+                "retryPolicy": {
+                    "maxAttempts": 4,
+                    "initialBackoff": "0.01s",
+                    "maxBackoff": "0.05s",
+                    "backoffMultiplier": 1,
+                    "retryableStatusCodes": ["UNAVAILABLE", "INTERNAL", "ABORTED", "UNKNOWN"],
+                },
+            }
+        ]
+    }
     address = "{}:{}".format(*made.sidecar.address)
     with grpc.insecure_channel(address, options=[("grpc.service_config", json.dumps(policy))]) as channel:
         for code in ("UNAVAILABLE", "INTERNAL", "ABORTED"):
--- a/tests/grpc/test_hard_cases.py
+++ b/tests/grpc/test_hard_cases.py
@@ -57,15 +57,21 @@
     run(test)
 
 
-@pytest.mark.parametrize(("path", "more", "code"), [
-    ("/t.T/Nothing", {}, Code.UNIMPLEMENTED), ("/u.U/Read", {}, Code.UNIMPLEMENTED),
-    ("/t.T/Top", {}, Code.INVALID_ARGUMENT), ("/t.T/Pay", {"idempotency_key": "k"}, Code.INVALID_ARGUMENT),
-    ("/t.T/Read", {"grpc_timeout": "soon"}, Code.INVALID_ARGUMENT),
-    ("/t.T/Read", {"grpc_timeout": "123456789S"}, Code.INVALID_ARGUMENT),
-    ("/t.T/Read", {"req_id": "a b"}, Code.INVALID_ARGUMENT),
-])
-def test_what_is_wrong_is_answered_here_and_never_sent_on(path: str, more: dict[str, str],
-                                                          code: Code) -> None:
+@pytest.mark.parametrize(
+    ("path", "more", "code"),
+    [
+        ("/t.T/Nothing", {}, Code.UNIMPLEMENTED),
+        ("/u.U/Read", {}, Code.UNIMPLEMENTED),
+        ("/t.T/Top", {}, Code.INVALID_ARGUMENT),
+        ("/t.T/Pay", {"idempotency_key": "k"}, Code.INVALID_ARGUMENT),
+        ("/t.T/Read", {"grpc_timeout": "soon"}, Code.INVALID_ARGUMENT),
+        ("/t.T/Read", {"grpc_timeout": "123456789S"}, Code.INVALID_ARGUMENT),
+        ("/t.T/Read", {"req_id": "a b"}, Code.INVALID_ARGUMENT),
+    ],
+)
+def test_what_is_wrong_is_answered_here_and_never_sent_on(
+    path: str, more: dict[str, str], code: Code
+) -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
         await rig.node(Node)
@@ -94,6 +100,7 @@
 @pytest.mark.parametrize(("path", "repeated"), [("/t.T/Read", True), ("/t.T/Pay", False)])
 def test_a_stream_cut_after_its_headers_may_have_run(path: str, repeated: bool) -> None:
     """By the real decisions: what is safe is repeated, what is not has failed, and clients are told so."""
+
     async def test() -> None:
         rig = Rig()
         cut: list[int] = []
@@ -215,12 +222,24 @@
         await asyncio.sleep(0.005)
 
 
-@pytest.mark.parametrize(("how", "outcome"), [
-    ("refused", O.FULL), ("declined", O.FULL), ("reset", O.RESET), ("unavailable", O.ERROR),
-    ("no status", O.ERROR), ("http 503", O.ERROR), ("http declined", O.FULL), ("closed", O.RESET),
-    ("broken", O.RESET), ("trailers too large", O.RESET)])
+@pytest.mark.parametrize(
+    ("how", "outcome"),
+    [
+        ("refused", O.FULL),
+        ("declined", O.FULL),
+        ("reset", O.RESET),
+        ("unavailable", O.ERROR),
+        ("no status", O.ERROR),
+        ("http 503", O.ERROR),
+        ("http declined", O.FULL),
+        ("closed", O.RESET),
+        ("broken", O.RESET),
+        ("trailers too large", O.RESET),
+    ],
+)
 def test_only_what_never_ran_is_sent_again_for_an_unsafe_call(how: str, outcome: api.Outcome) -> None:
     """By the real decisions: the second node is asked only where the first has surely not begun."""
+
     async def test() -> None:
         rig = Rig()
         first: list[Node] = []
@@ -465,8 +484,11 @@
 
 def test_a_refusal_says_that_nothing_has_run_and_when_to_come_back() -> None:
     async def test() -> None:
-        rig = Rig(lambda event: [api.Refuse(event.request, 250_300)]
-                  if isinstance(event, api.RequestArrived) else [])
+        rig = Rig(
+            lambda event: (
+                [api.Refuse(event.request, 250_300)] if isinstance(event, api.RequestArrived) else []
+            )
+        )
         client = await rig.client()
         code, trailers, _ = await client.answer(client.call("/t.T/Pay"))
         assert code == Code.UNAVAILABLE and trailers[b"srv-declined"] == b"1"
@@ -555,6 +577,7 @@
 
 def test_peers_frames_by_hand_are_what_they_say() -> None:
     """The scripts above rest on it: a raw GOAWAY and a raw reset are understood by the layer."""
+
     async def test() -> None:
         rig = Rig(send_to(1))
         await rig.node(lambda: Node(frames=False))
@@ -563,9 +586,16 @@
         while not (rig.made[0] and any(kind == HEADERS for kind, _, _, _ in rig.made[0][0].frames())):
             await asyncio.sleep(0.005)
         node = rig.made[0][0]
-        node.write(frame(SETTINGS, 0, 0, b"") + frame(SETTINGS, ACK, 0, b"")
-                   + frame(HEADERS, END_HEADERS | END_STREAM, 1, b"\x88\x10\x0bgrpc-status\x010"
-                           + b"\x0f\x10\x10application/grpc"))
+        node.write(
+            frame(SETTINGS, 0, 0, b"")
+            + frame(SETTINGS, ACK, 0, b"")
+            + frame(
+                HEADERS,
+                END_HEADERS | END_STREAM,
+                1,
+                b"\x88\x10\x0bgrpc-status\x010" + b"\x0f\x10\x10application/grpc",
+            )
+        )
         assert (await client.answer(stream))[0] == 0
         stream = client.call("/t.T/Read")
         while sum(kind == HEADERS for kind, _, _, _ in node.frames()) < 2:
@@ -611,6 +641,7 @@
 @pytest.mark.parametrize(("messages", "outcome"), [(1, O.CONNECT_FAILED), (3, O.RESET)])
 def test_what_a_node_has_of_a_request_that_is_cut(messages: int, outcome: api.Outcome) -> None:
     """Of one message a part runs nothing; of several, the first may have run when the last has not come."""
+
     async def test() -> None:
         rig = Rig(send_to(1))
 
--- a/tests/grpc/test_outcome.py
+++ b/tests/grpc/test_outcome.py
@@ -63,25 +63,43 @@
 
 
 @hypothesis_settings(derandomize=True, deadline=None)
-@given(st.sampled_from(End), st.sampled_from([0, 200, 404, 500, 503]),
-       st.sampled_from([GRPC, b"", b"text/html"]), STATUSES, st.integers(0, 16), st.booleans())
-def test_what_was_written_and_not_plainly_turned_away_may_have_run(end: End, http: int, kind: bytes,
-                                                                   status: bytes | None, reset: int,
-                                                                   declined: bool) -> None:
+@given(
+    st.sampled_from(End),
+    st.sampled_from([0, 200, 404, 500, 503]),
+    st.sampled_from([GRPC, b"", b"text/html"]),
+    STATUSES,
+    st.integers(0, 16),
+    st.booleans(),
+)
+def test_what_was_written_and_not_plainly_turned_away_may_have_run(
+    end: End, http: int, kind: bytes, status: bytes | None, reset: int, declined: bool
+) -> None:
     trailers = {} if status is None else {b"grpc-status": status}
     if declined:
         trailers[b"srv-declined"] = b"1"
     outcome = judge(Ended(end, True, http, kind, trailers, reset)).outcome
-    turned_away = (end in (End.NO_CONNECTION, End.GOAWAY) or (end is End.RESET and reset == 7)
-                   or (end is End.ANSWERED and declined and (status == b"14" or http == 503)))
+    turned_away = (
+        end in (End.NO_CONNECTION, End.GOAWAY)
+        or (end is End.RESET and reset == 7)
+        or (end is End.ANSWERED and declined and (status == b"14" or http == 503))
+    )
     assert turned_away or outcome not in NEVER_RAN
 
 
 def test_only_what_is_about_the_request_is_passed_on() -> None:
     passed = [code for code in Code if judge(answered(grpc_status=str(int(code)))).pass_on]
     assert passed == [
-        Code.OK, Code.INVALID_ARGUMENT, Code.NOT_FOUND, Code.ALREADY_EXISTS, Code.PERMISSION_DENIED,
-        Code.FAILED_PRECONDITION, Code.ABORTED, Code.OUT_OF_RANGE, Code.UNIMPLEMENTED, Code.UNAUTHENTICATED]
+        Code.OK,
+        Code.INVALID_ARGUMENT,
+        Code.NOT_FOUND,
+        Code.ALREADY_EXISTS,
+        Code.PERMISSION_DENIED,
+        Code.FAILED_PRECONDITION,
+        Code.ABORTED,
+        Code.OUT_OF_RANGE,
+        Code.UNIMPLEMENTED,
+        Code.UNAUTHENTICATED,
+    ]
 
 
 def test_a_refusal_says_when_to_come_back_and_a_failure_that_nobody_should() -> None:
@@ -93,15 +111,26 @@
         assert parse(told[b"grpc-status"]) not in (Code.UNAVAILABLE, Code.RESOURCE_EXHAUSTED, Code.ABORTED)
 
 
-@pytest.mark.parametrize(("text", "us"), [(b"1H", 3_600_000_000), (b"2M", 120_000_000), (b"3S", 3_000_000),
-                                          (b"250m", 250_000), (b"7u", 7), (b"1999n", 1), (b"0n", 0),
-                                          (b"99999999H", 99_999_999 * 3_600_000_000)])
+@pytest.mark.parametrize(
+    ("text", "us"),
+    [
+        (b"1H", 3_600_000_000),
+        (b"2M", 120_000_000),
+        (b"3S", 3_000_000),
+        (b"250m", 250_000),
+        (b"7u", 7),
+        (b"1999n", 1),
+        (b"0n", 0),
+        (b"99999999H", 99_999_999 * 3_600_000_000),
+    ],
+)
 def test_a_timeout_is_read(text: bytes, us: int) -> None:
     assert parse_us(text) == us
 
 
-@pytest.mark.parametrize("text", [b"", b"1", b"S", b"1s", b"123456789m", b"-1m", b"1.5S", b" 1S", b"1S\n",
-                                  b"1S1S", "١S".encode()])
+@pytest.mark.parametrize(
+    "text", [b"", b"1", b"S", b"1s", b"123456789m", b"-1m", b"1.5S", b" 1S", b"1S\n", b"1S1S", "١S".encode()]
+)
 def test_a_malformed_timeout_is_told(text: bytes) -> None:
     with pytest.raises(DeadlineError, match="malformed grpc-timeout"):
         parse_us(text)
--- a/tests/http2/frames.py
+++ b/tests/http2/frames.py
@@ -19,6 +19,6 @@
     data = data.removeprefix(PREFACE)
     while len(data) >= 9 and len(data) >= 9 + int.from_bytes(data[:3], "big"):
         size = int.from_bytes(data[:3], "big")
-        found.append((data[3], data[4], int.from_bytes(data[5:9], "big"), data[9:9 + size]))
-        data = data[9 + size:]
+        found.append((data[3], data[4], int.from_bytes(data[5:9], "big"), data[9 : 9 + size]))
+        data = data[9 + size :]
     return found
--- a/tests/http2/test_connection.py
+++ b/tests/http2/test_connection.py
@@ -44,8 +44,14 @@
 )
 
 S = 1_000_000
-REQUEST = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", b"/komiks.Purchase/Buy"),
-           (b":authority", b"backend"), (b"te", b"trailers"), (b"content-type", b"application/grpc")]
+REQUEST = [
+    (b":method", b"POST"),
+    (b":scheme", b"http"),
+    (b":path", b"/komiks.Purchase/Buy"),
+    (b":authority", b"backend"),
+    (b"te", b"trailers"),
+    (b"content-type", b"application/grpc"),
+]
 ANSWER = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 TRAILERS = [(b"grpc-status", b"0")]
 # the same request by hand: static table entries and literals without indexing
@@ -86,8 +92,11 @@
     server.send_headers(1, ANSWER)
     server.send_data(1, b"there")
     server.send_trailers(1, TRAILERS)
-    assert move(server, client) == [HeadersReceived(1, ANSWER, False), DataReceived(1, b"there", False),
-                                    TrailersReceived(1, TRAILERS)]
+    assert move(server, client) == [
+        HeadersReceived(1, ANSWER, False),
+        DataReceived(1, b"there", False),
+        TrailersReceived(1, TRAILERS),
+    ]
     move(client, server)
     assert not client.open and not server.open
 
@@ -184,8 +193,9 @@
 FLOODS = {
     "pings": lambda n: frame(PING, 0, 0, struct.pack(">Q", n)),
     "settings": lambda n: frame(SETTINGS, 0, 0, b""),
-    "resets": lambda n: (request_frame(2 * n + 1, END_HEADERS)
-                         + frame(RST, 0, 2 * n + 1, struct.pack(">I", CANCEL))),
+    "resets": lambda n: (
+        request_frame(2 * n + 1, END_HEADERS) + frame(RST, 0, 2 * n + 1, struct.pack(">I", CANCEL))
+    ),
     "windows": lambda n: frame(WINDOW, 0, 0, struct.pack(">I", 1)),
     "empty data": lambda n: (request_frame(1, END_HEADERS) if n == 0 else b"") + frame(DATA, 0, 1, b""),
 }
@@ -240,8 +250,16 @@
     assert taken <= 101 and len(server.open) <= 101
 
 
-@pytest.mark.parametrize("data", [b"GET / HTTP/1.1\r\n\r\n", b"\x00" * 100, PREFACE + b"\xff" * 100,
-                                  PREFACE + frame(DATA, 0, 1, b"x"), PREFACE + frame(SETTINGS, 0, 0, b"x")])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"GET / HTTP/1.1\r\n\r\n",
+        b"\x00" * 100,
+        PREFACE + b"\xff" * 100,
+        PREFACE + frame(DATA, 0, 1, b"x"),
+        PREFACE + frame(SETTINGS, 0, 0, b"x"),
+    ],
+)
 def test_what_is_no_http2_is_an_end_and_no_exception(data: bytes) -> None:
     server = Connection(False, Limits(), 0)
     last = ended(server.receive(data, 0))
@@ -252,8 +270,12 @@
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=300)
-@given(st.lists(st.tuples(st.integers(0, 10), st.integers(0, 255), st.integers(0, 9), st.binary(max_size=40)),
-                max_size=12))
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 10), st.integers(0, 255), st.integers(0, 9), st.binary(max_size=40)),
+        max_size=12,
+    )
+)
 def test_any_frames_are_taken_calmly(listed: list[tuple[int, int, int, bytes]]) -> None:
     server = raw_server()
     for one in listed:
@@ -262,10 +284,13 @@
 
 
 def test_a_sidecar_without_grpc_imports_no_http2() -> None:
-    code = ("import sys, sidecar_proxy.daemon.__main__; "
-            "print('ngh2' in sys.modules, 'sidecar_proxy.http2' in sys.modules)")
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60,
-                          check=True)
+    code = (
+        "import sys, sidecar_proxy.daemon.__main__; "
+        "print('ngh2' in sys.modules, 'sidecar_proxy.http2' in sys.modules)"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, check=True
+    )
     assert done.stdout.split() == ["False", "False"]
 
 
--- a/tests/model_checking/test_consensus.py
+++ b/tests/model_checking/test_consensus.py
@@ -23,8 +23,10 @@
     def advance(self) -> None:
         if not self.leads:
             return
-        has = sorted((self.log.last_index if node == self.me else self.peers[node].match
-                      for node in self.voters), reverse=True)
+        has = sorted(
+            (self.log.last_index if node == self.me else self.peers[node].match for node in self.voters),
+            reverse=True,
+        )
         self.commit = max(self.commit, has[self.majority() - 1])
 
 
@@ -55,12 +57,22 @@
 
 def test_a_commit_of_an_earlier_term_by_count_is_found() -> None:
     """Figure 3.7 of the thesis: begun as it begins, and searched from there."""
-    begun = ["a stands", "b hears VoteRequest of a, term 1", "a hears VoteReply of b, term 1",  # a leads: 1
-             "b stands", "c hears VoteRequest of b, term 2", "b hears VoteReply of c, term 2",  # b leads: 2
-             "a hears VoteRequest of b, term 2", "a stands", "c hears VoteRequest of a, term 3",
-             "a hears VoteReply of c, term 3", "c hears Append of a, term 3 (prev_index 1",
-             "a hears AppendReply of c, term 3 (ok False", "c hears Append of a, term 3 (prev_index 0",
-             "a hears AppendReply of c, term 3 (ok True, match 1)"]
+    begun = [
+        "a stands",
+        "b hears VoteRequest of a, term 1",
+        "a hears VoteReply of b, term 1",  # a leads: 1
+        "b stands",
+        "c hears VoteRequest of b, term 2",
+        "b hears VoteReply of c, term 2",  # b leads: 2
+        "a hears VoteRequest of b, term 2",
+        "a stands",
+        "c hears VoteRequest of a, term 3",
+        "a hears VoteReply of c, term 3",
+        "c hears Append of a, term 3 (prev_index 1",
+        "a hears AppendReply of c, term 3 (ok False",
+        "c hears Append of a, term 3 (prev_index 0",
+        "a hears AppendReply of c, term 3 (ok True, match 1)",
+    ]
     bounds = Bounds(terms=4, proposals=0, restarts=0)
     was, consensus.MOST_FED = consensus.MOST_FED, 1
     try:
--- a/tests/model_checking/test_fleets.py
+++ b/tests/model_checking/test_fleets.py
@@ -66,27 +66,46 @@
     assert any("took effect twice" in line for seed in range(1, SEEDS) for line in play(seed))
 
 
-@pytest.mark.parametrize(("history", "log", "line"), [
-    ([Said(1, 2, "done", 3, "a", "suspend", "n")], {}, "a was done at 3, where there is None"),
-    ([Said(1, 2, "done", 3, "a", "suspend", "n"), Said(5, 6, "done", 2, "b", "resume", "n")],
-     {3: Logged("a", "suspend", "n"), 2: Logged("b", "resume", "n")}, "b at 2 was called after a at 3"),
-    ([Said(1, 2, "no quorum", 0, "a", "suspend", "n")], {3: Logged("a", "suspend", "n")}, "is in the log"),
-    ([Said(1, 2, "done", 3, "a", "suspend", "n"), Said(5, 6, "done", 2, "", "look", "n", "")],
-     {3: Logged("a", "suspend", "n")}, "a look at 2 was called after"),
-    ([Said(5, 6, "done", 4, "", "look", "n", "")], {3: Logged("a", "suspend", "n")}, "told ''; it was"),
-    ([], {3: Logged("a", "suspend", "n"), 4: Logged("a", "suspend", "n")}, "took effect twice"),
-])
+@pytest.mark.parametrize(
+    ("history", "log", "line"),
+    [
+        ([Said(1, 2, "done", 3, "a", "suspend", "n")], {}, "a was done at 3, where there is None"),
+        (
+            [Said(1, 2, "done", 3, "a", "suspend", "n"), Said(5, 6, "done", 2, "b", "resume", "n")],
+            {3: Logged("a", "suspend", "n"), 2: Logged("b", "resume", "n")},
+            "b at 2 was called after a at 3",
+        ),
+        (
+            [Said(1, 2, "no quorum", 0, "a", "suspend", "n")],
+            {3: Logged("a", "suspend", "n")},
+            "is in the log",
+        ),
+        (
+            [Said(1, 2, "done", 3, "a", "suspend", "n"), Said(5, 6, "done", 2, "", "look", "n", "")],
+            {3: Logged("a", "suspend", "n")},
+            "a look at 2 was called after",
+        ),
+        ([Said(5, 6, "done", 4, "", "look", "n", "")], {3: Logged("a", "suspend", "n")}, "told ''; it was"),
+        ([], {3: Logged("a", "suspend", "n"), 4: Logged("a", "suspend", "n")}, "took effect twice"),
+    ],
+)
 def test_a_history_that_can_not_be_is_told(history: list[Said], log: dict[int, Logged], line: str) -> None:
     assert any(line in found for found in judge(history, log))
 
 
 def test_a_history_that_can_be_is_none() -> None:
     """Answers that cross, a repeat that is told the first one's index, an unknown one that came about."""
-    history = [Said(1, 9, "done", 4, "a", "suspend", "n"), Said(2, 3, "done", 2, "b", "drain", "m"),
-               Said(20, 21, "done", 2, "b", "drain", "m"), Said(1, 0, "", 0, "c", "resume", "n"),
-               Said(10, 12, "unknown", 0, "d", "resume", "n"), Said(13, 14, "done", 5, "", "look", "n", "")]
-    assert not judge(history, {2: Logged("b", "drain", "m"), 4: Logged("a", "suspend", "n"),
-                               5: Logged("d", "resume", "n")})
+    history = [
+        Said(1, 9, "done", 4, "a", "suspend", "n"),
+        Said(2, 3, "done", 2, "b", "drain", "m"),
+        Said(20, 21, "done", 2, "b", "drain", "m"),
+        Said(1, 0, "", 0, "c", "resume", "n"),
+        Said(10, 12, "unknown", 0, "d", "resume", "n"),
+        Said(13, 14, "done", 5, "", "look", "n", ""),
+    ]
+    assert not judge(
+        history, {2: Logged("b", "drain", "m"), 4: Logged("a", "suspend", "n"), 5: Logged("d", "resume", "n")}
+    )
 
 
 def test_who_may_not_vote_learns() -> None:
--- a/tests/overload_control/test_controller.py
+++ b/tests/overload_control/test_controller.py
@@ -19,11 +19,23 @@
 WORTHS = (10.0, 8.0, 1.0)
 
 
-def report(index: int, demand: float = 30.0, served: float = 20.0, count: int = 6, easy: bool = False,
-           loans: list[Loan] | None = None, returns: float = 0.0, number: int = 0) -> Report:
+def report(
+    index: int,
+    demand: float = 30.0,
+    served: float = 20.0,
+    count: int = 6,
+    easy: bool = False,
+    loans: list[Loan] | None = None,
+    returns: float = 0.0,
+    number: int = 0,
+) -> Report:
     """Alike demand in each of three classes, a tenth of a second of work each."""
-    work = [Work(int(demand / 3 * 1000), int(returns / 3 * 1000), int(served / 3 * 1000),
-                 int(served / 3 * 100_000)) for _ in WORTHS]
+    work = [
+        Work(
+            int(demand / 3 * 1000), int(returns / 3 * 1000), int(served / 3 * 1000), int(served / 3 * 100_000)
+        )
+        for _ in WORTHS
+    ]
     return Report(index, number, True, WHOLE // count, 0, 0, 1000, easy, 0, work, loans or [])
 
 
@@ -75,8 +87,10 @@
 
 def test_a_busy_sidecar_counts_by_what_others_say_that_they_have_lent_it() -> None:
     """Two thirds of the load at one of six; what it says itself of its weight counts nothing."""
-    others = {f"s{n}": report(n, demand=12.0, served=8.0, loans=[Loan("s0", int(WHOLE / 6 * 0.6))])
-              for n in range(1, 6)}
+    others = {
+        f"s{n}": report(n, demand=12.0, served=8.0, loans=[Loan("s0", int(WHOLE / 6 * 0.6))])
+        for n in range(1, 6)
+    }
     lent = found(others | {"s0": report(0, demand=120.0, served=80.0)})
     assert lent.demand_us == pytest.approx(18e6, rel=0.01)
     alone = {name: report(one.index, demand=12.0, served=8.0) for name, one in others.items()}
@@ -179,8 +193,9 @@
 
 
 def group(count: int) -> Group:
-    return Group([Member(f"s{n}", n, count, WORTHS, 2_000_000, Limits(), random.Random(n), 0)
-                  for n in range(count)])
+    return Group(
+        [Member(f"s{n}", n, count, WORTHS, 2_000_000, Limits(), random.Random(n), 0) for n in range(count)]
+    )
 
 
 def test_weight_goes_to_whom_the_load_comes_and_goes_back() -> None:
--- a/tests/overload_control/test_subsystem.py
+++ b/tests/overload_control/test_subsystem.py
@@ -55,6 +55,7 @@
 def test_a_liar_and_words_of_any_form_cost_a_line_and_no_sum() -> None:
     """One with a certificate and no number of its own: it says that it is sidecar 1 under a thousand times
     the load, asks for loans without end, and sends noise."""
+
     async def test(scene: Scene) -> None:
         assert scene.keys is not None
         await comes(scene, 0, lambda told: len(told["heard"]) == 2 and told["weight"] > 0)
@@ -69,7 +70,8 @@
                     liar.transport.perform(instance.note(name, words.TOPIC, body, now_us, wall_us()))
                     need = Need(instance.core.dice.getrandbits(50), 1, WHOLE, 0)
                     liar.transport.perform(
-                        instance.note(name, words.TOPIC, words.encode(need), now_us, wall_us()))
+                        instance.note(name, words.TOPIC, words.encode(need), now_us, wall_us())
+                    )
             await scene.play()
             # the one whose name sorts later says nothing of the budgets while another claims its number
             told = await comes(scene, 1, lambda told: told["weight"] == 0)
@@ -87,9 +89,17 @@
 def test_two_thirds_of_the_load_at_one_of_three_and_a_kill_in_the_midst_break_nothing() -> None:
     from sidecar_proxy.testbed.fault_schedule import Fault
 
-    plan = replace(BUSY, skew=0.67, seconds=9.0, rate=150.0, faults=(
-        Fault("crash", 4.0, 2.0, 12), Fault("sidecar_kill", 6.5, 0.5, sidecars=(0,)),
-        Fault("link_part", 5.0, 3.0, sidecars=(2,))))
+    plan = replace(
+        BUSY,
+        skew=0.67,
+        seconds=9.0,
+        rate=150.0,
+        faults=(
+            Fault("crash", 4.0, 2.0, 12),
+            Fault("sidecar_kill", 6.5, 0.5, sidecars=(0,)),
+            Fault("link_part", 5.0, 3.0, sidecars=(2,)),
+        ),
+    )
 
     async def test(scene: Scene) -> None:
         await scene.play()
@@ -99,11 +109,14 @@
     assert not found, found[:3]
 
 
-@pytest.mark.parametrize(("text", "line"), [
-    ("[overload]\nenabled = true", "overload.enabled: needs gossip; gossip.bind names no address"),
-    ("[overload]\nenable = true", "overload.enable: unknown; expected one of enabled, reissues_per_s"),
-    ("[overload]\ntries_per_s = 0", "overload.tries_per_s: expected a number from 0.1 to 1e+06, got 0"),
-])
+@pytest.mark.parametrize(
+    ("text", "line"),
+    [
+        ("[overload]\nenabled = true", "overload.enabled: needs gossip; gossip.bind names no address"),
+        ("[overload]\nenable = true", "overload.enable: unknown; expected one of enabled, reissues_per_s"),
+        ("[overload]\ntries_per_s = 0", "overload.tries_per_s: expected a number from 0.1 to 1e+06, got 0"),
+    ],
+)
 def test_a_wrong_setting_is_one_line_and_the_end(text: str, line: str, tmp_path: Path) -> None:
     assert line in refused_start(text, "overload", tmp_path)
 
@@ -113,10 +126,21 @@
     config, operator = folder / "s.json", folder / "s.toml"
     operator.write_text(text)
     config.write_text(json.dumps({"discovery": "127.0.0.1:9", "seed": "1", "settings": settings(Plan(), 0)}))
-    env = {**os.environ, "PROXY_NAME": "s", "PROXY_LISTEN": "127.0.0.1:0", "PROXY_CONFIG": str(config),
-           "PROXY_DISCOVERY": "127.0.0.1:9", "SIDECAR_PROXY_OPERATOR": str(operator)}
-    done = subprocess.run([sys.executable, "-m", "sidecar_proxy.daemon"], env=env, capture_output=True,
-                          text=True, timeout=LONG_S)
+    env = {
+        **os.environ,
+        "PROXY_NAME": "s",
+        "PROXY_LISTEN": "127.0.0.1:0",
+        "PROXY_CONFIG": str(config),
+        "PROXY_DISCOVERY": "127.0.0.1:9",
+        "SIDECAR_PROXY_OPERATOR": str(operator),
+    }
+    done = subprocess.run(
+        [sys.executable, "-m", "sidecar_proxy.daemon"],
+        env=env,
+        capture_output=True,
+        text=True,
+        timeout=LONG_S,
+    )
     said = [one for one in done.stderr.splitlines() if table in one]
     assert done.returncode == 2 and len(said) == 1, done.stderr
     return said[0]
--- a/tests/recorder/test_recorder.py
+++ b/tests/recorder/test_recorder.py
@@ -30,9 +30,17 @@
 from sidecar_proxy.testbed.scenario import Plan, Scene
 
 SEED = 20261201
-SETTINGS = api.Settings([api.RequestClass("chapter-buy", 300_000, 1_000_000, effect="at_most_once"),
-                         api.RequestClass("read", 200_000, 800_000)], max_attempts=4, retry_after=True,
-                        max_retry_after_us=2_000_000, second_copies=True, instances=2)
+SETTINGS = api.Settings(
+    [
+        api.RequestClass("chapter-buy", 300_000, 1_000_000, effect="at_most_once"),
+        api.RequestClass("read", 200_000, 800_000),
+    ],
+    max_attempts=4,
+    retry_after=True,
+    max_retry_after_us=2_000_000,
+    second_copies=True,
+    instances=2,
+)
 
 ENDS = [api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.TIMEOUT]
 
@@ -47,8 +55,12 @@
     def later(at_us: int, event: Any) -> None:
         heapq.heappush(queue, (at_us, len(seen) * 100 + len(queue), event))
 
-    later(0, api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(n, zone=n % 2, cell=n // 6)
-                                                      for n in range(1, 25)], 1))
+    later(
+        0,
+        api.UpstreamsUpdated(
+            api.ListKind.FULL, [api.Upstream(n, zone=n % 2, cell=n // 6) for n in range(1, 25)], 1
+        ),
+    )
     later(1, api.RequestArrived(1, 1_000_000, 0))
     for step in range(steps):
         now_us, _, event = heapq.heappop(queue)
@@ -57,21 +69,33 @@
         seen.append((now_us, event, actions))
         if isinstance(event, api.RequestArrived):
             kind = int(dice.random() < 0.4)
-            later(now_us + int(dice.expovariate(1 / 1_500)) + 1, api.RequestArrived(
-                event.request + 1, now_us + (1_000_000, 800_000)[kind], kind, key=dice.randrange(100)))
+            later(
+                now_us + int(dice.expovariate(1 / 1_500)) + 1,
+                api.RequestArrived(
+                    event.request + 1, now_us + (1_000_000, 800_000)[kind], kind, key=dice.randrange(100)
+                ),
+            )
         for number, action in enumerate(actions):
             if isinstance(action, api.Send):
                 attempt = attempts[action.request] = attempts.get(action.request, -1) + 1
                 took_us = int(dice.expovariate(1 / 30_000)) + number + 1
                 outcome = dice.choices(ENDS, [80, 8 + 20 * (action.upstream % 5 == 0), 4, 3])[0]
-                later(now_us + took_us, api.AttemptEnded(action.request, attempt, action.upstream, outcome,
-                                                         took_us, outcome is api.Outcome.OK))
+                later(
+                    now_us + took_us,
+                    api.AttemptEnded(
+                        action.request, attempt, action.upstream, outcome, took_us, outcome is api.Outcome.OK
+                    ),
+                )
             elif isinstance(action, api.SetTimer):
                 later(max(now_us, action.at_us) + number, api.TimerFired(action.token))
         if step % 997 == 0:
             state = dice.choice([api.UpstreamState.READY, api.UpstreamState.DRAINING])
-            later(now_us + 1, api.UpstreamsUpdated(api.ListKind.DELTA, [
-                api.Upstream(dice.randrange(1, 25), state, started_us=now_us)], step))
+            later(
+                now_us + 1,
+                api.UpstreamsUpdated(
+                    api.ListKind.DELTA, [api.Upstream(dice.randrange(1, 25), state, started_us=now_us)], step
+                ),
+            )
     return seen
 
 
@@ -85,8 +109,9 @@
     return str(path)
 
 
-def test_a_day_of_100000_events_is_the_same_to_the_last_action(tmp_path: Path,
-                                                               capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_day_of_100000_events_is_the_same_to_the_last_action(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     ring = Ring(64 * 1024 * 1024)
     seen = day(100_000, ring)
     kinds = {type(action).__name__ for _, _, actions in seen for action in actions}
@@ -100,8 +125,11 @@
 def test_where_decisions_differ_both_are_shown(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     ring = Ring(1 << 24)
     seen = day(300, Ring(1 << 24))
-    changed = next(n for n, (_, _, actions) in enumerate(seen) if n > 100 and actions
-                   and isinstance(actions[0], api.Send))
+    changed = next(
+        n
+        for n, (_, _, actions) in enumerate(seen)
+        if n > 100 and actions and isinstance(actions[0], api.Send)
+    )
     for number, (now_us, event, actions) in enumerate(seen):
         told = [replace(actions[0], upstream=99), *actions[1:]] if number == changed else actions
         ring.add(pack(now_us, event, told))
@@ -111,16 +139,18 @@
     assert f"step {changed + 1}," in said and "upstream: 99" in said.split("then: ")[1].split("now ")[0]
 
 
-def test_what_lost_its_start_says_so_and_still_tells_stories(tmp_path: Path,
-                                                             capsys: pytest.CaptureFixture[str]) -> None:
+def test_what_lost_its_start_says_so_and_still_tells_stories(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     ring = Ring(4 * SEGMENT)
     seen = day(20_000, ring)
     assert not ring.whole and ring.size + ring.unpacked <= 4 * SEGMENT
     path = saved(tmp_path / "day.rec", ring)
     assert main("replay", [path]) == 2
     assert "can't be played again" in capsys.readouterr().err
-    failed = [action.request for _, _, actions in seen[-3000:] for action in actions
-              if isinstance(action, api.Fail)]
+    failed = [
+        action.request for _, _, actions in seen[-3000:] for action in actions if isinstance(action, api.Fail)
+    ]
     assert main("why", [path, str(failed[-1])]) == 0
     said = capsys.readouterr().out.splitlines()
     assert "arrived: chapter-buy (at_most_once)" in said[1] and "failed: no attempt may follow" in said[-1]
@@ -134,8 +164,9 @@
 
 @settings(max_examples=300)
 @given(st.data())
-def test_what_is_cut_off_damaged_or_of_another_kind_is_one_line(tmp_path_factory: pytest.TempPathFactory,
-                                                                data: st.DataObject) -> None:
+def test_what_is_cut_off_damaged_or_of_another_kind_is_one_line(
+    tmp_path_factory: pytest.TempPathFactory, data: st.DataObject
+) -> None:
     path = tmp_path_factory.getbasetemp() / "spoilt.rec"
     whole = Path(saved(path, SMALL)).read_bytes()
     how = data.draw(st.sampled_from(["cut", "flip", "noise"]))
@@ -143,7 +174,7 @@
     if how == "cut":
         path.write_bytes(whole[:at])
     elif how == "flip":
-        path.write_bytes(whole[:at] + bytes([whole[at] ^ data.draw(st.integers(1, 255))]) + whole[at + 1:])
+        path.write_bytes(whole[:at] + bytes([whole[at] ^ data.draw(st.integers(1, 255))]) + whole[at + 1 :])
     else:
         # not zeros alone, which at the end of a part would be a good end
         path.write_bytes(whole[:at] + b"\xff" + data.draw(st.binary(min_size=8, max_size=200)))
@@ -157,6 +188,7 @@
     path.write_bytes(KIND + b"2\n" + bytes(100))
     assert main("replay", [str(path)]) == 2 and main("replay", [str(tmp_path / "none")]) == 2
     import zlib
+
     write(str(path), head(), [zlib.compress(bytes(70 * 1024 * 1024))])
     with pytest.raises(RecordingError, match="too large"), open(path, "rb") as file:
         list(Recording(file, "file").frames())
@@ -164,17 +196,35 @@
 
 EVENTS = st.one_of(
     st.builds(api.RequestArrived, st.integers(0, 2**32), st.integers(0, 2**60), st.integers(0, 9)),
-    st.builds(api.AttemptEnded, st.integers(0, 2**32), st.integers(0, 4), st.integers(0, 2**32),
-              st.sampled_from(api.Outcome), st.integers(0, 2**40), st.booleans(),
-              st.lists(st.floats(allow_nan=False), max_size=3)),
-    st.builds(api.UpstreamsUpdated, st.sampled_from(api.ListKind), st.lists(st.builds(
-        api.Upstream, st.integers(0, 2**32), st.sampled_from(api.UpstreamState)), max_size=4)),
+    st.builds(
+        api.AttemptEnded,
+        st.integers(0, 2**32),
+        st.integers(0, 4),
+        st.integers(0, 2**32),
+        st.sampled_from(api.Outcome),
+        st.integers(0, 2**40),
+        st.booleans(),
+        st.lists(st.floats(allow_nan=False), max_size=3),
+    ),
+    st.builds(
+        api.UpstreamsUpdated,
+        st.sampled_from(api.ListKind),
+        st.lists(
+            st.builds(api.Upstream, st.integers(0, 2**32), st.sampled_from(api.UpstreamState)), max_size=4
+        ),
+    ),
     st.builds(api.PeerMessage, st.integers(0, 9), st.binary(max_size=20)),
-    st.builds(Named, st.integers(0, 9), st.text()))
-ACTIONS = st.lists(st.one_of(
-    st.builds(api.Send, st.integers(0, 9), st.integers(0, 9)), st.builds(api.Log, st.text(max_size=9)),
-    st.builds(api.TellPeer, st.binary(max_size=9), st.none() | st.integers(0, 9)), st.builds(api.FetchList)),
-    max_size=3)
+    st.builds(Named, st.integers(0, 9), st.text()),
+)
+ACTIONS = st.lists(
+    st.one_of(
+        st.builds(api.Send, st.integers(0, 9), st.integers(0, 9)),
+        st.builds(api.Log, st.text(max_size=9)),
+        st.builds(api.TellPeer, st.binary(max_size=9), st.none() | st.integers(0, 9)),
+        st.builds(api.FetchList),
+    ),
+    max_size=3,
+)
 
 
 @given(st.integers(0, 2**60), EVENTS, ACTIONS)
@@ -212,9 +262,15 @@
 
 def test_a_real_sidecar_in_a_crowd_is_recorded_and_played_again(tmp_path: Path) -> None:
     """SIGUSR2 twice under load and faults: it is the same day, and tells what became of a request."""
-    plan = Plan(nodes=8, rate=250.0, seconds=4.0, seed=11, machine=Machine(work_us=6_000),
-                faults=(Fault("silent", 0.5, 2.0, nodes=2), Fault("errors", 1.0, 2.0, nodes=2, size=0.5)),
-                manners=Manners(tries=2, quits=0.02))
+    plan = Plan(
+        nodes=8,
+        rate=250.0,
+        seconds=4.0,
+        seed=11,
+        machine=Machine(work_us=6_000),
+        faults=(Fault("silent", 0.5, 2.0, nodes=2), Fault("errors", 1.0, 2.0, nodes=2, size=0.5)),
+        manners=Manners(tries=2, quits=0.02),
+    )
 
     async def play() -> Scene:
         scene = Scene(plan)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -138,8 +138,16 @@
         return [request.body for request in self.requests]
 
     def entry(self, **changes: Any) -> dict[str, Any]:
-        return {"host": self.name, "dial": self.address, "site": "a", "class": "m", "block": 0,
-                "health": "in_service", "share": 1.0, "born_ms": 0} | changes
+        return {
+            "host": self.name,
+            "dial": self.address,
+            "site": "a",
+            "class": "m",
+            "block": 0,
+            "health": "in_service",
+            "share": 1.0,
+            "born_ms": 0,
+        } | changes
 
 
 class Discovery(Listener):
@@ -175,7 +183,7 @@
         size = -(-len(data) // pieces)
         for client in eventually(lambda: self.watches):
             for at in range(0, len(data), size):
-                self.line(client, data[at:at + size])
+                self.line(client, data[at : at + size])
 
 
 def settings(**changes: Any) -> dict[str, Any]:
@@ -232,10 +240,16 @@
 class Sidecar:
     """`run` of the deploy file, ready."""
 
-    def __init__(self, upstreams: list[Upstream], discovery: Discovery | None = None,
-                 before: str = "", known: list[dict[str, Any]] | None = None,
-                 env: dict[str, str] | None = None, listener: socket.socket | None = None,
-                 **options: Any) -> None:
+    def __init__(
+        self,
+        upstreams: list[Upstream],
+        discovery: Discovery | None = None,
+        before: str = "",
+        known: list[dict[str, Any]] | None = None,
+        env: dict[str, str] | None = None,
+        listener: socket.socket | None = None,
+        **options: Any,
+    ) -> None:
         entries = [upstream.entry() for upstream in upstreams] if known is None else known
         self.discovery = discovery or Discovery(entries)
         self.own_discovery = discovery is None
@@ -243,10 +257,13 @@
         self.command = str(DEPLOY["run"])
         self.env = env or {}
         self.listener = listener  # the platform's, which every process inherits
-        self.config = {"seed": "8c1f30d27a5be964", "limits": {"sockets": 1024},
-                       # time enough for what tests hold back
-                       "settings": settings(**{"request-classes.1.deadline": "20000000"} | options),
-                       "known": {"seq": 1, "whole": True, "hosts": entries}}
+        self.config = {
+            "seed": "8c1f30d27a5be964",
+            "limits": {"sockets": 1024},
+            # time enough for what tests hold back
+            "settings": settings(**{"request-classes.1.deadline": "20000000"} | options),
+            "known": {"seq": 1, "whole": True, "hosts": entries},
+        }
         self.lines: list[str] = []
 
     def __enter__(self) -> Self:
@@ -254,13 +271,23 @@
         self.path = Path(self.folder.name) / "config.json"
         self.path.write_text(json.dumps(self.config))
         env = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
-        env |= {"PROXY_NAME": "n0", "PROXY_LISTEN": "127.0.0.1:0", "PROXY_CONFIG": str(self.path),
-                "PROXY_DISCOVERY": self.discovery.address} | self.env
+        env |= {
+            "PROXY_NAME": "n0",
+            "PROXY_LISTEN": "127.0.0.1:0",
+            "PROXY_CONFIG": str(self.path),
+            "PROXY_DISCOVERY": self.discovery.address,
+        } | self.env
         held = () if self.listener is None else (self.listener.fileno(),)
         if self.listener is not None:
             env["PROXY_ACCEPT_FD"] = str(self.listener.fileno())
-        self.process = subprocess.Popen(["/bin/sh", "-c", self.before + self.command], cwd=ROOT, env=env,
-                                        stderr=subprocess.PIPE, text=True, pass_fds=held)
+        self.process = subprocess.Popen(
+            ["/bin/sh", "-c", self.before + self.command],
+            cwd=ROOT,
+            env=env,
+            stderr=subprocess.PIPE,
+            text=True,
+            pass_fds=held,
+        )
         threading.Thread(target=self.read_log, daemon=True).start()
         eventually(lambda: self.listening() or self.process.poll() is not None)
         assert self.listening(), f"it has ended: {self.lines}"
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,15 +7,21 @@
 
 from sidecar_proxy.http1.admission import BEGUN_S, CROWD, STALL_S, YOUNG_S, Admission
 
-STEPS = st.lists(st.tuples(
-    st.sampled_from(["accept", "bytes", "whole", "answered", "gone", "room"]), st.integers(0, 11),
-    st.sampled_from([0.0, 0.01, 0.06, 0.3, 0.8])), max_size=120)
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["accept", "bytes", "whole", "answered", "gone", "room"]),
+        st.integers(0, 11),
+        st.sampled_from([0.0, 0.01, 0.06, 0.3, 0.8]),
+    ),
+    max_size=120,
+)
 
 
 @given(STEPS)
 @settings(max_examples=300, deadline=None, derandomize=True)
 def test_what_comes_on_is_never_ended_and_nobody_goes_before_one_with_less_to_show(
-        steps: list[tuple[str, int, float]]) -> None:
+    steps: list[tuple[str, int, float]],
+) -> None:
     places: Admission[int] = Admission(12)
     state: dict[int, str] = {}  # a model of its own: what each connection has shown last, and when
     at: dict[int, float] = {}
@@ -52,5 +58,6 @@
             assert ("idle" in kinds) <= (len(unasked) < CROWD * 12)
             # whoever may go is told: an accept that finds nobody waits
             assert {other for other in silent if now - at[other] > YOUNG_S} <= set(ended)
-    assert set(places.unasked()) == {other for other in state
-                                     if state[other] in ("silent", "begun", "writing")}
+    assert set(places.unasked()) == {
+        other for other in state if state[other] in ("silent", "begun", "writing")
+    }
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -103,10 +103,11 @@
     data = data_of(size)
     with Raw(echo) as upstream, small(upstream) as sidecar:
         client = sidecar.client()
-        client.socket.sendall(f"POST /pay/7 HTTP/1.1\r\n{HEAD}Req-Id: 1\r\n"
-                              "Transfer-Encoding: chunked\r\n\r\n".encode())
+        client.socket.sendall(
+            f"POST /pay/7 HTTP/1.1\r\n{HEAD}Req-Id: 1\r\nTransfer-Encoding: chunked\r\n\r\n".encode()
+        )
         for at in range(0, size, 100_000):
-            piece = data[at:at + 100_000]
+            piece = data[at : at + 100_000]
             client.socket.sendall(b"%x\r\n%s\r\n" % (len(piece), piece))
         client.socket.sendall(b"0\r\nX-Trailer: 1\r\nReq-Id: 2\r\n\r\n")
         found = client.read()
@@ -121,10 +122,11 @@
     with Raw(echo) as upstream, small(upstream) as sidecar:
         client = sidecar.client()
         client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        client.socket.sendall(f"POST /pay/7 HTTP/1.1\r\n{HEAD}Req-Id: 1\r\n"
-                              f"Content-Length: {len(data)}\r\n\r\n".encode())
+        client.socket.sendall(
+            f"POST /pay/7 HTTP/1.1\r\n{HEAD}Req-Id: 1\r\nContent-Length: {len(data)}\r\n\r\n".encode()
+        )
         for at in range(0, len(data), 97):
-            client.socket.sendall(data[at:at + 97])
+            client.socket.sendall(data[at : at + 97])
         found = client.read()
         client.close()
         assert found is not None and found.body == data
@@ -134,10 +136,11 @@
     data = data_of(220_000)
     with Raw(echo) as upstream, small(upstream) as sidecar:
         client = sidecar.client()
-        client.socket.sendall(f"POST /pay/7 HTTP/1.1\r\n{HEAD}Req-Id: 1\r\n"
-                              f"Content-Length: {len(data)}\r\n\r\n".encode())
+        client.socket.sendall(
+            f"POST /pay/7 HTTP/1.1\r\n{HEAD}Req-Id: 1\r\nContent-Length: {len(data)}\r\n\r\n".encode()
+        )
         for at in range(0, len(data), 16_000):
-            client.socket.sendall(data[at:at + 16_000])
+            client.socket.sendall(data[at : at + 16_000])
             time.sleep(0.25)  # 64 kB a second
         found = client.read()
         client.close()
@@ -189,8 +192,9 @@
 def test_an_answer_that_is_cut_off_does_not_look_whole_and_is_not_asked_for_again(chunked: bool) -> None:
     def script(request: Message, client: socket.socket) -> None:
         framing = b"Transfer-Encoding: chunked" if chunked else b"Content-Length: 200000"
-        client.sendall(b"HTTP/1.1 200 OK\r\n%s\r\n\r\n" % framing
-                       + (b"186a0\r\n" if chunked else b"") + b"x" * 100_000)
+        client.sendall(
+            b"HTTP/1.1 200 OK\r\n%s\r\n\r\n" % framing + (b"186a0\r\n" if chunked else b"") + b"x" * 100_000
+        )
 
     with Raw(script) as one, Raw(script) as two, small(one, two) as sidecar:
         client = sidecar.client()
@@ -395,16 +399,26 @@
 def test_blanks_behind_a_header_are_no_part_of_its_value() -> None:
     with Raw(echo) as upstream, small(upstream) as sidecar:
         client = sidecar.client()
-        client.socket.sendall(b"POST /pay/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 1 \t\r\nReq-Deadline:  5.0  \r\n"
-                              b"Content-Length: 2 \r\n\r\nhi")
+        client.socket.sendall(
+            b"POST /pay/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 1 \t\r\nReq-Deadline:  5.0  \r\n"
+            b"Content-Length: 2 \r\n\r\nhi"
+        )
         found = client.read()
         client.close()
         assert found is not None and (found.status, found.body) == (200, b"hi")
         assert upstream.requests[0].headers["req-id"] == "1"
 
 
-@given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from(["put", "take", "end", "fail", "drop", "start"]),
-                          st.integers(1, 2 * WINDOW)), max_size=60))
+@given(
+    st.lists(
+        st.tuples(
+            st.integers(0, 3),
+            st.sampled_from(["put", "take", "end", "fail", "drop", "start"]),
+            st.integers(1, 2 * WINDOW),
+        ),
+        max_size=60,
+    )
+)
 def test_the_spool_counts_what_is_held_and_nothing_comes_out_twice(steps: list[tuple[int, str, int]]) -> None:
     spool = Spool(1000)
     uploads = [Upload(spool, None) for _ in range(4)]
--- a/tests/test_calm.py
+++ b/tests/test_calm.py
@@ -26,9 +26,15 @@
 def test_events_about_what_is_unknown_change_nothing() -> None:
     world = World()
     world.tell_list(upstreams(3))
-    for event in (AttemptEnded(77, 0, 100, Outcome.OK, 5, True), RequestGone(77), TimerFired(123456),
-                  StreamStarted(77, 0, 100, 5), ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
-                  PeerMessage(1, b"hi"), UpstreamsUpdated(Kind.FAILED)):
+    for event in (
+        AttemptEnded(77, 0, 100, Outcome.OK, 5, True),
+        RequestGone(77),
+        TimerFired(123456),
+        StreamStarted(77, 0, 100, 5),
+        ProbeEnded(4242, Outcome.OK, 5, [1.0, 2.0]),
+        PeerMessage(1, b"hi"),
+        UpstreamsUpdated(Kind.FAILED),
+    ):
         assert world.tell(event) == []
     assert world.sends(world.arrive(0))
 
@@ -86,19 +92,22 @@
     assert told[0] == told[1] != told[2]
 
 
-@pytest.mark.parametrize(("make", "words"), [
-    (lambda: RequestClass("x", 0, 10), "aim_us above 0"),
-    (lambda: RequestClass("x", 10, -1), "deadline_us above 0"),
-    (lambda: RequestClass("x", 10, 10, effect="maybe"), "idempotent, deduplicated, at_most_once"),
-    (lambda: RequestClass("x", 10, 10, group="planet"), "all, zone, cell"),
-    (lambda: RequestClass("x", 10, 10, late_worth=2), "late_worth from 0 to 1"),
-    (lambda: Tenant("t", -1), "allowance_per_s of 0 or more"),
-    (lambda: settings(max_attempts=-1), "max_attempts of 1 or more"),
-    (lambda: settings(instances=0), "instances of 1 or more"),
-    (lambda: settings(cold_share=0), "cold_share above 0"),
-    (lambda: settings(warm_up_us=-5), "warm_up_us of 0 or more"),
-    (lambda: settings(classes=[]), "at least one request class"),
-])
+@pytest.mark.parametrize(
+    ("make", "words"),
+    [
+        (lambda: RequestClass("x", 0, 10), "aim_us above 0"),
+        (lambda: RequestClass("x", 10, -1), "deadline_us above 0"),
+        (lambda: RequestClass("x", 10, 10, effect="maybe"), "idempotent, deduplicated, at_most_once"),
+        (lambda: RequestClass("x", 10, 10, group="planet"), "all, zone, cell"),
+        (lambda: RequestClass("x", 10, 10, late_worth=2), "late_worth from 0 to 1"),
+        (lambda: Tenant("t", -1), "allowance_per_s of 0 or more"),
+        (lambda: settings(max_attempts=-1), "max_attempts of 1 or more"),
+        (lambda: settings(instances=0), "instances of 1 or more"),
+        (lambda: settings(cold_share=0), "cold_share above 0"),
+        (lambda: settings(warm_up_us=-5), "warm_up_us of 0 or more"),
+        (lambda: settings(classes=[]), "at least one request class"),
+    ],
+)
 def test_misuse_says_what_was_expected(make: object, words: str) -> None:
     with pytest.raises(ValueError, match="expected") as caught:
         make()  # type: ignore[operator]
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -20,11 +20,11 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 ASK = "import sidecar_proxy, tiny.work; print(sidecar_proxy.compiled.state); print(tiny.work.__file__)"
-TINY = '''def double(one: int) -> int:
+TINY = """def double(one: int) -> int:
     if one < 0:
         raise ValueError("below 0")
     return one * 2
-'''
+"""
 
 
 def env(pure: str = "", **more: str) -> dict[str, str]:
@@ -36,8 +36,12 @@
 def made(tmp_path_factory: pytest.TempPathFactory) -> Path:
     """A project of one small module, compiled by two builds at once."""
     root = tmp_path_factory.mktemp("tiny")
-    for name in ("deploy/compiled.py", "sidecar_proxy/compiled.py", "sidecar_proxy/__init__.py",
-                 "sidecar_proxy/environment.py"):
+    for name in (
+        "deploy/compiled.py",
+        "sidecar_proxy/compiled.py",
+        "sidecar_proxy/__init__.py",
+        "sidecar_proxy/environment.py",
+    ):
         (root / name).parent.mkdir(exist_ok=True)
         shutil.copy(ROOT / name, root / name)
     (root / "tiny").mkdir()
@@ -59,13 +63,20 @@
 
 
 def build(root: Path, **more: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "deploy/compiled.py"], cwd=root, env=env(**more), text=True,
-                          capture_output=True, timeout=300)
+    return subprocess.run(
+        [sys.executable, "deploy/compiled.py"],
+        cwd=root,
+        env=env(**more),
+        text=True,
+        capture_output=True,
+        timeout=300,
+    )
 
 
 def ask(root: Path, code: str = ASK, pure: str = "") -> list[str]:
-    done = subprocess.run([sys.executable, "-c", code], cwd=root, env=env(pure), text=True,
-                          capture_output=True, timeout=60)
+    done = subprocess.run(
+        [sys.executable, "-c", code], cwd=root, env=env(pure), text=True, capture_output=True, timeout=60
+    )
     return (done.stdout + done.stderr).splitlines()
 
 
@@ -96,16 +107,35 @@
         for one in ast.walk(ast.parse((ROOT / name).read_text())):
             if isinstance(one, ast.FunctionDef):
                 calls = [call.func for call in ast.walk(one) if isinstance(call, ast.Call)]
-                found += [f"{name}: {one.name}" for call in calls if one.name == (
-                    call.id if isinstance(call, ast.Name) else call.attr if isinstance(call, ast.Attribute)
-                    and isinstance(call.value, ast.Name) and call.value.id == "self" else "")]
+                found += [
+                    f"{name}: {one.name}"
+                    for call in calls
+                    if one.name
+                    == (
+                        call.id
+                        if isinstance(call, ast.Name)
+                        else call.attr
+                        if isinstance(call, ast.Attribute)
+                        and isinstance(call.value, ast.Name)
+                        and call.value.id == "self"
+                        else ""
+                    )
+                ]
     assert len(modules) >= 10 and not found
 
 
-@pytest.mark.parametrize("spoil, why", [
-    ("source", "made of other sources"), ("cut", "is not whole"), ("gone", "No such file"),
-    ("abi", "made of other sources, or for another Python"), ("manifest", "malformed"),
-    ("away", "malformed"), ("part", "")])
+@pytest.mark.parametrize(
+    "spoil, why",
+    [
+        ("source", "made of other sources"),
+        ("cut", "is not whole"),
+        ("gone", "No such file"),
+        ("abi", "made of other sources, or for another Python"),
+        ("manifest", "malformed"),
+        ("away", "malformed"),
+        ("part", ""),
+    ],
+)
 def test_what_is_not_of_these_sources_or_not_whole_is_never_loaded(tree: Path, spoil: str, why: str) -> None:
     one = folder(tree)
     library = next(one.glob("sidecar_proxy__mypyc*.so"))
@@ -131,10 +161,12 @@
     assert state.startswith("from its sources") and why in state and path.endswith("work.py") and not more
 
 
-@pytest.mark.parametrize("trouble, why", [
-    ("compiler", "no C compiler"), ("types", "error:"), ("folder", "can't be written")])
-def test_what_can_not_be_compiled_costs_one_line_and_runs_from_its_sources(tree: Path, trouble: str,
-                                                                          why: str) -> None:
+@pytest.mark.parametrize(
+    "trouble, why", [("compiler", "no C compiler"), ("types", "error:"), ("folder", "can't be written")]
+)
+def test_what_can_not_be_compiled_costs_one_line_and_runs_from_its_sources(
+    tree: Path, trouble: str, why: str
+) -> None:
     shutil.rmtree(tree / "sidecar_proxy/_compiled")
     if trouble == "types":
         (tree / "tiny/work.py").write_text(TINY.replace("one * 2", "'two'"))
@@ -142,7 +174,7 @@
         (tree / "sidecar_proxy/_compiled").write_text("in the way")
     done = build(tree, **({"CC": "/nowhere/cc"} if trouble == "compiler" else {}))
     assert done.returncode == 1 and not done.stderr
-    line, = done.stdout.splitlines()
+    (line,) = done.stdout.splitlines()
     assert line.startswith("not compiled, runs from its sources: ") and why in line
     state, path = ask(tree)
     assert state.startswith("from its sources") and path.endswith("work.py")
@@ -158,8 +190,14 @@
 
 def test_compiled_and_sources_take_the_same_actions_on_the_same_events() -> None:
     """A million events: `python -m benchmarks.same`."""
-    done = subprocess.run([sys.executable, "-m", "benchmarks.same", "--events", "60000", "--seed", "7"],
-                          cwd=ROOT, env=env(), text=True, capture_output=True, timeout=120)
+    done = subprocess.run(
+        [sys.executable, "-m", "benchmarks.same", "--events", "60000", "--seed", "7"],
+        cwd=ROOT,
+        env=env(),
+        text=True,
+        capture_output=True,
+        timeout=120,
+    )
     assert done.returncode == 0, done.stdout + done.stderr
 
 
@@ -173,8 +211,11 @@
                 with Doored([one, two], shared, listener=listener, env={"SIDECAR_PROXY_PURE": second}) as new:
                     states = [next(line for line in each.lines if " runs " in line) for each in (old, new)]
                     assert sorted("compiled" in line for line in states) == [False, True]
-                    eventually(lambda new=new: [  # type: ignore[misc]
-                        line for line in new.lines if "takes over what was learnt" in line])
+                    eventually(
+                        lambda new=new: [  # type: ignore[misc]
+                            line for line in new.lines if "takes over what was learnt" in line
+                        ]
+                    )
                     assert old.stop() == 0
                     before = len(one.requests)
                     assert {new.request("GET", "/read/7").status for _ in range(20)} == {200}
@@ -183,12 +224,14 @@
 
 
 def test_a_fault_in_compiled_decisions_costs_one_request_and_says_where() -> None:
-    code = ("from sidecar_proxy.balancer import events as api\n"
-            "from sidecar_proxy.balancer.balancer import Balancer\n"
-            "b = Balancer(api.Settings([api.RequestClass('read', 1000, 5000)]), 1, 0)\n"
-            "try:\n    b.handle(0, api.RequestArrived(1, 5000, 9))\nexcept IndexError:\n"
-            "    import traceback; traceback.print_exc()\n"
-            "b.handle(5, api.RequestArrived(2, 5005)); print(len(b.requests) <= 1)")
+    code = (
+        "from sidecar_proxy.balancer import events as api\n"
+        "from sidecar_proxy.balancer.balancer import Balancer\n"
+        "b = Balancer(api.Settings([api.RequestClass('read', 1000, 5000)]), 1, 0)\n"
+        "try:\n    b.handle(0, api.RequestArrived(1, 5000, 9))\nexcept IndexError:\n"
+        "    import traceback; traceback.print_exc()\n"
+        "b.handle(5, api.RequestArrived(2, 5005)); print(len(b.requests) <= 1)"
+    )
     lines = ask(ROOT, code)
     place = 'File "sidecar_proxy/balancer/balancer.py", line '
     assert any(place in line for line in lines) and "True" in lines
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -26,8 +26,9 @@
 
 def start(sim: str, data: bytes) -> subprocess.CompletedProcess[bytes]:
     plain = {k: v for k, v in os.environ.items() if not k.startswith(("PYTHON", "VIRTUAL_ENV"))}
-    return subprocess.run(["/bin/sh", "-c", sim], cwd=ROOT, input=data, capture_output=True, timeout=60,
-                          env=plain)
+    return subprocess.run(
+        ["/bin/sh", "-c", sim], cwd=ROOT, input=data, capture_output=True, timeout=60, env=plain
+    )
 
 
 def test_the_deployed_command_answers_and_ends_with_its_input(sim: str) -> None:
@@ -57,8 +58,9 @@
 
 def test_the_package_needs_the_standard_library_only() -> None:
     code = "import sys, sidecar_proxy.simulator_adapter.adapter\nprint(*sorted({m.split('.')[0] for m in sys.modules}))"
-    found = subprocess.run([sys.executable, "-S", "-c", code], cwd=ROOT, capture_output=True, text=True,
-                           check=True, timeout=60).stdout.split()
+    found = subprocess.run(
+        [sys.executable, "-S", "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
+    ).stdout.split()
     ours = {"sidecar_proxy", "sidecar_proxy__mypyc", "__main__", "sitecustomize"}
     assert set(found) - set(sys.stdlib_module_names) <= ours
 
@@ -66,8 +68,9 @@
 def test_the_readme_example_runs_as_written() -> None:
     text = (ROOT / "README.md").read_text()
     example = text.split("```python\n")[1].split("```")[0]
-    done = subprocess.run([sys.executable, "-c", example], cwd=ROOT, capture_output=True, text=True,
-                          timeout=60, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", example], cwd=ROOT, capture_output=True, text=True, timeout=60, check=True
+    )
     shown = text.split("It prints:\n\n```\n")[1].split("```")[0]
     assert done.stdout == shown
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -51,14 +51,17 @@
         eventually(lambda: served_by(sidecar, new))
 
 
-@pytest.mark.parametrize("reply", [
-    b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-    b"garbage\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnot json\n",
-    b'HTTP/1.1 200 OK\r\nContent-Length: 38\r\n\r\n{"seq":9,"whole":true,"hosts":[{"x":1}\n',
-    b'HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{"seq":9,"whole":true,"hosts":[3]}\n',
-    b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nnull\n',
-])
+@pytest.mark.parametrize(
+    "reply",
+    [
+        b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+        b"garbage\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnot json\n",
+        b'HTTP/1.1 200 OK\r\nContent-Length: 38\r\n\r\n{"seq":9,"whole":true,"hosts":[{"x":1}\n',
+        b'HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\n{"seq":9,"whole":true,"hosts":[3]}\n',
+        b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nnull\n",
+    ],
+)
 def test_a_failed_call_leaves_the_old_list_and_is_made_again(reply: bytes) -> None:
     with Upstream(body=b"ok") as old, Upstream(body=b"ok") as new, Discovery([]) as discovery:
         discovery.reply = reply
@@ -99,8 +102,12 @@
 
 def test_a_new_configuration_moves_the_watch_and_the_old_version_does_not_go_along() -> None:
     """Unhandled, SIGHUP ends the program."""
-    with (Upstream(body=b"ok") as old, Upstream(body=b"ok") as new, Discovery([new.entry()]) as second,
-          Sidecar([old]) as sidecar):
+    with (
+        Upstream(body=b"ok") as old,
+        Upstream(body=b"ok") as new,
+        Discovery([new.entry()]) as second,
+        Sidecar([old]) as sidecar,
+    ):
         eventually(lambda: sidecar.discovery.watches)
         changed = json.dumps(sidecar.config | {"discovery": second.address})
         for _ in range(3):
@@ -132,8 +139,11 @@
         release.wait(LONG_S)
         return answer(b"ok")
 
-    with (Upstream(script=script) as upstream, Discovery([upstream.entry()]) as second,
-          Sidecar([upstream]) as sidecar):
+    with (
+        Upstream(script=script) as upstream,
+        Discovery([upstream.entry()]) as second,
+        Sidecar([upstream]) as sidecar,
+    ):
         client = sidecar.client()
         client.send("POST", "/pay/1", b"x", Req_Deadline="15.0")
         eventually(lambda: upstream.requests)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -98,7 +98,8 @@
                 engine.loop.call_soon(exchange.finish, api.Outcome.OK, Answer(200, b"", b"ok", b""))
 
         engine, decisions = engine_of(
-            lambda event: [api.Send(1, 7)] if isinstance(event, api.RequestArrived) else [])
+            lambda event: [api.Send(1, 7)] if isinstance(event, api.RequestArrived) else []
+        )
         engine.pool = cast(Any, Connections())
 
         def reply(status: int, head: bytes, body: bytes) -> None:
@@ -134,13 +135,15 @@
         engine.accept(call(engine), lambda status, head, body: None)
         ends = [event for event in decisions.events if isinstance(event, api.AttemptEnded)]
         assert [(end.attempt, end.outcome, end.final) for end in ends] == [
-            (n, api.Outcome.NOT_SENT, False) for n in range(6)]
+            (n, api.Outcome.NOT_SENT, False) for n in range(6)
+        ]
 
     run(test)
 
 
 def test_timers_never_come_early() -> None:
     """The module passes over a timer that comes before its time, and would wait for ever."""
+
     async def test() -> None:
         fired: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         for wait_us in (0, 1, 400, 999, 1400, 2600):
@@ -182,14 +185,18 @@
         self.closing = True
 
 
-@pytest.mark.parametrize(("left", "drained", "lost", "timed_out"), [
-    (0, False, api.Outcome.RESET, api.Outcome.TIMEOUT),
-    (9, False, api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_FAILED),
-    (9, True, api.Outcome.RESET, api.Outcome.TIMEOUT),
-])
+@pytest.mark.parametrize(
+    ("left", "drained", "lost", "timed_out"),
+    [
+        (0, False, api.Outcome.RESET, api.Outcome.TIMEOUT),
+        (9, False, api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_FAILED),
+        (9, True, api.Outcome.RESET, api.Outcome.TIMEOUT),
+    ],
+)
 @pytest.mark.parametrize("ends", ["lost", "timed out"])
-def test_only_what_the_kernel_has_whole_may_have_run(left: int, drained: bool, lost: api.Outcome,
-                                                     timed_out: api.Outcome, ends: str) -> None:
+def test_only_what_the_kernel_has_whole_may_have_run(
+    left: int, drained: bool, lost: api.Outcome, timed_out: api.Outcome, ends: str
+) -> None:
     async def test() -> None:
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
         host = Host(api.Upstream(7), ("127.0.0.1", 1))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -61,8 +61,9 @@
     @rule(number=st.integers(0, 99))
     def drains(self, number: int) -> None:
         server = self.one(number)
-        server.entry = Upstream(server.entry.id, UpstreamState.DRAINING, server.entry.zone,
-                                started_us=server.entry.started_us)
+        server.entry = Upstream(
+            server.entry.id, UpstreamState.DRAINING, server.entry.zone, started_us=server.entry.started_us
+        )
         self.fleet.place(server, self.now_us)
 
     @precondition(some)
@@ -78,8 +79,12 @@
         self.fleet.touch(server, self.now_us)
 
     @precondition(some)
-    @rule(number=st.integers(0, 99), window=st.floats(1 / 64, 8), rest=st.integers(0, 900_000),
-          failing=st.floats(0, 1))
+    @rule(
+        number=st.integers(0, 99),
+        window=st.floats(1 / 64, 8),
+        rest=st.integers(0, 900_000),
+        failing=st.floats(0, 1),
+    )
     def judged(self, number: int, window: float, rest: int, failing: float) -> None:
         server = self.one(number)
         server.slots.window, server.failing = window, failing
@@ -111,11 +116,17 @@
             assert fleet.failing_at(part) == plain.failing_at(fleet, now_us, part)
         idle = [s for s in open_now if s.entry.zone == fleet.home and s.slots.used == 0]
         assert [seat.item for seat in fleet.warm.walk(len(warm), near=True)] == idle
-        assert math.isclose(fleet.warm.root.total, math.fsum(
-            s.size * plain.free(fleet, s, now_us) for s in open_now), abs_tol=1e-9)
+        assert math.isclose(
+            fleet.warm.root.total,
+            math.fsum(s.size * plain.free(fleet, s, now_us) for s in open_now),
+            abs_tol=1e-9,
+        )
         assert math.isclose(fleet.warm_size, math.fsum(s.size for s in warm), rel_tol=1e-9, abs_tol=1e-9)
-        rests = [s.slots.rest_until_us for s in plain.ready(fleet)
-                 if s.slots.window < 1.0 and s.slots.rest_until_us > now_us]
+        rests = [
+            s.slots.rest_until_us
+            for s in plain.ready(fleet)
+            if s.slots.window < 1.0 and s.slots.rest_until_us > now_us
+        ]
         assert fleet.next_rest_us() == min(rests, default=0)
         shares = math.fsum(s.size * fleet.warmth(s, now_us) for s in fleet.cold.items())
         assert math.isclose(fleet.cold_shares(now_us), shares, rel_tol=1e-6, abs_tol=1e-9)
@@ -126,8 +137,9 @@
 
 
 TestIndex = IndexMachine.TestCase
-TestIndex.settings = hypothesis_settings(derandomize=True, deadline=None, max_examples=60,
-                                         stateful_step_count=50)
+TestIndex.settings = hypothesis_settings(
+    derandomize=True, deadline=None, max_examples=60, stateful_step_count=50
+)
 
 
 def varied(count: int, instances: int, seed: int, ill: float = 0.2) -> tuple[Fleet, list[Server]]:
@@ -152,8 +164,9 @@
 @pytest.mark.parametrize("ill", [0.1, 0.98, 1.0])
 @pytest.mark.parametrize(("count", "first"), [(5, 5), (30, 30), (30, 7), (300, 300), (300, 40)])
 @pytest.mark.parametrize("instances", [3, 9])
-def test_draws_have_the_chances_of_a_list_of_all(instances: int, count: int, first: int, ill: float,
-                                                 seed: int) -> None:
+def test_draws_have_the_chances_of_a_list_of_all(
+    instances: int, count: int, first: int, ill: float, seed: int
+) -> None:
     fleet, servers = varied(count, instances, seed, ill)
     barred = servers[:2]
     most = 0.1 + plain.failing_at(fleet, START_US, 4)
@@ -174,8 +187,9 @@
     fleet, _ = varied(30, 3, 1)
     expected = plain.chances(fleet, START_US, 30, [], math.inf)
     dice = random.Random(1)
-    counts = Counter(drawn.entry.id for _ in range(DRAWS)
-                     if (drawn := fleet.draw(dice, 30, [], math.inf)) is not None)
+    counts = Counter(
+        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.draw(dice, 30, [], math.inf)) is not None
+    )
     off = {one: expected[one] * (1.5 if number % 2 else 1.0) for number, one in enumerate(expected)}
     whole = math.fsum(off.values())
     assert plain.unlikely(counts, expected) < FAR_OFF
@@ -190,8 +204,9 @@
         fleet.place(server, START_US)
     shares = {s.entry.id: s.size * fleet.warmth(s, START_US) for s in fleet.cold.items()}
     whole = math.fsum(shares.values())
-    counts = Counter(drawn.entry.id for _ in range(DRAWS)
-                     if (drawn := fleet.cold_by_share(dice, START_US)) is not None)
+    counts = Counter(
+        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.cold_by_share(dice, START_US)) is not None
+    )
     assert sum(counts.values()) > DRAWS * 0.99
     assert plain.unlikely(counts, {one: share / whole for one, share in shares.items()}) < FAR_OFF
 
@@ -213,8 +228,10 @@
     servers[1234].slots.window = 1.0
     for server in servers:
         fleet.place(server, START_US)
-    drawn = {fleet.warm.pick(random.Random(n), 10**9, [], 0.5, near and servers[1234].entry.zone == 1)
-             for n in range(20)}
+    drawn = {
+        fleet.warm.pick(random.Random(n), 10**9, [], 0.5, near and servers[1234].entry.zone == 1)
+        for n in range(20)
+    }
     assert drawn == {servers[1234]}
 
 
@@ -275,9 +292,18 @@
     assert fleet.cold_size == 0.0 and math.isclose(fleet.warm_size, 20.0)
 
 
-@pytest.mark.parametrize(("instances", "age_us", "slots"), [
-    (2, 0, 1), (2, 10_000_000, 2), (2, 15_000_000, 3), (2, 20_000_000, 5), (4, 10_000_000, 1),
-    (4, 19_999_999, 1), (8, 19_999_999, 1)])
+@pytest.mark.parametrize(
+    ("instances", "age_us", "slots"),
+    [
+        (2, 0, 1),
+        (2, 10_000_000, 2),
+        (2, 15_000_000, 3),
+        (2, 20_000_000, 5),
+        (4, 10_000_000, 1),
+        (4, 19_999_999, 1),
+        (8, 19_999_999, 1),
+    ],
+)
 def test_an_upstream_that_warms_up_has_slots_by_its_warmth(instances: int, age_us: int, slots: int) -> None:
     """Rule 4: all sidecars together have no more out at a cold one than its share, or one each."""
     fleet = new_fleet(instances=instances, cold_share=0.3, warm_up_us=WARM_UP_US)
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -92,6 +92,7 @@
 
 def test_a_call_of_grpc_leaves_nothing_to_the_cycle_collector() -> None:
     """Answered and failed calls, long ones, and calls that their client resets."""
+
     async def test() -> None:
         def script(node: Node, stream: int) -> None:
             what = node.request(stream)[b"what"]
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -64,8 +64,12 @@
     whole = b'{"seq":9,"whole":true,"hosts":[]}\n'
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     cuts = [b"", chunked + b"%x\r\n%s" % (len(whole), whole[:20])]  # no answer; half a list that empties it
-    with (Upstream(body=b"ok") as old, Upstream(body=b"ok") as new, Behind([new.entry()], cuts) as discovery,
-          Sidecar([old], discovery, instances=instances) as sidecar):
+    with (
+        Upstream(body=b"ok") as old,
+        Upstream(body=b"ok") as new,
+        Behind([new.entry()], cuts) as discovery,
+        Sidecar([old], discovery, instances=instances) as sidecar,
+    ):
         eventually(lambda: serves(sidecar) and len(discovery.calls) >= 2)
         eventually(lambda: discovery.watches)
         before = len(old.requests)
@@ -123,15 +127,20 @@
             for n, client in enumerate(clients):
                 client.send("POST", "/pay/7", b"held %d" % n)
             eventually(lambda: sum(len(one.requests) for one in old) == len(clients))
-            sidecar.discovery.tell(*[one.entry(health="terminating") for one in old[:6]],
-                                   *[one.entry() for one in new])
+            sidecar.discovery.tell(
+                *[one.entry(health="terminating") for one in old[:6]], *[one.entry() for one in new]
+            )
             go.set()
             for n, client in enumerate(clients):
                 found = client.read()
                 assert found is not None and (found.status, found.body) == (200, b"held %d" % n)
                 client.close()
-            eventually(lambda: sidecar.request("POST", "/pay/7", b"probe").status == 200
-                       and any(one.requests for one in new))
+            eventually(
+                lambda: (
+                    sidecar.request("POST", "/pay/7", b"probe").status == 200
+                    and any(one.requests for one in new)
+                )
+            )
             before = [len(one.requests) for one in old[:6]]
             more: list[Client] = [sidecar.client() for _ in range(3)]
             for n in range(30):
@@ -152,8 +161,10 @@
     with Upstream() as gone, Upstream(body=b"ok") as new:
         gone.__exit__()
         for known in ([], [gone.entry()]):
-            with (Discovery([new.entry()]) as discovery,
-                  Sidecar([], discovery, known=known, instances=instances) as sidecar):
+            with (
+                Discovery([new.entry()]) as discovery,
+                Sidecar([], discovery, known=known, instances=instances) as sidecar,
+            ):
                 first = sidecar.request("POST", "/pay/7", b"x")
                 assert first.status in (200, 502, 503, 504)  # answered, whatever is known
                 eventually(partial(serves, sidecar))
@@ -162,10 +173,28 @@
 
 def test_a_start_with_a_malformed_list_is_told_in_one_line(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
-    file.write_text(json.dumps({"settings": settings(instances="40"), "seed": "1f", "limits": {"sockets": 64},
-                                "known": {"seq": 1, "whole": True, "hosts": [{"host": 5}]}}))
-    env = os.environ | {"PROXY_NAME": "n0", "PROXY_LISTEN": "127.0.0.1:0", "PROXY_CONFIG": str(file),
-                        "PROXY_DISCOVERY": "127.0.0.1:1"}
-    done = subprocess.run(["/bin/sh", "-c", str(DEPLOY["run"])], cwd=ROOT, env=env, capture_output=True,
-                          text=True, timeout=LONG_S)
+    file.write_text(
+        json.dumps(
+            {
+                "settings": settings(instances="40"),
+                "seed": "1f",
+                "limits": {"sockets": 64},
+                "known": {"seq": 1, "whole": True, "hosts": [{"host": 5}]},
+            }
+        )
+    )
+    env = os.environ | {
+        "PROXY_NAME": "n0",
+        "PROXY_LISTEN": "127.0.0.1:0",
+        "PROXY_CONFIG": str(file),
+        "PROXY_DISCOVERY": "127.0.0.1:1",
+    }
+    done = subprocess.run(
+        ["/bin/sh", "-c", str(DEPLOY["run"])],
+        cwd=ROOT,
+        env=env,
+        capture_output=True,
+        text=True,
+        timeout=LONG_S,
+    )
     assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and "known" in done.stderr, done.stderr
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -104,8 +104,11 @@
                 else:
                     busy_us += cost_us
                     late = wait_us > patience_us * 0.7  # changes are told meanwhile, and come before it
-                    answer = ((now_us + patience_us, UpstreamsUpdated(ListKind.FAILED)) if late else
-                              (busy_us, UpstreamsUpdated(ListKind.FULL, upstreams(4))))
+                    answer = (
+                        (now_us + patience_us, UpstreamsUpdated(ListKind.FAILED))
+                        if late
+                        else (busy_us, UpstreamsUpdated(ListKind.FULL, upstreams(4)))
+                    )
             if answer is not None:
                 order += 1
                 heapq.heappush(queue, (answer[0], order, n, answer[1]))
@@ -123,8 +126,10 @@
 def test_a_sidecar_of_a_large_fleet_that_knows_no_upstream_asks_at_once() -> None:
     asked = []
     for known in ([], upstreams(4)):
-        worlds = [World(settings(instances=40, list_on_request=True, ask_within_us=10_000_000), seed)
-                  for seed in range(10)]
+        worlds = [
+            World(settings(instances=40, list_on_request=True, ask_within_us=10_000_000), seed)
+            for seed in range(10)
+        ]
         for world in worlds:
             world.tell_list(known, ListKind.CACHED)
             world.advance(100_000)
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -26,8 +26,16 @@
 
 
 def entry(number: int, **changed: Any) -> dict[str, Any]:
-    return {"host": f"s-{number}", "dial": f"127.0.0.1:{1 + number % 60_000}", "site": "a", "class": "m",
-            "block": number // 6, "health": "in_service", "share": 1.0, "born_ms": 0} | changed
+    return {
+        "host": f"s-{number}",
+        "dial": f"127.0.0.1:{1 + number % 60_000}",
+        "site": "a",
+        "class": "m",
+        "block": number // 6,
+        "health": "in_service",
+        "share": 1.0,
+        "born_ms": 0,
+    } | changed
 
 
 def text(hosts: list[Any], seq: int = 5, whole: bool = True) -> str:
@@ -96,19 +104,39 @@
     assert list(directory.numbers) == ["s-1"] and len(directory.names) == 1
 
 
-@pytest.mark.parametrize("told", [
-    "", "{", "[]", "null", '{"seq":1}', '{"seq":1,"whole":true}', '{"seq":1,"whole":true,"hosts":3}',
-    '{"seq":1,"whole":1,"hosts":[]}', '{"seq":true,"whole":true,"hosts":[]}',
-    '{"seq":1.5,"whole":true,"hosts":[]}', '{"seq":1,"whole":true,"hosts":[1]}',
-    '{"seq":1,"whole":true,"hosts":[{}]}', '{"seq":1,"whole":true,"hosts":[]',
-    '{"seq":1,"whole":true,"hosts":[]}x', '{"seq":1,"whole":true,"hosts":[],}', '{"seq":1,"seq":2}',
-    "[" * 100_000,
-    '{"seq":1,"whole":true,"hosts":[' + json.dumps(entry(1)) + ",]}",
-    '{"seq":1,"whole":true,"hosts":[' + json.dumps(entry(1)) + json.dumps(entry(2)) + "]}",
-    text([entry(1, host="")]), text([entry(1, host=7)]), text([entry(1, dial="nowhere")]),
-    text([entry(1, share="nan")]), text([entry(1, share=1e999)]), text([entry(1, born_ms=-1)]),
-    text([entry(1, block="x")]), text([entry(1, health=[])]), '{"hosts":' + "[" * 100_000,
-])
+@pytest.mark.parametrize(
+    "told",
+    [
+        "",
+        "{",
+        "[]",
+        "null",
+        '{"seq":1}',
+        '{"seq":1,"whole":true}',
+        '{"seq":1,"whole":true,"hosts":3}',
+        '{"seq":1,"whole":1,"hosts":[]}',
+        '{"seq":true,"whole":true,"hosts":[]}',
+        '{"seq":1.5,"whole":true,"hosts":[]}',
+        '{"seq":1,"whole":true,"hosts":[1]}',
+        '{"seq":1,"whole":true,"hosts":[{}]}',
+        '{"seq":1,"whole":true,"hosts":[]',
+        '{"seq":1,"whole":true,"hosts":[]}x',
+        '{"seq":1,"whole":true,"hosts":[],}',
+        '{"seq":1,"seq":2}',
+        "[" * 100_000,
+        '{"seq":1,"whole":true,"hosts":[' + json.dumps(entry(1)) + ",]}",
+        '{"seq":1,"whole":true,"hosts":[' + json.dumps(entry(1)) + json.dumps(entry(2)) + "]}",
+        text([entry(1, host="")]),
+        text([entry(1, host=7)]),
+        text([entry(1, dial="nowhere")]),
+        text([entry(1, share="nan")]),
+        text([entry(1, share=1e999)]),
+        text([entry(1, born_ms=-1)]),
+        text([entry(1, block="x")]),
+        text([entry(1, health=[])]),
+        '{"hosts":' + "[" * 100_000,
+    ],
+)
 def test_bad_lists_are_told_in_one_line(told: str) -> None:
     directory = Directory(settings())
     with pytest.raises(ListError) as caught:
@@ -123,7 +151,7 @@
     told = text([entry(n) for n in range(3)])
     at = data.draw(st.integers(0, len(told) - 1))
     cut = data.draw(st.integers(0, 9))
-    spoilt = told[:at] + data.draw(st.text("{}[],:\"0ae\\ \x00", max_size=6)) + told[at + cut:]
+    spoilt = told[:at] + data.draw(st.text('{}[],:"0ae\\ \x00', max_size=6)) + told[at + cut :]
     directory = Directory(settings())
     try:
         read(spoilt, directory)
@@ -138,8 +166,14 @@
     assert (reading.version, reading.whole, len(reading.hosts)) == (7, False, 3)
 
 
-@pytest.mark.parametrize("states", [["in_service", "terminating"], ["terminating", "in_service"],
-                                    ["in_service", "terminated", "terminating"]])
+@pytest.mark.parametrize(
+    "states",
+    [
+        ["in_service", "terminating"],
+        ["terminating", "in_service"],
+        ["in_service", "terminated", "terminating"],
+    ],
+)
 def test_of_a_name_that_is_listed_twice_the_more_careful_entry_holds(states: list[str]) -> None:
     hosts = read(text([entry(1, health=state) for state in states])).hosts
     assert len(hosts) == 1 and hosts[0].entry.state is not api.UpstreamState.READY
@@ -195,6 +229,7 @@
 
 def test_an_older_answer_undoes_no_drain(caplog: pytest.LogCaptureFixture) -> None:
     """Without the mend a fetch that was answered late put a drained upstream back into service."""
+
     async def test() -> None:
         one, sink = watcher()
         one.told(text([entry(1), entry(2)], 5).encode())
@@ -216,6 +251,7 @@
 
 def test_a_change_of_one_among_many_looks_at_one() -> None:
     """Counted: what the pool and the decisions are told, and whom they ask."""
+
     async def test() -> None:
         told = settings(most_upstreams=64)
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -117,9 +117,14 @@
     def update(self, hosts: list[Host], whole: bool) -> None:
         self.hosts.update((host.entry.id, host) for host in hosts)
 
-    def exchange(self, render: Callable[[], list[bytes] | None], ended: Finished,
-                 wrote: Callable[[], None] | None = None, opens: object = None,
-                 upload: object = None) -> Sent:
+    def exchange(
+        self,
+        render: Callable[[], list[bytes] | None],
+        ended: Finished,
+        wrote: Callable[[], None] | None = None,
+        opens: object = None,
+        upload: object = None,
+    ) -> Sent:
         return Sent(self, 0, render, ended, wrote)
 
     def start(self, upstream: int, exchange: Sent, timeout_s: float) -> None:
@@ -176,14 +181,21 @@
         asyncio._set_running_loop(cast(Any, self.loop))
         try:
             kinds = [replace(one, memory_us=WINDOW_MS * MS) for one in classes()]
-            self.engine = Engine(told(connect_timeout_us=connect_ms * MS, instances=1, classes=kinds), seed,
-                                 VirtualClock(self.loop), cast(Any, self.pool), Nobody())
+            self.engine = Engine(
+                told(connect_timeout_us=connect_ms * MS, instances=1, classes=kinds),
+                seed,
+                VirtualClock(self.loop),
+                cast(Any, self.pool),
+                Nobody(),
+            )
         finally:
             asyncio._set_running_loop(before)
         self.faulty: list[str] = []
         self.told_us: dict[int, int] = {}  # since when it drains or is gone
-        self.entries = [api.Upstream(n, cell=n // 2, started_us=self.loop.now_us if cold and n == 0 else 0)
-                        for n in range(1, HOSTS + 1)]
+        self.entries = [
+            api.Upstream(n, cell=n // 2, started_us=self.loop.now_us if cold and n == 0 else 0)
+            for n in range(1, HOSTS + 1)
+        ]
         self.tell(api.ListKind.FULL, self.entries)
 
     def tell(self, kind: api.ListKind, entries: list[api.Upstream]) -> None:
@@ -204,8 +216,9 @@
             if status in (429, 503) and what.effect != "idempotent" and any(self.may_have_run(one)):
                 self.faulty.append(f"{what.name} refused though it may have run")
 
-        one.ident = self.engine.accept(Call(kind, due_us, b"Req-Number: %d\r\n" % number, b"x",
-                                            key=number + 1), reply)
+        one.ident = self.engine.accept(
+            Call(kind, due_us, b"Req-Number: %d\r\n" % number, b"x", key=number + 1), reply
+        )
 
     @rule(lasts_ms=st.integers(1000, 2000))
     def keyed_work_arrives(self, lasts_ms: int) -> None:
@@ -267,8 +280,10 @@
         if one is not None:
             self.write(one)
 
-    @rule(pick=st.integers(0, 999), outcome=st.sampled_from(
-        [api.Outcome.OK, api.Outcome.OK, api.Outcome.FULL, api.Outcome.ERROR]))
+    @rule(
+        pick=st.integers(0, 999),
+        outcome=st.sampled_from([api.Outcome.OK, api.Outcome.OK, api.Outcome.FULL, api.Outcome.ERROR]),
+    )
     def answers(self, pick: int, outcome: api.Outcome) -> None:
         one = self.one_of(pick, lambda one: bool(one.whole_us))
         if one is not None:
@@ -283,8 +298,10 @@
 
     # The list and time
 
-    @rule(pick=st.integers(0, HOSTS - 1), state=st.sampled_from(
-        [api.UpstreamState.READY, api.UpstreamState.READY, *api.UpstreamState]))
+    @rule(
+        pick=st.integers(0, HOSTS - 1),
+        state=st.sampled_from([api.UpstreamState.READY, api.UpstreamState.READY, *api.UpstreamState]),
+    )
     def list_changes(self, pick: int, state: api.UpstreamState) -> None:
         entry = self.entries[pick] = api.Upstream(pick + 1, cell=(pick + 1) // 2, state=state)
         self.told_us.pop(entry.id, None)
@@ -345,5 +362,6 @@
 
 
 TestOrders = Orders.TestCase
-TestOrders.settings = settings(max_examples=150, stateful_step_count=60, deadline=None,
-                               suppress_health_check=list(HealthCheck))
+TestOrders.settings = settings(
+    max_examples=150, stateful_step_count=60, deadline=None, suppress_health_check=list(HealthCheck)
+)
--- a/tests/test_rooms.py
+++ b/tests/test_rooms.py
@@ -27,8 +27,20 @@
     "model_checking": {"consensus"},
     "overload_control": {"admin", "balancer", "config", "engine", "gossip"},
     "recorder": {"balancer", "config", "engine"},
-    "daemon": {"admin", "balancer", "compiled", "config", "consensus", "discovery", "engine", "gossip", "grpc",
-               "http1", "overload_control", "recorder"},
+    "daemon": {
+        "admin",
+        "balancer",
+        "compiled",
+        "config",
+        "consensus",
+        "discovery",
+        "engine",
+        "gossip",
+        "grpc",
+        "http1",
+        "overload_control",
+        "recorder",
+    },
     "testbed": {"balancer", "compiled", "discovery", "gossip", "grpc", "http2", "overload_control"},
     "emulator": {"balancer", "overload_control", "testbed"},
     "cli": {"config", "discovery", "gossip", "recorder"},
@@ -70,8 +82,12 @@
 
 @pytest.mark.parametrize("name", sorted({room(one) for one in KNOWN}))
 def test_a_room_imports_those_below_it_alone(name: str) -> None:
-    used = {f"{one} imports {other}" for one, others in GRAPH.items() for other in others
-            if room(one) == name and room(other) not in {name, *ROOMS[name]}}
+    used = {
+        f"{one} imports {other}"
+        for one, others in GRAPH.items()
+        for other in others
+        if room(one) == name and room(other) not in {name, *ROOMS[name]}
+    }
     assert not used
     named = {room(other) for one, others in GRAPH.items() if room(one) == name for other in others} - {name}
     assert named == ROOMS[name], "the table allows what nobody uses"
@@ -90,6 +106,10 @@
     barred = {"asyncio", "socket", "time", "threading", "os", "select", "subprocess", "uvloop", "datetime"}
     for name, path in KNOWN.items():
         if room(name) == "decisions":
-            used = {alias.name for node in ast.walk(ast.parse(path.read_text()))
-                    if isinstance(node, ast.Import) for alias in node.names}
+            used = {
+                alias.name
+                for node in ast.walk(ast.parse(path.read_text()))
+                if isinstance(node, ast.Import)
+                for alias in node.names
+            }
             assert not used & barred, name
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -37,18 +37,27 @@
     st.tuples(st.just("stream"), st.integers(0, 50), st.just(0)),
 )
 
-CONFIGS = st.fixed_dictionaries({
-    "second_copies": st.booleans(), "list_on_request": st.booleans(), "cancel": st.booleans(),
-    "max_attempts": st.integers(1, 5), "instances": st.integers(1, 8), "retry_after": st.booleans(),
-    "ask_within_us": st.sampled_from([0, 10_000_000]), "probes": st.booleans(),
-    "report_names": st.sampled_from([[], ["utilization"], ["in_flight", "queued", "latency_ms"]]),
-})
+CONFIGS = st.fixed_dictionaries(
+    {
+        "second_copies": st.booleans(),
+        "list_on_request": st.booleans(),
+        "cancel": st.booleans(),
+        "max_attempts": st.integers(1, 5),
+        "instances": st.integers(1, 8),
+        "retry_after": st.booleans(),
+        "ask_within_us": st.sampled_from([0, 10_000_000]),
+        "probes": st.booleans(),
+        "report_names": st.sampled_from([[], ["utilization"], ["in_flight", "queued", "latency_ms"]]),
+    }
+)
 
 
 def many_classes() -> list[RequestClass]:
-    return [*classes(),
-            RequestClass("zoned", 200_000, 900_000, effect="deduplicated", group="zone", memory_us=400_000),
-            RequestClass("feed", 200_000, 900_000, effect="deduplicated", memory_us=9_000_000, stream=True)]
+    return [
+        *classes(),
+        RequestClass("zoned", 200_000, 900_000, effect="deduplicated", group="zone", memory_us=400_000),
+        RequestClass("feed", 200_000, 900_000, effect="deduplicated", memory_us=9_000_000, stream=True),
+    ]
 
 
 def play(world: World, step: tuple[str, int, object]) -> None:
@@ -77,17 +86,22 @@
         assert isinstance(extra, Outcome)
         world.end(*open_tries[number % len(open_tries)], extra)
     elif what == "stream":
-        streams = [(i, n) for i, n in open_tries
-                   if world.settings.classes[world.owed[i].event.class_index].stream
-                   and not world.owed[i].stream and not world.owed[i].closed]
+        streams = [
+            (i, n)
+            for i, n in open_tries
+            if world.settings.classes[world.owed[i].event.class_index].stream
+            and not world.owed[i].stream
+            and not world.owed[i].closed
+        ]
         if streams:
             world.begin_stream(*streams[number % len(streams)])
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
 @given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
-def test_no_rule_is_broken_whatever_happens(config: dict[str, object], seed: int,
-                                            steps: list[tuple[str, int, object]]) -> None:
+def test_no_rule_is_broken_whatever_happens(
+    config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
+) -> None:
     world = World(settings(classes=many_classes(), **config), seed)
     world.tell_list(upstreams(6), ListKind.CACHED)
     for step in steps:
@@ -101,8 +115,10 @@
     world = World(settings(classes=many_classes(), **config), seed)
     world.tell_list(upstreams(6), ListKind.CACHED)
     for _ in range(1500):
-        kind = dice.choices(["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
-                            [50, 40, 10, 1, 1, 1, 1, 1])[0]
+        kind = dice.choices(
+            ["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
+            [50, 40, 10, 1, 1, 1, 1, 1],
+        )[0]
         extra: object = 0
         number = dice.randrange(50)
         if kind == "arrive":
@@ -122,8 +138,11 @@
 def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
     for seed in range(12):
         config: dict[str, object] = {
-            "second_copies": seed % 2 == 0, "list_on_request": seed % 3 == 0, "ask_within_us": 10_000_000,
-            "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3], "probes": seed % 4 == 0,
+            "second_copies": seed % 2 == 0,
+            "list_on_request": seed % 3 == 0,
+            "ask_within_us": 10_000_000,
+            "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3],
+            "probes": seed % 4 == 0,
         }
         assert busy_day(config, seed) == busy_day(config, seed)
 
@@ -157,8 +176,9 @@
         for end in [e for e in ends if e[0] <= now_us]:
             ends.remove(end)
             how = outcome if end[3] == 1 else Outcome.OK
-            events.append((end[1], AttemptEnded(end[2], end[4], end[3], how, now_us - end[5],
-                                                how is Outcome.OK)))
+            events.append(
+                (end[1], AttemptEnded(end[2], end[4], end[3], how, now_us - end[5], how is Outcome.OK))
+            )
         for timer in [t for t in timers if t[0] <= now_us]:
             timers.remove(timer)
             events.append((timer[1], TimerFired(0)))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -27,35 +27,44 @@
 HEAD = "Host: b\r\nReq-Id: 1\r\nReq-Deadline: 1.0\r\n"
 
 
-@pytest.mark.parametrize(("raw", "status"), [
-    ("GET / HTTP/1.1\r\nHost: b\r\n\r\n", 404),
-    ("GET /nowhere HTTP/1.1\r\nHost: b\r\n\r\n", 404),
-    (f"GET /nosuchclass/7 HTTP/1.1\r\n{HEAD}\r\n", 400),
-    ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Deadline: 1.0\r\n\r\n", 400),
-    ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Id: a b\r\nReq-Deadline: 1.0\r\n\r\n", 400),
-    (f"GET /read/7 HTTP/1.1\r\n{HEAD}Req-Id: 2\r\n\r\n", 400),
-    ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\n\r\n", 400),
-    ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline: soon\r\n\r\n", 400),
-    ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline: -1\r\n\r\n", 400),
-    ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline: nan\r\n\r\n", 400),
-    (f"POST /read/7 HTTP/1.1\r\n{HEAD}Content-Length: 0\r\n\r\n", 400),
-    (f"GET /read/7 HTTP/1.1\r\n{HEAD}Content-Length: 2\r\n\r\nhi", 400),
-    (f"GET /pay/7 HTTP/1.1\r\n{HEAD}\r\n", 400),
-    (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n", 400),
-    (f"POST /mark/7 HTTP/1.1\r\n{HEAD}Content-Length: 0\r\n\r\n", 400),
-    (f"POST /mark/7 HTTP/1.1\r\n{HEAD}Idempotency-Key:\r\nContent-Length: 0\r\n\r\n", 400),
-    (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-    (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Transfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n0\r\n\r\n", 400),
-    (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi", 400),
-    (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: +2\r\n\r\nhi", 400),
-    (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Transfer-Encoding: chunked\r\n\r\nzz\r\nhi\r\n0\r\n\r\n", 400),
-    ("not http at all\r\n\r\n", 400),
-    (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: 67108865\r\n\r\n", 413),
-    (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: 99999999999999999999999\r\n\r\n", 400),
-    (f"GET /read/7 HTTP/1.1\r\n{HEAD}X: " + "x" * 70_000 + "\r\n\r\n", 431),
-    ("GET /read/" + "x" * 70_000, 431),
-    (f"GET /read/7 HTTP/1.1\r\n{HEAD}" + "".join(f"X-{n}: {n}\r\n" for n in range(3000)) + "\r\n", 431),
-])
+@pytest.mark.parametrize(
+    ("raw", "status"),
+    [
+        ("GET / HTTP/1.1\r\nHost: b\r\n\r\n", 404),
+        ("GET /nowhere HTTP/1.1\r\nHost: b\r\n\r\n", 404),
+        (f"GET /nosuchclass/7 HTTP/1.1\r\n{HEAD}\r\n", 400),
+        ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Deadline: 1.0\r\n\r\n", 400),
+        ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Id: a b\r\nReq-Deadline: 1.0\r\n\r\n", 400),
+        (f"GET /read/7 HTTP/1.1\r\n{HEAD}Req-Id: 2\r\n\r\n", 400),
+        ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\n\r\n", 400),
+        ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline: soon\r\n\r\n", 400),
+        ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline: -1\r\n\r\n", 400),
+        ("GET /read/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 1\r\nReq-Deadline: nan\r\n\r\n", 400),
+        (f"POST /read/7 HTTP/1.1\r\n{HEAD}Content-Length: 0\r\n\r\n", 400),
+        (f"GET /read/7 HTTP/1.1\r\n{HEAD}Content-Length: 2\r\n\r\nhi", 400),
+        (f"GET /pay/7 HTTP/1.1\r\n{HEAD}\r\n", 400),
+        (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n", 400),
+        (f"POST /mark/7 HTTP/1.1\r\n{HEAD}Content-Length: 0\r\n\r\n", 400),
+        (f"POST /mark/7 HTTP/1.1\r\n{HEAD}Idempotency-Key:\r\nContent-Length: 0\r\n\r\n", 400),
+        (
+            f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+            400,
+        ),
+        (
+            f"POST /pay/7 HTTP/1.1\r\n{HEAD}Transfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n0\r\n\r\n",
+            400,
+        ),
+        (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: 2\r\nContent-Length: 3\r\n\r\nhi", 400),
+        (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: +2\r\n\r\nhi", 400),
+        (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Transfer-Encoding: chunked\r\n\r\nzz\r\nhi\r\n0\r\n\r\n", 400),
+        ("not http at all\r\n\r\n", 400),
+        (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: 67108865\r\n\r\n", 413),
+        (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: 99999999999999999999999\r\n\r\n", 400),
+        (f"GET /read/7 HTTP/1.1\r\n{HEAD}X: " + "x" * 70_000 + "\r\n\r\n", 431),
+        ("GET /read/" + "x" * 70_000, 431),
+        (f"GET /read/7 HTTP/1.1\r\n{HEAD}" + "".join(f"X-{n}: {n}\r\n" for n in range(3000)) + "\r\n", 431),
+    ],
+)
 def test_bad_input_is_rejected_and_never_forwarded(pair: Pair, raw: str, status: int) -> None:
     before = len(pair.upstream.requests)
     client = pair.sidecar.client()
@@ -69,8 +78,10 @@
 
 def test_the_largest_body_goes_through_and_comes_back_unchanged() -> None:
     body = bytes(range(256)) * 256
-    with (Upstream(script=lambda request, client: answer(request.body)) as upstream,
-          Sidecar([upstream]) as sidecar):
+    with (
+        Upstream(script=lambda request, client: answer(request.body)) as upstream,
+        Sidecar([upstream]) as sidecar,
+    ):
         found = sidecar.request("POST", "/pay/7?x=1%20&y", body, X_Trace="t1", Connection="keep-alive")
         assert (found.status, found.body) == (200, body)
         sent = upstream.requests[0]
@@ -93,8 +104,12 @@
 
 def test_a_request_may_come_in_pieces_and_be_chunked(pair: Pair) -> None:
     client = pair.sidecar.client()
-    for piece in (f"POST /pay/7 HTTP/1.1\r\n{HEAD}Transfer-", "Encoding: chunked\r\n\r\n2\r\nh", "i\r\n0\r\n",
-                  "\r\n"):
+    for piece in (
+        f"POST /pay/7 HTTP/1.1\r\n{HEAD}Transfer-",
+        "Encoding: chunked\r\n\r\n2\r\nh",
+        "i\r\n0\r\n",
+        "\r\n",
+    ):
         client.socket.sendall(piece.encode())
         time.sleep(0.01)  # for the pieces to come apart; the verdict does not hang on it
     found = client.read()
@@ -298,9 +313,13 @@
 
     with Upstream(script=script) as upstream, Sidecar([upstream]) as sidecar:
         client = sidecar.client()
-        client.socket.sendall(b"".join(
-            f"POST /pay/7 HTTP/1.1\r\nHost: b\r\nReq-Id: {n}\r\nReq-Deadline: 0.5\r\n"
-            "Content-Length: 0\r\n\r\n".encode() for n in range(400)))
+        client.socket.sendall(
+            b"".join(
+                f"POST /pay/7 HTTP/1.1\r\nHost: b\r\nReq-Id: {n}\r\nReq-Deadline: 0.5\r\n"
+                "Content-Length: 0\r\n\r\n".encode()
+                for n in range(400)
+            )
+        )
         release.set()
         statuses = []
         while (found := client.read()) is not None:
@@ -337,9 +356,12 @@
         quiet.wait(LONG_S)
         return None
 
-    with (Upstream(script=script) as upstream,
-          Sidecar([upstream], None, "", None, None, None,
-                  **{"request-classes.1.deadline": "600000"}) as sidecar):
+    with (
+        Upstream(script=script) as upstream,
+        Sidecar(
+            [upstream], None, "", None, None, None, **{"request-classes.1.deadline": "600000"}
+        ) as sidecar,
+    ):
         assert sidecar.request("POST", "/pay/7", b"x", Req_Deadline="999999999").status in (502, 504)
         quiet.set()
 
@@ -353,10 +375,13 @@
 
     with Upstream(script=script) as upstream, Sidecar([upstream]) as sidecar:
         client = sidecar.client()
-        client.socket.sendall((
-            f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: 3\r\n\r\none"
-            "POST /pay/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 2\r\nReq-Deadline: 1.0\r\n"
-            "Content-Length: 3\r\nExpect: 100-continue\r\n\r\n").encode())
+        client.socket.sendall(
+            (
+                f"POST /pay/7 HTTP/1.1\r\n{HEAD}Content-Length: 3\r\n\r\none"
+                "POST /pay/7 HTTP/1.1\r\nHost: b\r\nReq-Id: 2\r\nReq-Deadline: 1.0\r\n"
+                "Content-Length: 3\r\nExpect: 100-continue\r\n\r\n"
+            ).encode()
+        )
         eventually(lambda: upstream.requests)
         release.set()
         found = [client.read(), client.read()]
@@ -395,8 +420,11 @@
             release.wait(LONG_S)
         return answer(b"ok")
 
-    with (Upstream(script=script) as upstream, Upstream(script=script) as other,
-          Sidecar([upstream, other]) as sidecar):
+    with (
+        Upstream(script=script) as upstream,
+        Upstream(script=script) as other,
+        Sidecar([upstream, other]) as sidecar,
+    ):
         idle, busy, half, never = [sidecar.client() for _ in range(4)]
         assert idle.request("POST", "/pay/1", b"x").status == 200
         half.socket.sendall(b"POST /pa")
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -199,8 +199,10 @@
     for instances in (12, 40, 200):
         held = dict.fromkeys(range(1, 11), 0)
         for number in range(instances):
-            world = World(settings(instances=instances, self_index=number, cold_share=0.5,
-                                   warm_up_us=60_000_000), seed=number)
+            world = World(
+                settings(instances=instances, self_index=number, cold_share=0.5, warm_up_us=60_000_000),
+                seed=number,
+            )
             world.tell_list([*[Upstream(n, started_us=world.now_us) for n in range(1, 11)], *upstreams(20)])
             for _ in range(60):
                 world.arrive(READ)
@@ -215,8 +217,15 @@
 
 def test_a_shortage_leaves_its_last_slots_to_the_class_that_is_worth_most_for_its_time() -> None:
     dear, cheap = 0, 1
-    world = World(settings(instances=40, classes=[RequestClass("buy", 400_000, 1_200_000, worth=10.0),
-                                                  RequestClass("top-up", 750_000, 4_000_000, worth=8.0)]))
+    world = World(
+        settings(
+            instances=40,
+            classes=[
+                RequestClass("buy", 400_000, 1_200_000, worth=10.0),
+                RequestClass("top-up", 750_000, 4_000_000, worth=8.0),
+            ],
+        )
+    )
     world.tell_list(upstreams(60))
 
     def taken(class_index: int) -> list[int]:
@@ -257,8 +266,14 @@
     assert not world.sends(request)
 
 
-def churn(world: World, steps: int, bad: int | None = None, fault: Outcome = Outcome.FULL,
-          class_index: int = READ, took_us: int = 10_000) -> None:
+def churn(
+    world: World,
+    steps: int,
+    bad: int | None = None,
+    fault: Outcome = Outcome.FULL,
+    class_index: int = READ,
+    took_us: int = 10_000,
+) -> None:
     """A request a step; whatever is out ends at the step's end, with `fault` at the upstream `bad`."""
     for _ in range(steps):
         world.arrive(class_index)
@@ -488,8 +503,11 @@
         request = world.arrive(PAY)
         world.advance(10_000)
         for attempt in world.owed[request].out():
-            world.end(request, attempt, Outcome.ERROR if world.owed[request].tries[attempt].upstream < 104
-                      else Outcome.OK)
+            world.end(
+                request,
+                attempt,
+                Outcome.ERROR if world.owed[request].tries[attempt].upstream < 104 else Outcome.OK,
+            )
     windows = {ident: server.slots.window for ident, server in world.balancer.servers.items()}
     assert all((window < 0.3) is (ident < 104) for ident, window in windows.items()), windows
 
@@ -589,8 +607,13 @@
 
 def asking_world(reports: dict[int, float | None], **changes: object) -> World:
     """Many sidecars whose upstreams, when probed, tell how many requests they hold (None: no report)."""
-    values: dict[str, object] = {"instances": 1000, "probes": True, "report_names": ["in_flight"],
-                                 "second_copies": False, **changes}
+    values: dict[str, object] = {
+        "instances": 1000,
+        "probes": True,
+        "report_names": ["in_flight"],
+        "second_copies": False,
+        **changes,
+    }
     world = ready_world(len(reports), **values)
     world.reports = reports
     return world
@@ -693,8 +716,9 @@
 def test_an_answer_worth_nothing_after_the_aim_is_not_waited_for() -> None:
     """Lost answers would hold their slots till due."""
     for late_worth, waits_us in ((0.0, 296_000), (0.3, 600_000)):
-        world = ready_world(classes=[RequestClass("act", 300_000, 600_000, effect="at_most_once",
-                                                  late_worth=late_worth)])
+        world = ready_world(
+            classes=[RequestClass("act", 300_000, 600_000, effect="at_most_once", late_worth=late_worth)]
+        )
         assert world.sends(world.arrive(0))[0].timeout_us == waits_us
 
 
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -33,8 +33,10 @@
     return set(one.members)
 
 
-@pytest.mark.parametrize(("instances", "count", "size"), [
-    (300, 10_000, 12), (300, 10_000, 52), (100, 1000, 30), (64, 777, 31), (1000, 500, 40)])
+@pytest.mark.parametrize(
+    ("instances", "count", "size"),
+    [(300, 10_000, 12), (300, 10_000, 52), (100, 1000, 30), (64, 777, 31), (1000, 500, 40)],
+)
 def test_every_upstream_is_in_as_many_subsets_as_any_other(instances: int, count: int, size: int) -> None:
     counts: Counter[int] = Counter()
     one = subset(0, instances, count)
@@ -152,8 +154,11 @@
     world = large_world()
     used = set(world.balancer.subset.members)
     out = [world.arrive(READ) for _ in range(3)]
-    drained = [Upstream(one.id, UpstreamState.DRAINING, one.zone, 0, one.cell) for one in fleet(400)
-               if one.id in used or one.id % 3 == 0]  # a third of the fleet, and all that are used
+    drained = [
+        Upstream(one.id, UpstreamState.DRAINING, one.zone, 0, one.cell)
+        for one in fleet(400)
+        if one.id in used or one.id % 3 == 0
+    ]  # a third of the fleet, and all that are used
     world.tell_list(drained, ListKind.DELTA)
     for request in out:
         world.end(request, 0, Outcome.OK)
@@ -189,8 +194,11 @@
 def test_cold_members_are_added_to() -> None:
     world = large_world()
     used = set(world.balancer.subset.members)
-    fresh = [Upstream(one.id, UpstreamState.READY, one.zone, 0, one.cell, 1.0, world.now_us)
-             for one in fleet(400) if one.id in used]
+    fresh = [
+        Upstream(one.id, UpstreamState.READY, one.zone, 0, one.cell, 1.0, world.now_us)
+        for one in fleet(400)
+        if one.id in used
+    ]
     world.tell_list(fresh, ListKind.DELTA)
     assert len(world.balancer.fleet.warm) >= len(used) - 4
 
--- a/tests/test_suspected.py
+++ b/tests/test_suspected.py
@@ -121,8 +121,10 @@
     one = world(instances=50)
     one.tell(Suspected(BAD, 1.0))
     entry = one.balancer.entries[BAD]
-    one.tell_list([type(entry)(BAD, UpstreamState.READY, entry.zone, 0, entry.cell,
-                               started_us=one.now_us)], ListKind.DELTA)
+    one.tell_list(
+        [type(entry)(BAD, UpstreamState.READY, entry.zone, 0, entry.cell, started_us=one.now_us)],
+        ListKind.DELTA,
+    )
     server = one.balancer.servers[BAD]
     assert (server.kept, server.slots.window) == (0.0, 1.0)
 
@@ -137,11 +139,17 @@
 
 
 @settings_of(max_examples=40, deadline=None)
-@given(st.lists(st.one_of(
-    st.tuples(st.just("suspect"), st.integers(0, 5), st.floats(0, 1)),
-    st.tuples(st.just("size"), st.integers(1, 60), st.floats(0, 1)),
-    st.tuples(st.just("ask"), st.integers(0, 2), st.floats(0, 1)),
-    st.tuples(st.just("wait"), st.integers(1, 400), st.floats(0, 1))), max_size=80))
+@given(
+    st.lists(
+        st.one_of(
+            st.tuples(st.just("suspect"), st.integers(0, 5), st.floats(0, 1)),
+            st.tuples(st.just("size"), st.integers(1, 60), st.floats(0, 1)),
+            st.tuples(st.just("ask"), st.integers(0, 2), st.floats(0, 1)),
+            st.tuples(st.just("wait"), st.integers(1, 400), st.floats(0, 1)),
+        ),
+        max_size=80,
+    )
+)
 def test_whatever_is_said_the_rules_hold_and_nothing_opens(told: list[tuple[str, int, float]]) -> None:
     """World checks the rules at each action; what is said opens no slot and closes none for good."""
     one = world(instances=4)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -28,6 +28,7 @@
 
 def close_in_one_go(data: bytes) -> Script:
     """The answer and the end of the connection in one segment: no request fits in between."""
+
     def script(request: Message, client: socket.socket) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
         client.sendall(data)
@@ -44,29 +45,51 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-@pytest.mark.parametrize("script", [
-    lambda request, client: answer(b"", "500 Internal Server Error"),
-    lambda request, client: answer(b"", "503 Service Unavailable"),
-    lambda request, client: answer(b"", "503 Service Unavailable", "Srv-Declined: 0\r\n"),
-    lambda request, client: answer(b"", "500 Internal Server Error", "Srv-Declined: 1\r\n"),
-    lambda request, client: answer(b"", "204 No Content"),
-    reset,
-    lambda request, client: None,
-    then_close(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"),
-    then_close(b"HTTP/1.1 200 OK\r\n\r\nno length, so whole or not"),
-    then_close(CHUNKED + b"4\r\nhalf\r\n"),
-    lambda request, client: CHUNKED + b"zz\r\nhalf\r\n0\r\n\r\n",
-    lambda request, client: CHUNKED.replace(b"\r\n\r\n", b"\r\nContent-Length: 2\r\n\r\n") + b"0\r\n\r\n",
-    lambda request, client: b"garbage\r\n\r\n",
-    lambda request, client: answer(b"", headers="X: " + "x" * 100_000 + "\r\n"),
-    then_close(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000),
-    then_close(b"HTTP/1.1 100 Continue\r\n\r\n" * 4000),
-    lambda request, client: b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbegun",
-    lambda request, client: b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nok",
-    lambda request, client: b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok",
-], ids=["500", "bare 503", "not declined", "declined 500", "204", "reset", "end", "truncated", "no length",
-        "truncated chunks", "bad chunks", "two framings", "garbage",
-        "headers too large", "a header without end", "1xx without end", "3 GB", "two lengths", "below 0"])
+@pytest.mark.parametrize(
+    "script",
+    [
+        lambda request, client: answer(b"", "500 Internal Server Error"),
+        lambda request, client: answer(b"", "503 Service Unavailable"),
+        lambda request, client: answer(b"", "503 Service Unavailable", "Srv-Declined: 0\r\n"),
+        lambda request, client: answer(b"", "500 Internal Server Error", "Srv-Declined: 1\r\n"),
+        lambda request, client: answer(b"", "204 No Content"),
+        reset,
+        lambda request, client: None,
+        then_close(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"),
+        then_close(b"HTTP/1.1 200 OK\r\n\r\nno length, so whole or not"),
+        then_close(CHUNKED + b"4\r\nhalf\r\n"),
+        lambda request, client: CHUNKED + b"zz\r\nhalf\r\n0\r\n\r\n",
+        lambda request, client: CHUNKED.replace(b"\r\n\r\n", b"\r\nContent-Length: 2\r\n\r\n") + b"0\r\n\r\n",
+        lambda request, client: b"garbage\r\n\r\n",
+        lambda request, client: answer(b"", headers="X: " + "x" * 100_000 + "\r\n"),
+        then_close(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000),
+        then_close(b"HTTP/1.1 100 Continue\r\n\r\n" * 4000),
+        lambda request, client: b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbegun",
+        lambda request, client: b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nok",
+        lambda request, client: b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok",
+    ],
+    ids=[
+        "500",
+        "bare 503",
+        "not declined",
+        "declined 500",
+        "204",
+        "reset",
+        "end",
+        "truncated",
+        "no length",
+        "truncated chunks",
+        "bad chunks",
+        "two framings",
+        "garbage",
+        "headers too large",
+        "a header without end",
+        "1xx without end",
+        "3 GB",
+        "two lengths",
+        "below 0",
+    ],
+)
 def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(script: Script) -> None:
     with Upstream(script=script) as one, Upstream(script=script) as two, Sidecar([one, two]) as sidecar:
         assert sidecar.request("POST", "/pay/7", b"x").status == 502
@@ -101,6 +124,7 @@
 
 def test_a_4xx_is_about_the_request_and_says_nothing_of_the_upstream() -> None:
     """A bad client may send by hundreds what only an upstream can tell from good requests."""
+
     def script(request: Message, client: socket.socket) -> bytes:
         return answer(b"", "400 Bad Request") if request.body == b"bad" else answer(b"ok")
 
@@ -114,8 +138,11 @@
 @pytest.mark.parametrize("status", ["503 Service Unavailable", "504 Gateway Timeout"])
 def test_a_declined_unsafe_request_is_sent_elsewhere(status: str) -> None:
     declined = answer(b"", status, "Srv-Declined: 1\r\n")
-    with (Upstream(script=lambda request, client: declined) as full, Upstream(body=b"ok") as free,
-          Sidecar([full, free]) as sidecar):
+    with (
+        Upstream(script=lambda request, client: declined) as full,
+        Upstream(body=b"ok") as free,
+        Sidecar([full, free]) as sidecar,
+    ):
         for _ in range(8):
             assert sidecar.request("POST", "/pay/7", b"x").status == 200
         assert full.requests and len(free.requests) == 8
@@ -133,6 +160,7 @@
 def test_an_answer_that_is_lost_frees_its_slot_where_others_are_answered() -> None:
     """A part of all answers is lost. Hazard: each unsafe one would hold its slot till due, and upstreams that
     answer the others at once would stand idle while requests are refused."""
+
     def script(request: Message, client: socket.socket) -> bytes:
         return b"" if request.body == b"lost" else answer(b"ok")
 
@@ -228,6 +256,7 @@
 
 def test_silence_ends_the_idle_connections_to_that_upstream() -> None:
     """A vanished machine leaves its connections open: the next unsafe request on one would be lost too."""
+
     async def test() -> None:
         served = 0
 
@@ -246,8 +275,11 @@
 
         def start(timeout_s: float) -> asyncio.Future[api.Outcome]:
             ended: asyncio.Future[api.Outcome] = pool.loop.create_future()
-            pool.start(7, Exchange(lambda: [b"GET / HTTP/1.1\r\n\r\n"], lambda end, _: ended.set_result(end)),
-                       timeout_s)
+            pool.start(
+                7,
+                Exchange(lambda: [b"GET / HTTP/1.1\r\n\r\n"], lambda end, _: ended.set_result(end)),
+                timeout_s,
+            )
             return ended
 
         assert list(await asyncio.gather(start(15.0), start(15.0))) == [api.Outcome.OK] * 2
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,20 +13,32 @@
 from sidecar_proxy.simulator_adapter import adapter, wire
 from tests.options import OPTIONS
 
-LIST = ("6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
-        " f211902c 01 00 0000 01 0000c03f 20145d0000000000")
+LIST = (
+    "6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
+    " f211902c 01 00 0000 01 0000c03f 20145d0000000000"
+)
 FIRST, SECOND, TICKET, OTHER = 0x03124A07, 0x2C9011F2, 0x5D3A91C4, 0x0E6F2B19
 
 EVENTS: list[tuple[str, wire.Record]] = [
-    (LIST + "50 0300 02 29000000 00000000", api.UpstreamsUpdated(api.ListKind.CACHED, [
-        api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)], 41)),
-    ("46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
-     api.RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000)),
+    (
+        LIST + "50 0300 02 29000000 00000000",
+        api.UpstreamsUpdated(
+            api.ListKind.CACHED,
+            [api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)],
+            41,
+        ),
+    ),
+    (
+        "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000",
+        api.RequestArrived(TICKET, 8652250, 0, 0, 0x91F03B7C55D20A64, 12000),
+    ),
     ("28 0300", wire.InstanceStopped()),
     ("32 0300 4d000000", api.TimerFired(77)),
     ("3c 0300 192b6f0e", api.RequestGone(OTHER)),
-    ("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
-     api.AttemptEnded(TICKET, 0, FIRST, api.Outcome.OK, 18500, True)),
+    (
+        "0a 0300 c4913a5d 00 074a1203 0000 44480000 01 00",
+        api.AttemptEnded(TICKET, 0, FIRST, api.Outcome.OK, 18500, True),
+    ),
     ("1e 0300 0200 0400 68692037", api.PeerMessage(2, b"hi 7")),
     ("14 0300 c4913a5d 00 22240000 074a1203", api.StreamStarted(TICKET, 0, FIRST, 9250)),
     ("5a 0300 f211902c 0000 78050000 00", api.ProbeEnded(SECOND, api.Outcome.OK, 1400)),
@@ -48,9 +60,11 @@
 ]
 
 EMPTY = "00000000 00000000 5a5c800000000000"
-THREE = ("2f000000 03000000 5a5c800000000000"
-         "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000"
-         "32 0300 4d000000 3c 0500 192b6f0e")
+THREE = (
+    "2f000000 03000000 5a5c800000000000"
+    "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000"
+    "32 0300 4d000000 3c 0500 192b6f0e"
+)
 
 
 def power_on(text: str = OPTIONS, instance: int = 3, seed: int = 9) -> bytes:
@@ -85,12 +99,19 @@
     assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
     events = list(wire.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
-        (3, "RequestArrived"), (3, "TimerFired"), (5, "RequestGone")]
-    records = [wire.encode(3, ACTIONS[0][1]), wire.encode(3, ACTIONS[6][1]), bytes.fromhex(
-        "78 0500 1100 74776f2073657276657273206b6e6f776e")]
+        (3, "RequestArrived"),
+        (3, "TimerFired"),
+        (5, "RequestGone"),
+    ]
+    records = [
+        wire.encode(3, ACTIONS[0][1]),
+        wire.encode(3, ACTIONS[6][1]),
+        bytes.fromhex("78 0500 1100 74776f2073657276657273206b6e6f776e"),
+    ]
     assert wire.reply(records) == bytes.fromhex(
         "34000000 03000000 14 0300 c4913a5d 074a1203 80380100 1e 0300 7afd870000000000 4d000000"
-        "78 0500 1100 74776f2073657276657273206b6e6f776e")
+        "78 0500 1100 74776f2073657276657273206b6e6f776e"
+    )
 
 
 def test_a_request_goes_through_the_adapter() -> None:
@@ -120,25 +141,32 @@
     assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
 
 
-@pytest.mark.parametrize(("data", "words"), [
-    (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
-    (bytes.fromhex(EMPTY) + bytes.fromhex(THREE)[:30], "batch 1: truncated body"),
-    (batch([b"\x07\x03\x00"]), "record 0 at byte 0: unknown event code 7"),
-    (batch([b"\x32\x03\x00\x01"]), "record 0 at byte 0: truncated"),
-    (struct.pack("<IIQ", 3, 0, 5) + b"abc", "3 bytes left over"),
-    (batch([bytes.fromhex("50 0300 02 29000000 05000000")]), "upstream list 5 was never sent"),
-    (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 6300 44480000 01 00")]), "unknown outcome 99"),
-    (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 01 0000c07f")]), "finite"),
-    (batch([bytes.fromhex("6e 00000000 01000000 074a1203 00 00 0000 09 0000803f 0000000000000000")]),
-     "unknown upstream condition 9"),
-    (batch([power_on("instances=3\nnonsense")]), "settings line 2: expected path=value"),
-    (batch([power_on(OPTIONS.replace("instances=3", "instances=many"))]),
-     "setting instances: expected a number"),
-    (batch([power_on(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
-    (batch([power_on(OPTIONS.replace("most-tries=4", "most-tries=-4"))]), "max_attempts of 1 or more"),
-    (batch([power_on(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
-    (batch([power_on(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
-])
+@pytest.mark.parametrize(
+    ("data", "words"),
+    [
+        (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
+        (bytes.fromhex(EMPTY) + bytes.fromhex(THREE)[:30], "batch 1: truncated body"),
+        (batch([b"\x07\x03\x00"]), "record 0 at byte 0: unknown event code 7"),
+        (batch([b"\x32\x03\x00\x01"]), "record 0 at byte 0: truncated"),
+        (struct.pack("<IIQ", 3, 0, 5) + b"abc", "3 bytes left over"),
+        (batch([bytes.fromhex("50 0300 02 29000000 05000000")]), "upstream list 5 was never sent"),
+        (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 6300 44480000 01 00")]), "unknown outcome 99"),
+        (batch([bytes.fromhex("0a 0300 c4913a5d 00 074a1203 0000 44480000 01 01 0000c07f")]), "finite"),
+        (
+            batch([bytes.fromhex("6e 00000000 01000000 074a1203 00 00 0000 09 0000803f 0000000000000000")]),
+            "unknown upstream condition 9",
+        ),
+        (batch([power_on("instances=3\nnonsense")]), "settings line 2: expected path=value"),
+        (
+            batch([power_on(OPTIONS.replace("instances=3", "instances=many"))]),
+            "setting instances: expected a number",
+        ),
+        (batch([power_on(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
+        (batch([power_on(OPTIONS.replace("most-tries=4", "most-tries=-4"))]), "max_attempts of 1 or more"),
+        (batch([power_on(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
+        (batch([power_on(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
+    ],
+)
 def test_what_is_malformed_is_told_in_one_line(data: bytes, words: str) -> None:
     with pytest.raises(wire.WireError) as caught:
         serve(data)
--- a/tests/testbed/playing.py
+++ b/tests/testbed/playing.py
@@ -14,12 +14,20 @@
 PLAN = Plan(nodes=12, rate=120, seconds=4.0, seed=3, machine=Machine(work_us=8_000))
 
 # three that gossip through relays and handle overload as one
-RIG = replace(PLAN, sidecars=3, rate=60.0, seconds=1.0, gossip=True, relayed=True,
-              extra="[overload]\nenabled = true\ntrace = true\n")
+RIG = replace(
+    PLAN,
+    sidecars=3,
+    rate=60.0,
+    seconds=1.0,
+    gossip=True,
+    relayed=True,
+    extra="[overload]\nenabled = true\ntrace = true\n",
+)
 
 
 def on_rig(plan: Plan, test: Callable[[Scene], Awaitable[None]]) -> Scene:
     """Starts it, and leaves what is done to it to the test."""
+
     async def run() -> Scene:
         async with Scene(plan) as scene:
             await test(scene)
@@ -32,6 +40,7 @@
 
 def play(plan: Plan) -> Scene:
     """Play a plan in virtual-free time: on real sockets, within a wide bound."""
+
     async def run() -> Scene:
         async with Scene(plan) as scene:
             await scene.play()
--- a/tests/testbed/test_checker.py
+++ b/tests/testbed/test_checker.py
@@ -26,17 +26,30 @@
 
 MS = 1000
 S = 1_000_000
-BOUNDS = Bounds({"buy": Kind("at_most_once"), "topup": Kind("deduplicated", "cell", 8 * S),
-                 "mark": Kind("deduplicated", "all", 8 * S), "read": Kind("idempotent"),
-                 "send": Kind("deduplicated", "zone", 8 * S)})
+BOUNDS = Bounds(
+    {
+        "buy": Kind("at_most_once"),
+        "topup": Kind("deduplicated", "cell", 8 * S),
+        "mark": Kind("deduplicated", "all", 8 * S),
+        "read": Kind("idempotent"),
+        "send": Kind("deduplicated", "zone", 8 * S),
+    }
+)
 
 
 def asked(kind: str = "buy", request: str = "r", operation: str = "o", at: int = 0, due: int = S) -> Asked:
     return Asked(at, request, operation, kind, "n0", due)
 
 
-def received(at: int, node: str = "a", request: str = "r", cell: int = 1, taken: bool = True,
-             work: int = 20 * MS, site: str = "s") -> Received:
+def received(
+    at: int,
+    node: str = "a",
+    request: str = "r",
+    cell: int = 1,
+    taken: bool = True,
+    work: int = 20 * MS,
+    site: str = "s",
+) -> Received:
     return Received(at, at - 1, request, node, cell, taken, work, site)
 
 
@@ -59,13 +72,27 @@
     [asked("mark"), received(5 * MS), received(90 * MS, "b", cell=2), answered(200 * MS, 503)],
     [asked("send"), received(5 * MS), received(90 * MS, "b", cell=2), answered(200 * MS)],
     [asked("read"), received(5 * MS), received(90 * MS, "b", cell=2), answered(200 * MS, 503)],
-    [asked(), answered(5 * MS, 503), asked(request="r2", at=90 * MS, due=2 * S),
-     received(99 * MS, request="r2"), answered(120 * MS, request="r2")],
+    [
+        asked(),
+        answered(5 * MS, 503),
+        asked(request="r2", at=90 * MS, due=2 * S),
+        received(99 * MS, request="r2"),
+        answered(120 * MS, request="r2"),
+    ],
     [Told(0, "n0", "a", "terminating"), asked(at=S, due=3 * S), received(S + 5 * MS), answered(S + 9 * MS)],
-    [Told(0, "n0", "a", "terminating"), Told(S, "n0", "a", "in_service"), asked(at=5 * S, due=6 * S),
-     received(5 * S + MS), answered(5 * S + 9 * MS)],
-    [Told(0, "n1", "a", "terminating"), asked(at=5 * S, due=6 * S), received(5 * S + MS),
-     answered(5 * S + 9 * MS)],
+    [
+        Told(0, "n0", "a", "terminating"),
+        Told(S, "n0", "a", "in_service"),
+        asked(at=5 * S, due=6 * S),
+        received(5 * S + MS),
+        answered(5 * S + 9 * MS),
+    ],
+    [
+        Told(0, "n1", "a", "terminating"),
+        asked(at=5 * S, due=6 * S),
+        received(5 * S + MS),
+        answered(5 * S + 9 * MS),
+    ],
     [Faulted(1, "x"), Fell(2, "a")],
 ]
 
@@ -86,12 +113,36 @@
     (2, [asked("send"), received(5 * MS), received(9 * MS, "b", site="t"), answered(60 * MS)]),
     (2, [asked("send"), received(5 * MS), answered(20 * MS, 503)]),
     (2, [asked("topup", due=20 * S), received(5 * MS), received(8 * S + 57 * MS, "b"), answered(9 * S)]),
-    (2, [asked(), received(5 * MS), answered(S, 502), asked(request="r2", at=S, due=2 * S),
-         received(S + 5 * MS, request="r2"), answered(S + 9 * MS, request="r2")]),
-    (3, [Told(0, "n0", "a", "terminating"), asked(at=3 * S, due=4 * S), received(3 * S + MS),
-         answered(3 * S + 9 * MS)]),
-    (3, [Told(0, "n0", "a", "terminating"), Told(2 * S, "n0", "a", "terminated"), asked(at=3 * S, due=4 * S),
-         received(3 * S + MS, taken=False), answered(3 * S + 9 * MS, 503)]),
+    (
+        2,
+        [
+            asked(),
+            received(5 * MS),
+            answered(S, 502),
+            asked(request="r2", at=S, due=2 * S),
+            received(S + 5 * MS, request="r2"),
+            answered(S + 9 * MS, request="r2"),
+        ],
+    ),
+    (
+        3,
+        [
+            Told(0, "n0", "a", "terminating"),
+            asked(at=3 * S, due=4 * S),
+            received(3 * S + MS),
+            answered(3 * S + 9 * MS),
+        ],
+    ),
+    (
+        3,
+        [
+            Told(0, "n0", "a", "terminating"),
+            Told(2 * S, "n0", "a", "terminated"),
+            asked(at=3 * S, due=4 * S),
+            received(3 * S + MS, taken=False),
+            answered(3 * S + 9 * MS, 503),
+        ],
+    ),
 ]
 
 
@@ -118,8 +169,11 @@
     found: list[Record] = [Started(begin, "a", 2, 0.25, 10 * S)]
     for n in range(count):
         at, name = begin + n * S // count, f"r{begin}-{n}"
-        found += [Asked(at, name, name, "read", "n0", at + S), received(at, request=name, work=work),
-                  Answered(at + 9 * MS, name, 200)]
+        found += [
+            Asked(at, name, name, "read", "n0", at + S),
+            received(at, request=name, work=work),
+            Answered(at + 9 * MS, name, 200),
+        ]
     return found
 
 
@@ -143,8 +197,19 @@
 
 
 def test_the_table_counts_by_class() -> None:
-    rows = table([asked(), received(MS), answered(40 * MS), asked(request="x"), answered(50 * MS, 503, "x"),
-                  asked(request="y"), answered(50 * MS, 502, "y"), asked("read", "z"), Quit(9, "z")])
+    rows = table(
+        [
+            asked(),
+            received(MS),
+            answered(40 * MS),
+            asked(request="x"),
+            answered(50 * MS, 503, "x"),
+            asked(request="y"),
+            answered(50 * MS, 502, "y"),
+            asked("read", "z"),
+            Quit(9, "z"),
+        ]
+    )
     buy, reading = rows
     assert (buy.asked, buy.served, buy.refused, buy.failed, buy.attempts) == (3, 1, 1, 1, 1)
     assert buy.percentile_ms(0.5) == 40.0 and (reading.asked, reading.quit) == (1, 1)
@@ -159,9 +224,21 @@
     assert read(file.getvalue().splitlines()).records == ledger.records
 
 
-@pytest.mark.parametrize("line", [
-    "", "{}", "[]", '["Asked"]', '["Nothing",1]', '["Quit",1,2]', '["Quit",true,"r"]', '["Quit","1","r"]',
-    "[" * 100_000, '["Received",1,1,"r","n",1,1,5]'])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "",
+        "{}",
+        "[]",
+        '["Asked"]',
+        '["Nothing",1]',
+        '["Quit",1,2]',
+        '["Quit",true,"r"]',
+        '["Quit","1","r"]',
+        "[" * 100_000,
+        '["Received",1,1,"r","n",1,1,5]',
+    ],
+)
 def test_a_line_that_is_no_record_is_told_with_its_number(line: str) -> None:
     with pytest.raises(LedgerError, match="line 2 is no record"):
         read(['["Quit",1,"r"]', line])
--- a/tests/testbed/test_customers.py
+++ b/tests/testbed/test_customers.py
@@ -13,28 +13,61 @@
 from sidecar_proxy.testbed.scenario import Plan
 from tests.testbed.playing import PLAN, play, served
 
-FAULTS = (Fault("drain", 0.8, 2.0, 0.25), Fault("crash", 1.2, 0.6, 2), Fault("restart", 1.6, 0.1, 3),
-          Fault("roster_down", 2.0, 0.6))
+FAULTS = (
+    Fault("drain", 0.8, 2.0, 0.25),
+    Fault("crash", 1.2, 0.6, 2),
+    Fault("restart", 1.6, 0.1, 3),
+    Fault("roster_down", 2.0, 0.6),
+)
 ANY = replace(PLAN, faults=FAULTS, manners=Manners(quits=0.05))
 CUSTOMERS = {
-    "komiks": replace(ANY, loads=(
-        Load("buy", "at_most_once", 0.7, 1.2, worth=10.0),
-        Load("topup", "deduplicated", 0.3, 4.0, worth=8.0))),
+    "komiks": replace(
+        ANY,
+        loads=(
+            Load("buy", "at_most_once", 0.7, 1.2, worth=10.0),
+            Load("topup", "deduplicated", 0.3, 4.0, worth=8.0),
+        ),
+    ),
     "licence": replace(
-        ANY, sites=("north", "south", "east"), drain_s=0.5, idle_s=60.0, retry_after=False,
+        ANY,
+        sites=("north", "south", "east"),
+        drain_s=0.5,
+        idle_s=60.0,
+        retry_after=False,
         second_copies=False,
-        loads=(Load("look", "idempotent", 0.5, 1.5), Load("file", "deduplicated", 0.3, 2.5, memory_s=2.0),
-               Load("issue", "at_most_once", 0.2, 2.0, worth=5.0))),
+        loads=(
+            Load("look", "idempotent", 0.5, 1.5),
+            Load("file", "deduplicated", 0.3, 2.5, memory_s=2.0),
+            Load("issue", "at_most_once", 0.2, 2.0, worth=5.0),
+        ),
+    ),
     "fares": replace(
-        ANY, pushed=True, drain_s=0.6, idle_s=2.0, cancel=False, retry_after=False, second_copies=False,
-        loads=(Load("tap", "idempotent", 0.5, 0.26),
-               Load("load", "deduplicated", 0.3, 1.5, group="all", memory_s=0.9),
-               Load("refund", "at_most_once", 0.2, 3.6, worth=5.0))),
+        ANY,
+        pushed=True,
+        drain_s=0.6,
+        idle_s=2.0,
+        cancel=False,
+        retry_after=False,
+        second_copies=False,
+        loads=(
+            Load("tap", "idempotent", 0.5, 0.26),
+            Load("load", "deduplicated", 0.3, 1.5, group="all", memory_s=0.9),
+            Load("refund", "at_most_once", 0.2, 3.6, worth=5.0),
+        ),
+    ),
     "remittances": replace(
-        ANY, sites=("n", "s", "e", "w"), drain_s=0.3, idle_s=20.0, cancel=False, probes=True,
-        loads=(Load("rate", "idempotent", 0.4, 0.29),
-               Load("send", "deduplicated", 0.4, 2.5, group="zone", memory_s=0.7),
-               Load("payout", "at_most_once", 0.2, 6.0, worth=9.0))),
+        ANY,
+        sites=("n", "s", "e", "w"),
+        drain_s=0.3,
+        idle_s=20.0,
+        cancel=False,
+        probes=True,
+        loads=(
+            Load("rate", "idempotent", 0.4, 0.29),
+            Load("send", "deduplicated", 0.4, 2.5, group="zone", memory_s=0.7),
+            Load("payout", "at_most_once", 0.2, 6.0, worth=9.0),
+        ),
+    ),
 }
 
 
--- a/tests/testbed/test_demo.py
+++ b/tests/testbed/test_demo.py
@@ -21,8 +21,20 @@
     file = tmp_path / "ledger.jsonl"
     script = tmp_path / "script.toml"
     script.write_text('[[fault]]\nkind = "drain"\nat_s = 0.5\nfor_s = 0.5\n')
-    command = [str(PYTHON), "-m", "sidecar_proxy", "lab", "--seconds", "2", "--nodes", "6",
-               "--ledger", str(file), "--script", str(script)]
+    command = [
+        str(PYTHON),
+        "-m",
+        "sidecar_proxy",
+        "lab",
+        "--seconds",
+        "2",
+        "--nodes",
+        "6",
+        "--ledger",
+        str(file),
+        "--script",
+        str(script),
+    ]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=3 * LONG_S)
     assert done.returncode == 0, done.stdout + done.stderr
     lines = done.stdout.splitlines()
@@ -30,19 +42,33 @@
     assert "\x1b" not in done.stdout  # no terminal
     with file.open() as told:
         assert len(read(told)) > 100
-    again = subprocess.run([sys.executable, "-m", "sidecar_proxy", "check", file], cwd=ROOT, capture_output=True,
-                           text=True, timeout=LONG_S)
+    again = subprocess.run(
+        [sys.executable, "-m", "sidecar_proxy", "check", file],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=LONG_S,
+    )
     assert again.returncode == 0 and "no rule broken" in again.stdout
     file.write_text(file.read_text() + '["Asked",1,"x","x","read","n0",2,1]\n')
-    again = subprocess.run([sys.executable, "-m", "sidecar_proxy", "check", file], cwd=ROOT, capture_output=True,
-                           text=True, timeout=LONG_S)
+    again = subprocess.run(
+        [sys.executable, "-m", "sidecar_proxy", "check", file],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=LONG_S,
+    )
     assert again.returncode == 1 and "rule 1: x: never answered" in again.stdout
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
 def test_ctrl_c_ends_all_children(number: int) -> None:
-    process = subprocess.Popen([PYTHON, "-u", "-m", "sidecar_proxy", "lab", "--nodes", "4"], cwd=ROOT,
-                               stdout=subprocess.PIPE, text=True)
+    process = subprocess.Popen(
+        [PYTHON, "-u", "-m", "sidecar_proxy", "lab", "--nodes", "4"],
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     assert process.stdout is not None
     while " asked " not in process.stdout.readline():
         assert process.poll() is None
@@ -59,11 +85,19 @@
         time.sleep(0.01)
 
 
-@pytest.mark.parametrize(("arguments", "said"), [
-    (["lab", "--nodes", "0"], "--nodes: expected 1 to 20000, got 0"),
-    (["lab", "--script", "/nowhere"], "sidecar_proxy: "), (["check", "/nowhere"], "sidecar_proxy: "),
-    (["check"], "usage: "), (["dance"], "usage: "), ([], "usage: ")])
+@pytest.mark.parametrize(
+    ("arguments", "said"),
+    [
+        (["lab", "--nodes", "0"], "--nodes: expected 1 to 20000, got 0"),
+        (["lab", "--script", "/nowhere"], "sidecar_proxy: "),
+        (["check", "/nowhere"], "sidecar_proxy: "),
+        (["check"], "usage: "),
+        (["dance"], "usage: "),
+        ([], "usage: "),
+    ],
+)
 def test_a_bad_command_line_is_told_with_exit_code_2(arguments: list[str], said: str) -> None:
-    done = subprocess.run([PYTHON, "-m", "sidecar_proxy", *arguments], cwd=ROOT, capture_output=True, text=True,
-                          timeout=LONG_S)
+    done = subprocess.run(
+        [PYTHON, "-m", "sidecar_proxy", *arguments], cwd=ROOT, capture_output=True, text=True, timeout=LONG_S
+    )
     assert done.returncode == 2 and said in done.stderr and "Traceback" not in done.stderr
--- a/tests/testbed/test_grpc.py
+++ b/tests/testbed/test_grpc.py
@@ -32,8 +32,13 @@
     for one in scene.ledger:
         if isinstance(one, Answered) and ("-g" in one.request) == grpc:
             last[one.request.partition(".")[0]] = one
-    return Counter((kinds[one.request], "served" if one.status == 200 else
-                    "refused" if one.status in REFUSED else "failed") for one in last.values())
+    return Counter(
+        (
+            kinds[one.request],
+            "served" if one.status == 200 else "refused" if one.status in REFUSED else "failed",
+        )
+        for one in last.values()
+    )
 
 
 async def in_turn(crowd: Crowd, operations: int, most: int) -> None:
@@ -46,8 +51,11 @@
 
 
 def test_the_same_day_by_both_protocols_has_the_same_outcomes() -> None:
-    loads = (Load("chapter-buy", "at_most_once", 0.5, 2.0), Load("coin-topup", "deduplicated", 0.3, 2.0),
-             Load("read", "idempotent", 0.2, 2.0))
+    loads = (
+        Load("chapter-buy", "at_most_once", 0.5, 2.0),
+        Load("coin-topup", "deduplicated", 0.3, 2.0),
+        Load("read", "idempotent", 0.2, 2.0),
+    )
     plan = Plan(nodes=24, seed=20261201, machine=MACHINE, loads=loads, grpc=0.5, manners=Manners(tries=1))
 
     async def play() -> Scene:
@@ -65,11 +73,24 @@
 
 
 def test_a_bad_day_with_both_protocols_breaks_no_rule() -> None:
-    faults = (Fault("silent", 0.5, 3.0, nodes=2), Fault("errors", 1.0, 3.0, nodes=2, size=0.5),
-              Fault("drain", 1.0, 2.0, nodes=2), Fault("crash", 2.0, 2.0, nodes=2),
-              Fault("reset", 1.5, 3.0, nodes=2, size=0.3), Fault("half", 1.5, 3.0, nodes=2, size=0.3))
-    plan = Plan(nodes=16, rate=160.0, seconds=5.5, seed=7, machine=MACHINE, grpc=0.5, faults=faults,
-                manners=Manners(quits=0.05))
+    faults = (
+        Fault("silent", 0.5, 3.0, nodes=2),
+        Fault("errors", 1.0, 3.0, nodes=2, size=0.5),
+        Fault("drain", 1.0, 2.0, nodes=2),
+        Fault("crash", 2.0, 2.0, nodes=2),
+        Fault("reset", 1.5, 3.0, nodes=2, size=0.3),
+        Fault("half", 1.5, 3.0, nodes=2, size=0.3),
+    )
+    plan = Plan(
+        nodes=16,
+        rate=160.0,
+        seconds=5.5,
+        seed=7,
+        machine=MACHINE,
+        grpc=0.5,
+        faults=faults,
+        manners=Manners(quits=0.05),
+    )
 
     async def play() -> Scene:
         async with Scene(plan) as scene:
@@ -84,8 +105,11 @@
 
 def test_a_stop_under_grpc_load_loses_no_call() -> None:
     async def play() -> Scene:
-        async with Scene(Plan(nodes=8, rate=150.0, seconds=4.0, seed=11, machine=MACHINE, grpc=1.0,
-                              manners=Manners(tries=1))) as scene:
+        async with Scene(
+            Plan(
+                nodes=8, rate=150.0, seconds=4.0, seed=11, machine=MACHINE, grpc=1.0, manners=Manners(tries=1)
+            )
+        ) as scene:
             loop = asyncio.get_running_loop()
             stopping: list[asyncio.Task[int | None]] = []
             loop.call_later(2.0, lambda: stopping.append(loop.create_task(scene.sidecars[0].stop())))
--- a/tests/testbed/test_model.py
+++ b/tests/testbed/test_model.py
@@ -84,8 +84,9 @@
 def test_every_node_has_an_address_of_its_own_on_loopback() -> None:
     found = {address_of(number) for number in range(MOST_NODES)}
     assert len(found) == MOST_NODES and "127.0.0.1" not in found
-    assert all(one.startswith("127.") and all(0 <= int(part) <= 255 for part in one.split("."))
-               for one in found)
+    assert all(
+        one.startswith("127.") and all(0 <= int(part) <= 255 for part in one.split(".")) for one in found
+    )
 
 
 @pytest.mark.parametrize("changes", [{"cores": 0}, {"queue": -1}, {"cold_share": 0.0}, {"spread": -1.0}])
@@ -95,23 +96,31 @@
 
 
 def test_a_script_is_read() -> None:
-    text = ('[[fault]]\nkind = "slow"\nat_s = 3\nsize = 4.0\nsite = "pasig"\n'
-            '[[fault]]\nkind = "drain"\nat_s = 1\n')
+    text = (
+        '[[fault]]\nkind = "slow"\nat_s = 3\nsize = 4.0\nsite = "pasig"\n'
+        '[[fault]]\nkind = "drain"\nat_s = 1\n'
+    )
     assert read(text) == [Fault("slow", 3.0, size=4.0, site="pasig"), Fault("drain", 1.0)]
 
 
-@pytest.mark.parametrize(("text", "said"), [
-    ("x", "not TOML"), ("a = 1", "a: unknown"), ("fault = 3", "fault: expected"),
-    ("fault = [3]", "fault 1: expected"),
-    ("[[fault]]", "fault 1: kind is missing"), ('[[fault]]\nkind = "slow"', "fault 1: at_s is missing"),
-    ('[[fault]]\nkind = "odd"\nat_s = 1', "fault 1: kind: expected one of"),
-    ('[[fault]]\nkind = "slow"\nat_s = -1', "fault 1: at_s: expected 0 to"),
-    ('[[fault]]\nkind = "slow"\nat_s = nan', "fault 1: at_s: expected 0 to"),
-    ('[[fault]]\nkind = "slow"\nat_s = true', "fault 1: at_s: expected a float"),
-    ('[[fault]]\nkind = "lost"\nat_s = 1\nsize = 2', "fault 1: size: expected a share"),
-    ('[[fault]]\nkind = "lost"\nat_s = 1\ncolour = 2', "fault 1: colour: unknown key"),
-    ('[[fault]]\nkind = "lost"\nat_s = 1\n' * 1001, "fault: expected at most 1000"),
-])
+@pytest.mark.parametrize(
+    ("text", "said"),
+    [
+        ("x", "not TOML"),
+        ("a = 1", "a: unknown"),
+        ("fault = 3", "fault: expected"),
+        ("fault = [3]", "fault 1: expected"),
+        ("[[fault]]", "fault 1: kind is missing"),
+        ('[[fault]]\nkind = "slow"', "fault 1: at_s is missing"),
+        ('[[fault]]\nkind = "odd"\nat_s = 1', "fault 1: kind: expected one of"),
+        ('[[fault]]\nkind = "slow"\nat_s = -1', "fault 1: at_s: expected 0 to"),
+        ('[[fault]]\nkind = "slow"\nat_s = nan', "fault 1: at_s: expected 0 to"),
+        ('[[fault]]\nkind = "slow"\nat_s = true', "fault 1: at_s: expected a float"),
+        ('[[fault]]\nkind = "lost"\nat_s = 1\nsize = 2', "fault 1: size: expected a share"),
+        ('[[fault]]\nkind = "lost"\nat_s = 1\ncolour = 2', "fault 1: colour: unknown key"),
+        ('[[fault]]\nkind = "lost"\nat_s = 1\n' * 1001, "fault: expected at most 1000"),
+    ],
+)
 def test_a_bad_script_is_told_in_one_line_that_names_the_key(text: str, said: str) -> None:
     with pytest.raises(ScriptError) as caught:
         read(text)
