--- a/tests/testbed/test_rig.py
+++ b/tests/testbed/test_rig.py
@@ -53,8 +53,11 @@
 
 def weights(scene: Scene) -> dict[str, int]:
     """What each says last that it owns and may spend."""
-    return {one.sidecar: json.loads(one.data)[0] for one in scene.ledger
-            if isinstance(one, Said) and one.topic == "lease"}
+    return {
+        one.sidecar: json.loads(one.data)[0]
+        for one in scene.ledger
+        if isinstance(one, Said) and one.topic == "lease"
+    }
 
 
 def test_sidecars_meet_through_relays_and_a_cut_link_is_seen_on_both_sides() -> None:
@@ -78,6 +81,7 @@
 
 def test_a_link_that_is_cut_one_way_is_helped_round_by_the_third() -> None:
     """SWIM's indirect pings: nobody is held for dead, as the third hears both."""
+
     async def test(scene: Scene) -> None:
         assert scene.player is not None and scene.links is not None
         await comes_to(scene, 0, {"sidecar-1": "alive", "sidecar-2": "alive"})
@@ -102,13 +106,20 @@
         await one.kill()
         one.wipe()
         await one.start()
-        killed_us = max(record.at_us for record in scene.ledger
-                        if isinstance(record, Process) and record.what == "killed")
+        killed_us = max(
+            record.at_us for record in scene.ledger if isinstance(record, Process) and record.what == "killed"
+        )
         assert scene.crowds[1].address == one.address != before
 
         def after() -> list[Said]:
-            return [told for told in scene.ledger if isinstance(told, Said) and told.topic == "lease"
-                    and told.sidecar == one.name and told.at_us > killed_us]
+            return [
+                told
+                for told in scene.ledger
+                if isinstance(told, Said)
+                and told.topic == "lease"
+                and told.sidecar == one.name
+                and told.at_us > killed_us
+            ]
 
         await until(lambda: len(after()) > 1 and json.loads(after()[-1].data)[0] > 0)
         said = after()
@@ -123,9 +134,16 @@
 
 def test_a_stopped_sidecar_is_excused_and_what_it_had_borrowed_is_gone_when_it_wakes() -> None:
     """Nearly all load comes to one of three, which borrows; then it gets no CPU for longer than a loan."""
-    plan = replace(RIG, skew=0.9, seconds=13.0, rate=90.0, faults=(
-        Fault("sidecar_stop", 7.0, 4.0, sidecars=(0,)),
-        Fault("sidecar_clock", 5.0, 1.0, 2, 3600.0, sidecars=(2,))))
+    plan = replace(
+        RIG,
+        skew=0.9,
+        seconds=13.0,
+        rate=90.0,
+        faults=(
+            Fault("sidecar_stop", 7.0, 4.0, sidecars=(0,)),
+            Fault("sidecar_clock", 5.0, 1.0, 2, 3600.0, sidecars=(2,)),
+        ),
+    )
 
     async def test(scene: Scene) -> None:
         await scene.play()
@@ -139,8 +157,10 @@
     assert to_us - from_us > 3_500_000
     # what a client saw of it meanwhile is no breach; what nodes saw is judged all the same
     assert not check(scene.ledger, replace(bounds(plan), slack_us=500_000))
-    assert any(isinstance(one, Asked) and from_us < one.at_us < to_us and one.sidecar == "sidecar-0"
-               for one in scene.ledger)
+    assert any(
+        isinstance(one, Asked) and from_us < one.at_us < to_us and one.sidecar == "sidecar-0"
+        for one in scene.ledger
+    )
     woken = [json.loads(one.data) for one in said if one.sidecar == "sidecar-0" and one.at_us > to_us]
     assert not woken or all(until_us > to_us for _, until_us in woken[0][1])
 
@@ -159,8 +179,12 @@
 
 def test_a_node_that_a_killed_sidecar_sent_to_twice_is_still_a_breach() -> None:
     story: list[Any] = [
-        Asked(100, "r", "o", "chapter-buy", "s", 10_000_000), Received(200, 150, "r", "n1", 0, True, 1),
-        Received(400, 350, "r", "n2", 0, True, 1), Process(500, "s", "killed"), Process(900, "s", "started")]
+        Asked(100, "r", "o", "chapter-buy", "s", 10_000_000),
+        Received(200, 150, "r", "n1", 0, True, 1),
+        Received(400, 350, "r", "n2", 0, True, 1),
+        Process(500, "s", "killed"),
+        Process(900, "s", "started"),
+    ]
     found = check(story, bounds(PLAN))
     assert [one.rule for one in found] == [2]
 
@@ -257,11 +281,18 @@
 
 
 def test_scripts_of_fleets_are_read_and_written() -> None:
-    faults = [Fault("link_part", 1.0, 2.0, sidecars=(0, 2)), Fault("sidecar_clock", 3.0, size=-3600.0),
-              Fault("crash", 4.0, 1.0, 3.0, step_s=0.5, site="makati")]
+    faults = [
+        Fault("link_part", 1.0, 2.0, sidecars=(0, 2)),
+        Fault("sidecar_clock", 3.0, size=-3600.0),
+        Fault("crash", 4.0, 1.0, 3.0, step_s=0.5, site="makati"),
+    ]
     assert script.read(script.written(faults)) == faults
-    for bad in ('kind = "link_part"\nat_s = 1\nsidecars = [-1]', 'kind = "link_lossy"\nat_s = 1\nsize = 2',
-                'kind = "sidecar_stop"\nat_s = 1\nsidecars = "all"', 'kind = "crash"\nat_s = 1\nsize = -1'):
+    for bad in (
+        'kind = "link_part"\nat_s = 1\nsidecars = [-1]',
+        'kind = "link_lossy"\nat_s = 1\nsize = 2',
+        'kind = "sidecar_stop"\nat_s = 1\nsidecars = "all"',
+        'kind = "crash"\nat_s = 1\nsize = -1',
+    ):
         with pytest.raises(ScriptError):
             script.read("[[fault]]\n" + bad)
 
--- a/tests/testbed/test_scenario.py
+++ b/tests/testbed/test_scenario.py
@@ -27,8 +27,15 @@
 
 
 def test_all_of_the_own_site_is_silent() -> None:
-    scene = play(replace(PLAN, faults=(Fault("silent", 1.0, 2.0, 1.0, site="makati"),
-                                       Fault("silent", 1.0, 2.0, 5, site="makati"))))
+    scene = play(
+        replace(
+            PLAN,
+            faults=(
+                Fault("silent", 1.0, 2.0, 1.0, site="makati"),
+                Fault("silent", 1.0, 2.0, 5, site="makati"),
+            ),
+        )
+    )
     assert any(isinstance(one, Faulted) and "silent" in one.text for one in scene.ledger)
     answers = Counter(one.status for one in scene.ledger if isinstance(one, Answered))
     assert answers[200] > 50
@@ -46,6 +53,7 @@
 
 def test_a_large_fleet_within_few_descriptors() -> None:
     """600 nodes and room for 40 connections to them: without a subset nearly each request would dial."""
+
     async def run() -> tuple[int, int, list[int]]:
         async with Scene(replace(PLAN, nodes=600, sockets=128, seconds=3.0)) as scene:
             await scene.play()
--- a/tests/testbed/test_scenario_answers.py
+++ b/tests/testbed/test_scenario_answers.py
@@ -15,8 +15,13 @@
 
 def test_etcd_is_away_under_load_and_drains_are_written_at_its_return() -> None:
     drain, later = Fault("drain", 0.5, 1.0, 2), Fault("drain", 1.8, 1.5, 3)  # etcd is away for the second
-    scene = play(replace(PLAN, etcd=2, faults=(drain, Fault("etcd_down", 1.7, 0.8), later,
-                                               Fault("roster_late", 0.0, 5.0, size=60.0))))
+    scene = play(
+        replace(
+            PLAN,
+            etcd=2,
+            faults=(drain, Fault("etcd_down", 1.7, 0.8), later, Fault("roster_late", 0.0, 5.0, size=60.0)),
+        )
+    )
     drained = {one.node for one in scene.ledger if isinstance(one, Told) and one.health == "terminating"}
     assert len(drained) >= 4, "of etcd alone: the roster is late"
     assert served(scene) > 0.7
--- a/tests/world.py
+++ b/tests/world.py
@@ -42,18 +42,36 @@
 def classes() -> list[RequestClass]:
     return [
         RequestClass("read", aim_us=300_000, deadline_us=1_500_000, effect="idempotent", late_worth=0.3),
-        RequestClass("pay", aim_us=300_000, deadline_us=600_000, worth=5, effect="at_most_once",
-                     late_worth=0.2),
-        RequestClass("mark", aim_us=400_000, deadline_us=2_000_000, worth=3, effect="deduplicated",
-                     group="cell", memory_us=1_200_000, late_worth=0.2),
+        RequestClass(
+            "pay", aim_us=300_000, deadline_us=600_000, worth=5, effect="at_most_once", late_worth=0.2
+        ),
+        RequestClass(
+            "mark",
+            aim_us=400_000,
+            deadline_us=2_000_000,
+            worth=3,
+            effect="deduplicated",
+            group="cell",
+            memory_us=1_200_000,
+            late_worth=0.2,
+        ),
     ]
 
 
 def settings(**changes: object) -> Settings:
     values: dict[str, object] = {
-        "classes": classes(), "instances": 3, "tick_us": 4000, "max_attempts": 4, "cancel": True,
-        "max_retry_after_us": 1_000_000, "connect_timeout_us": 150_000, "second_copies": True,
-        "cold_share": 0.2, "warm_up_us": 20_000_000, "overload_factor": 2.5, "fall_us": 1_000_000,
+        "classes": classes(),
+        "instances": 3,
+        "tick_us": 4000,
+        "max_attempts": 4,
+        "cancel": True,
+        "max_retry_after_us": 1_000_000,
+        "connect_timeout_us": 150_000,
+        "second_copies": True,
+        "cold_share": 0.2,
+        "warm_up_us": 20_000_000,
+        "overload_factor": 2.5,
+        "fall_us": 1_000_000,
     }
     values.update(changes)
     return Settings(**values)  # type: ignore[arg-type]
@@ -140,8 +158,11 @@
         if (outcome is Outcome.OK or owed.stream) and not owed.closed:
             owed.closed = True
             owed.answers += 1
-        return self.tell(AttemptEnded(request, attempt, this.upstream, outcome, self.now_us - this.sent_us,
-                                      owed.closed, **fields))
+        return self.tell(
+            AttemptEnded(
+                request, attempt, this.upstream, outcome, self.now_us - this.sent_us, owed.closed, **fields
+            )
+        )
 
     def begin_stream(self, request: int, attempt: int) -> None:
         self.owed[request].stream = True
@@ -157,8 +178,13 @@
         end_us = self.now_us + by_us
         while True:
             due = [(at, 1, token, 0) for at, token in self.timers]
-            due += [(t.ends_us, 0, ident, n) for ident, owed in self.owed.items() if not owed.stream
-                    for n, t in enumerate(owed.tries) if t.outcome is None]
+            due += [
+                (t.ends_us, 0, ident, n)
+                for ident, owed in self.owed.items()
+                if not owed.stream
+                for n, t in enumerate(owed.tries)
+                if t.outcome is None
+            ]
             due = [d for d in due if d[0] <= end_us]
             if not due:
                 break
