--- a/benchmarks/agreement.py
+++ b/benchmarks/agreement.py
@@ -27,7 +27,7 @@
 
 from sidecar_proxy.consensus.frames import encode
 from sidecar_proxy.consensus.messages import Entry, HardState
-from sidecar_proxy.consensus.replica import Post
+from sidecar_proxy.consensus.replica import SendMessage
 from sidecar_proxy.consensus.storage import Store
 from sidecar_proxy.model_checking.fleets import World
 from sidecar_proxy.testbed.capacity import Machine
@@ -169,7 +169,7 @@
     class Counted(World):
         sent = said = 0
 
-        def post(self, mind: Any, one: Post) -> None:
+        def post(self, mind: Any, one: SendMessage) -> None:
             Counted.sent += len(encode(one.frame)) + SEALED
             super().post(mind, one)
 
@@ -211,9 +211,9 @@
 
 
 def _word() -> Any:
-    from sidecar_proxy.consensus.replicated_commands import Word
+    from sidecar_proxy.consensus.replicated_commands import ReplicatedCommand
 
-    return Word("set", "bench", "bench", 0, "a", 0, "b")
+    return ReplicatedCommand("set", "bench", "bench", 0, "a", 0, "b")
 
 
 # Learners
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -38,7 +38,7 @@
                 0.5,
                 effect="deduplicated",
                 group="cell",
-                memory_us=8_000_000,
+                deduplication_window_us=8_000_000,
             ),
         ],
         instances=instances,
@@ -48,7 +48,7 @@
         overload_factor=2.5,
         fall_us=2_000_000,
         max_retry_after_us=2_000_000,
-        most_upstreams=most,
+        max_upstreams=most,
     )
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -15,10 +15,10 @@
 
 from sidecar_proxy.balancer.settings import parse_settings
 from sidecar_proxy.config.platform_settings import options
-from sidecar_proxy.discovery.endpoint_list import Directory
-from sidecar_proxy.discovery.platform_client import Discovery
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
+from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient
 from sidecar_proxy.engine.engine import Clock, Engine
-from sidecar_proxy.engine.gc_control import Collector
+from sidecar_proxy.engine.gc_control import GcController
 from sidecar_proxy.http1.upstream import Pool
 from sidecar_proxy.testbed.capacity import Machine
 from sidecar_proxy.testbed.checker import table
@@ -51,10 +51,10 @@
 async def hold(count: int) -> None:
     """The longest time between two turns of the loop while a list comes, and while all of it is replaced."""
     told = parse_settings("\n".join(options(settings(Plan(instances=300), 0))))
-    told.most_upstreams = 104
+    told.max_upstreams = 104
     pool = Pool(0.2, 5.0, 104)
-    discovery = Discovery(("127.0.0.1", 1), Directory(told), 0, pushed=False)
-    discovery.collector = Collector()
+    discovery = PlatformDiscoveryClient(("127.0.0.1", 1), EndpointDirectory(told), 0, pushed=False)
+    discovery.collector = GcController()
     discovery.sink = engine = Engine(told, 1, Clock(), pool, discovery)
 
     def text(first: int, seq: int) -> bytes:
--- a/benchmarks/gossip_fuzz.py
+++ b/benchmarks/gossip_fuzz.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 
 from sidecar_proxy.gossip import codec
-from sidecar_proxy.gossip.codec import Accusation, Ack, Ask, Bulletin, Count, Nack, News, Ping, Statement
-from sidecar_proxy.gossip.keys import Keyring, Refused
+from sidecar_proxy.gossip.codec import Ack, Ask, Count, Nack, News, OutlierReport, Ping, Statement, Suspicion
+from sidecar_proxy.gossip.keys import Keyring, RejectedError
 from sidecar_proxy.testbed.client_fleet import Fleet, Member
 
 SLOW_S = 0.5  # one input may take no longer, on a machine that is busy
@@ -26,7 +26,7 @@
 
 def statements(ring: Keyring, dice: random.Random, wall_us: int) -> list[codec.Signed]:
     made: list[Statement] = [
-        Bulletin(
+        OutlierReport(
             [
                 Count(
                     f"n{dice.randrange(4)}",
@@ -36,7 +36,7 @@
                 for _ in range(dice.randrange(9))
             ]
         ),
-        Accusation(f"i{dice.randrange(5)}", dice.choice((0, 1, wall_us // 1000, codec.MOST_WHOLE))),
+        Suspicion(f"i{dice.randrange(5)}", dice.choice((0, 1, wall_us // 1000, codec.MOST_WHOLE))),
         codec.Alive(
             dice.choice(("10.0.0.1", "::1", "a.example", "10.0.0.1\n")),
             dice.choice((1, 1001, 65535)),
@@ -74,7 +74,7 @@
         number = dice.choice((0, 5, codec.MOST_WHOLE))
         message = dice.choice((Ping(number, "i2"), Ack(number), Nack(number), Ask(number, "i0"), News()))
         data, state = ring.seal(message, told, wall_us), False
-    payload = mutated(data[codec.HEAD :], dice)
+    payload = mutated(data[codec.HEADER_BYTES :], dice)
     if dice.random() < 0.7:  # a member that says nonsense
         return codec.closed(ring.key.sign(payload).signature, payload), state
     return mutated(data, dice), state
@@ -87,7 +87,7 @@
         return
     try:
         told = instance.opened(data, fleet.now_us, wall_us)
-    except Refused:
+    except RejectedError:
         return
     fleet.perform(member, instance.exchanged(told, fleet.now_us, wall_us))
 
--- a/benchmarks/gossip_parts.py
+++ b/benchmarks/gossip_parts.py
@@ -20,9 +20,9 @@
 
 from sidecar_proxy.balancer.events import Outcome
 from sidecar_proxy.gossip import codec
-from sidecar_proxy.gossip.codec import Bulletin, Count, News
-from sidecar_proxy.gossip.instance import Instance
-from sidecar_proxy.gossip.keys import Budget, Keyring, certify
+from sidecar_proxy.gossip.codec import Count, News, OutlierReport
+from sidecar_proxy.gossip.instance import GossipInstance
+from sidecar_proxy.gossip.keys import Budget, Keyring, issue_certificate
 from sidecar_proxy.gossip.outlier_reports import Combiner
 
 WALL_US = 1_796_000_000_000_000
@@ -37,8 +37,8 @@
     return (time.process_time() - before) / times * 1e6
 
 
-def bulletin() -> Bulletin:
-    return Bulletin(
+def bulletin() -> OutlierReport:
+    return OutlierReport(
         [Count(f"s-5be2a07{n}", WALL_US // 1000, 40 + n, 5, 1, 0, 34 + n, 2, 130) for n in range(8)]
     )
 
@@ -66,7 +66,7 @@
 
 def keyring(number: int, fleet: SigningKey) -> Keyring:
     key = SigningKey(number.to_bytes(32, "big"))
-    one = certify(fleet, number, f"i{number}", f"s{number % 5}", key.verify_key.encode(), 1 << 40)
+    one = issue_certificate(fleet, number, f"i{number}", f"s{number % 5}", key.verify_key.encode(), 1 << 40)
     return Keyring(key, one, [fleet.verify_key.encode()], budget=Budget(1e9, 1e9))
 
 
@@ -101,7 +101,7 @@
         f"verified and read in {cost_us(opened):.0f} us, its rumour in {rumour:.0f}; refused as heard "
         f"before in {again:.1f}, as noise in {noise:.1f}"
     )
-    own = Instance(one, ("10.0.0.1", 1), [], random.Random(1), 0, WALL_US, lambda node: 5)
+    own = GossipInstance(one, ("10.0.0.1", 1), [], random.Random(1), 0, WALL_US, lambda node: 5)
     attempt = cost_us(lambda: own.attempt("n", 5, Outcome.OK, 1, WALL_US))
     print(f"an attempt that ended well: {attempt:.2f} us")
     combiner, sites = Combiner("s1"), {f"s{number}": 10 for number in range(5)}
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -22,7 +22,7 @@
 
 from benchmarks.decisions import settings
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.http1.upstream import Pool
 
@@ -83,13 +83,13 @@
 async def measure(pipe: Connection, drains: int, nodes: int) -> dict[str, Any]:
     addresses = pipe.recv()
     told, clock = settings(3), Clock()
-    directory = Directory(told)
+    directory = EndpointDirectory(told)
     engine = Engine(told, 1, clock, Pool(0.2, 5.0, 104), Quiet())
     before = memory_mb()
     from sidecar_proxy.config.schema import Etcd, Membership
-    from sidecar_proxy.discovery.subsystem import Sources
+    from sidecar_proxy.discovery.subsystem import DiscoverySubsystem
 
-    sources = Sources(Membership(Etcd(tuple(addresses), "/n/")), engine, directory, 1)
+    sources = DiscoverySubsystem(Membership(Etcd(tuple(addresses), "/n/")), engine, directory, 1)
     found: dict[str, Any] = {"memory of the libraries, MB": round(memory_mb() - before, 1)}
     began = time.monotonic()
     await sources.start()
--- a/benchmarks/same.py
+++ b/benchmarks/same.py
@@ -28,16 +28,20 @@
 
 def settings(dice: random.Random) -> api.Settings:
     classes = [
-        api.RequestClass("read", aim_us=300_000, deadline_us=1_500_000, effect="idempotent", late_worth=0.3),
-        api.RequestClass("pay", aim_us=300_000, deadline_us=600_000, worth=5, effect="at_most_once"),
+        api.RequestClass(
+            "read", latency_objective_us=300_000, deadline_us=1_500_000, effect="idempotent", late_weight=0.3
+        ),
+        api.RequestClass(
+            "pay", latency_objective_us=300_000, deadline_us=600_000, priority_weight=5, effect="at_most_once"
+        ),
         api.RequestClass(
             "mark",
-            aim_us=400_000,
+            latency_objective_us=400_000,
             deadline_us=2_000_000,
-            worth=3,
+            priority_weight=3,
             effect="deduplicated",
             group=dice.choice(("all", "zone", "cell")),
-            memory_us=1_200_000,
+            deduplication_window_us=1_200_000,
         ),
     ]
     return api.Settings(
@@ -54,7 +58,7 @@
         cold_share=0.2,
         warm_up_us=20_000_000,
         overload_factor=2.5,
-        most_upstreams=dice.choice((0, 12)),
+        max_upstreams=dice.choice((0, 12)),
         list_on_request=True,
     )
 
--- a/sidecar_proxy/admin/commands.py
+++ b/sidecar_proxy/admin/commands.py
@@ -5,12 +5,12 @@
 import logging
 from typing import Protocol
 
-from sidecar_proxy.admin.endpoint_overrides import ALWAYS, Holding
-from sidecar_proxy.admin.hot_restart import Handover
-from sidecar_proxy.admin.server import Call, CallError
-from sidecar_proxy.admin.suspensions import Suspended, Unknown
-from sidecar_proxy.admin.warm_start import Memory
-from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.admin.endpoint_overrides import ALWAYS, EndpointOverrides
+from sidecar_proxy.admin.hot_restart import HotRestart
+from sidecar_proxy.admin.server import AdminCommand, AdminCommandError
+from sidecar_proxy.admin.suspensions import Suspensions, UnknownEndpointError
+from sidecar_proxy.admin.warm_start import WarmStart
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Engine
 
 log = logging.getLogger("sidecar_proxy")
@@ -28,25 +28,30 @@
     def shrink(self, half: bool) -> None: ...
 
 
-class Hand:
+class AdminCommands:
     """By hand: the calls and the state behind them."""
 
     def __init__(
-        self, engine: Engine, directory: Directory, server: Drained, handover: Handover, holding: Holding
+        self,
+        engine: Engine,
+        directory: EndpointDirectory,
+        server: Drained,
+        handover: HotRestart,
+        holding: EndpointOverrides,
     ) -> None:
         self.engine = engine
         self.holding = holding
         self.server = server
         self.handover = handover
-        self.suspended = Suspended()
+        self.suspended = Suspensions()
         self.serving = False  # clients are taken
         holding.listed.append(self.suspended.listed)
         self.apply(handover.read() or set())
-        self.memory = Memory(engine, directory, handover)
+        self.memory = WarmStart(engine, directory, handover)
         self.timer = engine.loop.call_later(LOOK_S, self.look)
         self.share()
 
-    def calls(self) -> dict[str, Call]:
+    def calls(self) -> dict[str, AdminCommand]:
         return {
             "STATUS": self.status,
             "METRICS": self.metrics,
@@ -60,7 +65,7 @@
 
     def status(self, _: str) -> str:
         if not self.serving:
-            raise CallError("clients are not taken yet")
+            raise AdminCommandError("clients are not taken yet")
         return "done"
 
     def metrics(self, _: str) -> str:
@@ -76,8 +81,8 @@
         """Hold an upstream out, or no more."""
         try:
             self.suspended.check(name)
-        except Unknown as error:
-            raise CallError(str(error)) from error
+        except UnknownEndpointError as error:
+            raise AdminCommandError(str(error)) from error
         # hazard: kept before it is in force; a successor that starts now must not miss it
         kept = self.handover.put(name) if out else self.handover.take(name)
         self.apply(self.suspended.names | {name} if out else self.suspended.names - {name})
--- a/sidecar_proxy/admin/endpoint_overrides.py
+++ b/sidecar_proxy/admin/endpoint_overrides.py
@@ -7,17 +7,17 @@
 from dataclasses import replace
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.engine.interfaces import Host
 
 ALWAYS = 1 << 62  # us: held whatever its start
 
 
-class Holding:
+class EndpointOverrides:
     """By source: the names that are held, each with the latest start (Unix us) that it is held for."""
 
-    def __init__(self, engine: Engine, directory: Directory) -> None:
+    def __init__(self, engine: Engine, directory: EndpointDirectory) -> None:
         self.engine = engine
         self.directory = directory
         self.sources: dict[str, Mapping[str, int]] = {}
--- a/sidecar_proxy/admin/hot_restart.py
+++ b/sidecar_proxy/admin/hot_restart.py
@@ -37,7 +37,7 @@
         raise
 
 
-class Handover:
+class HotRestart:
     """The folder; with none (no $TMPDIR, or it can't be written) nothing outlives the process."""
 
     def __init__(self, folder: Path | None) -> None:
@@ -53,7 +53,7 @@
                 self.folder = None
 
     @classmethod
-    def of(cls, env: Mapping[str, str]) -> Handover:
+    def of(cls, env: Mapping[str, str]) -> HotRestart:
         """As the environment names it."""
         path = env.get("TMPDIR", "")
         return cls(Path(path) / FOLDER if path else None)
--- a/sidecar_proxy/admin/server.py
+++ b/sidecar_proxy/admin/server.py
@@ -18,17 +18,19 @@
 MOST_LINE = 1024  # bytes
 MOST_CALLERS = 24  # together; the one that has been silent for longest makes room
 PATIENCE_S = 5.0  # some callers say nothing, or half a call, and stay
-Call = Callable[[str], str | Awaitable[str]]  # the line's argument to the answer, without its line break
+AdminCommand = Callable[
+    [str], str | Awaitable[str]
+]  # the line's argument to the answer, without its line break
 
 
-class CallError(Exception):
+class AdminCommandError(Exception):
     """The call can't be done; one line."""
 
 
-class Door:
+class AdminServer:
     """The listener and those who call."""
 
-    def __init__(self, calls: Mapping[str, Call]) -> None:
+    def __init__(self, calls: Mapping[str, AdminCommand]) -> None:
         self.calls = dict(calls)  # subsystems add theirs
         self.callers: dict[Caller, None] = {}  # the one that came first comes first
         self.server: asyncio.Server | None = None
@@ -75,7 +77,7 @@
 
 def failed(word: str, error: Exception) -> bytes:
     """Hazard: a fault in one call must not cost the sidecar, nor leave the caller without an answer."""
-    if isinstance(error, CallError):
+    if isinstance(error, AdminCommandError):
         return b"error: %s\n" % str(error).encode()
     log.error("the call %s failed", word[:20], exc_info=error)
     return b"error: a fault of the sidecar's; its log has it\n"
@@ -84,7 +86,7 @@
 class Caller(asyncio.Protocol):
     """One connection, one line."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AdminServer) -> None:
         self.door = door
         self.text = b""
         self.answered = False
--- a/sidecar_proxy/admin/suspensions.py
+++ b/sidecar_proxy/admin/suspensions.py
@@ -12,11 +12,11 @@
 MOST_NAME = 256  # characters
 
 
-class Unknown(Exception):
+class UnknownEndpointError(Exception):
     """The call names an upstream that was never listed; one line."""
 
 
-class Suspended:
+class Suspensions:
     """Names that were ever listed here, and those of them that are held out."""
 
     def __init__(self) -> None:
@@ -33,9 +33,9 @@
     def check(self, name: str) -> None:
         """Raises Unknown."""
         if not name or len(name) > MOST_NAME or (name not in self.seen and name not in self.names):
-            raise Unknown("no upstream of that name was ever listed")
+            raise UnknownEndpointError("no upstream of that name was ever listed")
         if len(self.names) >= MOST_SUSPENDED and name not in self.names:
-            raise Unknown("too many are suspended")
+            raise UnknownEndpointError("too many are suspended")
 
     def replace(self, names: Iterable[str]) -> set[str]:
         """All that are held out now; returns those for which that has changed."""
--- a/sidecar_proxy/admin/warm_start.py
+++ b/sidecar_proxy/admin/warm_start.py
@@ -5,9 +5,9 @@
 import asyncio
 import logging
 
-from sidecar_proxy.admin.hot_restart import Handover
+from sidecar_proxy.admin.hot_restart import HotRestart
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Engine
 
 log = logging.getLogger("sidecar_proxy")
@@ -18,8 +18,8 @@
 LOOK_S = 0.02
 
 
-class Memory:
-    def __init__(self, engine: Engine, directory: Directory, handover: Handover) -> None:
+class WarmStart:
+    def __init__(self, engine: Engine, directory: EndpointDirectory, handover: HotRestart) -> None:
         self.engine = engine
         self.directory = directory
         self.handover = handover
@@ -54,7 +54,7 @@
 
     async def take_over(self) -> None:
         """Tell the decisions what the process that serves now has learnt, if it leaves it soon."""
-        from sidecar_proxy.admin.warm_start_codec import MOST_BYTES, Distrusted, believe, decode
+        from sidecar_proxy.admin.warm_start_codec import MOST_BYTES, UntrustedStateError, believe, decode
 
         end = self.engine.loop.time() + WAIT_S
         found = self.handover.left(MOST_BYTES)
@@ -73,7 +73,7 @@
                 self.directory.numbers,
                 self.started_us(),
             )
-        except Distrusted as error:
+        except UntrustedStateError as error:
             log.warning("what the process before has left is not used: %s", error)
             return
         self.engine.tell(learnt)
--- a/sidecar_proxy/admin/warm_start_codec.py
+++ b/sidecar_proxy/admin/warm_start_codec.py
@@ -27,7 +27,7 @@
 SKEW_US = 1_000_000  # a time ahead of ours by more is no time of this machine
 
 
-class Distrusted(Exception):
+class UntrustedStateError(Exception):
     """It can't be used; one line that says why."""
 
 
@@ -39,9 +39,9 @@
     answer_us: Annotated[float, msgspec.Meta(ge=0, le=1e12)]  # its usual answer; 0 = none seen
 
 
-class Remembered(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class WarmStartRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     at_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # Unix time
-    answers_us: dict[
+    response_times_us: dict[
         Annotated[str, msgspec.Meta(max_length=256)], Annotated[float, msgspec.Meta(ge=0, le=1e12)]
     ]  # by class
     total: Annotated[float, msgspec.Meta(ge=0, le=1e6)]  # all slots, in first ones
@@ -49,53 +49,63 @@
 
 
 def encode(
-    told: api.Learnt, at_us: int, classes: list[str], names: Mapping[int, str], started_us: Mapping[int, int]
+    told: api.WarmStartState,
+    at_us: int,
+    classes: list[str],
+    names: Mapping[int, str],
+    started_us: Mapping[int, int],
 ) -> bytes:
     """`names` and `started_us` are by number, as are the upstreams of `told`. Of more than MOST_UPSTREAMS
     those go in that differ most from one that nothing is known of."""
     known = [one for one in told.upstreams if one.upstream in names and one.upstream in started_us]
     if len(known) > MOST_UPSTREAMS:
-        known.sort(key=lambda one: (-one.failing, one.window))
+        known.sort(key=lambda one: (-one.failure_rate, one.concurrency_limit))
     nodes = [
-        Node(names[one.upstream], started_us[one.upstream], one.window, one.failing, one.answer_us)
+        Node(
+            names[one.upstream],
+            started_us[one.upstream],
+            one.concurrency_limit,
+            one.failure_rate,
+            one.response_time_us,
+        )
         for one in known[:MOST_UPSTREAMS]
     ]
-    answers = dict(zip(classes, told.answers_us, strict=True))
-    body = msgspec.msgpack.encode(Remembered(at_us, answers, told.total, nodes))
+    answers = dict(zip(classes, told.response_times_us, strict=True))
+    body = msgspec.msgpack.encode(WarmStartRecord(at_us, answers, told.total_limit_ratio, nodes))
     return MAGIC + hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body
 
 
-def decode(data: bytes) -> Remembered:
+def decode(data: bytes) -> WarmStartRecord:
     """Raises Distrusted."""
     if len(data) > MOST_BYTES:
-        raise Distrusted("too large")
+        raise UntrustedStateError("too large")
     head, _, body = data.partition(b"\n")
     if not head.startswith(MAGIC):
-        raise Distrusted("of another version")
+        raise UntrustedStateError("of another version")
     if head[len(MAGIC) :] != hashlib.blake2b(body, digest_size=16).hexdigest().encode():
-        raise Distrusted("torn")
+        raise UntrustedStateError("torn")
     try:
-        return msgspec.msgpack.decode(body, type=Remembered)
+        return msgspec.msgpack.decode(body, type=WarmStartRecord)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise Distrusted(f"malformed: {error}") from error
+        raise UntrustedStateError(f"malformed: {error}") from error
 
 
 def belief(age_us: int) -> float:
     """How much of what is so old counts, 0 to 1. Raises Distrusted."""
     if age_us < -SKEW_US:
-        raise Distrusted("from the future")
+        raise UntrustedStateError("from the future")
     if age_us >= WORTHLESS_US:
-        raise Distrusted(f"{age_us // 1_000_000} s old")
+        raise UntrustedStateError(f"{age_us // 1_000_000} s old")
     return min(1.0, (WORTHLESS_US - age_us) / (WORTHLESS_US - SURE_US))
 
 
 def believe(
-    found: Remembered,
+    found: WarmStartRecord,
     now_us: int,
     classes: list[str],
     numbers: Mapping[str, int],
     started_us: Mapping[int, int],
-) -> api.Learnt:
+) -> api.WarmStartState:
     """What the decisions may be told of it. Upstreams that are not known here, or have started anew since,
     are left out. Raises Distrusted."""
     part = belief(now_us - found.at_us)
@@ -104,9 +114,9 @@
         number = numbers.get(node.name, -1)
         if started_us.get(number, -1) == node.started_us:
             upstreams.append(
-                api.LearntUpstream(
+                api.WarmStartUpstream(
                     number, 1.0 + (node.window - 1.0) * part, node.failing * part, node.answer_us
                 )
             )
-    answers = [found.answers_us.get(name, 0.0) if part == 1.0 else 0.0 for name in classes]
-    return api.Learnt(answers, 1.0 + (found.total - 1.0) * part, upstreams)
+    answers = [found.response_times_us.get(name, 0.0) if part == 1.0 else 0.0 for name in classes]
+    return api.WarmStartState(answers, 1.0 + (found.total - 1.0) * part, upstreams)
--- a/sidecar_proxy/balancer/balancer.py
+++ b/sidecar_proxy/balancer/balancer.py
@@ -12,9 +12,17 @@
 from functools import partial
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.balancer.endpoint_pool import FEW, FULL_LOAD, FULL_SHARED, MOST_SLOTS, Fleet, Server, Slots
+from sidecar_proxy.balancer.endpoint_pool import (
+    FEW,
+    FULL_LOAD,
+    FULL_SHARED,
+    MOST_SLOTS,
+    ConcurrencyLimiter,
+    Endpoint,
+    EndpointPool,
+)
 from sidecar_proxy.balancer.subsetting import Subset
-from sidecar_proxy.balancer.token_bucket import Bucket
+from sidecar_proxy.balancer.token_bucket import TokenBucket
 
 MOST_AT_FIRST = 8.0  # first slots an upstream, all sidecars together: what a few cores serve within an aim
 LEAST_IN_ALL = 2.0  # first slots of one sidecar at all upstreams: 3 refuse 1 in 100 less where hundreds share
@@ -51,7 +59,7 @@
 class Attempt:
     __slots__ = ("server", "entry", "sent_us", "ended", "lost", "cold")
 
-    def __init__(self, server: Server, now_us: int, cold: bool) -> None:
+    def __init__(self, server: Endpoint, now_us: int, cold: bool) -> None:
         self.server = server
         self.entry = server.entry  # as it was then
         self.sent_us = now_us
@@ -67,11 +75,11 @@
         self.event = event
         self.kind = settings.classes[event.class_index]
         # hazard: lost answers would hold their slots till due, long after they are worth anything
-        aim_passes_us = now_us + self.kind.aim_us - settings.tick_us
-        self.until_us = event.due_us if self.kind.late_worth > 0.0 else min(event.due_us, aim_passes_us)
+        aim_passes_us = now_us + self.kind.latency_objective_us - settings.tick_us
+        self.until_us = event.due_us if self.kind.late_weight > 0.0 else min(event.due_us, aim_passes_us)
         self.attempts: list[Attempt] = []
-        self.asking: list[Server] = []  # free slots whose load it waits to hear
-        self.asked: Server | None = None  # the last one probed for it
+        self.asking: list[Endpoint] = []  # free slots whose load it waits to hear
+        self.asked: Endpoint | None = None  # the last one probed for it
         self.done = False
 
     def out(self) -> bool:
@@ -92,12 +100,14 @@
         self.now_us = now_us
         self.actions: list[api.Action] = []
         self.entries: dict[int, api.Upstream] = {}  # the list
-        self.fleet = Fleet(settings, self.home, now_us)  # what is known of those that this sidecar uses
+        self.fleet = EndpointPool(
+            settings, self.home, now_us
+        )  # what is known of those that this sidecar uses
         self.servers = self.fleet.servers
         self.subset = Subset(
             settings.self_index,
             settings.instances,
-            settings.most_upstreams,
+            settings.max_upstreams,
             self.home,
             len(settings.zones) or 1,
         )
@@ -113,25 +123,27 @@
         self.reports = (
             settings.probes and "in_flight" in settings.report_names and settings.probe_fee <= PROBE_GAINS
         )
-        self.fresh_us = min(c.aim_us for c in settings.classes) // 20  # a report counts so long
-        self.half_aims_us = [c.aim_us // 2 for c in settings.classes]
+        self.fresh_us = min(c.latency_objective_us for c in settings.classes) // 20  # a report counts so long
+        self.half_aims_us = [c.latency_objective_us // 2 for c in settings.classes]
         self.quickest_us = min(self.half_aims_us)
-        self.answer_us = [c.aim_us / 3 for c in settings.classes]  # a class's answers and time-outs, smoothed
-        self.total = Slots(1.0)  # of all upstreams together, this sidecar's part of the fleet's
+        self.answer_us = [
+            c.latency_objective_us / 3 for c in settings.classes
+        ]  # a class's answers and time-outs, smoothed
+        self.total = ConcurrencyLimiter(1.0)  # of all upstreams together, this sidecar's part of the fleet's
         self.cold_least = min(1.0, settings.overload_factor / 4)
         self.cold_gain = self.cold_least  # times its share by warmth: what a cold upstream gets
         self.thin = 1.0  # and this part of it, where sidecars are many for their upstreams
         self.shut = 0.0  # share of attempts that got no connection
         self.short_us = 0  # when a request last found no free slot
-        self.told: api.Overload | None = None  # what the fleet has settled on
-        self.reissues, self.probes = Bucket(now_us), Bucket(now_us)
+        self.told: api.OverloadUpdated | None = None  # what the fleet has settled on
+        self.reissues, self.probes = TokenBucket(now_us), TokenBucket(now_us)
         self.next_log_us = now_us
         self.wakeups: list[tuple[int, str, int]] = []  # (when, what, request); a heap
         self.armed_us = 0  # the next timer already asked for; 0 = none
         self.sort_us = now_us  # when the own order is renewed next
-        self.list_wait_us = max(FIRST_RETRY_US, settings.ask_within_us // 2)  # the longest
+        self.list_wait_us = max(FIRST_RETRY_US, settings.max_poll_interval_us // 2)  # the longest
         self.list_failures = self.ask_list_us = 0  # failed calls; when the list is asked for next, 0 = never
-        spread_us = 0 if settings.succeeds else self.calls_spread_us()
+        spread_us = 0 if settings.is_successor else self.calls_spread_us()
         self.ask_list_at(now_us + (int(spread_us * self.random.random()) if spread_us else 0))
 
     @property
@@ -155,16 +167,16 @@
             self.requests[event.request].done = True  # the answer is the client's now
         elif isinstance(event, api.UpstreamsUpdated):
             self.on_list(event)
-        elif isinstance(event, api.Learnt):
+        elif isinstance(event, api.WarmStartState):
             self.on_learnt(event)
-        elif isinstance(event, api.Suspected) and event.upstream in self.servers:
+        elif isinstance(event, api.OutlierReported) and event.upstream in self.servers:
             self.on_suspected(self.servers[event.upstream], event.weight)
-        elif isinstance(event, api.Overload):
+        elif isinstance(event, api.OverloadUpdated):
             self.told = event
-            self.reissues.fill(event.reissues_per_s, now_us)
+            self.reissues.fill(event.retries_per_s, now_us)
             self.probes.fill(event.probes_per_s, now_us)
-            self.fleet.lease(event.share, event.until_us, now_us)
-        elif isinstance(event, api.FleetSized):
+            self.fleet.lease(event.budget_share, event.valid_until_us, now_us)
+        elif isinstance(event, api.FleetResized):
             self.subset.number(event.self_index, event.instances)
             self.select()
         elif isinstance(event, api.ProbeEnded) and event.upstream in self.servers:
@@ -194,9 +206,9 @@
         else:
             self.place(request)
 
-    def as_one(self) -> api.Overload | None:
+    def as_one(self) -> api.OverloadUpdated | None:
         """What the fleet has settled on, while it counts."""
-        return self.told if self.told is not None and self.now_us < self.told.until_us else None
+        return self.told if self.told is not None and self.now_us < self.told.valid_until_us else None
 
     def cut(self, event: api.RequestArrived) -> bool:
         """In a shortage of its own it sheds what all shed: who comes back too soon, and of each class the
@@ -205,10 +217,10 @@
         told = self.as_one()
         if told is None or self.now_us - self.short_us > SHORT_US:
             return False
-        if event.back_us > self.now_us + EARLY_US:
+        if event.retry_due_us > self.now_us + EARLY_US:
             return True
-        share = (told.returning if event.back_us else told.kept)[event.class_index]
-        mixed = ((event.key or event.request) ^ told.number * MIXER) * MIXER >> 24
+        share = (told.returning_shares if event.retry_due_us else told.admitted_shares)[event.class_index]
+        mixed = ((event.key or event.request) ^ told.generation * MIXER) * MIXER >> 24
         return mixed % 2**20 >= share * 2**20
 
     def may_reissue(self, request: Request) -> bool:
@@ -240,7 +252,7 @@
         else:
             self.finish(request)
 
-    def ask(self, request: Request, few: list[Server]) -> None:
+    def ask(self, request: Request, few: list[Endpoint]) -> None:
         """Where reports come with probes, a few free slots are asked and the least crowded is taken. Guards
         against what a sidecar of little traffic cannot know: crowded, slow or hung upstreams."""
         request.asking = few
@@ -265,14 +277,17 @@
         few = [s for s in request.asking if self.open_slots(s) > 0 and self.in_group(request, s)]
         self.stop_asking(request)
         told = [s for s in few if self.now_us - s.told_us <= self.fresh_us]  # old news refuses nothing
-        costs = [(self.crowd(s) + few.index(s) * self.settings.warm_keys, few.index(s)) for s in told or few]
+        costs = [
+            (self.crowd(s) + few.index(s) * self.settings.key_affinity, few.index(s)) for s in told or few
+        ]
         one = few[min(costs)[1]] if costs else None
         if one is None or not self.may_send(request):
             self.place(request)
         elif (
             told
             and one.crowd
-            and self.crowd(one) * self.answer_us[request.event.class_index] > request.kind.aim_us
+            and self.crowd(one) * self.answer_us[request.event.class_index]
+            > request.kind.latency_objective_us
         ):
             self.finish(request)  # hazard: queues that outlast the aim serve nobody in time
         else:
@@ -286,11 +301,11 @@
         for server in request.asking:
             server.askers.pop(request.event.request, None)
 
-    def crowd(self, server: Server) -> float:
+    def crowd(self, server: Endpoint) -> float:
         held = 5.0 if server.crowd is None else server.crowd  # those not known come after those known free
         return held / server.size + (self.home not in (-1, server.entry.zone))
 
-    def on_report(self, server: Server, report: list[float]) -> None:
+    def on_report(self, server: Endpoint, report: list[float]) -> None:
         told = dict(zip(self.settings.report_names, report, strict=False))
         server.told_us = self.now_us
         # hazard: what fails at once holds nothing, so its errors a second count like requests held
@@ -301,8 +316,10 @@
         return self.slot_worth(request.event.class_index)
 
     def slot_worth(self, class_index: int) -> float:
-        worth = self.settings.classes[class_index].worth
-        return worth if self.settings.worth_by_work else worth / self.answer_us[class_index]
+        priority_weight = self.settings.classes[class_index].priority_weight
+        return (
+            priority_weight if self.settings.weight_by_work else priority_weight / self.answer_us[class_index]
+        )
 
     def reserved(self, request: Request) -> int:
         """Trunk reservation, as in telephony: in a shortage the last slots are the dearest class's. A few are
@@ -336,9 +353,11 @@
         # about when a slot frees: one answer's time, spread lest refused clients return together
         after_us = int(self.answer_us[request.event.class_index] * (0.5 + self.random.random()))
         told = self.as_one()
-        if told is not None and told.return_us:
-            early_us = request.event.back_us - self.now_us
-            after_us = early_us if early_us > 0 else int(told.return_us * (1.0 + self.random.random()) / 2)
+        if told is not None and told.retry_after_us:
+            early_us = request.event.retry_due_us - self.now_us
+            after_us = (
+                early_us if early_us > 0 else int(told.retry_after_us * (1.0 + self.random.random()) / 2)
+            )
         most_us = self.settings.max_retry_after_us * self.settings.retry_after
         after_us = min(after_us, most_us)
         self.actions.append(api.Refuse(ident, after_us, shed) if harmless else api.Fail(ident))
@@ -350,7 +369,7 @@
         if not request.out():
             self.requests.pop(request.event.request, None)
 
-    def open_slots(self, server: Server) -> int:
+    def open_slots(self, server: Endpoint) -> int:
         return self.fleet.open_slots(server, self.now_us)
 
     def judge(self, attempt: Attempt, outcome: api.Outcome, elapsed_us: int, class_index: int) -> None:
@@ -393,9 +412,9 @@
                 busy_us = max(min(self.answer_us[class_index], slow_us), min(elapsed_us, 2 * slow_us))
                 resting.rest(self.now_us, busy_us, self.random.random())
         told = self.as_one()
-        if told is not None and not served and server.failing >= SUSPECT and told.tries_per_s > 0.0:
+        if told is not None and not served and server.failing >= SUSPECT and told.attempts_per_s > 0.0:
             # hazard: the tries of all sidecars together hold a returning upstream down
-            rest_us = min(1e6 / told.tries_per_s, MOST_TRIAL_US) * (0.5 + self.random.random())
+            rest_us = min(1e6 / told.attempts_per_s, MOST_TRIAL_US) * (0.5 + self.random.random())
             slots.rest_until_us = max(slots.rest_until_us, self.now_us + int(rest_us))
         if attempt.cold and outcome in (api.Outcome.OK, api.Outcome.TIMEOUT):
             self.follow_cold(elapsed_us / self.answer_us[class_index])
@@ -420,7 +439,7 @@
         gain = self.cold_gain + (1.0 - min(2.0, late)) / 8 if len(self.fleet.warm) else 0.0
         self.cold_gain = max(self.cold_least, min(gain, COLD_MOST * self.settings.overload_factor))
 
-    def on_suspected(self, server: Server, weight: float) -> None:
+    def on_suspected(self, server: Endpoint, weight: float) -> None:
         """Hearsay: it makes the next send a trial, after a rest by chance, so that all sidecars together try
         an upstream about as often as one would. It never closes one for good, and opens none: a trial's
         answer ends it, and who has had one lately does not listen."""
@@ -437,21 +456,21 @@
                 self.actions.append(api.Probe(server.entry.id))
         self.fleet.touch(server, self.now_us)
 
-    def rest_before_trial(self, server: Server) -> None:
+    def rest_before_trial(self, server: Endpoint) -> None:
         rest_us = min(TRIAL_US * self.sharing, MOST_TRIAL_US) * (0.5 + self.random.random())
         server.slots.rest_until_us = max(server.slots.rest_until_us, self.now_us + int(rest_us))
 
-    def absolve(self, server: Server) -> None:
+    def absolve(self, server: Endpoint) -> None:
         if server.kept:
             server.slots.window, server.kept = max(server.slots.window, server.kept), 0.0
             server.slots.rest_until_us = self.now_us
 
-    def ill(self, server: Server) -> bool:
+    def ill(self, server: Endpoint) -> bool:
         """Held against the one in the middle: what fails alike everywhere is no upstream's fault, and by the
         mean half of them could fail unnoticed."""
         return len(self.fleet.warm) > 0 and server.failing > ILL + 2 * self.fleet.failing_at(2)
 
-    def draw(self, request: Request) -> tuple[Server | None, list[Server]]:
+    def draw(self, request: Request) -> tuple[Endpoint | None, list[Endpoint]]:
         """A random free slot for this request, and, where load is asked for, the first few that it could be
         of; if possible of one not yet tried, and of an idle one of this zone (when busy it spills over before
         it queues)."""
@@ -469,8 +488,8 @@
         asks = self.asks
         enough = math.ceil(max(FEW * len(warm) / self.sharing, ASKED * asks) + len(tried))
         group = self.group_of(request) if tried else None
-        ordered = self.order(request) if self.settings.warm_keys else None
-        found: list[Server] = []
+        ordered = self.order(request) if self.settings.key_affinity else None
+        found: list[Endpoint] = []
         if group is not None or ordered is not None:
             chosen, found = self.draw_listed(
                 request, group if group is not None else ordered or [], enough, tried, most
@@ -487,10 +506,10 @@
         return (self.cold_turn(request, chosen, group) if len(fleet.cold) else chosen), found
 
     def draw_listed(
-        self, request: Request, ordered: Iterable[Server], enough: int, tried: list[Server], most: float
-    ) -> tuple[Server | None, list[Server]]:
+        self, request: Request, ordered: Iterable[Endpoint], enough: int, tried: list[Endpoint], most: float
+    ) -> tuple[Endpoint | None, list[Endpoint]]:
         """The same draw from few upstreams, or where each key has an order of its own."""
-        found: list[Server] = []
+        found: list[Endpoint] = []
         for server in ordered:
             if (
                 self.fleet.warmth(server, self.now_us) >= 1.0
@@ -506,7 +525,7 @@
         sizes = [s.size * self.open_slots(s) if self.fleet.few else 1.0 for s in best]
         return self.random.choices(best, sizes)[0] if best else None, found
 
-    def group_of(self, request: Request) -> list[Server] | None:
+    def group_of(self, request: Request) -> list[Endpoint] | None:
         """Rule 2: the upstreams that keyed work which may have run is kept to, in order; None = any."""
         first, kind = request.first_that_may_have_run(), request.kind
         if first is None or kind.effect != "deduplicated" or kind.group == "all":
@@ -522,7 +541,7 @@
         found = {server.entry.id: server for server in group}
         return [found[ident] for _, ident in sorted([(self.fleet.key(s), s.entry.id) for s in group])]
 
-    def order(self, request: Request) -> list[Server] | None:
+    def order(self, request: Request) -> list[Endpoint] | None:
         """This sidecar's own, told by None; where upstreams remember keys, the key's own, alike in all
         sidecars. Hazard: at connection limits it opens too many, so after failed connects the own few are
         kept to."""
@@ -532,12 +551,14 @@
 
         return sorted(self.fleet.warm.items(), key=partial(self.far, key))
 
-    def far(self, key: int, server: Server) -> float:
+    def far(self, key: int, server: Endpoint) -> float:
         """By chance, the same for all; large and near ones come sooner."""
         chance = (((key ^ server.entry.id * MIXER) * MIXER >> 24) % 2**40 + 1) / 2**40
         return -float(chance ** (1.0 / (server.size * (4 if server.entry.zone == self.home else 1))))
 
-    def cold_turn(self, request: Request, warm: Server | None, group: list[Server] | None) -> Server | None:
+    def cold_turn(
+        self, request: Request, warm: Endpoint | None, group: list[Endpoint] | None
+    ) -> Endpoint | None:
         """Rule 4: of the sends that warm ones have room for (none warm: of arrivals) a cold one gets its
         share of capacity, by a quarter of the multiple, and more while it answers sooner than they. Hazard:
         in a shortage all would fall on it, by hundreds of sidecars."""
@@ -560,7 +581,7 @@
         server = fleet.cold_by_share(self.random, self.now_us)
         return server if server and self.open_slots(server) > 0 and self.in_group(request, server) else warm
 
-    def spare_cold(self, request: Request) -> Server | None:
+    def spare_cold(self, request: Request) -> Endpoint | None:
         """Hazard: where warm ones are crowded or refuse, their slots, and those of all together, close for
         what they do; cold ones beside them would stand idle. One that fails at once is no closed loop."""
         if not len(self.fleet.warm) and not self.fleet.leased(self.now_us):
@@ -604,7 +625,7 @@
         is_warm = entry.started_us == 0 or self.now_us - entry.started_us >= s.warm_up_us
         return is_warm and (server is None or not self.troubled(server))
 
-    def troubled(self, server: Server) -> bool:
+    def troubled(self, server: Endpoint) -> bool:
         return server.failing >= SUSPECT or (server.kept or server.slots.window) < 0.25
 
     def avoided(self) -> int:
@@ -615,15 +636,15 @@
             for server in self.servers.values()
         )
 
-    def new_server(self, entry: api.Upstream) -> Server:
+    def new_server(self, entry: api.Upstream) -> Endpoint:
         # hazard: after a restart beside one other, all that came meanwhile comes at once; where all start
         # together it crowds a little, till slow answers close the second slots
         opening = 2.0 if 4 * self.subset.instances <= MOST_AT_FIRST else 1.0
-        server = Server(entry, self.random.expovariate(1.0), opening)
+        server = Endpoint(entry, self.random.expovariate(1.0), opening)
         self.learn(server, entry)
         return server
 
-    def learn(self, server: Server, entry: api.Upstream) -> None:
+    def learn(self, server: Endpoint, entry: api.Upstream) -> None:
         if entry.started_us != server.entry.started_us:  # what its last process did says nothing now
             server.failing, server.slots.window, server.slots.rest_until_us = 0.0, 1.0, 0
             server.kept, server.well_us = 0.0, 0
@@ -639,7 +660,7 @@
             self.learn(server, entry)
         self.fleet.place(server, self.now_us)
 
-    def release(self, server: Server) -> None:
+    def release(self, server: Endpoint) -> None:
         """Hazard: upstreams are replaced all day, by new ids. What is out to one is waited for."""
         unlisted = server.entry.state is api.UpstreamState.GONE
         if not server.slots.used and (unlisted or server.seat is None and self.subset.on):
@@ -657,10 +678,10 @@
         return (
             first is None
             or kind.effect == "idempotent"
-            or (kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.memory_us)
+            or (kind.effect == "deduplicated" and self.now_us - first.sent_us < kind.deduplication_window_us)
         )
 
-    def in_group(self, request: Request, server: Server) -> bool:
+    def in_group(self, request: Request, server: Endpoint) -> bool:
         """Rule 2: after a keyed attempt that may have run, only upstreams that drop its repeats."""
         kind = request.kind
         if not request.attempts or kind.effect != "deduplicated" or kind.group == "all":
@@ -671,14 +692,16 @@
         was, now = first.entry, server.entry
         return was.zone == now.zone if kind.group == "zone" else was.cell == now.cell
 
-    def send(self, request: Request, server: Server) -> None:
+    def send(self, request: Request, server: Endpoint) -> None:
         """The one place of sends: nothing goes out that a rule forbids."""
         if not (self.may_send(request) and self.in_group(request, server) and self.open_slots(server) > 0):
             self.finish(request)
             return
         first, kind = request.first_that_may_have_run(), request.kind
         # rule 2: what waits for a connection, or is half written, may still go out when its window is over
-        until_us = first.sent_us + kind.memory_us if first and kind.effect == "deduplicated" else 0
+        until_us = (
+            first.sent_us + kind.deduplication_window_us if first and kind.effect == "deduplicated" else 0
+        )
         request.attempts.append(Attempt(server, self.now_us, server.shelf is self.fleet.cold))
         self.servers.setdefault(server.entry.id, server)
         server.slots.used += 1
@@ -723,7 +746,7 @@
     def passed(self, attempt: Attempt) -> bool:
         return self.quick(attempt.server) and attempt.server.answered_us > attempt.sent_us
 
-    def quick(self, server: Server) -> bool:
+    def quick(self, server: Endpoint) -> bool:
         """Hazard: where answers are slow too, what is out waits in a queue; more would only lengthen it."""
         return server.answer_us <= QUICK * self.quickest_us
 
@@ -812,35 +835,38 @@
         if not ready:
             self.subset.members.pop(entry.id, None)
 
-    def learnt(self) -> api.Learnt:
+    def learnt(self) -> api.WarmStartState:
         """What the next process of this sidecar may begin with."""
-        return api.Learnt(
+        return api.WarmStartState(
             list(self.answer_us),
             self.total.window / self.total.first,
             [
-                api.LearntUpstream(one.entry.id, one.kept or one.slots.window, one.failing, one.answer_us)
+                api.WarmStartUpstream(one.entry.id, one.kept or one.slots.window, one.failing, one.answer_us)
                 for one in self.servers.values()
                 if one.answered_us > 0 or one.failing > 0.0
             ],
         )
 
-    def on_learnt(self, event: api.Learnt) -> None:
+    def on_learnt(self, event: api.WarmStartState) -> None:
         """In place of first guesses, never of what this process has seen itself. Hazard: a slot that rests
         does so from now on, else each process that starts would try the ill upstreams at once. Hazard: what
         is alike everywhere is no upstream's fault, and may be over: the one in the middle begins with a
         slot."""
-        windows = sorted(max(one.window, LEAST_LEARNT) for one in event.upstreams)
+        windows = sorted(max(one.concurrency_limit, LEAST_LEARNT) for one in event.upstreams)
         scale = max(1.0, 1.0 / windows[len(windows) // 2]) if windows else 1.0
-        for kind, told_us in enumerate(event.answers_us[: len(self.answer_us)]):
+        for kind, told_us in enumerate(event.response_times_us[: len(self.answer_us)]):
             self.answer_us[kind] = told_us or self.answer_us[kind]
-        self.total.window = min(max(event.total, 0.5), MOST_SLOTS) * self.total.first
+        self.total.window = min(max(event.total_limit_ratio, 0.5), MOST_SLOTS) * self.total.first
         for one in event.upstreams:
             server = self.servers.get(one.upstream)
             if server is None or server.answered_us > 0 or server.failing > 0.0:
                 continue
             slots = server.slots
-            slots.window = min(max(one.window, LEAST_LEARNT) * scale, MOST_SLOTS * slots.first)
-            server.failing, server.answer_us = min(max(one.failing, 0.0), 1.0), max(one.answer_us, 0.0)
+            slots.window = min(max(one.concurrency_limit, LEAST_LEARNT) * scale, MOST_SLOTS * slots.first)
+            server.failing, server.answer_us = (
+                min(max(one.failure_rate, 0.0), 1.0),
+                max(one.response_time_us, 0.0),
+            )
             slots.rest(self.now_us, self.quickest_us / 4, self.random.random())
             self.fleet.touch(server, self.now_us)
         self.renew()
--- a/sidecar_proxy/balancer/endpoint_pool.py
+++ b/sidecar_proxy/balancer/endpoint_pool.py
@@ -10,7 +10,7 @@
 from itertools import islice
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.balancer.ordered_index import Seat, Shelf, Sorted
+from sidecar_proxy.balancer.ordered_index import OrderedIndex, Seat, Sorted
 from sidecar_proxy.balancer.subsetting import place_of
 
 GROWTH = 0.4  # slots a round of answers moves, by the distance from the full load; 0.8 is too rash
@@ -23,7 +23,7 @@
 GOLDEN = 0.618033988749895  # the multiples of it lie evenly in [0, 1), however many follow on another
 
 
-class Slots:
+class ConcurrencyLimiter:
     """Outstanding sends to one upstream, or to all of them together."""
 
     __slots__ = ("used", "first", "window", "rest_until_us")
@@ -51,7 +51,7 @@
             self.rest_until_us = now_us + int(busy_us * (1.0 / self.window - 1.0) * (0.5 + chance))
 
 
-class Server:  # what this sidecar knows of one upstream
+class Endpoint:  # what this sidecar knows of one upstream
     __slots__ = (
         "entry",
         "order",
@@ -79,7 +79,7 @@
     def __init__(self, entry: api.Upstream, order: float, opening: float) -> None:
         self.entry = entry
         self.order = order  # this sidecar's own, at random
-        self.slots = Slots(1.0)  # one slot, as in the paper
+        self.slots = ConcurrencyLimiter(1.0)  # one slot, as in the paper
         self.slots.window = opening
         self.crowd: float | None = None  # requests it holds by its last report; None = it told none
         self.told_us = 0  # when it last reported, or left a probe unanswered
@@ -93,8 +93,8 @@
         self.kept = 0.0  # its window, while others suspect it and each send is a trial; 0 = they do not
         self.well_us = 0  # when an attempt of ours last ended well
         # kept by Fleet alone:
-        self.seat: Seat[Server] | None = None
-        self.shelf: Shelf[Server] | None = None
+        self.seat: Seat[Endpoint] | None = None
+        self.shelf: OrderedIndex[Endpoint] | None = None
         self.ranked = 0.0  # the failing share under which it is ranked
         self.counted = (0.0, 0)  # its size, and its start since the index began, as summed
         self.noted_us = 0  # the rest that is in the heap
@@ -102,7 +102,7 @@
         self.turn = 0.0  # in [0, 1): how early this sidecar is among those that its slots are dealt to, cold
 
 
-class Fleet:
+class EndpointPool:
     """The upstreams that this sidecar uses, on a shelf of the warm and one of the cold."""
 
     def __init__(self, settings: api.Settings, home: int, now_us: int) -> None:
@@ -111,26 +111,26 @@
         self.few = settings.instances <= FEW  # draws go by size and open slots
         self.number = settings.self_index  # of this sidecar
         self.cold_slots = COLD_SLOTS / settings.instances
-        self.dealt: dict[int, Server] = {}  # cold ones with a slot of this sidecar, in time
+        self.dealt: dict[int, Endpoint] = {}  # cold ones with a slot of this sidecar, in time
         self.leased_slots, self.leased_us = 0.0, 0  # in place of `cold_slots`, until then
         self.base_us = now_us  # starts are summed from here, lest sums of Unix times lose digits
-        self.servers: dict[int, Server] = {}  # those that have something out, though not used any more, too
-        self.warm: Shelf[Server] = Shelf()  # in this sidecar's own order
-        self.cold: Shelf[Server] = Shelf()
+        self.servers: dict[int, Endpoint] = {}  # those that have something out, though not used any more, too
+        self.warm: OrderedIndex[Endpoint] = OrderedIndex()  # in this sidecar's own order
+        self.cold: OrderedIndex[Endpoint] = OrderedIndex()
         self.failing: Sorted[float] = Sorted()  # shares of the warm
         self.warm_size = self.cold_size = self.cold_start = 0.0
         self.moved: dict[int, None] = {}  # whose place in the order is renewed next
         self.rests: list[tuple[int, int]] = []  # a heap: until when, who
         self.warming: list[tuple[int, int]] = []  # a heap: from when warm, who
 
-    def warmth(self, server: Server, now_us: int) -> float:
+    def warmth(self, server: Endpoint, now_us: int) -> float:
         """Rule 4: the share of its capacity that an upstream surely has by now."""
         s, age_us = self.settings, now_us - server.entry.started_us
         if server.entry.started_us == 0 or age_us >= s.warm_up_us:
             return 1.0
         return s.cold_share + (1.0 - s.cold_share) * max(0, age_us) / s.warm_up_us
 
-    def open_slots(self, server: Server, now_us: int) -> int:
+    def open_slots(self, server: Endpoint, now_us: int) -> int:
         """How many more sends an upstream may have now; the one place where health lives."""
         if server.entry.state is not api.UpstreamState.READY:
             return 0  # rule 3: draining and gone upstreams get nothing from the moment we are told
@@ -159,7 +159,7 @@
         """The failed share that one in `part` of the warm upstreams stays within."""
         return self.failing.at((len(self.failing) - 1) // part) if len(self.failing) else 0.0
 
-    def key(self, server: Server) -> float:
+    def key(self, server: Endpoint) -> float:
         """The place in this sidecar's own order: by chance, size, zone and open slots."""
         near = 2 if server.entry.zone == self.home else 1
         # a trial is at its usual place: an upstream that is falsely suspected would not be tried else
@@ -167,7 +167,7 @@
 
     # Changes
 
-    def place(self, server: Server, now_us: int) -> None:
+    def place(self, server: Endpoint, now_us: int) -> None:
         """Put a server on the shelf that it belongs to now: its entry, size or start may have changed."""
         self.servers[server.entry.id] = server
         ready = server.entry.state is api.UpstreamState.READY
@@ -196,7 +196,7 @@
             self.deal(server)
         self.touch(server, now_us)
 
-    def deal(self, server: Server) -> None:
+    def deal(self, server: Endpoint) -> None:
         """Rule 4, in a shortage: the slots that a cold upstream bears, COLD_SLOTS by its warmth, are dealt
         out by the sidecars' numbers, so that without a word between them all hold no more than that, and a
         busy one can use its own at once. What is out in a closed loop is all that a budget for a window can
@@ -207,10 +207,10 @@
         else:
             self.dealt.pop(server.entry.id, None)
 
-    def sums_of(self, server: Server) -> tuple[float, int]:
+    def sums_of(self, server: Endpoint) -> tuple[float, int]:
         return server.size, server.entry.started_us - self.base_us
 
-    def draw(self, dice: random.Random, first: int, barred: list[Server], most: float) -> Server | None:
+    def draw(self, dice: random.Random, first: int, barred: list[Endpoint], most: float) -> Endpoint | None:
         """A free slot of the first upstreams that have one, in order: rather of those that fail at most so
         much, and of these rather of an idle one of the own zone. The barred ones are left out."""
         for limit in (most, math.inf) if most < math.inf else (math.inf,):
@@ -221,7 +221,7 @@
                 return found
         return None
 
-    def remove(self, server: Server) -> None:
+    def remove(self, server: Endpoint) -> None:
         """Off its shelf; what is out to it goes on."""
         if server.seat is None:
             return
@@ -238,13 +238,13 @@
             self.dealt.pop(server.entry.id, None)
         server.seat = server.shelf = None
 
-    def forget(self, server: Server) -> None:
+    def forget(self, server: Endpoint) -> None:
         self.remove(server)
         if self.servers.get(server.entry.id) is server:
             del self.servers[server.entry.id]
             self.moved.pop(server.entry.id, None)
 
-    def touch(self, server: Server, now_us: int) -> None:
+    def touch(self, server: Endpoint, now_us: int) -> None:
         """Its slots or its failing share have changed."""
         seat, slots = server.seat, server.slots
         if seat is None:
@@ -317,7 +317,7 @@
 
     # Questions
 
-    def spare(self, dice: random.Random, barred: list[Server], most: float, now_us: int) -> Server | None:
+    def spare(self, dice: random.Random, barred: list[Endpoint], most: float, now_us: int) -> Endpoint | None:
         """A free one of this sidecar's own slots at cold upstreams that fail at most so much."""
         if self.leased(now_us):
             return self.cold.any_open(dice, most)
@@ -331,7 +331,7 @@
         ]
         return dice.choice(found) if found else None
 
-    def first_open(self, first: int, barred: list[Server], most: float, wanted: int) -> list[Server]:
+    def first_open(self, first: int, barred: list[Endpoint], most: float, wanted: int) -> list[Endpoint]:
         """Of the first open ones some few that fail at most so much, in order."""
         return list(
             islice((seat.item for seat in self.warm.walk(first, most) if seat.item not in barred), wanted)
@@ -351,7 +351,7 @@
         share = self.cold_shares(now_us) / self.cold_size if self.cold_size > 0.0 else 0.0
         return len(self.warm) + share * len(self.cold)
 
-    def cold_by_share(self, dice: random.Random, now_us: int) -> Server | None:
+    def cold_by_share(self, dice: random.Random, now_us: int) -> Endpoint | None:
         """One of the cold by size times warmth: drawn by size, taken by warmth. None if chance takes none of
         many, which is the careful side."""
         for _ in range(COLD_TRIES):
--- a/sidecar_proxy/balancer/events.py
+++ b/sidecar_proxy/balancer/events.py
@@ -56,25 +56,35 @@
     """One class of requests."""
 
     name: str
-    aim_us: int  # an answer within this earns the full worth
+    latency_objective_us: int  # an answer within this earns the full worth
     deadline_us: int
-    worth: float = 1.0
-    late_worth: float = 0.0  # share of the worth left for an answer after the aim
-    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    priority_weight: float = 1.0
+    late_weight: float = 0.0  # share of the worth left for an answer after the aim
+    objective_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
     effect: str = "idempotent"
     group: str = "all"  # deduplicated: which upstreams drop each other's repeats
-    memory_us: int = 0  # deduplicated: how long they remember a request
+    deduplication_window_us: int = 0  # deduplicated: how long they remember a request
     stream: bool = False
 
     def __post_init__(self) -> None:
-        _require(self.aim_us > 0, "a request class aim_us above 0", self.aim_us)
+        _require(
+            self.latency_objective_us > 0,
+            "a request class latency_objective_us above 0",
+            self.latency_objective_us,
+        )
         _require(self.deadline_us > 0, "a request class deadline_us above 0", self.deadline_us)
-        _require(self.worth >= 0, "a request class worth of 0 or more", self.worth)
-        _require(0 <= self.late_worth <= 1, "a late_worth from 0 to 1", self.late_worth)
-        _require(self.aim_stretch >= 0, "an aim_stretch of 0 or more", self.aim_stretch)
+        _require(
+            self.priority_weight >= 0, "a request class priority_weight of 0 or more", self.priority_weight
+        )
+        _require(0 <= self.late_weight <= 1, "a late_weight from 0 to 1", self.late_weight)
+        _require(self.objective_stretch >= 0, "an objective_stretch of 0 or more", self.objective_stretch)
         _require(self.effect in EFFECTS, f"an effect out of {', '.join(EFFECTS)}", self.effect)
         _require(self.group in GROUPS, f"a group out of {', '.join(GROUPS)}", self.group)
-        _require(self.memory_us >= 0, "a memory_us of 0 or more", self.memory_us)
+        _require(
+            self.deduplication_window_us >= 0,
+            "a deduplication_window_us of 0 or more",
+            self.deduplication_window_us,
+        )
 
 
 @dataclass(slots=True)
@@ -96,8 +106,8 @@
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
-    over_share_worth: float = 1.0
-    worth_by_work: bool = False
+    over_quota_weight: float = 1.0
+    weight_by_work: bool = False
     instances: int = 1
     self_index: int = 0
     zone: int = 0
@@ -109,30 +119,30 @@
     cancel: bool = False
     probes: bool = False
     peers: bool = False  # messages to other sidecars are allowed
-    second_copies: bool = False  # two attempts of a request may be out together
+    hedging_allowed: bool = False  # two attempts of a request may be out together
     list_on_request: bool = False  # upstream changes come only after Subscribe or FetchList
-    ask_within_us: int = 0  # without a subscription, the list must be asked for this often
+    max_poll_interval_us: int = 0  # without a subscription, the list must be asked for this often
     cold_share: float = 1.0  # an upstream boots at this share of its capacity or more
     warm_up_us: int = 0  # and is warm after this
     overload_factor: float = 1.0  # a cold upstream falls over at this multiple of its capacity
     fall_us: int = 0  # sustained for this long
     cross_zone_fee: float = 0.0
     probe_fee: float = 0.0  # points of the result for one probe a request
-    warm_keys: bool = False  # an upstream that has lately served a key serves it with less work
+    key_affinity: bool = False  # an upstream that has lately served a key serves it with less work
     report_names: list[str] = field(default_factory=list)
     weighted: bool = False  # the list's weights speak of size
     zones: list[str] = field(default_factory=list)  # names, in the order of their numbers
     kinds: list[str] = field(default_factory=list)
     idle_us: int = 0  # an upstream closes a connection that has stood idle for this long; 0 = never
     probe_timeout_us: int = 250_000
-    succeeds: bool = False  # another process of this sidecar serves: no fleet starts with this one
-    most_upstreams: int = 0  # upstreams that one sidecar may use together, of a larger fleet; 0 = any number
+    is_successor: bool = False  # another process of this sidecar serves: no fleet starts with this one
+    max_upstreams: int = 0  # upstreams that one sidecar may use together, of a larger fleet; 0 = any number
 
     def __post_init__(self) -> None:
         _require(len(self.classes) > 0, "at least one request class", self.classes)
         _require(self.instances >= 1, "an instances of 1 or more", self.instances)
         _require(self.self_index >= 0, "a self_index of 0 or more", self.self_index)
-        _require(0 <= self.over_share_worth <= 1, "an over_share_worth from 0 to 1", self.over_share_worth)
+        _require(0 <= self.over_quota_weight <= 1, "an over_quota_weight from 0 to 1", self.over_quota_weight)
         _require(self.max_attempts >= 1, "a max_attempts of 1 or more", self.max_attempts)
         _require(0 < self.cold_share <= 1, "a cold_share above 0, at most 1", self.cold_share)
         _require(self.overload_factor > 0, "an overload_factor above 0", self.overload_factor)
@@ -141,14 +151,14 @@
             "tick_us",
             "max_retry_after_us",
             "connect_timeout_us",
-            "ask_within_us",
+            "max_poll_interval_us",
             "warm_up_us",
             "fall_us",
             "cross_zone_fee",
             "probe_fee",
             "idle_us",
             "probe_timeout_us",
-            "most_upstreams",
+            "max_upstreams",
         ):
             _require(getattr(self, name) >= 0, f"a {name} of 0 or more", getattr(self, name))
 
@@ -186,7 +196,7 @@
     cost_us: int = 0  # expected work on a standard core; 0 = not known
     retried: bool = False  # the client sends it again
     write: bool = False
-    back_us: int = 0  # when its client was told to come back; 0 = it was not
+    retry_due_us: int = 0  # when its client was told to come back; 0 = it was not
 
 
 @dataclass(slots=True)
@@ -224,26 +234,26 @@
 
 
 @dataclass(slots=True)
-class LearntUpstream:
+class WarmStartUpstream:
     """What another process of this sidecar has seen of one upstream since it started."""
 
     upstream: int
-    window: float  # its open slots
-    failing: float  # share of its last attempts that failed, 0 to 1
-    answer_us: float  # its usual answer; 0 = none seen
+    concurrency_limit: float  # its open slots
+    failure_rate: float  # share of its last attempts that failed, 0 to 1
+    response_time_us: float  # its usual answer; 0 = none seen
 
 
 @dataclass(slots=True)
-class Learnt:
+class WarmStartState:
     """What the process before this one has learnt; told before the first request."""
 
-    answers_us: list[float]  # by class, the usual answer; 0 = not known
-    total: float  # slots of all upstreams together, as a multiple of the first ones
-    upstreams: list[LearntUpstream]
+    response_times_us: list[float]  # by class, the usual answer; 0 = not known
+    total_limit_ratio: float  # slots of all upstreams together, as a multiple of the first ones
+    upstreams: list[WarmStartUpstream]
 
 
 @dataclass(slots=True)
-class Suspected:
+class OutlierReported:
     """What the other sidecars have seen of an upstream, in place of what was told of it before."""
 
     upstream: int
@@ -251,7 +261,7 @@
 
 
 @dataclass(slots=True)
-class FleetSized:
+class FleetResized:
     """How many sidecars there are now; in place of the settings' `instances` and `self_index`."""
 
     instances: int
@@ -259,18 +269,18 @@
 
 
 @dataclass(slots=True)
-class Overload:
+class OverloadUpdated:
     """What all sidecars together have settled on; in place of what was told before."""
 
-    share: float  # of the fleet's budgets, that this sidecar may spend: 0 to 1
-    kept: list[float]  # by class, the share of its requests that fits, 0 to 1
-    returning: list[float]  # the same of those that come back when they were told to
-    number: int  # of the cut: which requests of a class those are
-    return_us: int  # in which refused clients are told to come back; 0 = as usual
-    until_us: int  # all this counts until then
-    reissues_per_s: float  # of this sidecar, as the two below
+    budget_share: float  # of the fleet's budgets, that this sidecar may spend: 0 to 1
+    admitted_shares: list[float]  # by class, the share of its requests that fits, 0 to 1
+    returning_shares: list[float]  # the same of those that come back when they were told to
+    generation: int  # of the cut: which requests of a class those are
+    retry_after_us: int  # in which refused clients are told to come back; 0 = as usual
+    valid_until_us: int  # all this counts until then
+    retries_per_s: float  # of this sidecar, as the two below
     probes_per_s: float
-    tries_per_s: float  # at each upstream that fails
+    attempts_per_s: float  # at each upstream that fails
 
 
 @dataclass(slots=True)
@@ -291,10 +301,10 @@
     | AttemptEnded
     | StreamStarted
     | ProbeEnded
-    | Learnt
-    | Suspected
-    | FleetSized
-    | Overload
+    | WarmStartState
+    | OutlierReported
+    | FleetResized
+    | OverloadUpdated
     | TimerFired
     | PeerMessage
 )
@@ -362,7 +372,7 @@
 
 
 @dataclass(slots=True)
-class TellPeer:
+class SendPeerMessage:
     payload: bytes
     to: int | None = None  # None = every peer
 
@@ -375,4 +385,16 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Probe | SetTimer | Subscribe | FetchList | CloseIdle | TellPeer | Log
+Action = (
+    Send
+    | Refuse
+    | Fail
+    | Cancel
+    | Probe
+    | SetTimer
+    | Subscribe
+    | FetchList
+    | CloseIdle
+    | SendPeerMessage
+    | Log
+)
--- a/sidecar_proxy/balancer/ordered_index.py
+++ b/sidecar_proxy/balancer/ordered_index.py
@@ -133,7 +133,7 @@
 NOBODY = Seat[Any](None, (0.0, 0), -1)
 
 
-class Shelf(Generic[T]):
+class OrderedIndex(Generic[T]):
     """Items in the order of their keys, some of them open. A treap: its shape hangs on the items' numbers
     alone, so the same items give the same draws."""
 
--- a/sidecar_proxy/balancer/settings.py
+++ b/sidecar_proxy/balancer/settings.py
@@ -32,7 +32,7 @@
 
 
 # Actions that need a permission, and the setting that gives it.
-PERMITS = {api.Probe: "probes", api.Cancel: "cancel", api.TellPeer: "peers"}
+PERMITS = {api.Probe: "probes", api.Cancel: "cancel", api.SendPeerMessage: "peers"}
 
 
 def check_allowed(settings: api.Settings, action: api.Action) -> None:
@@ -104,14 +104,14 @@
 def class_of(options: Options, at: str) -> api.RequestClass:
     return api.RequestClass(
         name=options.text(at + "name"),
-        aim_us=options.whole(at + "aim"),
+        latency_objective_us=options.whole(at + "aim"),
         deadline_us=options.whole(at + "deadline"),
-        worth=options.number(at + "worth"),
-        late_worth=options.number(at + "late-worth", "0"),
-        aim_stretch=options.number(at + "aim-stretch", "0"),
+        priority_weight=options.number(at + "worth"),
+        late_weight=options.number(at + "late-worth", "0"),
+        objective_stretch=options.number(at + "aim-stretch", "0"),
         effect=options.choice(at + "effect", api.EFFECTS),
         group=options.choice(at + "group", api.GROUPS, "all"),
-        memory_us=options.whole(at + "memory-span", "0"),
+        deduplication_window_us=options.whole(at + "memory-span", "0"),
         stream=options.flag(at + "stream", "false"),
     )
 
@@ -129,8 +129,8 @@
         return api.Settings(
             classes=[class_of(o, f"request-classes.{i}.") for i in range(o.whole("request-classes.count"))],
             tenants=[tenant_of(o, f"accounts.{i}.") for i in range(o.whole("accounts.count", "0"))],
-            over_share_worth=o.number("over-share-worth", "1"),
-            worth_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
+            over_quota_weight=o.number("over-share-worth", "1"),
+            weight_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
             instances=o.whole("instances"),
             self_index=o.whole("self-index", "0"),
             zone=o.whole("locality", "0"),
@@ -142,16 +142,16 @@
             cancel=o.flag("bounds.cancel"),
             probes=o.flag("bounds.probes"),
             peers=o.flag("bounds.peers", "false"),
-            second_copies=o.flag("bounds.second-copies"),
+            hedging_allowed=o.flag("bounds.second-copies"),
             list_on_request=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
-            ask_within_us=o.whole("invariants.ask-within", "0"),
+            max_poll_interval_us=o.whole("invariants.ask-within", "0"),
             cold_share=o.number("invariants.cold-share"),
             warm_up_us=o.whole("invariants.warm-up"),
             overload_factor=o.number("invariants.overload-factor"),
             fall_us=o.whole("invariants.fall"),
             cross_zone_fee=o.number("fees.cross-zone", "0"),
             probe_fee=o.number("fees.probe", "0"),
-            warm_keys=o.flag("specifics.warm-keys", "false"),
+            key_affinity=o.flag("specifics.warm-keys", "false"),
             report_names=[REPORT_NAMES.get(name, name) for name in o.names("report.names")],
             weighted=o.text("weights", "none") in ("nominal", "rough"),
             zones=o.names("areas"),
--- a/sidecar_proxy/balancer/token_bucket.py
+++ b/sidecar_proxy/balancer/token_bucket.py
@@ -1,7 +1,7 @@
 """A token bucket. Pure; times are handed in."""
 
 
-class Bucket:
+class TokenBucket:
     """So many a second, and at most a second's worth, or one, at once."""
 
     __slots__ = ("rate", "left", "at_us")
--- a/sidecar_proxy/cli/config.py
+++ b/sidecar_proxy/cli/config.py
@@ -19,7 +19,8 @@
 
 TOML, named by `SIDECAR_PROXY_OPERATOR`; without it all below is off. Unknown keys, wrong types and impossible
 values end the start with one line that names the key, and exit 2.
-`python3 -m sidecar_proxy config check FILE` says the same before. This page is what `python3 -m sidecar_proxy config reference` prints.
+`python3 -m sidecar_proxy config check FILE` says the same before.
+This page is what `python3 -m sidecar_proxy config reference` prints.
 """
 
 
--- a/sidecar_proxy/cli/gossip.py
+++ b/sidecar_proxy/cli/gossip.py
@@ -12,7 +12,7 @@
 from nacl.signing import SigningKey
 
 from sidecar_proxy.gossip import codec, files
-from sidecar_proxy.gossip.keys import certify
+from sidecar_proxy.gossip.keys import issue_certificate
 
 TIMEOUT_S = 10.0
 DAY_S = 86_400
@@ -29,7 +29,7 @@
 def certify_key(told: argparse.Namespace) -> int:
     fleet, key = files.private(told.fleet_key), files.public(told.public_key)
     serial = told.serial or random.SystemRandom().randrange(1, 1 << 48)
-    one = certify(fleet, serial, told.name, told.site, key, int(time.time()) + told.days * DAY_S)
+    one = issue_certificate(fleet, serial, told.name, told.site, key, int(time.time()) + told.days * DAY_S)
     data = codec.encode(one)
     codec.certificates.decode(data)  # a name that no peer would take is told now
     files.put(told.out, data.hex() + "\n", replace=told.replace)
--- a/sidecar_proxy/consensus/frames.py
+++ b/sidecar_proxy/consensus/frames.py
@@ -100,7 +100,7 @@
     leader: Node
 
 
-class Here(msgspec.Struct, array_like=True, frozen=True):
+class ReplicaStatus(msgspec.Struct, array_like=True, frozen=True):
     """By gossip to all: what this sidecar is and has."""
 
     incarnation: Annotated[str, Meta(max_length=16)]
@@ -120,7 +120,7 @@
 Frame = Raft | Offer | Want | Batch | Piece | Later | Ask | Answer
 encode = msgspec.msgpack.Encoder().encode
 frame_decoder: msgspec.msgpack.Decoder[Frame] = msgspec.msgpack.Decoder(Frame)
-here_decoder = msgspec.msgpack.Decoder(Here)
+here_decoder = msgspec.msgpack.Decoder(ReplicaStatus)
 
 
 class FrameError(ValueError):
@@ -139,7 +139,7 @@
     return frame
 
 
-def read_here(data: bytes) -> Here:
+def read_here(data: bytes) -> ReplicaStatus:
     """Raises FrameError."""
     return decoded(here_decoder, data)
 
--- a/sidecar_proxy/consensus/log.py
+++ b/sidecar_proxy/consensus/log.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Log:
+class RaftLog:
     snapshot: Snapshot = field(default_factory=Snapshot)
     entries: list[Entry] = field(default_factory=list)  # without gaps, from the snapshot's next one on
 
@@ -97,11 +97,11 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class PersistedState:
     """What a folder holds of one incarnation of a node."""
 
     incarnation: str
     hard: HardState = field(default_factory=HardState)
     commit: int = 0
-    log: Log = field(default_factory=Log)
+    log: RaftLog = field(default_factory=RaftLog)
     torn: int = 0  # bytes at the file's end that a crash had left and that were cut
--- a/sidecar_proxy/consensus/proposals.py
+++ b/sidecar_proxy/consensus/proposals.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class PendingProposal:
     """One word, or one question for what holds."""
 
     context: int  # the shell's
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answered:
+class ProposalResult:
     """To who asked, at last. `what`: DONE, ERROR, UNKNOWN or NO_QUORUM."""
 
     context: int
@@ -42,19 +42,19 @@
     text: str = ""
 
 
-class Asks:
+class PendingProposals:
     """All that were said here and are not answered yet."""
 
     def __init__(self) -> None:
-        self.open: dict[int, Asked] = {}
+        self.open: dict[int, PendingProposal] = {}
         self.last = 0
 
-    def add(self, context: int, word: bytes, name: str, now_us: int) -> Answered | None:
+    def add(self, context: int, word: bytes, name: str, now_us: int) -> ProposalResult | None:
         """None: it will be answered by one of the methods below."""
         if len(self.open) >= MOST_ASKS:
-            return Answered(context, ERROR, text="too many are asked here at a time")
+            return ProposalResult(context, ERROR, text="too many are asked here at a time")
         self.last += 1
-        self.open[self.last] = Asked(context, word, name, now_us + PATIENCE_US)
+        self.open[self.last] = PendingProposal(context, word, name, now_us + PATIENCE_US)
         return None
 
     def to_send(self, leader: Node, now_us: int) -> list[tuple[Node, Ask]]:
@@ -78,7 +78,7 @@
             if one.sent_to == node:
                 one.sent_to, one.again_us = "", now_us + AGAIN_US
 
-    def answered(self, node: Node, told: Answer, now_us: int) -> Answered | None:
+    def answered(self, node: Node, told: Answer, now_us: int) -> ProposalResult | None:
         one = self.open.get(told.number)
         if one is None or one.sent_to != node:
             return None  # hazard: of an earlier sending; it may say of itself what is not true of all
@@ -89,7 +89,7 @@
         one.sent_to, one.again_us = "", now_us + AGAIN_US
         return None
 
-    def late(self, now_us: int, leaderless_us: int) -> list[Answered]:
+    def late(self, now_us: int, leaderless_us: int) -> list[ProposalResult]:
         """What can't be waited for any longer."""
         found = []
         for number, one in list(self.open.items()):
@@ -100,5 +100,5 @@
                     found.append(self.end(number, NO_QUORUM, text="nothing was changed"))
         return found
 
-    def end(self, number: int, what: str, index: int = 0, text: str = "") -> Answered:
-        return Answered(self.open.pop(number).context, what, index, text)
+    def end(self, number: int, what: str, index: int = 0, text: str = "") -> ProposalResult:
+        return ProposalResult(self.open.pop(number).context, what, index, text)
--- a/sidecar_proxy/consensus/raft.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from sidecar_proxy.consensus.log import Compacted, Log
+from sidecar_proxy.consensus.log import Compacted, RaftLog
 from sidecar_proxy.consensus.messages import (
     MOST_ENTRIES,
     Append,
@@ -82,17 +82,17 @@
     refused_reads: list[int] = field(default_factory=list)  # the office was lost: ask another
 
 
-class Refused(Exception):
+class ProposalRejected(Exception):
     """Not now, or not here; one line."""
 
 
-class Core:
+class RaftCore:
     """A voter, or a learner while no one has taken it in."""
 
     def __init__(
         self,
         me: Node,
-        log: Log,
+        log: RaftLog,
         hard: HardState,
         dice: random.Random,
         timing: Timing = Timing(),
@@ -381,7 +381,7 @@
         if not new or new[0].index != self.commit + 1 or self.leads:
             return
         if any(one.index != new[0].index + n for n, one in enumerate(new)):
-            raise Refused("entries with gaps")
+            raise ProposalRejected("entries with gaps")
         self.reach(new[-1].term)
         first = self.log.add(new)
         if first is not None:
@@ -410,11 +410,11 @@
     def propose(self, data: bytes) -> int:
         """The index at which it may come to stand. Raises Refused."""
         if not self.leads:
-            raise Refused("not the leader")
+            raise ProposalRejected("not the leader")
         if self.transfer_to:
-            raise Refused("the office is being handed over")
+            raise ProposalRejected("the office is being handed over")
         if self.log.last_index - self.commit >= MOST_AHEAD:
-            raise Refused("too many are not committed yet")
+            raise ProposalRejected("too many are not committed yet")
         entry = Entry(self.term, self.log.last_index + 1, data)
         self.add([entry])
         self.broadcast()
@@ -423,14 +423,14 @@
     def change(self, voters: tuple[Node, ...]) -> int:
         """Take one voter in or one out (4.1); its index. Raises Refused."""
         if not self.leads or self.transfer_to:
-            raise Refused("not the leader" if not self.leads else "the office is being handed over")
+            raise ProposalRejected("not the leader" if not self.leads else "the office is being handed over")
         if len(set(voters) ^ set(self.voters)) != 1 or len(set(voters)) != len(voters) or not voters:
-            raise Refused("one voter at a time")
+            raise ProposalRejected("one voter at a time")
         if self.log.voters_index() > self.commit:
-            raise Refused("the last change is not committed yet")
+            raise ProposalRejected("the last change is not committed yet")
         # the mend of 2015: else two changes of two terms need not share a majority
         if self.log.term_at(self.commit) != self.term:
-            raise Refused("nothing of this term is committed yet")
+            raise ProposalRejected("nothing of this term is committed yet")
         entry = Entry(self.term, self.log.last_index + 1, voters=tuple(sorted(voters)))
         for node in voters:
             if node != self.me:
@@ -455,9 +455,9 @@
     def read(self, context: int) -> None:
         """Answered in a Ready once it is sure that nobody has taken the office. Raises Refused."""
         if not self.leads:
-            raise Refused("not the leader")
+            raise ProposalRejected("not the leader")
         if self.log.term_at(self.commit) != self.term:
-            raise Refused("nothing of this term is committed yet")
+            raise ProposalRejected("nothing of this term is committed yet")
         self.round += 1
         self.reads.append(Read(context, self.commit, self.round))
         self.broadcast()
@@ -466,7 +466,7 @@
     def transfer(self, node: Node) -> None:
         """Hand the office over (3.10). Raises Refused."""
         if not self.leads or node not in self.voters or node == self.me:
-            raise Refused("not the leader" if not self.leads else "not one of the other voters")
+            raise ProposalRejected("not the leader" if not self.leads else "not one of the other voters")
         self.transfer_to, self.transfer_elapsed = node, 0
         if self.peers[node].match == self.log.last_index:
             self.send(TimeoutNow(self.me, node, self.term))
--- a/sidecar_proxy/consensus/replica.py
+++ b/sidecar_proxy/consensus/replica.py
@@ -24,14 +24,14 @@
     Ask,
     Batch,
     Frame,
-    Here,
     Later,
     Offer,
     Piece,
     Raft,
+    ReplicaStatus,
     Want,
 )
-from sidecar_proxy.consensus.log import Kept
+from sidecar_proxy.consensus.log import PersistedState
 from sidecar_proxy.consensus.messages import (
     Append,
     AppendReply,
@@ -42,8 +42,15 @@
     Node,
     Snapshot,
 )
-from sidecar_proxy.consensus.proposals import DONE, ELSEWHERE, ERROR, UNKNOWN, Answered, Asks
-from sidecar_proxy.consensus.raft import Core, Ready, Refused, Timing
+from sidecar_proxy.consensus.proposals import (
+    DONE,
+    ELSEWHERE,
+    ERROR,
+    UNKNOWN,
+    PendingProposals,
+    ProposalResult,
+)
+from sidecar_proxy.consensus.raft import ProposalRejected, RaftCore, Ready, Timing
 from sidecar_proxy.consensus.state_transfer import Budget, Fetch
 from sidecar_proxy.consensus.voters import Candidate, Look, name_of
 
@@ -65,7 +72,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class ReplicaLimits:
     voters: int = 3
     votes: bool = True  # whether this sidecar may be taken in as one
     replace_us: int = 60_000_000
@@ -74,7 +81,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Write:
+class PersistState:
     """To be written and synced, all or nothing."""
 
     hard: HardState | None
@@ -85,38 +92,38 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Post:
+class SendMessage:
     to: Node
     frame: Frame
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
+class Broadcast:
     """By gossip, to all."""
 
-    here: Here
+    here: ReplicaStatus
 
 
 @dataclass(slots=True, frozen=True)
-class Effect:
+class StateChanged:
     """What holds has changed: `Member.state`."""
 
 
 @dataclass(slots=True, frozen=True)
-class Line:
+class LogMessage:
     """For the log."""
 
     text: str
 
 
-Output = Write | Post | Tell | Effect | Line | Answered
+Output = PersistState | SendMessage | Broadcast | StateChanged | LogMessage | ProposalResult
 
 
 @dataclass(slots=True)
 class Peer:
     """Another sidecar, by what it says."""
 
-    here: Here
+    here: ReplicaStatus
     site: str
     at_us: int
     seen: deque[tuple[int, int]] = field(default_factory=lambda: deque(maxlen=MOST_SEEN))  # applied, at ms
@@ -126,7 +133,7 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class PendingEntry:
     """Who is to be told what came of an entry that we have proposed."""
 
     term: int
@@ -134,13 +141,13 @@
     who: list[tuple[Node, int]]
 
 
-class Member:
+class Replica:
     def __init__(
         self,
         name: str,
         site: str,
-        kept: Kept,
-        limits: Limits,
+        kept: PersistedState,
+        limits: ReplicaLimits,
         dice: random.Random,
         now_us: int,
         wall_ms: int,
@@ -153,7 +160,7 @@
         self.incarnation = kept.incarnation
         self.limits = limits
         self.dice = dice
-        self.core = Core(self.me, kept.log, kept.hard, dice, timing, kept.commit, early=True)
+        self.core = RaftCore(self.me, kept.log, kept.hard, dice, timing, kept.commit, early=True)
         self.state = words.restored(kept.log.snapshot.data)
         for one in kept.log.between(kept.log.snapshot.index + 1, self.core.commit):
             words.apply(self.state, one)
@@ -164,11 +171,11 @@
         self.applied_ms = wall_ms
         self.peers: dict[str, Peer] = {}
         self.voting: dict[str, Peer] = {}  # those of them who say that they vote
-        self.asks = Asks()
+        self.asks = PendingProposals()
         self.fetch = Fetch(dice, now_us)
         self.budget = Budget(limits.bytes_per_s, now_us)
         self.writing: Ready | None = None
-        self.waiting: dict[int, Waiting] = {}  # by index
+        self.waiting: dict[int, PendingEntry] = {}  # by index
         self.reading: dict[int, tuple[Node, Ask]] = {}  # by the core's context
         self.reads = 0
         self.heard_us: dict[Node, int] = {}
@@ -182,10 +189,10 @@
         self.failed: dict[str, int] = {}  # who did not, and when
         self.barrier = 0  # the round of the last look at who should vote
         self.say_us = now_us
-        self.said: Here | None = None
+        self.said: ReplicaStatus | None = None
         self.quiet: set[str] = set()  # sidecars of another fleet that have been spoken of
         self.out: list[Output] = []
-        self.witness: Callable[[words.Word], permits.Facts | None] | None = None  # the caller's
+        self.witness: Callable[[words.ReplicatedCommand], permits.Facts | None] | None = None  # the caller's
 
     # What comes in
 
@@ -252,13 +259,13 @@
             self.fetched(node, frame, now_us)
         return self.done(now_us)
 
-    def heard(self, name: str, site: str, here: Here, now_us: int) -> list[Output]:
+    def heard(self, name: str, site: str, here: ReplicaStatus, now_us: int) -> list[Output]:
         """By gossip."""
         if here.fleet and self.state.fleet and here.fleet != self.state.fleet:
             if name not in self.quiet and len(self.quiet) < MOST_MEMBERS:
                 self.quiet.add(name)
                 self.out.append(
-                    Line(
+                    LogMessage(
                         f"{name} is of another fleet ({here.fleet}, not {self.state.fleet}); "
                         "nothing of it is taken"
                     )
@@ -302,11 +309,11 @@
         self.fetch.lost(node, now_us)
         return self.done(now_us)
 
-    def say(self, context: int, word: words.Word, now_us: int) -> list[Output]:
+    def say(self, context: int, word: words.ReplicatedCommand, now_us: int) -> list[Output]:
         """At the door; an Answered will come. Raises WordError."""
         data = words.encoded(word)
         if not self.fleet():
-            raise words.WordError("no fleet was begun (`fleet begin`)")
+            raise words.CommandError("no fleet was begun (`fleet begin`)")
         self.give(self.asks.add(context, data, "", now_us))
         self.ask_on(now_us)
         return self.done(now_us)
@@ -320,7 +327,7 @@
     def begin(self, now_us: int) -> list[Output]:
         """The fleet's first voter. Raises Refused."""
         if self.fleet() or self.core.commit or self.writing is not None:
-            raise Refused(f"there is a fleet already: {self.fleet() or 'being begun'}")
+            raise ProposalRejected(f"there is a fleet already: {self.fleet() or 'being begun'}")
         fleet = f"{self.dice.getrandbits(64):016x}"
         self.core.restore(Snapshot(1, 0, (self.me,), words.begun(fleet)))
         self.core.campaign()
@@ -353,17 +360,21 @@
                     return
                 snapshot = core.log.compact(core.applied, words.kept(self.state))
                 self.writing = Ready()
-                self.out.append(Write(None, core.applied, snapshot, tuple(core.log.entries), core.told))
+                self.out.append(
+                    PersistState(None, core.applied, snapshot, tuple(core.log.entries), core.told)
+                )
                 return
             ready = core.ready()
             if ready.hard is None and ready.snapshot is None and not ready.entries and not ready.committed:
                 self.finish(ready, now_us)
                 continue
             self.writing = ready
-            self.out.append(Write(ready.hard, core.applied, ready.snapshot, tuple(ready.entries), core.told))
+            self.out.append(
+                PersistState(ready.hard, core.applied, ready.snapshot, tuple(ready.entries), core.told)
+            )
             if ready.hard is None:  # hazard: nothing of a term may leave before the term is written
                 early = [one for one in ready.messages if isinstance(one, Append)]
-                self.out += [Post(one.target, one) for one in early]
+                self.out += [SendMessage(one.target, one) for one in early]
                 ready.messages = [one for one in ready.messages if not isinstance(one, Append)]
         if len(core.out.messages) > MOST_WAITING:  # as if the network had lost them
             del core.out.messages[:-MOST_WAITING]
@@ -374,7 +385,7 @@
         for message in ready.messages:
             if isinstance(message, Install):
                 self.out.append(
-                    Post(
+                    SendMessage(
                         message.target,
                         Offer(
                             message.source,
@@ -386,18 +397,18 @@
                     )
                 )
             else:
-                self.out.append(Post(message.target, cast(Raft, message)))
+                self.out.append(SendMessage(message.target, cast(Raft, message)))
         if ready.snapshot is not None:
             fleet = self.state.fleet
             self.state = words.restored(ready.snapshot.data)
             if not fleet:
-                self.out.append(Line(f"this sidecar is of fleet {self.state.fleet}"))
+                self.out.append(LogMessage(f"this sidecar is of fleet {self.state.fleet}"))
         for entry in ready.committed:
             outcome = words.apply(self.state, entry)
             self.settled(entry, outcome)
         if ready.committed or ready.snapshot is not None:
             self.applied_ms = self.wall_ms
-            self.out.append(Effect())
+            self.out.append(StateChanged())
         for context, _ in ready.reads:
             if context == BARRIER:
                 continue
@@ -422,7 +433,7 @@
         """By gossip, where there is something new to say."""
         core = self.core
         votes = self.me in core.voters
-        here = Here(
+        here = ReplicaStatus(
             self.incarnation,
             self.state.fleet,
             core.term if votes else 0,
@@ -442,7 +453,7 @@
         self.said = here
         self.say_us = now_us + (SAY_VOTER_US if votes else SAY_LEARNER_US)
         since_ms = max(0, now_us - self.leader_us) // 1000
-        self.out.append(Tell(msgspec.structs.replace(here, since_ms=since_ms)))
+        self.out.append(Broadcast(msgspec.structs.replace(here, since_ms=since_ms)))
 
     # Who leads
 
@@ -513,10 +524,10 @@
             if found is None:
                 return
             core.change(found)
-        except Refused:
+        except ProposalRejected:
             return  # nothing of this term is committed yet, or the last change: it is looked at again
         self.heard_us = {node: self.heard_us.get(node, now_us) for node in found}
-        self.out.append(Line("voters from now on: " + ", ".join(map(name_of, sorted(found)))))
+        self.out.append(LogMessage("voters from now on: " + ", ".join(map(name_of, sorted(found)))))
 
     def is_proven(self, node: Node, answered: set[Node]) -> bool:
         """The leader has sent it what it lacked, and it answers (thesis, 4.2.1)."""
@@ -548,11 +559,11 @@
                 if node == self.me:
                     self.asked(node, ask)
                 else:
-                    self.out.append(Post(node, ask))
+                    self.out.append(SendMessage(node, ask))
             for one in self.asks.late(now_us, self.leaderless_us(now_us)):
                 self.out.append(one)
 
-    def give(self, answer: Answered | None) -> None:
+    def give(self, answer: ProposalResult | None) -> None:
         if answer is not None:
             self.out.append(answer)
 
@@ -560,7 +571,7 @@
         if node == self.me:
             self.give(self.asks.answered(node, told, 0))
         else:
-            self.out.append(Post(node, told))
+            self.out.append(SendMessage(node, told))
 
     def asked(self, node: Node, ask: Ask) -> None:
         """Of the leader; if it is not us, it is told who."""
@@ -585,11 +596,11 @@
                 self.answer(node, Answer(ask.number, ERROR, 0, "too many words at a time", self.me))
             else:
                 index = self.core.propose(self.witnessed(word, ask.word))
-                self.waiting[index] = Waiting(self.core.term, word.id, [(node, ask.number)])
-        except Refused:
+                self.waiting[index] = PendingEntry(self.core.term, word.id, [(node, ask.number)])
+        except ProposalRejected:
             self.answer(node, Answer(ask.number, ELSEWHERE, 0, "", self.core.leader))
 
-    def witnessed(self, word: words.Word, data: bytes) -> bytes:
+    def witnessed(self, word: words.ReplicatedCommand, data: bytes) -> bytes:
         """With what this leader knows of who is out; of nothing that somebody else has said of it."""
         if word.kind not in words.NEEDS_FACTS:
             return data
@@ -624,12 +635,12 @@
             now_us, [one.node(name) for name, one in self.voting.items()], self.core.commit
         )
         if found is not None:
-            self.out.append(Post(*found))
+            self.out.append(SendMessage(*found))
 
     def wanted(self, node: Node, want: Want, now_us: int) -> None:
         answer = fetching.answer(want, self.core.log, self.core.applied, self.state.fleet)
         wait_ms = self.budget.take(fetching.size(answer), now_us)
-        self.out.append(Post(node, Later(want.number, wait_ms) if wait_ms else answer))
+        self.out.append(SendMessage(node, Later(want.number, wait_ms) if wait_ms else answer))
 
     def offered(self, offer: Offer, now_us: int) -> None:
         """What the leader would have installed; first it is told how far we are."""
@@ -655,8 +666,8 @@
         else:
             try:
                 self.core.learned(told.entries)
-            except Refused as error:
-                self.out.append(Line(f"{node}: {error}"))
+            except ProposalRejected as error:
+                self.out.append(LogMessage(f"{node}: {error}"))
         more = told.commit > self.core.commit
         if not more:
             self.fresh_us = now_us
@@ -670,8 +681,8 @@
         """Hazard: taken and synced, one that can't be read would end this sidecar at each start."""
         try:
             state = words.restored(found.data)
-        except words.WordError as error:
-            self.out.append(Line(str(error)))
+        except words.CommandError as error:
+            self.out.append(LogMessage(str(error)))
             return False
         return state.index == found.index and state.fleet == fleet
 
--- a/sidecar_proxy/consensus/replicated_commands.py
+++ b/sidecar_proxy/consensus/replicated_commands.py
@@ -34,7 +34,7 @@
 Whole = Annotated[int, Meta(ge=0, le=1 << 53)]
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True):
+class ReplicatedCommand(msgspec.Struct, array_like=True, frozen=True):
     """What an operator says. Later versions may have more fields."""
 
     kind: Annotated[str, Meta(max_length=32)]
@@ -69,7 +69,7 @@
     text: str = ""
 
 
-class State(msgspec.Struct, array_like=True):
+class ReplicatedState(msgspec.Struct, array_like=True):
     """All that the words up to `index` come to; the snapshot's form."""
 
     fleet: str = ""  # drawn when it was begun
@@ -77,12 +77,12 @@
     held: dict[str, Held] = {}
     settings: dict[str, Setting] = {}
     said: dict[str, Once] = {}  # by id, the oldest first
-    latest: list[tuple[int, Word]] = []
+    latest: list[tuple[int, ReplicatedCommand]] = []
     unread: list[tuple[int, bytes]] = []
     places: permits.Places = msgspec.field(default_factory=permits.Places)
 
 
-class WordError(ValueError):
+class CommandError(ValueError):
     """It can't be said; one line."""
 
 
@@ -94,21 +94,21 @@
     text: str = ""
 
 
-word_decoder = msgspec.msgpack.Decoder(Word)
-state_decoder = msgspec.msgpack.Decoder(State)
+word_decoder = msgspec.msgpack.Decoder(ReplicatedCommand)
+state_decoder = msgspec.msgpack.Decoder(ReplicatedState)
 encode = msgspec.msgpack.Encoder(order=None).encode
 
 
-def encoded(word: Word) -> bytes:
+def encoded(word: ReplicatedCommand) -> bytes:
     """As an entry's data. Raises WordError."""
     check(word)
     data = encode(word)
     if len(data) > MOST_DATA:
-        raise WordError("too long")
+        raise CommandError("too long")
     return data
 
 
-def fitting(word: Word) -> bytes:
+def fitting(word: ReplicatedCommand) -> bytes:
     """As an entry's data; what does not fit of the facts becomes a number."""
     data = encode(word)
     while len(data) > MOST_DATA and word.facts is not None and word.facts.down:
@@ -118,7 +118,7 @@
     return data if len(data) <= MOST_DATA else encode(msgspec.structs.replace(word, facts=None))
 
 
-def check(word: Word) -> None:
+def check(word: ReplicatedCommand) -> None:
     """Raises WordError."""
     for what, text, most in (
         ("id", word.id, MOST_ID),
@@ -127,22 +127,22 @@
         ("sidecar", word.by, MOST_ID),
     ):
         if len(text) > most or not text.isprintable():
-            raise WordError(f"{what}: expected at most {most} printable characters")
+            raise CommandError(f"{what}: expected at most {most} printable characters")
     if word.kind not in KINDS:
-        raise WordError(f"expected one of {', '.join(KINDS)}")
+        raise CommandError(f"expected one of {', '.join(KINDS)}")
     if not word.id or " " in word.id:
-        raise WordError("expected an id without spaces")
+        raise CommandError("expected an id without spaces")
     if word.kind in (PERMIT, RETURN) and word.name.partition(":")[0] not in permits.WHAT:
-        raise WordError("expected node:NAME or sidecar:NAME")
+        raise CommandError("expected node:NAME or sidecar:NAME")
     if word.kind in (SUSPEND, DRAIN, PERMIT) and word.value not in ("", FORCE, WAIT):
-        raise WordError(f"expected {FORCE}, {WAIT} or nothing")
+        raise CommandError(f"expected {FORCE}, {WAIT} or nothing")
     if word.kind == SET and (wrong := permits.check_budget(word.name, word.value)):
-        raise WordError(wrong)
+        raise CommandError(wrong)
     if not word.name or (word.kind in (SET, UNSET) and len(word.name) > MOST_KEY):
-        raise WordError("expected a name")
+        raise CommandError("expected a name")
 
 
-def decode(data: bytes) -> Word | None:
+def decode(data: bytes) -> ReplicatedCommand | None:
     """None: of another version."""
     try:
         word = codec.read(word_decoder, data)
@@ -151,22 +151,22 @@
     return word if word.kind in KINDS else None
 
 
-def content(word: Word) -> bytes:
+def content(word: ReplicatedCommand) -> bytes:
     """What makes two words the same; a repeat may come by another door, later, after a restart there."""
     return hashlib.blake2b(encode([word.kind, word.name, word.value]), digest_size=16).digest()
 
 
-def restored(data: bytes) -> State:
+def restored(data: bytes) -> ReplicatedState:
     """From a snapshot's data; empty: nothing was ever said. Raises WordError."""
     if not data:
-        return State()
+        return ReplicatedState()
     try:
         return codec.read(state_decoder, data)
     except codec.CodecError as error:
-        raise WordError(f"a snapshot that can't be read: {error}") from error
+        raise CommandError(f"a snapshot that can't be read: {error}") from error
 
 
-def kept(state: State) -> bytes:
+def kept(state: ReplicatedState) -> bytes:
     """The snapshot's data. It is bounded: all in it is."""
     data = encode(state)
     assert len(data) <= MOST_SNAPSHOT
@@ -175,10 +175,10 @@
 
 def begun(fleet: str) -> bytes:
     """The first snapshot of a fleet."""
-    return kept(State(fleet=fleet, index=1))
+    return kept(ReplicatedState(fleet=fleet, index=1))
 
 
-def apply(state: State, entry: Entry) -> Outcome:
+def apply(state: ReplicatedState, entry: Entry) -> Outcome:
     """The next committed entry."""
     assert entry.index == state.index + 1
     state.index = entry.index
@@ -204,7 +204,7 @@
     return Outcome(entry.index, error, text)
 
 
-def say(state: State, word: Word, index: int) -> tuple[str, str]:
+def say(state: ReplicatedState, word: ReplicatedCommand, index: int) -> tuple[str, str]:
     """What is wrong with it, "" = it holds; and what else is to be said."""
     if word.kind in (SUSPEND, DRAIN):
         return hold(state, word, index), ""
@@ -231,16 +231,16 @@
     return "", ""
 
 
-def limits(state: State) -> dict[str, str]:
+def limits(state: ReplicatedState) -> dict[str, str]:
     """The budgets, and all other settings."""
     return {name: one.value for name, one in state.settings.items()}
 
 
-def place(word: Word, what: str, name: str, index: int) -> permits.Place:
+def place(word: ReplicatedCommand, what: str, name: str, index: int) -> permits.Place:
     return permits.Place(index, what, permits.Member(name), word.by, word.id, word.born_ms, word.at_ms)
 
 
-def hold(state: State, word: Word, index: int) -> str:
+def hold(state: ReplicatedState, word: ReplicatedCommand, index: int) -> str:
     """Nothing new is sent to an upstream: it takes a place, where there are budgets, unless it has one."""
     held = state.held.get(word.name)
     if held is None and len(state.held) >= MOST_HELD:
@@ -265,7 +265,7 @@
     return ""
 
 
-def permit(state: State, word: Word, index: int) -> tuple[str, str]:
+def permit(state: ReplicatedState, word: ReplicatedCommand, index: int) -> tuple[str, str]:
     what, _, name = word.name.partition(":")
     if not permits.budgets(limits(state), what):
         return f"there is no budget of {what}s (set out.{what})", ""
@@ -281,7 +281,7 @@
     return ("", why) if why.startswith("queued") else (why, "")
 
 
-def shown(state: State) -> dict[str, Any]:
+def shown(state: ReplicatedState) -> dict[str, Any]:
     """For people."""
     return {
         "fleet": state.fleet,
@@ -311,7 +311,7 @@
     }
 
 
-def log(state: State) -> list[dict[str, Any]]:
+def log(state: ReplicatedState) -> list[dict[str, Any]]:
     """The latest words, oldest first."""
     return [
         {
--- a/sidecar_proxy/consensus/session.py
+++ b/sidecar_proxy/consensus/session.py
@@ -20,9 +20,9 @@
 from sidecar_proxy.consensus.frames import MOST_FRAME
 from sidecar_proxy.consensus.messages import MOST_NODE, Node
 from sidecar_proxy.consensus.voters import name_of
-from sidecar_proxy.gossip.codec import SIGNATURE, Certificate
-from sidecar_proxy.gossip.keys import Keyring, Refused, read
-from sidecar_proxy.gossip.transport import framed
+from sidecar_proxy.gossip.codec import SIGNATURE_BYTES, Certificate
+from sidecar_proxy.gossip.keys import Keyring, RejectedError, decode_or_reject
+from sidecar_proxy.gossip.transport import frame_message
 
 MAGIC = b"wsa\x01"  # the first bytes of a connection; no length that gossip would take
 MOST_GREETING = 1024
@@ -63,22 +63,22 @@
 
     def greeted(self, data: bytes, now_us: int, wall_us: int) -> bytes:
         """The other's greeting; returns the key that ours has to answer. Raises Refused."""
-        if not SIGNATURE < len(data) <= MOST_GREETING:
-            raise Refused("not of this version")
-        signature, payload = data[:SIGNATURE], data[SIGNATURE:]
-        told = read(decoder, payload)
+        if not SIGNATURE_BYTES < len(data) <= MOST_GREETING:
+            raise RejectedError("not of this version")
+        signature, payload = data[:SIGNATURE_BYTES], data[SIGNATURE_BYTES:]
+        told = decode_or_reject(decoder, payload)
         if name_of(told.node) != told.certificate.name:
-            raise Refused("of another name")
+            raise RejectedError("of another name")
         if told.node == self.node:
-            raise Refused("our own")
+            raise RejectedError("our own")
         if told.answers != (self.key.public_key.encode() if self.caller else b""):
-            raise Refused("an answer to another")
+            raise RejectedError("an answer to another")
         self.keyring.certified(told.certificate, now_us, wall_us)
         self.keyring.verify(told.certificate.key, b"wickspread agreement" + payload, signature, now_us)
         try:
             self.box = Box(self.key, PublicKey(told.key))
         except (CryptoError, ValueError, RuntimeError) as error:  # a key of small order
-            raise Refused("malformed") from error
+            raise RejectedError("malformed") from error
         self.peer, self.certificate = told.node, told.certificate
         return told.key
 
@@ -90,7 +90,7 @@
         assert self.box is not None
         self.sent += 1
         sealed = self.box.encrypt(frame, self.nonce(self.caller, self.sent)).ciphertext
-        return framed(sealed)
+        return frame_message(sealed)
 
     def open(self, sealed: bytes) -> bytes:
         """Raises Refused."""
@@ -99,7 +99,7 @@
         try:
             return self.box.decrypt(sealed, self.nonce(not self.caller, self.got))
         except CryptoError as error:
-            raise Refused("forged") from error
+            raise RejectedError("forged") from error
 
     def is_revoked(self) -> bool:
         """Since it was opened."""
--- a/sidecar_proxy/consensus/state_transfer.py
+++ b/sidecar_proxy/consensus/state_transfer.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from sidecar_proxy.consensus.frames import MOST_PIECE, Batch, Later, Piece, Want
-from sidecar_proxy.consensus.log import Log
+from sidecar_proxy.consensus.log import RaftLog
 from sidecar_proxy.consensus.messages import MOST_ENTRIES, Entry, Node, Snapshot
 
 PATIENCE_US = 3_000_000  # for one answer
@@ -128,7 +128,7 @@
         return 0
 
 
-def answer(want: Want, log: Log, commit: int, fleet: str) -> Batch | Piece:
+def answer(want: Want, log: RaftLog, commit: int, fleet: str) -> Batch | Piece:
     """What somebody who has it says."""
     if want.after >= log.snapshot.index:
         entries: list[Entry] = []
--- a/sidecar_proxy/consensus/storage.py
+++ b/sidecar_proxy/consensus/storage.py
@@ -26,7 +26,7 @@
 from msgspec import Meta
 
 from sidecar_proxy.consensus.disk import Disk, RealDisk
-from sidecar_proxy.consensus.log import Kept, Log
+from sidecar_proxy.consensus.log import PersistedState, RaftLog
 from sidecar_proxy.consensus.messages import MOST_DATA, MOST_SNAPSHOT, Entry, HardState, Snapshot
 
 MAGIC = b"wickspread agreement 1\n"
@@ -89,7 +89,7 @@
         self.chain = b""  # the last record's digest
         self.owner = Owner("0" * 16, 0, 0)
 
-    def open(self) -> Kept:
+    def open(self) -> PersistedState:
         """Raises Damaged where what is there can't be relied on; nothing is changed then. Begins a log where
         there is none."""
         self.folder.mkdir(parents=True, exist_ok=True)
@@ -109,17 +109,17 @@
             self.disk.sync(self.file)
         return kept
 
-    def begin(self) -> Kept:
+    def begin(self) -> PersistedState:
         """Nothing is known here, and nothing was ever promised under this incarnation."""
         marker = self.folder / "marker"
         marker.unlink(missing_ok=True)
         marker.touch()
         self.owner = Owner(secrets.token_hex(8), *mark(self.folder))
-        kept = Kept(self.owner.incarnation)
+        kept = PersistedState(self.owner.incarnation)
         self.rewrite([self.owner])
         return kept
 
-    def begin_again(self) -> Kept:
+    def begin_again(self) -> PersistedState:
         """After Damaged: what was there is put aside, once; what was put aside before goes."""
         self.close()
         if self.path.exists():
@@ -213,9 +213,9 @@
     return zlib.crc32(struct.pack("<I8s", length, chain))
 
 
-def read(data: bytes, path: Path) -> tuple[Kept, int, bytes]:
+def read(data: bytes, path: Path) -> tuple[PersistedState, int, bytes]:
     """What the file holds, the bytes of it that are good, and the last digest. Raises Damaged."""
-    kept = Kept(first(data, path).incarnation)
+    kept = PersistedState(first(data, path).incarnation)
     size, chain = len(MAGIC), b""
     try:
         for one, end, found in records(data):
@@ -264,14 +264,14 @@
         at, chain = end, found
 
 
-def take(kept: Kept, one: Record) -> None:
+def take(kept: PersistedState, one: Record) -> None:
     """The next record. Raises Damaged."""
     if isinstance(one, Hard):
         if one.term < kept.hard.term:
             raise Damaged("a term that goes back")
         kept.hard, kept.commit = HardState(one.term, one.vote), max(kept.commit, one.commit)
     elif isinstance(one, Whole):
-        kept.log = Log(one.snapshot)
+        kept.log = RaftLog(one.snapshot)
     elif isinstance(one, Entries) and one.entries:
         log, index = kept.log, one.entries[0].index
         if not log.snapshot.index < index <= log.last_index + 1:
--- a/sidecar_proxy/consensus/subsystem.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-from sidecar_proxy.admin.endpoint_overrides import ALWAYS, Holding
-from sidecar_proxy.admin.server import Call, CallError, Door
+from sidecar_proxy.admin.endpoint_overrides import ALWAYS, EndpointOverrides
+from sidecar_proxy.admin.server import AdminCommand, AdminCommandError, AdminServer
 from sidecar_proxy.config.errors import OperatorError
 from sidecar_proxy.config.schema import Agreement
 from sidecar_proxy.consensus import disruption_budgets as permits
@@ -23,21 +23,30 @@
 from sidecar_proxy.consensus import replicated_commands as words
 from sidecar_proxy.consensus.disk import of_this_process
 from sidecar_proxy.consensus.frames import Frame
-from sidecar_proxy.consensus.log import Kept
+from sidecar_proxy.consensus.log import PersistedState
 from sidecar_proxy.consensus.messages import Node
-from sidecar_proxy.consensus.proposals import ERROR, Answered
-from sidecar_proxy.consensus.raft import Refused
-from sidecar_proxy.consensus.replica import Effect, Limits, Line, Member, Output, Post, Tell, Write
+from sidecar_proxy.consensus.proposals import ERROR, ProposalResult
+from sidecar_proxy.consensus.raft import ProposalRejected
+from sidecar_proxy.consensus.replica import (
+    Broadcast,
+    LogMessage,
+    Output,
+    PersistState,
+    Replica,
+    ReplicaLimits,
+    SendMessage,
+    StateChanged,
+)
 from sidecar_proxy.consensus.session import MAGIC
 from sidecar_proxy.consensus.storage import Damaged, Store
 from sidecar_proxy.consensus.transport import Address, Links
 from sidecar_proxy.consensus.voters import name_of
 from sidecar_proxy.consensus.witness import Witness
-from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine import wall_clock as wall
 from sidecar_proxy.engine.engine import Engine
-from sidecar_proxy.gossip.instance import Word
-from sidecar_proxy.gossip.subsystem import Gossiping
+from sidecar_proxy.gossip.instance import SubsystemMessage
+from sidecar_proxy.gossip.subsystem import GossipSubsystem
 
 log = logging.getLogger("sidecar_proxy")
 
@@ -57,18 +66,18 @@
 NOBODY = 0  # the context of a word that nobody waits for
 
 
-class Agreeing:
+class ConsensusSubsystem:
     """A sidecar that takes part."""
 
     def __init__(
         self,
         told: Agreement,
         engine: Engine,
-        directory: Directory,
-        gossip: Gossiping,
+        directory: EndpointDirectory,
+        gossip: GossipSubsystem,
         seed: int,
-        holding: Holding,
-        door: Door | None,
+        holding: EndpointOverrides,
+        door: AdminServer | None,
         serving: Callable[[], bool],
     ) -> None:
         """Raises OperatorError for a folder that can't be used."""
@@ -78,13 +87,13 @@
         self.gossip = gossip
         self.holding = holding
         self.serving = serving  # clients are taken
-        self.limits = Limits(
+        self.limits = ReplicaLimits(
             told.voters, told.votes, int(told.replace_s * 1e6), told.kib_per_s * 1024.0, told.compact
         )
         self.store = Store(Path(told.folder), of_this_process())
         self.thread = ThreadPoolExecutor(1, "agreement")
         self.failing = False  # the last write did
-        self.contexts: dict[int, asyncio.Future[Answered]] = {}
+        self.contexts: dict[int, asyncio.Future[ProposalResult]] = {}
         self.last_context = 0
         self.addresses: dict[str, Address] = {}  # as last heard: one held for dead may be there yet
         self.next_complaint = 0.0
@@ -116,22 +125,22 @@
                 if word in door.calls:
                     door.calls[word] = partial(self.as_one, door.calls[word], gives)
 
-    def opened(self, seed: int) -> Member:
+    def opened(self, seed: int) -> Replica:
         """Raises OSError."""
         try:
             kept = self.store.open()
             if kept.torn:
                 log.info("agreement: %d bytes that a crash had left were cut", kept.torn)
             return self.made(kept, seed)
-        except (Damaged, words.WordError) as error:
+        except (Damaged, words.CommandError) as error:
             log.error("agreement: %s; it rejoins as one who has promised nothing", error)
             return self.made(self.store.begin_again(), seed)
 
-    def made(self, kept: Kept, seed: int) -> Member:
+    def made(self, kept: PersistedState, seed: int) -> Replica:
         now_us = self.engine.clock.now_us()
         dice = random.Random(f"{seed} {self.gossip.name} {kept.incarnation} {now_us}")
         certificate = self.gossip.keyring.certificate
-        return Member(certificate.name, certificate.site, kept, self.limits, dice, now_us, wall_ms())
+        return Replica(certificate.name, certificate.site, kept, self.limits, dice, now_us, wall_ms())
 
     def start(self) -> None:
         assert self.gossip.transport is not None
@@ -171,7 +180,7 @@
     def broken(self, node: Node) -> None:
         self.step(lambda: self.member.broken(node, self.engine.clock.now_us()))
 
-    def hear(self, told: Word) -> None:
+    def hear(self, told: SubsystemMessage) -> None:
         now_us = self.engine.clock.now_us()
         if told.left:
             self.step(lambda: self.member.left(told.author, now_us))
@@ -238,15 +247,15 @@
 
     def perform(self, outputs: list[Output]) -> None:
         for one in outputs:
-            if isinstance(one, Write):
+            if isinstance(one, PersistState):
                 self.write(one)
-            elif isinstance(one, Post):
+            elif isinstance(one, SendMessage):
                 self.links.post(one.to, one.frame)
-            elif isinstance(one, Tell):
+            elif isinstance(one, Broadcast):
                 self.gossip.say(TOPIC, frames.encode(one.here))
-            elif isinstance(one, Effect):
+            elif isinstance(one, StateChanged):
                 self.effect()
-            elif isinstance(one, Line):
+            elif isinstance(one, LogMessage):
                 log.info("agreement: %s", one.text)
             else:
                 future = self.contexts.pop(one.context, None)
@@ -255,7 +264,7 @@
         if self.due_us:
             self.arm()
 
-    def write(self, one: Write) -> None:
+    def write(self, one: PersistState) -> None:
         if not self.closed:
             done = self.thread.submit(
                 self.store.save, one.hard, one.commit, one.snapshot, one.entries, one.known
@@ -264,7 +273,7 @@
                 lambda _: self.engine.loop.call_soon_threadsafe(self.written, one, done.exception())
             )
 
-    def written(self, one: Write, error: BaseException | None) -> None:
+    def written(self, one: PersistState, error: BaseException | None) -> None:
         if self.closed:
             return
         if error is None:
@@ -301,7 +310,7 @@
         word, _, rest = line.partition(" ")
         word, now_us = word.upper(), self.engine.clock.now_us()
         if self.closed:
-            raise CallError("this sidecar takes no part any more; its log has why")
+            raise AdminCommandError("this sidecar takes no part any more; its log has why")
         if word == "STATUS":
             return shown({**self.member.described(now_us), "counts": dict(self.links.counts)})
         if word == "LOG":
@@ -311,14 +320,14 @@
         if word == "BEGIN":
             try:
                 self.perform(self.member.begin(now_us))
-            except Refused as error:
-                raise CallError(str(error)) from error
+            except ProposalRejected as error:
+                raise AdminCommandError(str(error)) from error
             return "done"
         if word == "READ" and rest:
             name = rest[: words.MOST_NAME]
             return await self.answered(lambda context: self.member.look(context, name, now_us))
         if word not in SAYS:
-            raise CallError(
+            raise AdminCommandError(
                 f"expected FLEET and one of BEGIN, STATUS, LOG, WORDS, READ NAME, {', '.join(SAYS)} ID NAME"
             )
         ident, _, name = rest.partition(" ")
@@ -331,24 +340,24 @@
             born_ms = self.known(name)
         elif word == "PERMIT" and name.startswith("node:"):
             born_ms = self.known(name.removeprefix("node:"))
-        said = words.Word(SAYS[word], ident, self.member.name, wall_ms(), name, born_ms, value)
+        said = words.ReplicatedCommand(SAYS[word], ident, self.member.name, wall_ms(), name, born_ms, value)
         return await self.answered(lambda context: self.member.say(context, said, now_us))
 
-    def as_one(self, does: Call, gives: bool, argument: str) -> str | Awaitable[str]:
+    def as_one(self, does: AdminCommand, gives: bool, argument: str) -> str | Awaitable[str]:
         """PAUSE and RESUME of this sidecar: where sidecars have a budget, it takes a place first, and gives
         it back after. `force` is done in any case."""
         if self.closed or not permits.budgets(words.limits(self.member.state), "sidecar"):
             return does("")
         return self.resumed(does) if gives else self.paused(does, argument)
 
-    async def paused(self, does: Call, argument: str) -> str:
+    async def paused(self, does: AdminCommand, argument: str) -> str:
         answer = await self.place(words.PERMIT, argument)
         if not answer.startswith("done") and argument != words.FORCE:
-            raise CallError(f"not paused: {answer}")
+            raise AdminCommandError(f"not paused: {answer}")
         assert isinstance(done := does(""), str)
         return done if answer.startswith("done") else f"{done}, by force; {answer}"
 
-    async def resumed(self, does: Call) -> str:
+    async def resumed(self, does: AdminCommand) -> str:
         assert isinstance(done := does(""), str)
         answer = await self.place(words.RETURN, "")
         return done if answer.startswith("done") else f"{done}; its place: {answer}"
@@ -356,7 +365,7 @@
     async def place(self, kind: str, value: str) -> str:
         """Of this sidecar itself."""
         value = value if value == words.FORCE else ""
-        said = words.Word(
+        said = words.ReplicatedCommand(
             kind,
             f"{kind}-{secrets.token_hex(6)}",
             self.member.name,
@@ -369,14 +378,14 @@
             return await self.answered(
                 lambda context: self.member.say(context, said, self.engine.clock.now_us())
             )
-        except CallError as error:
+        except AdminCommandError as error:
             return str(error)
 
     def known(self, name: str) -> int:
         """Its start as it is listed here, in Unix ms; 0 = long ago. Raises CallError for one that is not."""
         host = self.witness.host(name)
         if host is None:
-            raise CallError("no upstream of that name is listed")
+            raise AdminCommandError("no upstream of that name is listed")
         return host.entry.started_us // 1000
 
     async def answered(self, says: Callable[[int], list[Output]]) -> str:
@@ -386,12 +395,12 @@
         try:
             self.perform(says(context))
             told = await future
-        except words.WordError as error:
-            raise CallError(str(error)) from error
+        except words.CommandError as error:
+            raise AdminCommandError(str(error)) from error
         finally:
             self.contexts.pop(context, None)
         if told.what == ERROR:
-            raise CallError(told.text)
+            raise AdminCommandError(told.text)
         text = f": {told.text}" if told.text else ""
         return f"{told.what}{f' {told.index}' if told.index else ''}{text}"
 
--- a/sidecar_proxy/consensus/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -18,8 +18,8 @@
 from sidecar_proxy.consensus.frames import Answer, Ask, Batch, Frame, Later, Piece, Want
 from sidecar_proxy.consensus.messages import Node
 from sidecar_proxy.consensus.session import MAGIC, MOST_GREETING, MOST_SEALED, Session
-from sidecar_proxy.gossip.keys import Keyring, Refused
-from sidecar_proxy.gossip.transport import HEAD, framed, receive, wall_us
+from sidecar_proxy.gossip.keys import Keyring, RejectedError
+from sidecar_proxy.gossip.transport import HEADER_BYTES, frame_message, receive, wall_clock_us
 
 log = logging.getLogger("sidecar_proxy")
 
@@ -67,11 +67,11 @@
             async with asyncio.timeout(GREET_S):
                 reader, writer = await asyncio.open_connection(*address, local_addr=links.local())
                 session = Session(links.keyring, links.me)
-                writer.write(MAGIC + framed(session.greeting()))
+                writer.write(MAGIC + frame_message(session.greeting()))
                 data = await receive(reader, MOST_GREETING)
-                session.greeted(data, links.now_us(), wall_us())
+                session.greeted(data, links.now_us(), wall_clock_us())
                 if session.peer != self.node:
-                    raise Refused("another node by now")
+                    raise RejectedError("another node by now")
             links.sessions[session] = writer
             reader_task = links.loop.create_task(links.listen(reader, session, None))
             reader_task.add_done_callback(lambda _: self.wake.set())
@@ -88,7 +88,7 @@
                 self.wake.clear()
                 await self.wake.wait()  # for long: `Links.look` ends it
             reader_task.result()
-        except Refused as error:
+        except RejectedError as error:
             links.refuse(f"{self.node}: {error}")
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
             pass  # the node's silence says so
@@ -185,17 +185,17 @@
         self.taken[""] += 1  # while it has not said who it is
         try:
             async with asyncio.timeout(GREET_S):
-                key = session.greeted(await receive(reader, MOST_GREETING), self.now_us(), wall_us())
+                key = session.greeted(await receive(reader, MOST_GREETING), self.now_us(), wall_clock_us())
                 if self.taken[session.peer] >= MOST_OF_ONE:
-                    raise Refused("too many connections of one")
-                writer.write(framed(session.greeting(key)))
+                    raise RejectedError("too many connections of one")
+                writer.write(frame_message(session.greeting(key)))
                 await writer.drain()
                 first = session.open(await receive(reader, MOST_SEALED))
             peer = session.peer
             self.taken[peer] += 1
             self.sessions[session] = writer
             await self.listen(reader, session, writer, first)
-        except Refused as error:
+        except RejectedError as error:
             self.refuse(f"{session.peer or 'a stranger'}: {error}")
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError, asyncio.CancelledError):
             pass
@@ -222,7 +222,7 @@
         while not self.closed:
             if first is None:
                 sealed = await receive(reader, MOST_SEALED)
-                self.counts["bytes in"] += len(sealed) + HEAD
+                self.counts["bytes in"] += len(sealed) + HEADER_BYTES
                 first = session.open(sealed)
             try:
                 frame = frames.read(first, session.peer, self.me)
@@ -230,9 +230,9 @@
                 self.refuse(f"{session.peer}: {error}")
                 return
             if writer is not None and isinstance(frame, ANSWERS):
-                raise Refused("an answer to nothing")
+                raise RejectedError("an answer to nothing")
             if writer is None and not isinstance(frame, ANSWERS):
-                raise Refused("no answer")
+                raise RejectedError("no answer")
             if writer is not None and isinstance(frame, Want | Ask):
                 self.back[session.peer] = session, writer
             self.received(session.peer, frame)
--- a/sidecar_proxy/consensus/witness.py
+++ b/sidecar_proxy/consensus/witness.py
@@ -8,24 +8,26 @@
 from sidecar_proxy.balancer.events import UpstreamState
 from sidecar_proxy.consensus import replicated_commands as words
 from sidecar_proxy.consensus.disruption_budgets import MOST_TOLD, SCOPES, Facts, Member, key_of
-from sidecar_proxy.consensus.replica import Member as Agreed
-from sidecar_proxy.consensus.replicated_commands import State, Word
-from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.consensus.replica import Replica as Agreed
+from sidecar_proxy.consensus.replicated_commands import ReplicatedCommand, ReplicatedState
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.engine.interfaces import Host
-from sidecar_proxy.gossip.subsystem import Gossiping
+from sidecar_proxy.gossip.subsystem import GossipSubsystem
 
 BAD = 0.5  # what all sidecars together have against a node, from which on it counts as out
 
 
 class Witness:
-    def __init__(self, engine: Engine, directory: Directory, gossip: Gossiping, agreed: Agreed) -> None:
+    def __init__(
+        self, engine: Engine, directory: EndpointDirectory, gossip: GossipSubsystem, agreed: Agreed
+    ) -> None:
         self.agreed = agreed
         self.engine = engine
         self.directory = directory
         self.gossip = gossip
 
-    def facts(self, word: Word) -> Facts | None:
+    def facts(self, word: ReplicatedCommand) -> Facts | None:
         """None: nothing is known of whom it names."""
         what, name = "node", word.name
         if word.kind in (words.PERMIT, words.RETURN):
@@ -65,15 +67,17 @@
         for peer in core.peers.dead():
             yield Member(peer.name, peer.site), True
 
-    def own(self, state: State) -> Word | None:
+    def own(self, state: ReplicatedState) -> ReplicatedCommand | None:
         """The word that gives this sidecar's own place back, where another process of it took it: this one is
         what it has come back as."""
         place = state.places.held.get(key_of("sidecar", self.agreed.name))
         if place is None or not place.member.cell or place.member.cell == self.agreed.life:
             return None
-        return Word(words.RETURN, f"back-{place.index}", self.agreed.name, 0, f"sidecar:{self.agreed.name}")
+        return ReplicatedCommand(
+            words.RETURN, f"back-{place.index}", self.agreed.name, 0, f"sidecar:{self.agreed.name}"
+        )
 
-    def back(self, state: State) -> Iterator[Word]:
+    def back(self, state: ReplicatedState) -> Iterator[ReplicatedCommand]:
         """Words that give places back: of nodes that are listed as ready with a later start than the one that
         went out."""
         for one in list(state.places.held.values()):
@@ -83,9 +87,11 @@
             if host.entry.started_us // 1000 > one.born_ms:
                 held = state.held.get(one.member.name)
                 if held is None:
-                    yield Word(words.RETURN, f"back-{one.index}", "", 0, f"node:{one.member.name}")
+                    yield ReplicatedCommand(
+                        words.RETURN, f"back-{one.index}", "", 0, f"node:{one.member.name}"
+                    )
                 elif held.kind == words.DRAIN:
-                    yield Word(words.RESUME, f"back-{one.index}", "", 0, one.member.name)
+                    yield ReplicatedCommand(words.RESUME, f"back-{one.index}", "", 0, one.member.name)
 
     def host(self, name: str) -> Host | None:
         return self.engine.known().get(self.directory.numbers.get(name, -1))
--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -14,20 +14,20 @@
 import uvloop
 
 from sidecar_proxy import compiled
-from sidecar_proxy.admin.commands import Hand
-from sidecar_proxy.admin.endpoint_overrides import Holding
-from sidecar_proxy.admin.hot_restart import Handover
-from sidecar_proxy.admin.server import Door
+from sidecar_proxy.admin.commands import AdminCommands
+from sidecar_proxy.admin.endpoint_overrides import EndpointOverrides
+from sidecar_proxy.admin.hot_restart import HotRestart
+from sidecar_proxy.admin.server import AdminServer
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.config import operator_file as operators
 from sidecar_proxy.config import platform_settings as configuration
 from sidecar_proxy.config.errors import OperatorError
 from sidecar_proxy.daemon.subsystems import Context, Running, close_all, start_wanted
-from sidecar_proxy.discovery.endpoint_list import Directory, ListError
-from sidecar_proxy.discovery.platform_client import Discovery
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory, EndpointListError
+from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient
 from sidecar_proxy.engine.body_buffers import Spool
 from sidecar_proxy.engine.engine import Clock, Engine
-from sidecar_proxy.engine.gc_control import Collector
+from sidecar_proxy.engine.gc_control import GcController
 from sidecar_proxy.http1.server import Server
 from sidecar_proxy.http1.upstream import Pool
 
@@ -48,31 +48,33 @@
 
 async def serve(config: configuration.Config, operator: Operator | None) -> None:
     settings, clock = config.settings, Clock()
-    directory = Directory(settings)
+    directory = EndpointDirectory(settings)
     version, _, known = directory.read(config.known)
     share = max(1, (config.sockets - OWN_DESCRIPTORS) // 2)
     operated = config.door is not None or config.accept_fd is not None
-    handover = Handover.of(os.environ) if operated else None
+    handover = HotRestart.of(os.environ) if operated else None
     settings = replace(
         settings,
-        most_upstreams=share,  # of a fleet larger than that a part is used
-        succeeds=handover is not None and not handover.alone(),
+        max_upstreams=share,  # of a fleet larger than that a part is used
+        is_successor=handover is not None and not handover.alone(),
     )
     pool = Pool(settings.connect_timeout_us / 1e6 or 1.0, settings.idle_us / 1e6, share)
-    discovery = Discovery(config.discovery, directory, version, pushed=not settings.list_on_request)
+    discovery = PlatformDiscoveryClient(
+        config.discovery, directory, version, pushed=not settings.list_on_request
+    )
     engine = Engine(settings, config.seed, clock, pool, discovery)
     discovery.sink = engine
     server = Server(engine, share, Spool(spool_bytes(config.memory_mb)))
     hand, door = None, None
     holding = (
-        Holding(engine, directory)
+        EndpointOverrides(engine, directory)
         if handover is not None or (operator is not None and operator.agreement.folder)
         else None
     )
     if handover is not None and holding is not None:
-        hand = Hand(engine, directory, server, handover, holding)
+        hand = AdminCommands(engine, directory, server, handover, holding)
     if config.door is not None and hand is not None:
-        door = Door(hand.calls())
+        door = AdminServer(hand.calls())
         await door.open(config.door)
     running: list[Running] = []
     if operator is not None:
@@ -87,7 +89,7 @@
         engine.loop.add_signal_handler(number, stop.set)
     engine.loop.add_signal_handler(signal.SIGHUP, reload, discovery, engine)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    if hand is not None and settings.succeeds:
+    if hand is not None and settings.is_successor:
         # hazard: what discovery tells binds soon after the first yes, and the list at hand may be old; the
         # process before this one serves meanwhile
         with contextlib.suppress(TimeoutError):
@@ -96,7 +98,7 @@
     host, port = server.listen(config.listen, config.accept_fd)
     if hand is not None:
         hand.serving = True
-    discovery.collector = Collector()
+    discovery.collector = GcController()
     log.info("%s listens on %s:%d", config.name, host, port)
     await stop.wait()
     await server.stop()
@@ -110,7 +112,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
-def reload(discovery: Discovery, engine: Engine) -> None:
+def reload(discovery: PlatformDiscoveryClient, engine: Engine) -> None:
     """SIGHUP. Only the address of discovery is taken over; the rest of the file waits for a restart."""
     try:
         address = configuration.load(os.environ).discovery
@@ -129,7 +131,7 @@
     logging.basicConfig(format="sidecar_proxy: %(message)s", level=logging.INFO)
     try:
         uvloop.run(serve(configuration.load(os.environ), operators.load(os.environ)))
-    except ListError as error:
+    except EndpointListError as error:
         print(f"sidecar_proxy: the configuration's known list: {error}", file=sys.stderr)
         return 2
     except (configuration.ConfigError, OperatorError) as error:
--- a/sidecar_proxy/daemon/subsystems.py
+++ b/sidecar_proxy/daemon/subsystems.py
@@ -13,14 +13,14 @@
 
 from sidecar_proxy.config.errors import OperatorError
 from sidecar_proxy.config.platform_settings import Config
-from sidecar_proxy.discovery.endpoint_list import Directory
-from sidecar_proxy.discovery.platform_client import Discovery
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
+from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.http1.listener import Listener
 
 if TYPE_CHECKING:
-    from sidecar_proxy.admin.endpoint_overrides import Holding
-    from sidecar_proxy.admin.server import Door
+    from sidecar_proxy.admin.endpoint_overrides import EndpointOverrides
+    from sidecar_proxy.admin.server import AdminServer
     from sidecar_proxy.config.schema import Operator
 
 
@@ -31,11 +31,11 @@
     config: Config
     operator: Operator
     engine: Engine
-    directory: Directory
+    directory: EndpointDirectory
     server: Listener
-    discovery: Discovery  # who tells the platform's list; its `sink` may be changed
-    door: Door | None = None  # where operators call
-    holding: Holding | None = None  # upstreams that are held out whatever the list says
+    discovery: PlatformDiscoveryClient  # who tells the platform's list; its `sink` may be changed
+    door: AdminServer | None = None  # where operators call
+    holding: EndpointOverrides | None = None  # upstreams that are held out whatever the list says
     parts: dict[str, Running] = field(default_factory=dict)  # that have been started, by their key
 
 
@@ -66,43 +66,47 @@
 
 
 async def start_membership(context: Context) -> Running:
-    from sidecar_proxy.discovery.subsystem import Sources
+    from sidecar_proxy.discovery.subsystem import DiscoverySubsystem
 
-    sources = Sources(context.operator.membership, context.engine, context.directory, context.config.seed)
+    sources = DiscoverySubsystem(
+        context.operator.membership, context.engine, context.directory, context.config.seed
+    )
     await sources.start()
     context.discovery.sink = sources.feed
     return sources
 
 
 async def start_gossip(context: Context) -> Running:
-    from sidecar_proxy.gossip.subsystem import Gossiping
+    from sidecar_proxy.gossip.subsystem import GossipSubsystem
 
-    gossip = Gossiping(context.operator.gossip, context.engine, context.directory, context.config.seed)
+    gossip = GossipSubsystem(context.operator.gossip, context.engine, context.directory, context.config.seed)
     await gossip.start()
     return gossip
 
 
 async def start_overload(context: Context) -> Running:
-    from sidecar_proxy.gossip.subsystem import Gossiping
-    from sidecar_proxy.overload_control.subsystem import Together
+    from sidecar_proxy.gossip.subsystem import GossipSubsystem
+    from sidecar_proxy.overload_control.subsystem import OverloadControlSubsystem
 
     gossip = context.parts.get("gossip")
-    if not isinstance(gossip, Gossiping):
+    if not isinstance(gossip, GossipSubsystem):
         raise OperatorError("overload.enabled: needs gossip; gossip.bind names no address")
-    together = Together(context.operator.overload, context.engine, gossip, context.config.seed, context.door)
+    together = OverloadControlSubsystem(
+        context.operator.overload, context.engine, gossip, context.config.seed, context.door
+    )
     together.start()
     return together
 
 
 async def start_agreement(context: Context) -> Running:
-    from sidecar_proxy.consensus.subsystem import Agreeing
-    from sidecar_proxy.gossip.subsystem import Gossiping
+    from sidecar_proxy.consensus.subsystem import ConsensusSubsystem
+    from sidecar_proxy.gossip.subsystem import GossipSubsystem
 
     gossip = context.parts.get("gossip")
-    if not isinstance(gossip, Gossiping):
+    if not isinstance(gossip, GossipSubsystem):
         raise OperatorError("agreement.folder: needs gossip; gossip.bind names no address")
     assert context.holding is not None
-    agreeing = Agreeing(
+    agreeing = ConsensusSubsystem(
         context.operator.agreement,
         context.engine,
         context.directory,
--- a/sidecar_proxy/discovery/endpoint_list.py
+++ b/sidecar_proxy/discovery/endpoint_list.py
@@ -36,7 +36,7 @@
 TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\n]', re.DOTALL)
 
 
-class ListError(Exception):
+class EndpointListError(Exception):
     """What discovery sent can't be used."""
 
 
@@ -73,7 +73,7 @@
             mark = token.group()
             if mark == b'"':
                 if len(self.text) - token.start() > MOST_STRING:
-                    raise ListError("a string too long")
+                    raise EndpointListError("a string too long")
                 self.at = token.start()
                 return None
             if mark == b"{":
@@ -86,7 +86,7 @@
         return None
 
 
-class Directory:
+class EndpointDirectory:
     """Names to the numbers that the decisions use, the same for the process's life."""
 
     def __init__(self, settings: api.Settings) -> None:
@@ -123,12 +123,12 @@
         """One entry; a number that is given for it is added to `fresh`."""
         name, state = told["host"], STATES.get(told["health"])
         if not isinstance(name, str) or not name:
-            raise ListError(f"a host named {name!r}")
+            raise EndpointListError(f"a host named {name!r}")
         if state is None:
-            raise ListError(f"{name}: unknown health {told['health']!r}")
+            raise EndpointListError(f"{name}: unknown health {told['health']!r}")
         weight, born_ms, cell = float(told.get("share", 1.0)), int(told.get("born_ms", 0)), int(told["block"])
         if not math.isfinite(weight) or born_ms < 0:
-            raise ListError(f"{name}: share {weight}, born_ms {born_ms}")
+            raise EndpointListError(f"{name}: share {weight}, born_ms {born_ms}")
         gone = state is api.UpstreamState.GONE
         dial = ("", 0) if gone else parse_address(told["dial"])
         grpc = None if gone or "dial_grpc" not in told else parse_address(told["dial_grpc"])
@@ -155,7 +155,7 @@
     """One JSON object of discovery's, read in steps. Nothing is kept of one that is bad: its new names are
     forgotten again."""
 
-    def __init__(self, directory: Directory, text: str) -> None:
+    def __init__(self, directory: EndpointDirectory, text: str) -> None:
         self.directory = directory
         self.text = text
         self.at = 0
@@ -173,12 +173,12 @@
         except Exception as error:
             for number in self.fresh:
                 self.directory.forget(number)
-            if isinstance(error, ListError):
+            if isinstance(error, EndpointListError):
                 raise
             if isinstance(error, KeyError):
-                raise ListError(f"{error} is missing") from error
+                raise EndpointListError(f"{error} is missing") from error
             if isinstance(error, TypeError | ValueError | AttributeError | OverflowError | RecursionError):
-                raise ListError(" ".join(str(error).split())[:200]) from error
+                raise EndpointListError(" ".join(str(error).split())[:200]) from error
             raise
 
     def read(self) -> Iterator[None]:
@@ -186,7 +186,7 @@
         while self.peek() != "}":
             key, self.at = DECODER.raw_decode(self.text, self.at)
             if not isinstance(key, str) or key in self.found:
-                raise ListError(f"the key {key!r}")
+                raise EndpointListError(f"the key {key!r}")
             self.found.add(key)
             self.expect(":")
             if key == "hosts" and self.peek() == "[":
@@ -198,21 +198,21 @@
             self.pass_comma("}")
         self.at += 1
         if self.peek():
-            raise ListError("more behind the list")
+            raise EndpointListError("more behind the list")
         for wanted in ("hosts", "whole", "seq"):
             if wanted not in self.found:
                 raise KeyError(wanted)
 
     def field(self, key: str, value: object) -> None:
         if key == "hosts":
-            raise ListError("'hosts' is not a list")
+            raise EndpointListError("'hosts' is not a list")
         if key == "whole":
             if not isinstance(value, bool):
-                raise ListError("'whole' is not true or false")
+                raise EndpointListError("'whole' is not true or false")
             self.whole = value
         elif key == "seq":
             if isinstance(value, bool) or not isinstance(value, int):
-                raise ListError(f"'seq' is not a whole number: {str(value)[:40]!r}")
+                raise EndpointListError(f"'seq' is not a whole number: {str(value)[:40]!r}")
             self.version = value
 
     def read_hosts(self) -> Iterator[None]:
@@ -223,7 +223,7 @@
             self.add(self.directory.entry(told, self.fresh))
             count += 1
             if count > MOST_HOSTS:
-                raise ListError(f"over {MOST_HOSTS} hosts")
+                raise EndpointListError(f"over {MOST_HOSTS} hosts")
             if count % SLICE == 0:
                 yield
             self.pass_comma("]")
@@ -247,13 +247,15 @@
         if self.peek() == ",":
             self.at += 1
             if self.peek() == end:
-                raise ListError(f"byte {self.at}: a comma before {end!r}")
+                raise EndpointListError(f"byte {self.at}: a comma before {end!r}")
         elif self.peek() != end:
-            raise ListError(f"byte {self.at}: expected a comma or {end!r}")
+            raise EndpointListError(f"byte {self.at}: expected a comma or {end!r}")
 
     def expect(self, mark: str) -> None:
         if self.peek() != mark:
-            raise ListError(f"byte {self.at}: expected {mark!r}, got {self.text[self.at : self.at + 20]!r}")
+            raise EndpointListError(
+                f"byte {self.at}: expected {mark!r}, got {self.text[self.at : self.at + 20]!r}"
+            )
         self.at += 1
 
 
--- a/sidecar_proxy/discovery/feed.py
+++ b/sidecar_proxy/discovery/feed.py
@@ -12,7 +12,7 @@
 from itertools import islice
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.discovery.endpoint_list import SLICE, Directory
+from sidecar_proxy.discovery.endpoint_list import SLICE, EndpointDirectory
 from sidecar_proxy.discovery.merge import Merge
 from sidecar_proxy.discovery.model import Entry
 from sidecar_proxy.engine.engine import Engine
@@ -25,7 +25,7 @@
 class Feed:
     """All sources, and what the decisions have been told of them."""
 
-    def __init__(self, engine: Engine, directory: Directory, sources: list[str]) -> None:
+    def __init__(self, engine: Engine, directory: EndpointDirectory, sources: list[str]) -> None:
         self.engine = engine
         self.directory = directory
         self.merge = Merge(["roster", *sources])
--- a/sidecar_proxy/discovery/platform_client.py
+++ b/sidecar_proxy/discovery/platform_client.py
@@ -14,9 +14,16 @@
 import httptools
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.discovery.endpoint_list import SLICE, Directory, ListError, Objects, Reading, changes
+from sidecar_proxy.discovery.endpoint_list import (
+    SLICE,
+    EndpointDirectory,
+    EndpointListError,
+    Objects,
+    Reading,
+    changes,
+)
 from sidecar_proxy.engine.address import Address
-from sidecar_proxy.engine.gc_control import Collector
+from sidecar_proxy.engine.gc_control import GcController
 from sidecar_proxy.engine.interfaces import Host, Sink
 from sidecar_proxy.http1.upstream import MAX_HEAD, input_poll
 
@@ -35,11 +42,11 @@
 RETRY_S = 0.25  # where lists are pushed, the agent is on this machine and costs nothing to ask
 
 
-class Discovery:
+class PlatformDiscoveryClient:
     """Carries out Subscribe and FetchList: each call is answered by one event. When a call is made anew is
     for the decisions to say, but where lists are pushed: there no call is theirs."""
 
-    def __init__(self, address: Address, directory: Directory, version: int, pushed: bool) -> None:
+    def __init__(self, address: Address, directory: EndpointDirectory, version: int, pushed: bool) -> None:
         self.address = address
         self.directory = directory
         self.version = version
@@ -56,7 +63,7 @@
         self.job: tuple[Call | None, bytes | None] = None, b""
         self.steps: Iterator[None] | None = None  # of the one that is being read
         self.working = False
-        self.collector: Collector | None = None
+        self.collector: GcController | None = None
         self.leaving: dict[int, None] = {}  # gone, and something is out to it
         self.next_complaint = 0.0
         self.loop = asyncio.get_running_loop()
@@ -115,7 +122,7 @@
                 self.steps = None
                 if call is not None:
                     call.read_on()
-            except ListError as error:
+            except EndpointListError as error:
                 self.steps = None
                 if call is None:  # told by hand
                     self.working = False
@@ -148,7 +155,7 @@
             try:
                 reading = Reading(self.directory, text.decode())
             except UnicodeDecodeError as error:
-                raise ListError(str(error)) from error
+                raise EndpointListError(str(error)) from error
             yield from reading.steps()
             version, whole, hosts = reading.version, reading.whole, reading.hosts
             # hazard: a fetch may be answered with what was so before the watch told more; its drains would
@@ -225,7 +232,7 @@
 class Call(asyncio.Protocol):
     """One call: a watch, read object by object as it comes, or a fetch of the whole list."""
 
-    def __init__(self, owner: Discovery, query: bytes) -> None:
+    def __init__(self, owner: PlatformDiscoveryClient, query: bytes) -> None:
         self.owner = owner
         self.query = query
         self.era = owner.era
@@ -298,7 +305,7 @@
         try:
             while not self.over and not self.waiting and (found := self.next()) is not None:
                 self.tell(found)
-        except ListError as error:
+        except EndpointListError as error:
             self.fail(f"bad list: {error}")
 
     def tell(self, text: bytes) -> None:
@@ -374,7 +381,7 @@
 
     def rest(self) -> None:
         """What a watch has told whole, and is not handed on yet."""
-        with contextlib.suppress(ListError):
+        with contextlib.suppress(EndpointListError):
             while (found := self.next()) is not None:
                 self.answered = True
                 self.owner.told(found, self)
--- a/sidecar_proxy/discovery/subsystem.py
+++ b/sidecar_proxy/discovery/subsystem.py
@@ -6,16 +6,16 @@
 
 from sidecar_proxy.config.errors import OperatorError
 from sidecar_proxy.config.schema import Membership
-from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.discovery.feed import Feed
 from sidecar_proxy.discovery.status_socket import Window
 from sidecar_proxy.engine.engine import Engine
 
 
-class Sources:
+class DiscoverySubsystem:
     """What runs beside the roster."""
 
-    def __init__(self, told: Membership, engine: Engine, directory: Directory, seed: int) -> None:
+    def __init__(self, told: Membership, engine: Engine, directory: EndpointDirectory, seed: int) -> None:
         """Raises OperatorError where a file that is named can't be used."""
         self.feed = Feed(engine, directory, ["etcd"] if told.etcd.endpoints else [])
         self.window = Window(self.feed, told.socket) if told.socket else None
--- a/sidecar_proxy/emulator/fleet.py
+++ b/sidecar_proxy/emulator/fleet.py
@@ -18,7 +18,14 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.balancer import Balancer
 from sidecar_proxy.overload_control import messages as words
-from sidecar_proxy.overload_control.controller import Limits, Member, Output, Post, Say, mean_warmth
+from sidecar_proxy.overload_control.controller import (
+    Broadcast,
+    FleetBudgets,
+    Output,
+    OverloadController,
+    SendMessage,
+    mean_slow_start_weight,
+)
 from sidecar_proxy.testbed.capacity import Capacity, Machine
 
 START_US = 1_000_000_000
@@ -47,7 +54,7 @@
     again: int = 0  # a refused client comes back so often at most
     again_share: float = 0.6  # of those that are refused
     backoff_us: int = 90_000  # at least, doubled with each time
-    as_one: Limits | None = None  # the sidecars handle overload together, within these
+    as_one: FleetBudgets | None = None  # the sidecars handle overload together, within these
 
 
 @dataclass(slots=True)
@@ -84,7 +91,7 @@
 @dataclass(slots=True, eq=False)
 class Sidecar:
     balancer: Balancer
-    member: Member | None = None
+    member: OverloadController | None = None
     life: int = 0  # grows with each restart
     idle: dict[int, list[int]] = field(default_factory=lambda: defaultdict(list))  # upstream: since when
     open: Counter[int] = field(default_factory=Counter)  # connections to each upstream
@@ -222,16 +229,16 @@
         member = None
         if self.plan.as_one is not None:
             dice = random.Random(f"{self.plan.seed} {n} {life}")
-            member = Member(
+            member = OverloadController(
                 f"s{n}",
                 n,
                 settings.instances,
-                [one.worth for one in settings.classes],
+                [one.priority_weight for one in settings.classes],
                 settings.max_retry_after_us,
                 self.plan.as_one,
                 dice,
                 self.now_us,
-                min(one.aim_us for one in settings.classes) // 2,
+                min(one.latency_objective_us for one in settings.classes) // 2,
             )
         balancer = Balancer(settings, self.plan.seed * 100_003 + n * 101 + life, self.now_us)
         return Sidecar(balancer, member, life)
@@ -243,7 +250,7 @@
         assert member is not None
 
         def tick() -> None:
-            warmth = mean_warmth(self.sidecars[n].known.values(), self.plan.settings, self.now_us)
+            warmth = mean_slow_start_weight(self.sidecars[n].known.values(), self.plan.settings, self.now_us)
             self.perform(n, member.tick(self.now_us, warmth))
             self.ticks(n)
 
@@ -251,15 +258,15 @@
 
     def perform(self, n: int, outputs: Iterable[Output]) -> None:
         for one in outputs:
-            if isinstance(one, Say):
+            if isinstance(one, Broadcast):
                 self.spread(n, one)
-            elif isinstance(one, Post):
+            elif isinstance(one, SendMessage):
                 target = int(one.to[1:])
                 self.at_sidecar(self.now_us + NOTE_US, target, partial(self.posted, n, target, one))
-            elif isinstance(one, api.Overload):
+            elif isinstance(one, api.OverloadUpdated):
                 self.handle(n, one)
 
-    def spread(self, n: int, said: Say) -> None:
+    def spread(self, n: int, said: Broadcast) -> None:
         """By rumour: after each part of so many doublings a quarter of the others have heard it."""
         others = [other for other in range(len(self.sidecars)) if other != n]
         self.dice.shuffle(others)
@@ -276,14 +283,14 @@
 
             self.at(self.now_us + (part + 1) * SPREAD_US // 2, hear)
 
-    def posted(self, source: int, target: int, post: Post) -> None:
+    def posted(self, source: int, target: int, post: SendMessage) -> None:
         member = self.sidecars[target].member
         assert member is not None and not isinstance(post.word, words.Report)
         self.perform(target, member.noted(f"s{source}", post.word, self.now_us))
 
     def look(self) -> None:
         weights = [one.member.escrow.weight(self.now_us) for one in self.sidecars if one.member is not None]
-        self.seen.overspent += sum(weights) > words.WHOLE
+        self.seen.overspent += sum(weights) > words.TOTAL_PARTS
         self.at(self.now_us + SECOND_US // 10, self.look)
 
     # Discovery
@@ -364,11 +371,11 @@
         sidecar = self.sidecars[n]
         sidecar.tries[request] = one
         self.at(due_us + 4 * self.plan.settings.tick_us, lambda: self.check(sidecar, request))
-        back_us = 0
+        retry_due_us = 0
         if sidecar.member is not None:
-            back_us = sidecar.member.arrived(one.kind, one.wish, one.refused > 0, self.now_us)
+            retry_due_us = sidecar.member.arrived(one.kind, one.wish, one.refused > 0, self.now_us)
         key = one.wish if sidecar.member is not None else 0
-        self.handle(n, api.RequestArrived(request, due_us, one.kind, key=key, back_us=back_us))
+        self.handle(n, api.RequestArrived(request, due_us, one.kind, key=key, retry_due_us=retry_due_us))
 
     def check(self, sidecar: Sidecar, request: int) -> None:
         if request in sidecar.tries and sidecar in self.sidecars:
@@ -503,7 +510,7 @@
             sidecar.member.served(kind, self.now_us - attempt.sent_us)
         if outcome is api.Outcome.OK and attempt.request in sidecar.tries:
             one = self.answer(sidecar, attempt.request, "ok")
-            if self.now_us - one.since_us <= self.plan.settings.classes[one.kind].aim_us:
+            if self.now_us - one.since_us <= self.plan.settings.classes[one.kind].latency_objective_us:
                 self.seen.in_time[(one.first_us - START_US) // SECOND_US] += 1
             else:
                 self.seen.late[self.second] += 1
--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -106,7 +106,7 @@
         entry.guard = self.later(call.due_us, self.overdue, ident)
         if self.recorder is not None:
             self.recorder.named(ident, call.ident)
-        back_us = self.fleet.arrived(call) if self.fleet is not None else 0
+        retry_due_us = self.fleet.arrived(call) if self.fleet is not None else 0
         self.tell(
             api.RequestArrived(
                 ident,
@@ -117,7 +117,7 @@
                 call.cost_us,
                 call.retried,
                 False,
-                back_us,
+                retry_due_us,
             )
         )
         return ident
@@ -239,7 +239,7 @@
                 self.pool.close_idle(action.upstream)
             case api.Log():
                 log.info("%s", action.text)
-            case api.TellPeer():
+            case api.SendPeerMessage():
                 raise ValueError("messages to other sidecars are not carried")
 
     def later(self, at_us: int, call: Callable[..., None], *arguments: object) -> Timer:
@@ -273,7 +273,7 @@
             out.left_us() <= 0
             or timeout_us <= 0
             or attempt >= self.settings.max_attempts
-            or (entry.out > 1 and not self.settings.second_copies)
+            or (entry.out > 1 and not self.settings.hedging_allowed)
             or (call.upload is not None and call.upload.taken)
         ):
             out.ended(api.Outcome.NOT_SENT, None)
--- a/sidecar_proxy/engine/gc_control.py
+++ b/sidecar_proxy/engine/gc_control.py
@@ -10,7 +10,7 @@
 GROWN = 1.25  # times as many upstreams as at the last time, from which what is there is set aside
 
 
-class Collector:
+class GcController:
     """Sets aside what stays: at the start, and when a list has grown."""
 
     def __init__(self) -> None:
--- a/sidecar_proxy/gossip/codec.py
+++ b/sidecar_proxy/gossip/codec.py
@@ -12,8 +12,8 @@
 from msgspec import Meta
 
 MAGIC = b"wg\x01"
-SIGNATURE = 64
-HEAD = len(MAGIC) + SIGNATURE
+SIGNATURE_BYTES = 64
+HEADER_BYTES = len(MAGIC) + SIGNATURE_BYTES
 MOST_PACKET = 1300  # bytes of a datagram: no fragments on common links
 MOST_STATE = 512 * 1024  # of one side of an exchange
 MOST_RUMOURS = 8
@@ -26,7 +26,7 @@
 Whole = Annotated[int, Meta(ge=0, le=MOST_WHOLE)]
 Port = Annotated[int, Meta(ge=1, le=65535)]
 Key = Annotated[bytes, Meta(min_length=32, max_length=32)]
-Signature = Annotated[bytes, Meta(min_length=SIGNATURE, max_length=SIGNATURE)]
+Signature = Annotated[bytes, Meta(min_length=SIGNATURE_BYTES, max_length=SIGNATURE_BYTES)]
 Body = Annotated[bytes, Meta(max_length=1024)]
 
 
@@ -50,7 +50,7 @@
     certificate: Certificate
 
 
-class Accusation(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class Suspicion(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """Of another instance: it does not answer its author."""
 
     subject: Name
@@ -71,20 +71,20 @@
     age_ms: Whole  # since the last attempt's end, when this was written
 
 
-class Bulletin(msgspec.Struct, array_like=True, frozen=True, tag=3):
+class OutlierReport(msgspec.Struct, array_like=True, frozen=True, tag=3):
     """In place of its author's last one."""
 
     counts: Annotated[list[Count], Meta(max_length=MOST_COUNTS)]
 
 
-class Word(msgspec.Struct, array_like=True, frozen=True, tag=4):
+class TopicBroadcast(msgspec.Struct, array_like=True, frozen=True, tag=4):
     """Of another subsystem, to all; in place of its author's last one on that topic."""
 
     topic: Name
     body: Annotated[bytes, Meta(max_length=MOST_WORD)]
 
 
-Statement = Alive | Accusation | Bulletin | Word
+Statement = Alive | Suspicion | OutlierReport | TopicBroadcast
 
 
 class Signed(msgspec.Struct, array_like=True, frozen=True):
@@ -122,14 +122,14 @@
     """Rumours alone, to be passed on at once where they are new."""
 
 
-class Note(msgspec.Struct, array_like=True, frozen=True, tag=6):
+class TopicMessage(msgspec.Struct, array_like=True, frozen=True, tag=6):
     """Of another subsystem, to this one alone."""
 
     topic: Name
     body: Annotated[bytes, Meta(max_length=MOST_WORD)]
 
 
-Message = Ping | Ack | Nack | Ask | News | Note
+Message = Ping | Ack | Nack | Ask | News | TopicMessage
 
 
 class Packet(msgspec.Struct, array_like=True, frozen=True):
@@ -163,9 +163,9 @@
 
 def opened(data: bytes, most: int) -> tuple[bytes, bytes]:
     """Signature and payload of an envelope. Raises CodecError."""
-    if not HEAD < len(data) <= most or not data.startswith(MAGIC):
+    if not HEADER_BYTES < len(data) <= most or not data.startswith(MAGIC):
         raise CodecError("no packet of this version")
-    return data[len(MAGIC) : HEAD], data[HEAD:]
+    return data[len(MAGIC) : HEADER_BYTES], data[HEADER_BYTES:]
 
 
 def closed(signature: bytes, payload: bytes) -> bytes:
--- a/sidecar_proxy/gossip/core.py
+++ b/sidecar_proxy/gossip/core.py
@@ -18,20 +18,20 @@
 from sidecar_proxy.gossip.broadcasts import MOST, ROOM, Rumours, size_of
 from sidecar_proxy.gossip.codec import (
     MOST_WHOLE,
-    Accusation,
     Ack,
     Alive,
     Ask,
-    Bulletin,
     Certificate,
     Message,
     Nack,
     News,
-    Note,
+    OutlierReport,
     Ping,
     Signed,
     Statement,
-    Word,
+    Suspicion,
+    TopicBroadcast,
+    TopicMessage,
 )
 from sidecar_proxy.gossip.peers import Life, Peer, Peers
 
@@ -92,7 +92,7 @@
 
     author: str
     site: str
-    bulletin: Bulletin
+    bulletin: OutlierReport
 
 
 @dataclass(slots=True, frozen=True)
@@ -286,7 +286,7 @@
         peer = self.peers.get(probe.target)
         if peer is None or peer.life is Life.DEAD:
             return
-        told = self.sign(Accusation(peer.name, peer.incarnation))
+        told = self.sign(Suspicion(peer.name, peer.incarnation))
         self.accuse(peer, self.name, now_us)
         self.spread("accusation", told, self.name, peer.name)
 
@@ -312,7 +312,7 @@
             self.seq += 1
             self.relays[self.seq] = peer.address, message.seq, now_us + ANSWER_US * 4 // 5
             return [self.send(target.address, Ping(self.seq, target.name), target)]
-        if isinstance(message, Note) and peer is not None:
+        if isinstance(message, TopicMessage) and peer is not None:
             return [Told(sender, message.topic, message.body, alone=True)]
         return []
 
@@ -342,9 +342,9 @@
             self.seen.popitem(last=False)
         if isinstance(statement, Alive):
             return self.on_alive(told, statement, now_us)
-        if isinstance(statement, Accusation):
+        if isinstance(statement, Suspicion):
             return self.on_accusation(told, statement, now_us)
-        if isinstance(statement, Word):
+        if isinstance(statement, TopicBroadcast):
             return self.on_word(told, statement)
         return self.on_bulletin(told, statement, now_us)
 
@@ -375,7 +375,7 @@
         self.spread("alive", told, late=joins)
         return []
 
-    def on_accusation(self, told: Signed, said: Accusation, now_us: int) -> list[Action]:
+    def on_accusation(self, told: Signed, said: Suspicion, now_us: int) -> list[Action]:
         if said.subject == self.name:
             if said.incarnation == self.incarnation and self.incarnation < MOST_WHOLE:
                 self.health = min(HEALTH, self.health + 1)  # we may have been slow (Lifeguard)
@@ -403,7 +403,7 @@
             self.peers.turn(peer, Life.SUSPECT, now_us)
             self.counts["suspicions"] += 1
 
-    def on_bulletin(self, told: Signed, bulletin: Bulletin, now_us: int) -> list[Action]:
+    def on_bulletin(self, told: Signed, bulletin: OutlierReport, now_us: int) -> list[Action]:
         peer, last = self.peers.get(told.author), self.bulletins.get(told.author)
         # hazard: one that speaks without end would fill all packets of all
         if (
@@ -425,7 +425,7 @@
         peer.urgent(now_us)
         return heard + self.news(told, now_us, URGENT_WAIT_US)
 
-    def on_word(self, told: Signed, word: Word) -> list[Action]:
+    def on_word(self, told: Signed, word: TopicBroadcast) -> list[Action]:
         """Passed on with the pings, as all that is no news of a node."""
         peer, key = self.peers.get(told.author), (told.author, word.topic)
         if peer is None or peer.life is Life.DEAD or told.at_us - self.words.get(key, 0) < LEAST_GAP_US:
@@ -437,11 +437,11 @@
         self.spread("word", told, told.author, word.topic)
         return [Told(told.author, word.topic, word.body, alone=False)]
 
-    def say(self, word: Word) -> None:
+    def say(self, word: TopicBroadcast) -> None:
         """A word of our own, in place of the last on its topic."""
         self.spread("word", self.sign(word), self.name, word.topic)
 
-    def note(self, name: str, note: Note) -> list[Action]:
+    def note(self, name: str, note: TopicMessage) -> list[Action]:
         """To one that lives; [] if it does not."""
         peer = self.peers.get(name)
         return [] if peer is None or peer.life is Life.DEAD else [self.send(peer.address, note, peer)]
@@ -461,7 +461,7 @@
 
     # Rumours
 
-    def publish(self, bulletin: Bulletin, urgent: bool, now_us: int) -> list[Action]:
+    def publish(self, bulletin: OutlierReport, urgent: bool, now_us: int) -> list[Action]:
         """Our own, in place of the last."""
         told = self.bulletins[self.name] = self.sign(bulletin)
         self.spread("bulletin", told)
@@ -500,7 +500,7 @@
         (Lifeguard, Buddy System)."""
         first: list[Signed] = []
         if peer is not None and peer.life is not Life.ALIVE:
-            first.append(self.sign(Accusation(peer.name, peer.incarnation)))
+            first.append(self.sign(Suspicion(peer.name, peer.incarnation)))
         times = max(1, int(TOLD * math.ceil(math.log2(len(self.peers) + 2))))
         room = ROOM - sum(size_of(one) for one in first)
         return Send(address, message, (*first, *self.rumours.choose(MOST - len(first), room, times)))
--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -11,7 +11,7 @@
 from sidecar_proxy.gossip import codec
 from sidecar_proxy.gossip import core as swim
 from sidecar_proxy.gossip.codec import MOST_STATE, Alive, Message, Signed, Statement
-from sidecar_proxy.gossip.keys import Keyring, Refused
+from sidecar_proxy.gossip.keys import Keyring, RejectedError
 from sidecar_proxy.gossip.outlier_reports import WINDOW_US, Combiner, Own
 
 GAP_US = 100_000  # between two bulletins of ours
@@ -32,14 +32,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Exchange:
+class StateExchange:
     """Connect, say `state()`, and hand what comes back to `exchanged`."""
 
     address: Address
 
 
 @dataclass(slots=True, frozen=True)
-class Suspect:
+class OutlierWeight:
     """What all together have against a node, 0 to 1."""
 
     node: str
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Sized:
+class FleetSize:
     """How many instances there are, with us, and our place among their names."""
 
     instances: int
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
+class SubsystemMessage:
     """For another subsystem, of a peer: said to all, or to us alone; or that peer is held for dead."""
 
     author: str
@@ -65,7 +65,7 @@
     left: bool = False
 
 
-Output = Datagram | Exchange | Suspect | Sized | Word
+Output = Datagram | StateExchange | OutlierWeight | FleetSize | SubsystemMessage
 
 
 class Census:
@@ -90,7 +90,7 @@
         return self.told
 
 
-class Instance:
+class GossipInstance:
     def __init__(
         self,
         keyring: Keyring,
@@ -117,7 +117,7 @@
         self.publish_us = now_us
         self.look_us = now_us + LOOK_US
         self.census = Census(floor)
-        self.sized = Sized(floor, 0)
+        self.sized = FleetSize(floor, 0)
         self.strikes: OrderedDict[Address, tuple[int, int]] = OrderedDict()  # forgeries, since when
         self.counts: Counter[str] = Counter()
 
@@ -160,7 +160,7 @@
             return []
         try:
             packet = self.keyring.packet(data, now_us, wall_us)
-        except Refused as error:
+        except RejectedError as error:
             self.refuse(str(error), address, now_us)
             return []
         actions = self.hear(packet.rumours, now_us, wall_us)
@@ -184,7 +184,7 @@
                 continue
             try:
                 statement = self.keyring.statement(one, self.core.certificate(one.author), now_us, wall_us)
-            except Refused as error:
+            except RejectedError as error:
                 self.keyring.refused[str(error)] += 1
                 continue
             actions += self.core.heard(one, statement, now_us)
@@ -225,12 +225,12 @@
     def say(self, topic: str, body: bytes, wall_us: int) -> None:
         """To all, with the pings."""
         self.wall_us = wall_us
-        self.core.say(codec.Word(topic, body))
+        self.core.say(codec.TopicBroadcast(topic, body))
 
     def note(self, name: str, topic: str, body: bytes, now_us: int, wall_us: int) -> list[Output]:
         """To one, at once."""
         self.wall_us = wall_us
-        return self.outputs(self.core.note(name, codec.Note(topic, body)), now_us)
+        return self.outputs(self.core.note(name, codec.TopicMessage(topic, body)), now_us)
 
     # Time
 
@@ -250,7 +250,7 @@
         told = self.census.count(len(living) + 1, now_us)
         if told == self.sized.instances:
             return []
-        self.sized = Sized(told, sum(one.name < self.core.name for one in living) % told)
+        self.sized = FleetSize(told, sum(one.name < self.core.name for one in living) % told)
         return [self.sized]
 
     # What comes of it
@@ -261,12 +261,12 @@
             if isinstance(action, swim.Send):
                 found.append(self.datagram(action.address, action.message, list(action.rumours)))
             elif isinstance(action, swim.Exchange):
-                found.append(Exchange(action.address))
+                found.append(StateExchange(action.address))
             elif isinstance(action, swim.Left):
                 found += self.weigh(self.combiner.drop(action.name), now_us)
-                found.append(Word(action.name, "", b"", left=True))
+                found.append(SubsystemMessage(action.name, "", b"", left=True))
             elif isinstance(action, swim.Told):
-                found.append(Word(action.author, action.topic, action.body, action.alone))
+                found.append(SubsystemMessage(action.author, action.topic, action.body, action.alone))
             else:
                 names = self.combiner.take(action.author, action.site, action.bulletin, now_us)
                 found += self.weigh(names, now_us)
@@ -305,5 +305,5 @@
             self.weights[name] = weight
             if weight <= 0.0:
                 del self.weights[name]
-            found.append(Suspect(name, weight))
+            found.append(OutlierWeight(name, weight))
         return found
--- a/sidecar_proxy/gossip/keys.py
+++ b/sidecar_proxy/gossip/keys.py
@@ -27,7 +27,7 @@
 BURST = 2000.0  # what joining a large fleet takes
 
 
-class Refused(Exception):
+class RejectedError(Exception):
     """Not taken; the word is its reason, as it is counted."""
 
 
@@ -120,8 +120,8 @@
         try:
             signature, payload = codec.opened(data, most)
         except codec.CodecError as error:
-            raise Refused("not of this version") from error
-        found = read(decoder, payload)
+            raise RejectedError("not of this version") from error
+        found = decode_or_reject(decoder, payload)
         self.admit(found.certificate, found.at_us, signature, payload, now_us, wall_us)
         return found
 
@@ -135,12 +135,12 @@
         wall_us: int,
     ) -> None:
         if certificate.name == self.certificate.name and certificate.key == self.certificate.key:
-            raise Refused("our own")
+            raise RejectedError("our own")
         if abs(at_us - wall_us) > SKEW_US:
-            raise Refused("another time")
+            raise RejectedError("another time")
         heard = self.heard.get(certificate.name)
         if heard is not None and not heard.is_new(at_us):
-            raise Refused("heard before")
+            raise RejectedError("heard before")
         self.certified(certificate, now_us, wall_us)
         self.verify(certificate.key, payload, signature, now_us)
         if heard is None:
@@ -152,15 +152,15 @@
     def certified(self, one: Certificate, now_us: int, wall_us: int) -> None:
         """The fleet says so, it has not ended, and it is not revoked."""
         if one.serial in self.revoked:
-            raise Refused("revoked")
+            raise RejectedError("revoked")
         if one.until_s * 1_000_000 < wall_us:
-            raise Refused("expired")
+            raise RejectedError("expired")
         if self.good.get(one.signature) == one:
             return
         message = codec.of_certificate(one)
         for key in self.fleet:
             if not self.budget.take(now_us):
-                raise Refused("over the budget")
+                raise RejectedError("over the budget")
             try:
                 key.verify(message, one.signature)
             except BadSignatureError:
@@ -169,29 +169,29 @@
             while len(self.good) > MOST_KNOWN:
                 self.good.popitem(last=False)
             return
-        raise Refused("not of this fleet")
+        raise RejectedError("not of this fleet")
 
     def verify(self, key: bytes, data: bytes, signature: bytes, now_us: int) -> None:
         if not self.budget.take(now_us):
-            raise Refused("over the budget")
+            raise RejectedError("over the budget")
         try:
             VerifyKey(key).verify(data, signature)
         except (BadSignatureError, ValueError) as error:
-            raise Refused("forged") from error
+            raise RejectedError("forged") from error
 
     def statement(self, told: Signed, known: Certificate | None, now_us: int, wall_us: int) -> Statement:
         """What an author says, by whomever it was passed on; `known` is the author's certificate, if it was
         heard of. Its own Alive brings one."""
         if told.at_us > wall_us + SKEW_US:
-            raise Refused("another time")
-        found = read(codec.statements, told.body)
+            raise RejectedError("another time")
+        found = decode_or_reject(codec.statements, told.body)
         if isinstance(found, codec.Alive) and not is_literal(found.host):
-            raise Refused("malformed")  # hazard: a name would be looked up by whoever sends to it
+            raise RejectedError("malformed")  # hazard: a name would be looked up by whoever sends to it
         certificate = found.certificate if isinstance(found, codec.Alive) else known
         if certificate is None:
-            raise Refused("of nobody known")
+            raise RejectedError("of nobody known")
         if certificate.name != told.author:
-            raise Refused("of another name")
+            raise RejectedError("of another name")
         self.certified(certificate, now_us, wall_us)
         self.verify(
             certificate.key, codec.of_statement(told.author, told.at_us, told.body), told.signature, now_us
@@ -207,12 +207,12 @@
         self.good.clear()
 
 
-def read(decoder: Decoder[codec.Form], data: bytes) -> codec.Form:
+def decode_or_reject(decoder: Decoder[codec.Form], data: bytes) -> codec.Form:
     """Raises Refused."""
     try:
         return codec.read(decoder, data)
     except codec.CodecError as error:
-        raise Refused("malformed") from error
+        raise RejectedError("malformed") from error
 
 
 def is_literal(host: str) -> bool:
@@ -223,7 +223,9 @@
         return False
 
 
-def certify(fleet: SigningKey, serial: int, name: str, site: str, key: bytes, until_s: int) -> Certificate:
+def issue_certificate(
+    fleet: SigningKey, serial: int, name: str, site: str, key: bytes, until_s: int
+) -> Certificate:
     """The fleet's word for a key."""
-    bare = Certificate(serial, name, site, key, until_s, bytes(codec.SIGNATURE))
+    bare = Certificate(serial, name, site, key, until_s, bytes(codec.SIGNATURE_BYTES))
     return Certificate(serial, name, site, key, until_s, fleet.sign(codec.of_certificate(bare)).signature)
--- a/sidecar_proxy/gossip/outlier_reports.py
+++ b/sidecar_proxy/gossip/outlier_reports.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from sidecar_proxy.balancer.events import Outcome
-from sidecar_proxy.gossip.codec import MOST_COUNTS, MOST_NAME, MOST_WHOLE, Bulletin, Count
+from sidecar_proxy.gossip.codec import MOST_COUNTS, MOST_NAME, MOST_WHOLE, Count, OutlierReport
 
 WINDOW_US = 10_000_000  # counts and reports of others count so long
 ENOUGH = 4  # attempts: more make no vote stronger, or who shouts would outweigh who knows
@@ -74,7 +74,7 @@
         seen.well += 1
         return was > 0
 
-    def bulletin(self, now_us: int) -> Bulletin:
+    def bulletin(self, now_us: int) -> OutlierReport:
         """Those that fail first, then those that others are wrong about, the freshest of each."""
         fresh = [(name, one) for name, one in self.nodes.items() if now_us - one.last_us <= WINDOW_US]
         ill = [pair for pair in fresh if pair[1].run > 0]
@@ -86,7 +86,7 @@
         # hazard: with long names all of them would be too much for a packet, and nobody would hear of any
         while sum(len(name.encode()) + COUNT_BYTES for name, _ in chosen) > MOST_BYTES:
             chosen.pop()
-        return Bulletin(
+        return OutlierReport(
             [
                 Count(
                     name,
@@ -134,7 +134,7 @@
     reports: dict[str, dict[str, Report]] = field(default_factory=dict)  # by node and author
     said: dict[str, tuple[str, ...]] = field(default_factory=dict)  # by author, the nodes of its last one
 
-    def take(self, author: str, site: str, bulletin: Bulletin, now_us: int) -> list[str]:
+    def take(self, author: str, site: str, bulletin: OutlierReport, now_us: int) -> list[str]:
         """In place of the author's last one; the nodes that either speaks of."""
         names = self.drop(author)
         for count in bulletin.counts:
--- a/sidecar_proxy/gossip/subsystem.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -13,24 +13,24 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.config.errors import OperatorError
 from sidecar_proxy.config.schema import Gossip
-from sidecar_proxy.discovery.endpoint_list import Directory
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.discovery.status_socket import listen
 from sidecar_proxy.engine.address import parse_address
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.gossip.credentials import Credentials, Watch
 from sidecar_proxy.gossip.files import FileError
-from sidecar_proxy.gossip.instance import Instance, Sized, Suspect, Word
+from sidecar_proxy.gossip.instance import FleetSize, GossipInstance, OutlierWeight, SubsystemMessage
 from sidecar_proxy.gossip.keys import Keyring
-from sidecar_proxy.gossip.transport import Transport, log, wall_us
+from sidecar_proxy.gossip.transport import GossipTransport, log, wall_clock_us
 
 LOOK_S = 1.0  # between looks at the files
 TIMEOUT_S = 5.0  # for a reader of the window
 
 
-class Gossiping:
+class GossipSubsystem:
     """A sidecar that takes part."""
 
-    def __init__(self, told: Gossip, engine: Engine, directory: Directory, seed: int) -> None:
+    def __init__(self, told: Gossip, engine: Engine, directory: EndpointDirectory, seed: int) -> None:
         """Raises OperatorError for what the file names and can't be used."""
         self.told = told
         self.engine = engine
@@ -42,10 +42,10 @@
             raise OperatorError(f"gossip: {error}") from error
         now = self.files.now
         self.keyring = Keyring(now.key, now.certificate, now.fleet, now.revoked)
-        self.transport: Transport | None = None
+        self.transport: GossipTransport | None = None
         self.window: asyncio.Server | None = None
         self.watch: asyncio.TimerHandle | None = None
-        self.listeners: dict[str, Callable[[Word], None]] = {}  # other subsystems, by topic
+        self.listeners: dict[str, Callable[[SubsystemMessage], None]] = {}  # other subsystems, by topic
 
     @property
     def name(self) -> str:
@@ -54,13 +54,13 @@
     def say(self, topic: str, body: bytes) -> None:
         """To all sidecars, within some seconds."""
         if self.transport is not None:
-            self.transport.instance.say(topic, body, wall_us())
+            self.transport.instance.say(topic, body, wall_clock_us())
 
     def note(self, name: str, topic: str, body: bytes) -> None:
         """To one, if it comes through."""
         if self.transport is not None:
             self.transport.perform(
-                self.transport.instance.note(name, topic, body, self.engine.clock.now_us(), wall_us())
+                self.transport.instance.note(name, topic, body, self.engine.clock.now_us(), wall_clock_us())
             )
 
     async def start(self) -> None:
@@ -69,17 +69,17 @@
         bind = parse_address(told.bind)
         seeds = [parse_address(one) for one in told.seeds]
         dice = random.Random(f"{self.seed} {self.keyring.certificate.name}")
-        instance = Instance(
+        instance = GossipInstance(
             self.keyring,
             bind,
             seeds,
             dice,
             engine.clock.now_us(),
-            wall_us(),
+            wall_clock_us(),
             self.born,
             told.least_instances or engine.settings.instances,
         )
-        self.transport = Transport(instance, engine.clock.now_us, self.take)
+        self.transport = GossipTransport(instance, engine.clock.now_us, self.take)
         try:
             address = await self.transport.open(bind)
         except OSError as error:
@@ -111,7 +111,7 @@
             return
         try:
             outputs = self.transport.instance.attempt(
-                name, entry.started_us // 1000, outcome, self.engine.clock.now_us(), wall_us()
+                name, entry.started_us // 1000, outcome, self.engine.clock.now_us(), wall_clock_us()
             )
             if outputs:
                 self.transport.perform(outputs)
@@ -119,18 +119,18 @@
             self.engine.observe = None
             log.exception("gossip: what this sidecar sees is told no more")
 
-    def take(self, one: Suspect | Sized | Word) -> None:
-        if isinstance(one, Word):
+    def take(self, one: OutlierWeight | FleetSize | SubsystemMessage) -> None:
+        if isinstance(one, SubsystemMessage):
             for topic, listener in self.listeners.items():
                 if one.left or topic == one.topic:
                     listener(one)
             return
-        if isinstance(one, Sized):
-            self.engine.tell(api.FleetSized(one.instances, one.index))
+        if isinstance(one, FleetSize):
+            self.engine.tell(api.FleetResized(one.instances, one.index))
             return
         number = self.directory.numbers.get(one.node)
         if number is not None:
-            self.engine.tell(api.Suspected(number, one.weight))
+            self.engine.tell(api.OutlierReported(number, one.weight))
 
     def look(self) -> None:
         """Keys, the certificate or the list of the revoked may have changed."""
@@ -140,7 +140,7 @@
                 self.renew(found)
         except FileError as error:
             log.warning("gossip: what held goes on holding: %s", error)
-        line = self.files.ends(wall_us() / 1e6)
+        line = self.files.ends(wall_clock_us() / 1e6)
         if line:
             log.warning("gossip: %s", line)
         self.watch = self.engine.loop.call_later(LOOK_S, self.look)
@@ -156,7 +156,9 @@
             len(found.revoked),
         )
         if not same:
-            self.transport.perform(self.transport.instance.renewed(self.engine.clock.now_us(), wall_us()))
+            self.transport.perform(
+                self.transport.instance.renewed(self.engine.clock.now_us(), wall_clock_us())
+            )
 
     # For people
 
