--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -11,24 +11,36 @@
 
 from sidecar_proxy.engine import wall_clock as wall
 from sidecar_proxy.gossip.codec import MOST_STATE
-from sidecar_proxy.gossip.instance import Address, Datagram, Exchange, Instance, Output, Sized, Suspect, Word
-from sidecar_proxy.gossip.keys import Refused
+from sidecar_proxy.gossip.instance import (
+    Address,
+    Datagram,
+    FleetSize,
+    GossipInstance,
+    OutlierWeight,
+    Output,
+    StateExchange,
+    SubsystemMessage,
+)
+from sidecar_proxy.gossip.keys import RejectedError
 
 log = logging.getLogger("sidecar_proxy")
 
 EXCHANGE_S = 2.0  # for one exchange, whatever its other side does
-HEAD = 4  # bytes: a length, or whom it is for
+HEADER_BYTES = 4  # bytes: a length, or whom it is for
 MOST_WAITING = 64  # connections that have said nothing yet
 MOST_EXCHANGES = 4  # at a time; more are turned away
 SLICE = 20  # statements that are verified in one go: a millisecond
 COMPLAIN_S = 1.0  # between two log lines
 
 
-class Transport(asyncio.DatagramProtocol):
+class GossipTransport(asyncio.DatagramProtocol):
     """One instance on its sockets."""
 
     def __init__(
-        self, instance: Instance, now_us: Callable[[], int], told: Callable[[Suspect | Sized | Word], None]
+        self,
+        instance: GossipInstance,
+        now_us: Callable[[], int],
+        told: Callable[[OutlierWeight | FleetSize | SubsystemMessage], None],
     ) -> None:
         self.instance = instance
         self.now_us = now_us
@@ -66,7 +78,7 @@
     # Datagrams
 
     def datagram_received(self, data: bytes, address: tuple[str | Any, int]) -> None:
-        self.perform(self.instance.receive(data, (address[0], address[1]), self.now_us(), wall_us()))
+        self.perform(self.instance.receive(data, (address[0], address[1]), self.now_us(), wall_clock_us()))
         self.complain()
 
     def error_received(self, error: Exception) -> None:
@@ -81,7 +93,7 @@
         self.waiting += 1
         try:
             async with asyncio.timeout(EXCHANGE_S):
-                head = await reader.readexactly(HEAD)
+                head = await reader.readexactly(HEADER_BYTES)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             writer.transport.abort()
             return
@@ -113,17 +125,17 @@
         try:
             async with asyncio.timeout(EXCHANGE_S):
                 if first:
-                    await send(writer, self.instance.state(wall_us()))
+                    await send(writer, self.instance.state(wall_clock_us()))
                 data = await receive(reader, MOST_STATE, head)
                 self.instance.counts["bytes in"] += len(data)
-                told = self.instance.opened(data, self.now_us(), wall_us())
+                told = self.instance.opened(data, self.now_us(), wall_clock_us())
                 if not first:
-                    await send(writer, self.instance.state(wall_us()))
+                    await send(writer, self.instance.state(wall_clock_us()))
             writer.close()
             for at in range(0, len(told), SLICE):
-                self.perform(self.instance.exchanged(told[at : at + SLICE], self.now_us(), wall_us()))
+                self.perform(self.instance.exchanged(told[at : at + SLICE], self.now_us(), wall_clock_us()))
                 await asyncio.sleep(0)
-        except Refused as error:
+        except RejectedError as error:
             self.instance.keyring.refused[str(error)] += 1
             writer.transport.abort()
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
@@ -141,7 +153,7 @@
                 if self.udp is not None:
                     with contextlib.suppress(OSError, ValueError):  # no way there
                         self.udp.sendto(one.data, one.address)
-            elif isinstance(one, Exchange):
+            elif isinstance(one, StateExchange):
                 task = self.loop.create_task(self.call(one.address))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
@@ -160,7 +172,7 @@
 
     def tick(self) -> None:
         self.due_us = 0
-        self.perform(self.instance.tick(self.now_us(), wall_us()))
+        self.perform(self.instance.tick(self.now_us(), wall_clock_us()))
 
     def complain(self) -> None:
         """One line a second at most, whatever comes."""
@@ -186,22 +198,22 @@
 
 
 async def send(writer: asyncio.StreamWriter, data: bytes) -> None:
-    writer.write(framed(data))
+    writer.write(frame_message(data))
     await writer.drain()
 
 
-def framed(data: bytes) -> bytes:
+def frame_message(data: bytes) -> bytes:
     """With its length before it."""
-    return len(data).to_bytes(HEAD, "big") + data
+    return len(data).to_bytes(HEADER_BYTES, "big") + data
 
 
 async def receive(reader: asyncio.StreamReader, most: int, head: bytes = b"") -> bytes:
     """`most`: bytes. `head`: what was read of it. Raises ValueError for more than is allowed."""
-    size = int.from_bytes(head or await reader.readexactly(HEAD), "big")
+    size = int.from_bytes(head or await reader.readexactly(HEADER_BYTES), "big")
     if size > most:
         raise ValueError("too large")
     return await reader.readexactly(size)
 
 
-def wall_us() -> int:
+def wall_clock_us() -> int:
     return wall.now_ns() // 1000
--- a/sidecar_proxy/overload_control/controller.py
+++ b/sidecar_proxy/overload_control/controller.py
@@ -16,13 +16,13 @@
 from sidecar_proxy.overload_control import shedding_threshold as cut
 from sidecar_proxy.overload_control.messages import (
     MOST_CLASSES,
-    WHOLE,
-    Lend,
-    Loan,
-    Need,
+    TOTAL_PARTS,
+    LeaseGrant,
+    LeaseRecord,
+    LeaseRequest,
+    LeaseReturn,
+    OverloadMessage,
     Report,
-    Return,
-    Word,
     Work,
 )
 from sidecar_proxy.overload_control.quota_leases import KEPT, LEAST, TERM_US, Escrow
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class FleetBudgets:
     """What the fleet may spend altogether, a second."""
 
     reissues_per_s: float = 50.0
@@ -56,28 +56,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class Broadcast:
     """To all, in place of the last."""
 
     report: Report
 
 
 @dataclass(slots=True, frozen=True)
-class Post:
+class SendMessage:
     """To one."""
 
     to: str
-    word: Word
+    word: OverloadMessage
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class LogMessage:
     """For the log."""
 
     text: str
 
 
-Output = Say | Post | Note | api.Overload
+Output = Broadcast | SendMessage | LogMessage | api.OverloadUpdated
 
 
 @dataclass(slots=True)
@@ -96,7 +96,7 @@
         self.served, self.busy = Rate(now_us), Rate(now_us)
 
 
-def mean_warmth(entries: Iterable[api.Upstream], settings: api.Settings, now_us: int) -> float:
+def mean_slow_start_weight(entries: Iterable[api.Upstream], settings: api.Settings, now_us: int) -> float:
     """Of the nodes that warm up, by the least that the rules allow them; 1 = none does."""
     ages = [now_us - one.started_us for one in entries if one.started_us] if settings.warm_up_us else []
     cold = [
@@ -107,7 +107,7 @@
     return sum(cold) / len(cold) if cold else 1.0
 
 
-class Member:
+class OverloadController:
     def __init__(
         self,
         name: str,
@@ -115,7 +115,7 @@
         instances: int,
         worths: Sequence[float],
         most_return_us: int,
-        limits: Limits,
+        limits: FleetBudgets,
         dice: random.Random,
         now_us: int,
         slow_us: int = 0,
@@ -146,25 +146,25 @@
         self.pace = 1.0  # of its weight, that its decisions may use at cold nodes
         self.tick_us = now_us + int(TICK_US * dice.random())
         self.report_us = self.tick_us
-        self.decided: api.Overload | None = None
+        self.decided: api.OverloadUpdated | None = None
         self.counts: Counter[str] = Counter()
 
     # From the engine
 
     def arrived(self, kind: int, key: int, retried: bool, now_us: int) -> int:
         """A request has come; when its client was told to come back, 0 = it was not."""
-        back_us = self.promises.when(key, now_us) if key and self.promises.by_key else 0
+        retry_due_us = self.promises.when(key, now_us) if key and self.promises.by_key else 0
         self.tries.count += 1
-        if back_us and back_us <= now_us + EARLY_US:
+        if retry_due_us and retry_due_us <= now_us + EARLY_US:
             if kind < len(self.seen):
                 self.seen[kind].returns.count += 1
-        elif retried or back_us:
+        elif retried or retry_due_us:
             # hazard: those that are shed come again and again; counted as demand they would lower the line
             # for all, by themselves
             self.repeats.count += 1
         elif kind < len(self.seen):
             self.seen[kind].demand.count += 1
-        return back_us if self.storm.on else 0
+        return retry_due_us if self.storm.on else 0
 
     def refused(self, key: int, after_us: int, shed: bool, now_us: int) -> None:
         """The decisions have refused one, and told its client to stay away for so long; `shed` by the line,
@@ -194,7 +194,7 @@
             self.escrow.barred = True
             return [
                 *self.decide(now_us),
-                Note(
+                LogMessage(
                     f"{author} says that it is number {self.index} as well: this "
                     "one spends nothing of the fleet's budgets"
                 ),
@@ -205,19 +205,19 @@
         """It is held for dead. Hazard: its loans run out by themselves and no sooner, as it may live."""
         self.heard_of.pop(author, None)
 
-    def noted(self, author: str, word: Word, now_us: int) -> list[Output]:
+    def noted(self, author: str, word: OverloadMessage, now_us: int) -> list[Output]:
         """One has said something to us alone."""
-        if isinstance(word, Need):
+        if isinstance(word, LeaseRequest):
             self.counts["asked"] += 1
             lend = self.escrow.need(author, word, self.wanted, now_us)
             # hazard: our own decisions have less from the moment that another one may have it
-            return [*(self.decide(now_us) if lend.parts else ()), Post(author, lend)]
-        if isinstance(word, Lend):
+            return [*(self.decide(now_us) if lend.parts else ()), SendMessage(author, lend)]
+        if isinstance(word, LeaseGrant):
             if not self.escrow.lent(author, word, now_us):
                 return []
             self.counts["borrowed"] += 1
             return self.decide(now_us)
-        if isinstance(word, Return):
+        if isinstance(word, LeaseReturn):
             self.escrow.back(author, word)
         return []
 
@@ -257,20 +257,20 @@
             now_us,
         ):
             word = "begins" if self.storm.on else "ends"
-            found.append(Note(f"a storm {word}: {self.storm.why}"))
+            found.append(LogMessage(f"a storm {word}: {self.storm.why}"))
             self.report_us = now_us
         self.turn(now_us)
         found += self.trade(now_us)
         if now_us >= self.report_us:
             self.report_us = now_us + int(self.interval_us * (0.8 + 0.4 * self.dice.random()))
-            found.append(Say(self.report(now_us)))
+            found.append(Broadcast(self.report(now_us)))
         told = self.decided
         decided = self.decide(now_us)
         if (
             told is not None
-            and told.until_us - now_us > HOLDS_US // 2
+            and told.valid_until_us - now_us > HOLDS_US // 2
             and self.decided is not None
-            and (replace(self.decided, until_us=told.until_us) == told)
+            and (replace(self.decided, valid_until_us=told.valid_until_us) == told)
         ):
             self.decided, decided = told, []  # it holds on as it was told
         return decided + found
@@ -327,12 +327,12 @@
             )
             for one in self.seen
         ]
-        loans = [Loan(to, parts) for to, parts in self.escrow.loans(now_us).items()]
+        loans = [LeaseRecord(to, parts) for to, parts in self.escrow.loans(now_us).items()]
         return Report(
             self.index,
             self.number,
             self.storm.on,
-            min(WHOLE, self.escrow.weight(now_us)),
+            min(TOTAL_PARTS, self.escrow.weight(now_us)),
             self.escrow.spare(self.wanted, now_us),
             int(self.refused_rate.value * 1000),
             *self.room(),
@@ -363,7 +363,7 @@
         if total <= 0.0:
             return int(self.escrow.owned * KEPT)
         heard = (len(others) + 1) / self.instances  # of a part of the fleet, its part
-        return int(min(1.0, NEEDED * own / total * min(1.0, heard)) * WHOLE)
+        return int(min(1.0, NEEDED * own / total * min(1.0, heard)) * TOTAL_PARTS)
 
     def trade(self, now_us: int) -> list[Output]:
         """Borrow what is missing from who has most to spare, renew what is used, give back what is not."""
@@ -377,7 +377,7 @@
             if missing <= -one.parts - LEAST:
                 lender, word = escrow.give_back(number)
                 missing += one.parts
-                found.append(Post(lender, word))
+                found.append(SendMessage(lender, word))
                 continue
             heard = self.heard_of.get(one.lender)
             more = min(missing, heard.report.spare if heard is not None else 0)
@@ -385,7 +385,7 @@
                 asked = escrow.ask(one.lender, one.parts + more, now_us, renews=number)
                 if asked is not None:
                     missing -= more
-                    found.append(Post(one.lender, asked))
+                    found.append(SendMessage(one.lender, asked))
         lenders = {one.lender for one in escrow.held.values()}
         spares = sorted(
             (
@@ -401,34 +401,34 @@
             asked = escrow.ask(name, min(spare, missing), now_us)
             if asked is not None:
                 missing -= asked.parts
-                found.append(Post(name, asked))
+                found.append(SendMessage(name, asked))
         return found
 
     # What the decisions are told
 
     def decide(self, now_us: int) -> list[Output]:
-        weight = self.escrow.weight(now_us) / WHOLE * self.pace
+        weight = self.escrow.weight(now_us) / TOTAL_PARTS * self.pace
         until_us = now_us + HOLDS_US
         # hazard: what is borrowed may end sooner than the next word to the decisions
         ends = [one.until_us for one in self.escrow.held.values() if one.until_us > now_us]
         until_us = min([until_us, *ends])
         line, usual_us = self.line, self.usual_us()
         storm = self.storm.on
-        back_us = return_us(line, usual_us, int(usual_us), self.most_return_us) if storm else 0
+        retry_due_us = return_us(line, usual_us, int(usual_us), self.most_return_us) if storm else 0
         whole = [1.0] * len(self.worths)
         kept = list(line.kept) if line is not None else whole
         returning = list(line.returning) if line is not None else whole
         limits = self.limits
-        told = api.Overload(
-            share=weight,
-            kept=kept,
-            returning=returning,
-            number=self.number,
-            return_us=back_us,
-            until_us=until_us,
-            reissues_per_s=limits.reissues_per_s * weight,
+        told = api.OverloadUpdated(
+            budget_share=weight,
+            admitted_shares=kept,
+            returning_shares=returning,
+            generation=self.number,
+            retry_after_us=retry_due_us,
+            valid_until_us=until_us,
+            retries_per_s=limits.reissues_per_s * weight,
             probes_per_s=limits.probes_per_s * weight,
-            tries_per_s=limits.tries_per_s * weight,
+            attempts_per_s=limits.tries_per_s * weight,
         )
         self.decided = told
         return [told]
@@ -460,7 +460,7 @@
             "number": self.number,
             "kept": [round(one, 3) for one in line.kept] if line is not None else None,
             "returning": [round(one, 3) for one in line.returning] if line is not None else None,
-            "return_us": self.decided.return_us if self.decided is not None else 0,
+            "return_us": self.decided.retry_after_us if self.decided is not None else 0,
             "demand_us": int(line.demand_us) if line is not None else 0,
             "room_us": int(line.room_us) if line is not None else 0,
             "backlog": line.backlog if line is not None else 0,
--- a/sidecar_proxy/overload_control/messages.py
+++ b/sidecar_proxy/overload_control/messages.py
@@ -15,14 +15,14 @@
 MOST_CLASSES = 16
 MOST_LOANS = 8  # named in one report
 MOST_BODY = 512  # bytes of one word
-WHOLE = 1_000_000  # parts of every budget of the fleet
+TOTAL_PARTS = 1_000_000  # parts of every budget of the fleet
 
 Count = Annotated[int, Meta(ge=0, le=2**53)]
-Parts = Annotated[int, Meta(ge=0, le=WHOLE)]
+Parts = Annotated[int, Meta(ge=0, le=TOTAL_PARTS)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 
 
-class Loan(msgspec.Struct, array_like=True, frozen=True):
+class LeaseRecord(msgspec.Struct, array_like=True, frozen=True):
     """What the author has lent."""
 
     to: Name
@@ -51,10 +51,10 @@
     easy: bool  # it knows no limit
     backlog: Count  # clients told to come back, whose time has not come
     classes: Annotated[list[Work], Meta(max_length=MOST_CLASSES)]
-    loans: Annotated[list[Loan], Meta(max_length=MOST_LOANS)]
+    loans: Annotated[list[LeaseRecord], Meta(max_length=MOST_LOANS)]
 
 
-class Need(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """Lend me so much; `renews` is a loan that this one takes the place of, 0 = none."""
 
     number: Count  # of the loan, chosen by who asks
@@ -63,7 +63,7 @@
     renews: Count
 
 
-class Lend(msgspec.Struct, array_like=True, frozen=True, tag=3):
+class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag=3):
     """So much is lent, for a term from when it was asked for."""
 
     number: Count
@@ -71,28 +71,28 @@
     parts: Parts
 
 
-class Return(msgspec.Struct, array_like=True, frozen=True, tag=4):
+class LeaseReturn(msgspec.Struct, array_like=True, frozen=True, tag=4):
     """That loan is used no more."""
 
     number: Count
 
 
-Word = Report | Need | Lend | Return
+OverloadMessage = Report | LeaseRequest | LeaseGrant | LeaseReturn
 
 
-class WordError(ValueError):
+class MessageError(ValueError):
     """It is no word of this form; one line."""
 
 
 encode = msgspec.msgpack.Encoder().encode
-decoder: msgspec.msgpack.Decoder[Word] = msgspec.msgpack.Decoder(Word)
+decoder: msgspec.msgpack.Decoder[OverloadMessage] = msgspec.msgpack.Decoder(OverloadMessage)
 
 
-def read(data: bytes) -> Word:
+def read(data: bytes) -> OverloadMessage:
     """Raises WordError."""
     if len(data) > MOST_BODY:
-        raise WordError("too large")
+        raise MessageError("too large")
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise WordError(" ".join(str(error).split())[:100]) from error
+        raise MessageError(" ".join(str(error).split())[:100]) from error
--- a/sidecar_proxy/overload_control/quota_leases.py
+++ b/sidecar_proxy/overload_control/quota_leases.py
@@ -13,10 +13,10 @@
 import random
 from dataclasses import dataclass, field
 
-from sidecar_proxy.overload_control.messages import WHOLE, Lend, Need, Return
+from sidecar_proxy.overload_control.messages import TOTAL_PARTS, LeaseGrant, LeaseRequest, LeaseReturn
 
 TERM_US = 3_000_000  # of a loan
-DRIFT = 0.02  # clocks of two machines differ in rate by less
+MAX_CLOCK_DRIFT = 0.02  # clocks of two machines differ in rate by less
 MARGIN_US = 100_000  # and a process reads its clock so long before it acts on it, at most
 ANSWER_US = 1_000_000  # who does not answer within this is asked no more for now
 LEAST = 1000  # parts: less is not worth a word
@@ -26,7 +26,7 @@
 
 def lent_us() -> int:
     """How long a lender counts a loan as out."""
-    return int(TERM_US * (1 + DRIFT)) + MARGIN_US
+    return int(TERM_US * (1 + MAX_CLOCK_DRIFT)) + MARGIN_US
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
     """What one sidecar owns, has lent and has borrowed."""
 
     def __init__(self, index: int, instances: int, dice: random.Random, now_us: int) -> None:
-        self.owned = WHOLE // instances if 0 <= index < instances else 0
+        self.owned = TOTAL_PARTS // instances if 0 <= index < instances else 0
         self.free_us = now_us + lent_us()  # what is owned may be spent from then on
         self.dice = dice
         self.given: dict[int, Given] = {}  # by number
@@ -92,7 +92,7 @@
 
     # Borrowing
 
-    def ask(self, lender: str, parts: int, now_us: int, renews: int = 0) -> Need | None:
+    def ask(self, lender: str, parts: int, now_us: int, renews: int = 0) -> LeaseRequest | None:
         """One is asked at a time; None: it waits for an answer, or there are enough loans."""
         self.asked = {number: one for number, one in self.asked.items() if now_us - one[1] < ANSWER_US}
         self.held = {number: one for number, one in self.held.items() if now_us < one.until_us}
@@ -102,9 +102,9 @@
             return None
         number = self.dice.getrandbits(52) + 1
         self.asked[number] = lender, now_us, renews
-        return Need(number, now_us, min(parts, WHOLE), renews)
+        return LeaseRequest(number, now_us, min(parts, TOTAL_PARTS), renews)
 
-    def lent(self, lender: str, told: Lend, now_us: int) -> bool:
+    def lent(self, lender: str, told: LeaseGrant, now_us: int) -> bool:
         """An answer. False: not to what was asked, or it has ended on its way."""
         whom, asked_us, renews = self.asked.get(told.number, ("", -1, 0))
         if whom != lender or asked_us != told.asked_us:
@@ -116,16 +116,16 @@
         self.held[told.number] = Held(lender, told.parts, asked_us + TERM_US)
         return True
 
-    def give_back(self, number: int) -> tuple[str, Return]:
+    def give_back(self, number: int) -> tuple[str, LeaseReturn]:
         """It is not spent from now on."""
-        return self.held.pop(number).lender, Return(number)
+        return self.held.pop(number).lender, LeaseReturn(number)
 
     # Lending
 
-    def need(self, borrower: str, told: Need, needed: int, now_us: int) -> Lend:
+    def need(self, borrower: str, told: LeaseRequest, needed: int, now_us: int) -> LeaseGrant:
         """Someone asks: nothing is lent that is needed here, or has been given back under that number."""
         if told.number in self.given or told.number in self.returned:
-            return Lend(told.number, told.asked_us, 0)  # it came twice
+            return LeaseGrant(told.number, told.asked_us, 0)  # it came twice
         old = self.given.get(told.renews)
         if old is not None and (old.to != borrower or not old.out(now_us)):
             old = None  # it has run out: a new one
@@ -135,15 +135,15 @@
             free = max(0, self.own(now_us) + old.out(now_us) - max(int(self.owned * KEPT), needed))
         parts = min(told.parts, free)
         if parts < LEAST:
-            return Lend(told.number, told.asked_us, 0)
+            return LeaseGrant(told.number, told.asked_us, 0)
         grants = [*(old.grants if old is not None else ()), (parts, now_us + lent_us())]
         if old is not None:
             del self.given[told.renews]
             self.note_returned(told.renews)
         self.given[told.number] = Given(borrower, grants)
-        return Lend(told.number, told.asked_us, parts)
+        return LeaseGrant(told.number, told.asked_us, parts)
 
-    def back(self, borrower: str, told: Return) -> None:
+    def back(self, borrower: str, told: LeaseReturn) -> None:
         one = self.given.get(told.number)
         if one is not None and one.to == borrower:
             del self.given[told.number]
--- a/sidecar_proxy/overload_control/shedding_threshold.py
+++ b/sidecar_proxy/overload_control/shedding_threshold.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from sidecar_proxy.overload_control.messages import WHOLE, Report
+from sidecar_proxy.overload_control.messages import TOTAL_PARTS, Report
 
 AMPLE = 1.5  # of its demand is the room of who knows no limit
 STAKE = 1.25  # times its weight's part: more of a claim does not count
@@ -37,7 +37,7 @@
 def weights(reports: Mapping[str, Report], instances: int) -> dict[str, int]:
     """What each may spend by the word of others: what it owns by its number, without what it says that it has
     lent, and with what their lenders say. Two of one number share it."""
-    owned = WHOLE // instances
+    owned = TOTAL_PARTS // instances
     by_index: dict[int, int] = {}
     for one in reports.values():
         by_index[one.index] = by_index.get(one.index, 0) + 1
@@ -94,7 +94,7 @@
 def line(reports: Mapping[str, Report], worths: Sequence[float], instances: int) -> Line | None:
     """Of the reports that are fresh, the own one among them. None: too little is heard for one."""
     stakes = weights(reports, instances)
-    if sum(stakes.values()) < ENOUGH * WHOLE:
+    if sum(stakes.values()) < ENOUGH * TOTAL_PARTS:
         return None
     kinds = len(worths)
     times_us = work_us(reports, stakes, kinds)
@@ -115,7 +115,7 @@
     rooms = bounded({name: room_us(one, times_us, claims[name]) for name, one in reports.items()}, stakes)
     all_us = left_us = sum(rooms.values())
     parts = {name: counted[name] / claim for name, claim in claims.items() if claim > 0.0}
-    new_us, back_us = (
+    new_us, retry_due_us = (
         [sum(told[name][kind] * part for name, part in parts.items()) for kind in range(kinds)]
         for told in (fresh, back)
     )
@@ -123,7 +123,7 @@
     # the dearest of a node's time first; of equals the earlier class, so that all have one order. Within a
     # class who has waited goes first
     for kind in sorted(range(kinds), key=lambda kind: (-worths[kind] / max(1.0, times_us[kind]), kind)):
-        for share, wanted_us in ((returning, back_us[kind]), (kept, new_us[kind])):
+        for share, wanted_us in ((returning, retry_due_us[kind]), (kept, new_us[kind])):
             if wanted_us > 0.0:
                 share[kind] = min(1.0, left_us / wanted_us)
                 left_us = max(0.0, left_us - wanted_us)
--- a/sidecar_proxy/overload_control/subsystem.py
+++ b/sidecar_proxy/overload_control/subsystem.py
@@ -8,26 +8,34 @@
 import logging
 import random
 
-from sidecar_proxy.admin.server import Door
+from sidecar_proxy.admin.server import AdminServer
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.config.schema import Overload
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.engine.interfaces import Call
-from sidecar_proxy.gossip.instance import Word
-from sidecar_proxy.gossip.subsystem import Gossiping
+from sidecar_proxy.gossip.instance import SubsystemMessage
+from sidecar_proxy.gossip.subsystem import GossipSubsystem
 from sidecar_proxy.overload_control import messages as words
-from sidecar_proxy.overload_control.controller import Limits, Member, Note, Output, Post, Say, mean_warmth
+from sidecar_proxy.overload_control.controller import (
+    Broadcast,
+    FleetBudgets,
+    LogMessage,
+    Output,
+    OverloadController,
+    SendMessage,
+    mean_slow_start_weight,
+)
 
 log = logging.getLogger("sidecar_proxy")
 
 COMPLAIN_S = 1.0  # between two log lines on what could not be read
 
 
-class Together:
+class OverloadControlSubsystem:
     """A sidecar that handles overload with the others."""
 
     def __init__(
-        self, told: Overload, engine: Engine, gossip: Gossiping, seed: int, door: Door | None
+        self, told: Overload, engine: Engine, gossip: GossipSubsystem, seed: int, door: AdminServer | None
     ) -> None:
         self.engine = engine
         self.gossip = gossip
@@ -36,16 +44,16 @@
         most_us = settings.max_retry_after_us * settings.retry_after
         # hazard: numbers of loans of a process before this one must not come again
         dice = random.Random(f"{seed} {gossip.name} {now_us}")
-        self.member = Member(
+        self.member = OverloadController(
             gossip.name,
             settings.self_index,
             settings.instances,
-            [one.worth for one in settings.classes],
+            [one.priority_weight for one in settings.classes],
             most_us,
-            Limits(told.reissues_per_s, told.probes_per_s, told.tries_per_s),
+            FleetBudgets(told.reissues_per_s, told.probes_per_s, told.tries_per_s),
             dice,
             now_us,
-            min(one.aim_us for one in settings.classes) // 2,
+            min(one.latency_objective_us for one in settings.classes) // 2,
         )
         self.timer: asyncio.TimerHandle | None = None
         self.traced = ""
@@ -90,14 +98,14 @@
 
     # From the others
 
-    def hear(self, told: Word) -> None:
+    def hear(self, told: SubsystemMessage) -> None:
         now_us = self.engine.clock.now_us()
         if told.left:
             self.member.left(told.author)
             return
         try:
             word = words.read(told.body)
-        except words.WordError as error:
+        except words.MessageError as error:
             self.complain(f"{told.author}: {error}")
             return
         if isinstance(word, words.Report) == told.alone:
@@ -119,7 +127,9 @@
     def tick(self) -> None:
         now_us = self.engine.clock.now_us()
         try:
-            warmth = mean_warmth(self.engine.balancer.entries.values(), self.engine.settings, now_us)
+            warmth = mean_slow_start_weight(
+                self.engine.balancer.entries.values(), self.engine.settings, now_us
+            )
             self.perform(self.member.tick(now_us, warmth))
         except Exception:
             self.give_up()
@@ -131,7 +141,7 @@
         if self.told.trace:
             self.trace()
         for one in outputs:
-            if isinstance(one, Say):
+            if isinstance(one, Broadcast):
                 if self.told.trace:
                     at_us = self.engine.clock.now_us() - self.engine.clock.base_ns // 1000
                     log.info(
@@ -140,9 +150,9 @@
                         json.dumps(self.member.described(self.engine.clock.now_us())),
                     )
                 self.gossip.say(words.TOPIC, words.encode(one.report))
-            elif isinstance(one, Post):
+            elif isinstance(one, SendMessage):
                 self.gossip.note(one.to, words.TOPIC, words.encode(one.word))
-            elif isinstance(one, Note):
+            elif isinstance(one, LogMessage):
                 log.info("overload: %s", one.text)
             else:
                 self.engine.tell(one)
--- a/sidecar_proxy/recorder/record_framing.py
+++ b/sidecar_proxy/recorder/record_framing.py
@@ -14,6 +14,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.recorder.record_schema import form_of
+from sidecar_proxy.recorder.stored_names import stored_class_name, to_stored
 
 
 @dataclass(slots=True, frozen=True)
@@ -25,7 +26,7 @@
 
 
 EVENTS = {
-    one.__name__: form_of(one)
+    stored_class_name(one): form_of(one)
     for one in (
         api.UpstreamsUpdated,
         api.RequestArrived,
@@ -33,17 +34,17 @@
         api.AttemptEnded,
         api.StreamStarted,
         api.ProbeEnded,
-        api.Learnt,
-        api.Suspected,
-        api.FleetSized,
-        api.Overload,
+        api.WarmStartState,
+        api.OutlierReported,
+        api.FleetResized,
+        api.OverloadUpdated,
         api.TimerFired,
         api.PeerMessage,
         Named,
     )
 }
 ACTIONS = {
-    one.__name__: form_of(one)
+    stored_class_name(one): form_of(one)
     for one in (
         api.Send,
         api.Refuse,
@@ -54,7 +55,7 @@
         api.Subscribe,
         api.FetchList,
         api.CloseIdle,
-        api.TellPeer,
+        api.SendPeerMessage,
         api.Log,
     )
 }
@@ -79,8 +80,8 @@
 
 
 def pack(now_us: int, event: object, actions: list[Any], fault: str = "") -> bytes:
-    told = fault or [(type(one).__name__, one) for one in actions]
-    return encode((now_us, type(event).__name__, event, told))
+    told = fault or [(stored_class_name(type(one)), one) for one in actions]
+    return encode((now_us, stored_class_name(type(event)), to_stored(event), told))
 
 
 def unpack(data: bytes) -> Frame:
--- a/sidecar_proxy/recorder/record_schema.py
+++ b/sidecar_proxy/recorder/record_schema.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from sidecar_proxy.balancer import events as api
+from sidecar_proxy.recorder.stored_names import stored_class_name, stored_field_names
 
 INNER: dict[tuple[str, str], Any] = {
     ("AttemptEnded", "report"): list[float],
@@ -28,7 +29,7 @@
 }
 RECORDS: dict[tuple[str, str], Any] = {  # lists of records
     ("UpstreamsUpdated", "upstreams"): api.Upstream,
-    ("Learnt", "upstreams"): api.LearntUpstream,
+    ("Learnt", "upstreams"): api.WarmStartUpstream,
     ("Settings", "classes"): api.RequestClass,
     ("Settings", "tenants"): api.Tenant,
 }
@@ -41,10 +42,11 @@
     kind: Any
     struct: type[msgspec.Struct]
     inner: dict[str, Form]  # of fields that are lists of records
+    stored_names: dict[str, str]  # by the name in the code
 
     def of(self, value: Any) -> Any:
         """The record, of a value of `struct`. Raises ValueError for what the record itself refuses."""
-        found = {name: getattr(value, name) for name in self.struct.__struct_fields__}
+        found = {name: getattr(value, stored) for name, stored in self.stored_names.items()}
         for name, form in self.inner.items():
             found[name] = [form.of(one) for one in found[name]]
         return self.kind(**found)
@@ -56,19 +58,22 @@
 
 def form_of(kind: Any) -> Form:
     """Of one of the decisions' records, or of a dataclass like them."""
-    hints, name = get_type_hints(kind), kind.__name__
+    hints, name = get_type_hints(kind), stored_class_name(kind)
+    stored_names = stored_field_names(kind)
     inner = {
         one.name: form_of(RECORDS[name, one.name]) for one in fields(kind) if (name, one.name) in RECORDS
     }
     told: list[Any] = []
     for one in fields(kind):
-        hint = INNER.get((name, one.name), hints[one.name])
+        stored = stored_names[one.name]
+        hint = INNER.get((name, stored), hints[one.name])
         if one.name in inner:
             hint = GenericAlias(list, (inner[one.name].struct,))
         if one.default is not MISSING:
-            told.append((one.name, hint, one.default))
+            told.append((stored, hint, one.default))
         elif one.default_factory is not MISSING:
-            told.append((one.name, hint, msgspec.field(default_factory=one.default_factory)))
+            told.append((stored, hint, msgspec.field(default_factory=one.default_factory)))
         else:
-            told.append((one.name, hint))
-    return Form(kind, msgspec.defstruct(name, told, kw_only=True, forbid_unknown_fields=True), inner)
+            told.append((stored, hint))
+    struct = msgspec.defstruct(name, told, kw_only=True, forbid_unknown_fields=True)
+    return Form(kind, struct, inner, stored_names)
--- a/sidecar_proxy/recorder/recording.py
+++ b/sidecar_proxy/recorder/recording.py
@@ -10,7 +10,7 @@
 import os
 import zlib
 from collections.abc import Iterator
-from dataclasses import dataclass
+from dataclasses import dataclass, fields
 from pathlib import Path
 from typing import Any, BinaryIO
 
@@ -19,12 +19,13 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.recorder.record_framing import Frame, FrameError, unpack
 from sidecar_proxy.recorder.record_schema import form_of
+from sidecar_proxy.recorder.stored_names import to_stored
 
 MAGIC = b"wickspread recording 1\n"
 KIND = b"wickspread recording "
 MOST_PART = 64 * 1024 * 1024  # bytes: a list of a large fleet is one frame
 MOST_FILE = 1024 * 1024 * 1024
-DECISIONS = Path(__file__).parent.parent / "decisions"
+DECISIONS = Path(__file__).parent.parent / "balancer"
 
 
 class RecordingError(Exception):
@@ -67,7 +68,8 @@
     """A file for its owner alone, with its head, to be gone on with. Raises OSError."""
     handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     file = os.fdopen(handle, "wb")
-    file.write(MAGIC + framed(msgspec.msgpack.encode(head)))
+    stored_head = {field.name: to_stored(getattr(head, field.name)) for field in fields(head)}
+    file.write(MAGIC + framed(msgspec.msgpack.encode(stored_head)))
     return file
 
 
--- a/sidecar_proxy/simulator_adapter/wire.py
+++ b/sidecar_proxy/simulator_adapter/wire.py
@@ -234,7 +234,9 @@
     api.Subscribe: lambda i, a: _subscribe(i, int(a.active)),
     api.FetchList: lambda i, a: _fetch(i),
     api.CloseIdle: lambda i, a: _close(i, a.upstream),
-    api.TellPeer: lambda i, a: _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload,
+    api.SendPeerMessage: lambda i, a: (
+        _tell(i, _U32_MAX if a.to is None else a.to, len(a.payload)) + a.payload
+    ),
     api.Log: lambda i, a: _text(_text_log, i, a.text),
     InternalError: lambda i, a: _text(_text_error, i, a.text),
 }
--- a/sidecar_proxy/testbed/campaign.py
+++ b/sidecar_proxy/testbed/campaign.py
@@ -22,9 +22,15 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.balancer import Balancer
 from sidecar_proxy.overload_control import messages as words
-from sidecar_proxy.overload_control.controller import Limits, Member, Output, Post, Say
-from sidecar_proxy.overload_control.messages import WHOLE
-from sidecar_proxy.overload_control.quota_leases import DRIFT
+from sidecar_proxy.overload_control.controller import (
+    Broadcast,
+    FleetBudgets,
+    Output,
+    OverloadController,
+    SendMessage,
+)
+from sidecar_proxy.overload_control.messages import TOTAL_PARTS
+from sidecar_proxy.overload_control.quota_leases import MAX_CLOCK_DRIFT
 from sidecar_proxy.testbed.fault_injection import LINK_KINDS, SIZED, pairs
 from sidecar_proxy.testbed.fault_schedule import Fault, ScriptError, read, written
 
@@ -49,7 +55,7 @@
     "link_double",
     "link_reorder",
 )
-Makes = Callable[..., Member]
+Makes = Callable[..., OverloadController]
 
 
 class Decisions(Protocol):
@@ -73,7 +79,7 @@
 
     number: int
     rate: float  # of its clock
-    member: Member
+    member: OverloadController
     balancer: Decisions
     life: int = 0
     requests: int = 0
@@ -89,7 +95,7 @@
         sidecars: int,
         seed: int,
         faults: Sequence[Fault],
-        makes: Makes = Member,
+        makes: Makes = OverloadController,
         decides: Decides = Balancer,
     ) -> None:
         self.decides = decides
@@ -106,7 +112,7 @@
         self.minds = [
             Mind(
                 n,
-                1.0 + (self.dice.random() - 0.5) * DRIFT * 0.9,
+                1.0 + (self.dice.random() - 0.5) * MAX_CLOCK_DRIFT * 0.9,
                 self.fresh(n, 0),
                 decides(settings(sidecars, n), n, FIRST_US),
             )
@@ -121,10 +127,10 @@
             self.at(int(fault.at_s * 1e6), lambda fault=fault: self.harm(fault))  # type: ignore[misc]
         self.at(STEP_US, self.look)
 
-    def fresh(self, number: int, life: int) -> Member:
+    def fresh(self, number: int, life: int) -> OverloadController:
         dice = random.Random(f"{self.dice.random()} {number} {life}")
         mine = FIRST_US if not life else self.clock(self.minds[number])
-        return self.makes(f"s{number}", number, self.count, WORTHS, 2_000_000, Limits(), dice, mine)
+        return self.makes(f"s{number}", number, self.count, WORTHS, 2_000_000, FleetBudgets(), dice, mine)
 
     # Time
 
@@ -192,13 +198,13 @@
 
     def perform(self, mind: Mind, outputs: Sequence[Output]) -> None:
         for one in outputs:
-            if isinstance(one, Say):
+            if isinstance(one, Broadcast):
                 for other in self.minds:
                     if other is not mind:
                         self.post(mind, other, words.encode(one.report))
-            elif isinstance(one, Post):
+            elif isinstance(one, SendMessage):
                 self.post(mind, self.minds[int(one.to[1:])], words.encode(one.word))
-            elif isinstance(one, api.Overload):
+            elif isinstance(one, api.OverloadUpdated):
                 self.decide(mind, one)
 
     def post(self, source: Mind, target: Mind, data: bytes) -> None:
@@ -280,17 +286,17 @@
         weights = {
             mind.number: mind.member.escrow.weight(self.clock(mind)) for mind in self.minds if not mind.away
         }
-        if sum(weights.values()) > WHOLE:
-            self.find(f"all may spend {sum(weights.values())} parts of {WHOLE}: {weights}")
+        if sum(weights.values()) > TOTAL_PARTS:
+            self.find(f"all may spend {sum(weights.values())} parts of {TOTAL_PARTS}: {weights}")
         for mind in self.minds:
             told = mind.member.decided
-            if mind.away or told is None or self.clock(mind) >= told.until_us:
+            if mind.away or told is None or self.clock(mind) >= told.valid_until_us:
                 continue
             # what the decisions go by must not outlast what it rests on
-            if told.share * WHOLE > weights[mind.number] + 1:
+            if told.budget_share * TOTAL_PARTS > weights[mind.number] + 1:
                 self.find(
-                    f"s{mind.number} goes by {told.share:.4f} of the budgets until {told.until_us} and "
-                    f"may spend {weights[mind.number]} parts"
+                    f"s{mind.number} goes by {told.budget_share:.4f} of budgets until {told.valid_until_us} "
+                    f"and may spend {weights[mind.number]} parts"
                 )
         self.look_at_returns()
 
@@ -310,7 +316,10 @@
 
 
 def settings(sidecars: int, number: int) -> api.Settings:
-    kinds = [api.RequestClass(f"k{worth}", 300_000, 1_000_000, worth) for worth in WORTHS]
+    kinds = [
+        api.RequestClass(f"k{priority_weight}", 300_000, 1_000_000, priority_weight)
+        for priority_weight in WORTHS
+    ]
     return api.Settings(
         kinds, instances=sidecars, self_index=number, max_attempts=4, max_retry_after_us=2_000_000
     )
@@ -370,7 +379,9 @@
     return left
 
 
-def virtual(sidecars: int, seconds: float, makes: Makes = Member, decides: Decides = Balancer) -> Plays:
+def virtual(
+    sidecars: int, seconds: float, makes: Makes = OverloadController, decides: Decides = Balancer
+) -> Plays:
     return lambda seed, faults: World(sidecars, seed, faults, makes, decides).run(seconds)
 
 
--- a/sidecar_proxy/testbed/checker.py
+++ b/sidecar_proxy/testbed/checker.py
@@ -17,7 +17,7 @@
 
     effect: str  # idempotent, deduplicated or at_most_once
     group: str = "all"  # deduplicated: all, zone or cell
-    memory_us: int = 0
+    deduplication_window_us: int = 0
 
 
 @dataclass(slots=True, frozen=True)
@@ -150,7 +150,10 @@
             )
         if kind.effect == "deduplicated" and kind.group == "zone" and one.site != taken[0].site:
             found.append(Breach(2, one.at_us, f"{name}: keyed, sent to {one.site} after {taken[0].site}"))
-        if kind.effect == "deduplicated" and one.first_us > taken[0].at_us + kind.memory_us + bounds.slack_us:
+        if (
+            kind.effect == "deduplicated"
+            and one.first_us > taken[0].at_us + kind.deduplication_window_us + bounds.slack_us
+        ):
             found.append(Breach(2, one.at_us, f"{name}: keyed, repeated when its nodes had forgotten it"))
     harmless = kind.effect == "idempotent" or (kind.effect == "deduplicated" and kind.group == "all")
     for answer in story.answers:
--- a/sidecar_proxy/testbed/client_fleet.py
+++ b/sidecar_proxy/testbed/client_fleet.py
@@ -14,8 +14,17 @@
 from sidecar_proxy.balancer.balancer import BELIEVED
 from sidecar_proxy.balancer.events import Outcome
 from sidecar_proxy.gossip.codec import Certificate
-from sidecar_proxy.gossip.instance import Address, Datagram, Exchange, Instance, Output, Sized, Suspect, Word
-from sidecar_proxy.gossip.keys import Keyring, Refused, certify
+from sidecar_proxy.gossip.instance import (
+    Address,
+    Datagram,
+    FleetSize,
+    GossipInstance,
+    OutlierWeight,
+    Output,
+    StateExchange,
+    SubsystemMessage,
+)
+from sidecar_proxy.gossip.keys import Keyring, RejectedError, issue_certificate
 
 WALL_US = 1_796_000_000_000_000
 TRIP_US = 1_000
@@ -43,16 +52,16 @@
 
     def certified(self, one: Certificate, now_us: int, wall_us: int) -> None:
         if one.serial in self.revoked:
-            raise Refused("revoked")
+            raise RejectedError("revoked")
 
     def verify(self, key: bytes, data: bytes, signature: bytes, now_us: int) -> None:
         if Stamp(data).signature != signature:
-            raise Refused("forged")
+            raise RejectedError("forged")
 
 
 @dataclass
 class Member:
-    instance: Instance
+    instance: GossipInstance
     clock_us: int = 0  # its wall clock is off by so much
     asleep_until_us: int = 0  # it gets no CPU
     weights: dict[str, float] = field(default_factory=dict)
@@ -78,7 +87,7 @@
         self.members: dict[Address, Member] = {}
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
         self.numbers = itertools.count()
-        self.words: list[tuple[str, Word]] = []  # of other subsystems: who has heard what
+        self.words: list[tuple[str, SubsystemMessage]] = []  # of other subsystems: who has heard what
         self.loss = 0.0
         self.passes: Callable[[Address, Address], bool] = lambda source, target: True
         self.on_wire: list[tuple[Address, Address, bytes]] | None = None  # kept where a test wants them
@@ -93,13 +102,13 @@
             return CheapKeys(bare)
         key = SigningKey(number.to_bytes(32, "big"))
         until_s, public = WALL_US // 1_000_000 + 86_400, key.verify_key.encode()
-        one = certify(self.fleet_key, number + 1, name or f"i{number}", site, public, until_s)
+        one = issue_certificate(self.fleet_key, number + 1, name or f"i{number}", site, public, until_s)
         return Keyring(key, one, [self.fleet_key.verify_key.encode()])
 
     def add(self, number: int, site: str, clock_us: int = 0) -> Member:
         address = ("10.0.0.1", 1000 + number)
         seeds = [("10.0.0.1", 1000), ("10.0.0.1", 1001)]
-        instance = Instance(
+        instance = GossipInstance(
             self.keyring(number, site),
             address,
             seeds,
@@ -117,7 +126,7 @@
         """A new key for it, vouched for by that fleet key; it believes what those have vouched for."""
         old, key = member.instance.keyring.certificate, SigningKey(number.to_bytes(32, "big"))
         until_s = WALL_US // 1_000_000 + 86_400
-        one = certify(vouched, number, old.name, old.site, key.verify_key.encode(), until_s)
+        one = issue_certificate(vouched, number, old.name, old.site, key.verify_key.encode(), until_s)
         member.instance.keyring.renew(key, one, [each.verify_key.encode() for each in trusted], [])
         self.perform(member, member.instance.renewed(self.now_us, self.wall_us(member.clock_us)))
 
@@ -142,16 +151,16 @@
         for one in outputs:
             if isinstance(one, Datagram):
                 self.post(member.instance.address, one.address, one.data)
-            elif isinstance(one, Exchange):
+            elif isinstance(one, StateExchange):
                 self.exchange(member, one.address)
-            elif isinstance(one, Sized):
+            elif isinstance(one, FleetSize):
                 member.sized = one.instances
-            elif isinstance(one, Word):
+            elif isinstance(one, SubsystemMessage):
                 self.words.append((member.instance.core.name, one))
             else:
                 self.suspect(member, one)
 
-    def suspect(self, member: Member, one: Suspect) -> None:
+    def suspect(self, member: Member, one: OutlierWeight) -> None:
         member.weights[one.node] = one.weight
         if one.weight >= BELIEVED:
             member.heard_us.setdefault(one.node, self.now_us)
@@ -189,7 +198,7 @@
             wall_us = self.wall_us(two.clock_us)
             try:
                 told = two.instance.opened(data, self.now_us, wall_us)
-            except Refused as error:
+            except RejectedError as error:
                 two.instance.keyring.refused[str(error)] += 1
                 return
             self.perform(two, two.instance.exchanged(told, self.now_us, wall_us))
--- a/sidecar_proxy/testbed/clients.py
+++ b/sidecar_proxy/testbed/clients.py
@@ -23,7 +23,7 @@
     share: float
     deadline_s: float
     body: int = 64  # bytes, where it has a body
-    worth: float = 1.0  # of one that is served within its aim
+    priority_weight: float = 1.0  # of one that is served within its aim
     group: str = "cell"  # deduplicated: who drops its repeats, all, zone or cell ...
     memory_s: float = 8.0  # ... and how long
 
--- a/sidecar_proxy/testbed/fault_schedule.py
+++ b/sidecar_proxy/testbed/fault_schedule.py
@@ -261,7 +261,7 @@
                 setattr(node.trouble, fault.kind, (fault.size or 0.5) if on else 0.0)
 
     async def replace(self, fault: Fault, chosen: list[Node]) -> None:
-        """A drain is told first, and the process ends later; a crash is told by nobody; all come back cold."""
+        """A drain is told first, the process ends later; a crash is told by nobody; all come back cold."""
         if fault.kind == "drain":
             for node in chosen:
                 node.health = "terminating"
--- a/sidecar_proxy/testbed/gossip.py
+++ b/sidecar_proxy/testbed/gossip.py
@@ -11,9 +11,9 @@
 from nacl.signing import SigningKey
 
 from sidecar_proxy.gossip import codec, files
-from sidecar_proxy.gossip.instance import Instance, Sized, Suspect, Word
-from sidecar_proxy.gossip.keys import Keyring, certify
-from sidecar_proxy.gossip.transport import Transport, wall_us
+from sidecar_proxy.gossip.instance import FleetSize, GossipInstance, OutlierWeight, SubsystemMessage
+from sidecar_proxy.gossip.keys import Keyring, issue_certificate
+from sidecar_proxy.gossip.transport import GossipTransport, wall_clock_us
 from sidecar_proxy.overload_control import messages as words
 from sidecar_proxy.testbed.history import now_us
 from sidecar_proxy.testbed.network_links import Links, host_of
@@ -34,7 +34,7 @@
         key = SigningKey.generate()
         self.serial += 1
         until_s, public = int(time.time()) + 86_400, key.verify_key.encode()
-        one = certify(self.fleet, self.serial, name, site, public, until_s)
+        one = issue_certificate(self.fleet, self.serial, name, site, public, until_s)
         return Keyring(key, one, [self.fleet.verify_key.encode()])
 
     def table(
@@ -69,8 +69,10 @@
     def __init__(
         self, ring: Keyring, seed: tuple[str, int], nodes: list[str], born_ms: int = 0, well: bool = False
     ) -> None:
-        self.instance = Instance(ring, ("127.0.0.1", 0), [seed], random.Random(1), now_us(), wall_us(), none)
-        self.transport = Transport(self.instance, now_us, unheard)
+        self.instance = GossipInstance(
+            ring, ("127.0.0.1", 0), [seed], random.Random(1), now_us(), wall_clock_us(), none
+        )
+        self.transport = GossipTransport(self.instance, now_us, unheard)
         self.nodes = nodes
         self.born_ms = born_ms
         self.well = well
@@ -94,8 +96,8 @@
                 self.said += 1
                 bad = 0 if self.well else 1000
                 counts.append(codec.Count(name, self.born_ms, 1000, bad, 0, 0, 1000 - bad, bad, 0))
-            self.instance.wall_us = wall_us()
-            actions = self.instance.core.publish(codec.Bulletin(counts), True, now_us())
+            self.instance.wall_us = wall_clock_us()
+            actions = self.instance.core.publish(codec.OutlierReport(counts), True, now_us())
             self.transport.perform(self.instance.outputs(actions, now_us()))
 
     def close(self) -> None:
@@ -116,12 +118,14 @@
         while True:
             await asyncio.sleep(LIE_S)
             work = [words.Work(int(self.tries * 1000), 0, 1000, 100_000) for _ in range(3)]
-            told = words.Report(self.index, 0, True, words.WHOLE, 0, 10**9, 1000, False, 10**6, work, [])
+            told = words.Report(
+                self.index, 0, True, words.TOTAL_PARTS, 0, 10**9, 1000, False, 10**6, work, []
+            )
             self.said += 1
-            self.instance.say(words.TOPIC, words.encode(told), wall_us())
+            self.instance.say(words.TOPIC, words.encode(told), wall_clock_us())
 
 
-def unheard(one: Suspect | Sized | Word) -> None:
+def unheard(one: OutlierWeight | FleetSize | SubsystemMessage) -> None:
     """What comes of it is nothing to the liar."""
 
 
