--- a/sidecar_proxy/admin/endpoint_overrides.py
+++ b/sidecar_proxy/admin/endpoint_overrides.py
@@ -1,5 +1,6 @@
 """Upstreams to which nothing new is sent whatever the list says, by whoever has said so: an operator at this
-sidecar's door, or the fleet. What a list says passes through here on its way to the decisions."""
+sidecar's door, or the fleet. What a list says passes through here on its way to the decisions.
+"""
 
 from __future__ import annotations
 
--- a/sidecar_proxy/admin/hot_restart.py
+++ b/sidecar_proxy/admin/hot_restart.py
@@ -62,7 +62,8 @@
 
     def alone(self) -> bool:
         """No other process of this sidecar serves; from now on this one does. Else this one is known to the
-        other as its successor. Asked again, it may change."""
+        other as its successor. Asked again, it may change.
+        """
         if self.folder is None or SERVING in self.locks:
             return True
         if self.lock(SERVING):
@@ -82,7 +83,8 @@
 
     def lock(self, name: str) -> bool:
         """False if another process has it. Hazard: a mark that is not a lock outlives a process that is
-        killed."""
+        killed.
+        """
         if self.folder is None or name in self.locks:
             return True
         try:
--- a/sidecar_proxy/admin/warm_start_codec.py
+++ b/sidecar_proxy/admin/warm_start_codec.py
@@ -56,7 +56,8 @@
     started_us: Mapping[int, int],
 ) -> bytes:
     """`names` and `started_us` are by number, as are the upstreams of `told`. Of more than MOST_UPSTREAMS
-    those go in that differ most from one that nothing is known of."""
+    those go in that differ most from one that nothing is known of.
+    """
     known = [one for one in told.upstreams if one.upstream in names and one.upstream in started_us]
     if len(known) > MOST_UPSTREAMS:
         known.sort(key=lambda one: (-one.failure_rate, one.concurrency_limit))
@@ -107,7 +108,8 @@
     started_us: Mapping[int, int],
 ) -> api.WarmStartState:
     """What the decisions may be told of it. Upstreams that are not known here, or have started anew since,
-    are left out. Raises Distrusted."""
+    are left out. Raises Distrusted.
+    """
     part = belief(now_us - found.at_us)
     upstreams = []
     for node in found.nodes:
--- a/sidecar_proxy/balancer/balancer.py
+++ b/sidecar_proxy/balancer/balancer.py
@@ -57,7 +57,7 @@
 
 
 class Attempt:
-    __slots__ = ("server", "entry", "sent_us", "ended", "lost", "cold")
+    __slots__ = ("cold", "ended", "entry", "lost", "sent_us", "server")
 
     def __init__(self, server: Endpoint, now_us: int, cold: bool) -> None:
         self.server = server
@@ -69,7 +69,7 @@
 
 
 class Request:
-    __slots__ = ("event", "kind", "until_us", "attempts", "asking", "asked", "done")
+    __slots__ = ("asked", "asking", "attempts", "done", "event", "kind", "until_us")
 
     def __init__(self, event: api.RequestArrived, settings: api.Settings, now_us: int) -> None:
         self.event = event
@@ -213,7 +213,8 @@
     def cut(self, event: api.RequestArrived) -> bool:
         """In a shortage of its own it sheds what all shed: who comes back too soon, and of each class the
         keys beyond the share that fits, so that a repeat meets the same verdict everywhere. Who comes back
-        when it was told to goes first."""
+        when it was told to goes first.
+        """
         told = self.as_one()
         if told is None or self.now_us - self.short_us > SHORT_US:
             return False
@@ -254,7 +255,8 @@
 
     def ask(self, request: Request, few: list[Endpoint]) -> None:
         """Where reports come with probes, a few free slots are asked and the least crowded is taken. Guards
-        against what a sidecar of little traffic cannot know: crowded, slow or hung upstreams."""
+        against what a sidecar of little traffic cannot know: crowded, slow or hung upstreams.
+        """
         request.asking = few
         self.asking[request.event.request] = request
         for server in few:
@@ -323,7 +325,8 @@
 
     def reserved(self, request: Request) -> int:
         """Trunk reservation, as in telephony: in a shortage the last slots are the dearest class's. A few are
-        nearly an absolute priority, as each slot that frees is its first; half stay for the others."""
+        nearly an absolute priority, as each slot that frees is its first; half stay for the others.
+        """
         if self.now_us - self.short_us > GAP_US:
             return 0
         dearest = max(self.slot_worth(index) for index in range(len(self.answer_us)))
@@ -435,14 +438,16 @@
     def follow_cold(self, late: float) -> None:
         """How long a cold upstream took, in usual answers. Of its warmth only the least is known; while it
         answers sooner than the others it has room, and gets more, until all take as long. Hazard: its answers
-        are few, so those of all cold ones count together; with no warm one to go by, none does."""
+        are few, so those of all cold ones count together; with no warm one to go by, none does.
+        """
         gain = self.cold_gain + (1.0 - min(2.0, late)) / 8 if len(self.fleet.warm) else 0.0
         self.cold_gain = max(self.cold_least, min(gain, COLD_MOST * self.settings.overload_factor))
 
     def on_suspected(self, server: Endpoint, weight: float) -> None:
         """Hearsay: it makes the next send a trial, after a rest by chance, so that all sidecars together try
         an upstream about as often as one would. It never closes one for good, and opens none: a trial's
-        answer ends it, and who has had one lately does not listen."""
+        answer ends it, and who has had one lately does not listen.
+        """
         if weight < BELIEVED:
             self.absolve(server)
         elif server.kept or (server.well_us and self.now_us - server.well_us < FRESH_US):
@@ -467,13 +472,15 @@
 
     def ill(self, server: Endpoint) -> bool:
         """Held against the one in the middle: what fails alike everywhere is no upstream's fault, and by the
-        mean half of them could fail unnoticed."""
+        mean half of them could fail unnoticed.
+        """
         return len(self.fleet.warm) > 0 and server.failing > ILL + 2 * self.fleet.failing_at(2)
 
     def draw(self, request: Request) -> tuple[Endpoint | None, list[Endpoint]]:
         """A random free slot for this request, and, where load is asked for, the first few that it could be
         of; if possible of one not yet tried, and of an idle one of this zone (when busy it spills over before
-        it queues)."""
+        it queues).
+        """
         if not self.may_send(request):
             return None, []
         if not self.asks and self.total.free(self.now_us) <= self.reserved(request):
@@ -544,7 +551,8 @@
     def order(self, request: Request) -> list[Endpoint] | None:
         """This sidecar's own, told by None; where upstreams remember keys, the key's own, alike in all
         sidecars. Hazard: at connection limits it opens too many, so after failed connects the own few are
-        kept to."""
+        kept to.
+        """
         key = request.event.key
         if key == 0 or self.shut > 0.2:
             return None
@@ -561,7 +569,8 @@
     ) -> Endpoint | None:
         """Rule 4: of the sends that warm ones have room for (none warm: of arrivals) a cold one gets its
         share of capacity, by a quarter of the multiple, and more while it answers sooner than they. Hazard:
-        in a shortage all would fall on it, by hundreds of sidecars."""
+        in a shortage all would fall on it, by hundreds of sidecars.
+        """
         fleet = self.fleet
         if warm is None and (len(fleet.warm) or fleet.leased(self.now_us)):
             # one out from each of a few sidecars can't choke it, unless it fails at once
@@ -583,7 +592,8 @@
 
     def spare_cold(self, request: Request) -> Endpoint | None:
         """Hazard: where warm ones are crowded or refuse, their slots, and those of all together, close for
-        what they do; cold ones beside them would stand idle. One that fails at once is no closed loop."""
+        what they do; cold ones beside them would stand idle. One that fails at once is no closed loop.
+        """
         if not len(self.fleet.warm) and not self.fleet.leased(self.now_us):
             return None
         tried = [attempt.server for attempt in request.attempts]
@@ -663,7 +673,7 @@
     def release(self, server: Endpoint) -> None:
         """Hazard: upstreams are replaced all day, by new ids. What is out to one is waited for."""
         unlisted = server.entry.state is api.UpstreamState.GONE
-        if not server.slots.used and (unlisted or server.seat is None and self.subset.on):
+        if not server.slots.used and (unlisted or (server.seat is None and self.subset.on)):
             self.fleet.forget(server)
 
     def may_send(self, request: Request) -> bool:
@@ -717,7 +727,8 @@
 
     def usual_us(self, request: Request) -> int:
         """The time-out: what the class usually takes and some. Where none may follow, the answer is waited
-        for till the last, and only the slot is freed."""
+        for till the last, and only the slot is freed.
+        """
         kind = request.event.class_index
         # hazard: a sidecar that has seen few answers knows little of the long ones and would begin them anew
         return max(int(3 * self.answer_us[kind]), self.half_aim_us(kind), 4 * request.event.cost_us)
@@ -726,7 +737,8 @@
         """Hazard: where a part of all answers is lost (a path, a worker, connections that hang), each would
         hold its slot till due, and upstreams that answer the others at once would stand idle. Its slot is
         freed if a later send has been answered, or as one of a few tries. A crowd (what is answered is
-        slow) and a silence keep theirs. It hurts where some requests are much heavier."""
+        slow) and a silence keep theirs. It hurts where some requests are much heavier.
+        """
         attempt = request.attempts[-1]
         server, since_us = attempt.server, self.now_us - attempt.sent_us
         if attempt.ended is not None or attempt.lost or request.done:  # done: it streams, or nobody waits
@@ -851,7 +863,8 @@
         """In place of first guesses, never of what this process has seen itself. Hazard: a slot that rests
         does so from now on, else each process that starts would try the ill upstreams at once. Hazard: what
         is alike everywhere is no upstream's fault, and may be over: the one in the middle begins with a
-        slot."""
+        slot.
+        """
         windows = sorted(max(one.concurrency_limit, LEAST_LEARNT) for one in event.upstreams)
         scale = max(1.0, 1.0 / windows[len(windows) // 2]) if windows else 1.0
         for kind, told_us in enumerate(event.response_times_us[: len(self.answer_us)]):
@@ -873,7 +886,8 @@
 
     def calls_spread_us(self) -> int:
         """Hazard: discovery works through calls in turn, and each that waits too long has cost its work all
-        the same. A fleet that starts together, or calls again soon, keeps it too far behind to answer any."""
+        the same. A fleet that starts together, or calls again soon, keeps it too far behind to answer any.
+        """
         return min(max(0, self.subset.instances - CALLERS) * CALL_US, self.list_wait_us)
 
     def ask_list_at(self, at_us: int) -> None:
--- a/sidecar_proxy/balancer/endpoint_pool.py
+++ b/sidecar_proxy/balancer/endpoint_pool.py
@@ -1,7 +1,7 @@
 """The index of the fleet: what one sidecar knows of each upstream, and who of them may have a send now.
 
 No I/O and no clock but the time handed in. Every change of an upstream is told by `touch`, in O(log n); after
-it the shelves agree with what a plain scan of all upstreams would find (tests/test_fleet.py).
+it the shelves agree with what a plain scan of all upstreams would find (tests/balancer/test_endpoint_pool.py).
 """
 
 import heapq
@@ -26,7 +26,7 @@
 class ConcurrencyLimiter:
     """Outstanding sends to one upstream, or to all of them together."""
 
-    __slots__ = ("used", "first", "window", "rest_until_us")
+    __slots__ = ("first", "rest_until_us", "used", "window")
 
     def __init__(self, window: float) -> None:
         self.used = 0
@@ -53,27 +53,27 @@
 
 class Endpoint:  # what this sidecar knows of one upstream
     __slots__ = (
-        "entry",
-        "order",
-        "slots",
-        "crowd",
-        "told_us",
-        "size",
-        "resting",
-        "failing",
         "answer_us",
         "answered_us",
-        "doubts",
         "askers",
+        "counted",
+        "crowd",
+        "doubts",
+        "entry",
+        "failing",
         "kept",
-        "well_us",
+        "low",
+        "noted_us",
+        "order",
+        "ranked",
+        "resting",
         "seat",
         "shelf",
-        "ranked",
-        "counted",
-        "noted_us",
-        "low",
+        "size",
+        "slots",
+        "told_us",
         "turn",
+        "well_us",
     )
 
     def __init__(self, entry: api.Upstream, order: float, opening: float) -> None:
@@ -150,7 +150,8 @@
 
     def lease(self, share: float, until_us: int, now_us: int) -> None:
         """This sidecar's part of what cold upstreams bear, by the fleet's word. All sidecars' parts together
-        are no more than the whole."""
+        are no more than the whole.
+        """
         self.leased_slots, self.leased_us = COLD_SLOTS * share, until_us
         for server in self.cold.items():  # what is open grows with their warmth
             self.touch(server, now_us)
@@ -200,7 +201,8 @@
         """Rule 4, in a shortage: the slots that a cold upstream bears, COLD_SLOTS by its warmth, are dealt
         out by the sidecars' numbers, so that without a word between them all hold no more than that, and a
         busy one can use its own at once. What is out in a closed loop is all that a budget for a window can
-        be ahead of. Hazard: so few sidecars that each has a slot at every one together pass that budget."""
+        be ahead of. Hazard: so few sidecars that each has a slot at every one together pass that budget.
+        """
         server.turn = (place_of(server.entry.id)[0] / 2.0**64 + self.number * GOLDEN) % 1.0
         if 1.0 - server.turn <= self.cold_slots < 1.0:
             self.dealt[server.entry.id] = server
@@ -212,7 +214,8 @@
 
     def draw(self, dice: random.Random, first: int, barred: list[Endpoint], most: float) -> Endpoint | None:
         """A free slot of the first upstreams that have one, in order: rather of those that fail at most so
-        much, and of these rather of an idle one of the own zone. The barred ones are left out."""
+        much, and of these rather of an idle one of the own zone. The barred ones are left out.
+        """
         for limit in (most, math.inf) if most < math.inf else (math.inf,):
             found = self.warm.pick(dice, first, barred, limit, near=True) if self.home != -1 else None
             if found is None:
@@ -304,7 +307,8 @@
 
     def count_slots(self, sharing: float, number: int, now_us: int) -> None:
         """How many sidecars share an upstream, and which of them this is. Draws of few go by size and slots;
-        where that changes, all weights are renewed."""
+        where that changes, all weights are renewed.
+        """
         few, cold_slots = sharing <= FEW, COLD_SLOTS / sharing
         if (cold_slots, number) != (self.cold_slots, self.number):
             self.cold_slots, self.number = cold_slots, number
@@ -353,7 +357,8 @@
 
     def cold_by_share(self, dice: random.Random, now_us: int) -> Endpoint | None:
         """One of the cold by size times warmth: drawn by size, taken by warmth. None if chance takes none of
-        many, which is the careful side."""
+        many, which is the careful side.
+        """
         for _ in range(COLD_TRIES):
             seat = self.cold.weighted(dice.random() * self.cold.root.total, near=False)
             if seat is not None and dice.random() < self.warmth(seat.item, now_us):
--- a/sidecar_proxy/balancer/ordered_index.py
+++ b/sidecar_proxy/balancer/ordered_index.py
@@ -90,21 +90,21 @@
     """One item's place in the order of a shelf, and the sums of the subtree below it."""
 
     __slots__ = (
+        "count",
+        "failing",
         "item",
         "key",
-        "priority",
-        "open",
+        "least",
+        "left",
         "mass",
         "near",
-        "failing",
-        "left",
+        "near_least",
+        "nears",
+        "open",
+        "priority",
         "right",
-        "up",
-        "count",
         "total",
-        "nears",
-        "least",
-        "near_least",
+        "up",
     )
 
     def __init__(self, item: T, key: tuple[float, int], priority: int) -> None:
@@ -135,7 +135,8 @@
 
 class OrderedIndex(Generic[T]):
     """Items in the order of their keys, some of them open. A treap: its shape hangs on the items' numbers
-    alone, so the same items give the same draws."""
+    alone, so the same items give the same draws.
+    """
 
     def __init__(self) -> None:
         self.root: Seat[T] = NOBODY
@@ -251,7 +252,8 @@
 
     def sums(self, first: int) -> tuple[float, float, float, float]:
         """Mass, near mass, least failing and least failing of the near among the first open seats, of which
-        there must be so many."""
+        there must be so many.
+        """
         at = self.root
         total = nears = 0.0
         least = near_least = ANY
@@ -299,7 +301,8 @@
 
     def walk(self, first: int, most: float = ANY, near: bool = False) -> Iterator[Seat[T]]:
         """Of the first open seats those that fail at most so much (and are near), in order. Subtrees with
-        none are passed over, so each found costs O(log n)."""
+        none are passed over, so each found costs O(log n).
+        """
         rest: list[tuple[Seat[T], int, bool]] = [(self.root, 0, False)]
         while rest:
             at, before, whole = rest.pop()
@@ -320,7 +323,8 @@
     ) -> T | None:
         """One of the first open seats by its weight, of those that fail at most so much, are not barred (and
         are near). By rejection, which has the very distribution of a list of them all; where next to none
-        fit, these are listed instead."""
+        fit, these are listed instead.
+        """
         root = self.root
         if first >= root.count:
             first, total, nears = root.count, root.total, root.nears
--- a/sidecar_proxy/balancer/settings.py
+++ b/sidecar_proxy/balancer/settings.py
@@ -1,5 +1,6 @@
 """An instance's settings as text, `path=value` a line in the simulator's names, to typed values; and what
-those permit. Pure."""
+those permit. Pure.
+"""
 
 from __future__ import annotations
 
--- a/sidecar_proxy/balancer/subsetting.py
+++ b/sidecar_proxy/balancer/subsetting.py
@@ -28,7 +28,8 @@
 
 def scattered(index: int, base: int) -> float:
     """The radical inverse: places that lie evenly for sidecars of one site, whether these are numbered one
-    after another or, with a base that does not divide the number of sites, in turn with the others."""
+    after another or, with a base that does not divide the number of sites, in turn with the others.
+    """
     found, part = 0.0, 1.0
     while index:
         part /= base
@@ -83,12 +84,14 @@
 
     def renewed(self, now_us: int, busiest: int) -> bool:
         """Whether to select anew: the size has changed, or who is ill was looked at long ago. Hazard: where
-        nothing else happens, those that stood in for ill or cold members would stay for good."""
+        nothing else happens, those that stood in for ill or cold members would stay for good.
+        """
         return self.resize(now_us, busiest) or now_us - self.selected_us >= SUSPECT_US
 
     def resize(self, now_us: int, busiest: int) -> bool:
         """Follow the traffic: `busiest` requests were out together. Wider at once, narrower in time, and
-        then by halves. True if the size has changed."""
+        then by halves. True if the size has changed.
+        """
         wanted = min(max(LEAST, HEADROOM * busiest), max(1, self.most // 2))
         if wanted > self.size:
             self.size, self.small_since_us = wanted, now_us
@@ -126,7 +129,8 @@
 
     def select(self, now_us: int, usable: Callable[[int], bool]) -> tuple[list[int], list[int]]:
         """Renew the members: who joins and who leaves. Along the arc, and beyond it in place of each that is
-        not usable; of these as many stay as there is room for, so that they are seen to be well again."""
+        not usable; of these as many stay as there is room for, so that they are seen to be well again.
+        """
         self.selected_us = now_us
         if not self.on:
             return self.change(self.zones)
--- a/sidecar_proxy/balancer/token_bucket.py
+++ b/sidecar_proxy/balancer/token_bucket.py
@@ -4,7 +4,7 @@
 class TokenBucket:
     """So many a second, and at most a second's worth, or one, at once."""
 
-    __slots__ = ("rate", "left", "at_us")
+    __slots__ = ("at_us", "left", "rate")
 
     def __init__(self, now_us: int) -> None:
         self.rate = 0.0
--- a/sidecar_proxy/consensus/disk.py
+++ b/sidecar_proxy/consensus/disk.py
@@ -1,6 +1,7 @@
 """What the store does to files. `SIDECAR_PROXY_DISK_FILE` names a file that says how a rig breaks them: `slow
 SECONDS`, or `kill OPERATION BEFORE|MIDDLE|AFTER NUMBER`: at that one of the operations from when it was said,
-the process ends as by SIGKILL."""
+the process ends as by SIGKILL.
+"""
 
 from __future__ import annotations
 
--- a/sidecar_proxy/consensus/disruption_budgets.py
+++ b/sidecar_proxy/consensus/disruption_budgets.py
@@ -1,5 +1,6 @@
 """Places to be out: who holds one, whether one more may be given, and who is next. Pure: part of the state
-that the agreed words come to, so it goes by the words alone."""
+that the agreed words come to, so it goes by the words alone.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +35,8 @@
 
 class Facts(msgspec.Struct, array_like=True, frozen=True):
     """What the leader knows as it proposes: of whom it is about, of how many there are under each scope, and
-    of those that are out without a place."""
+    of those that are out without a place.
+    """
 
     what: Annotated[str, Meta(max_length=8)]
     about: Member
@@ -98,7 +100,8 @@
 
 def over(places: Places, settings: Mapping[str, str], facts: Facts, out: Iterable[str] = ()) -> str:
     """Which budget one more would break, and who is out; "" = none. `out`: names held out without a place, of
-    whom nothing more is known: they count everywhere."""
+    whom nothing more is known: they count everywhere.
+    """
     about, what = facts.about, facts.what
     others = {one.member.name: one.member for one in places.held.values() if one.what == what}
     others |= {one.name: one for one in facts.down if one.name not in others}
@@ -162,7 +165,8 @@
     index: int,
 ) -> list[Place]:
     """A place is free, or one no longer waits; returns those who get theirs now, in the line's order: who
-    does not fit holds up those behind it, so that nobody waits for ever."""
+    does not fit holds up those behind it, so that nobody waits for ever.
+    """
     places.held.pop(key_of(what, name), None)
     places.line = [one for one in places.line if (one.place.what, one.place.member.name) != (what, name)]
     given = []
--- a/sidecar_proxy/consensus/frames.py
+++ b/sidecar_proxy/consensus/frames.py
@@ -1,5 +1,6 @@
 """What sidecars say to one another about the agreed state, beside the messages of Raft itself. Records that
-are their own forms on the wire; all limits are checked where one is read."""
+are their own forms on the wire; all limits are checked where one is read.
+"""
 
 from __future__ import annotations
 
@@ -91,7 +92,8 @@
 
 class Answer(msgspec.Struct, array_like=True, frozen=True, tag=16):
     """`what`: done, error, unknown (it may be committed yet), elsewhere (nothing was done; `leader` may
-    know)."""
+    know).
+    """
 
     number: Whole
     what: Annotated[str, Meta(max_length=16)]
--- a/sidecar_proxy/consensus/log.py
+++ b/sidecar_proxy/consensus/log.py
@@ -49,7 +49,8 @@
     def add(self, entries: Sequence[Entry]) -> int | None:
         """After a check of what stands before them: a conflict cuts the log, what is there stays. The index
         of the first entry that is new; None: all were there. Hazard: an old message with fewer entries must
-        not cut."""
+        not cut.
+        """
         for number, one in enumerate(entries):
             if one.index <= self.snapshot.index:
                 continue
--- a/sidecar_proxy/consensus/raft.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -98,10 +98,11 @@
         timing: Timing = Timing(),
         commit: int = 0,
         early: bool = False,
-    ) -> None:  # noqa: B008
+    ) -> None:
         """`commit`: what was known to be committed when it ended; the caller has applied all up to there.
         `early`: the caller sends a Ready's Appends before it has written, and says `wrote` once it has
-        (10.2.1): so a commit takes one sync and not two in a row."""
+        (10.2.1): so a commit takes one sync and not two in a row.
+        """
         self.me = me
         self.log = log
         self.term, self.vote = hard.term, hard.vote
@@ -376,7 +377,8 @@
 
     def learned(self, entries: Sequence[Entry]) -> None:
         """Committed ones, without gaps, from a voter: as a learner fetches them. Those that do not follow on
-        what is committed here are passed over. Raises Refused for what can't be."""
+        what is committed here are passed over. Raises Refused for what can't be.
+        """
         new = [one for one in entries if one.index > self.commit]
         if not new or new[0].index != self.commit + 1 or self.leads:
             return
@@ -390,7 +392,8 @@
 
     def reach(self, term: int) -> None:
         """Hazard: a log never ends in a later term than the node's own, or a leader whose time is over could
-        cut what is committed."""
+        cut what is committed.
+        """
         if term > self.term:
             self.follow(term, "")
 
--- a/sidecar_proxy/consensus/replica.py
+++ b/sidecar_proxy/consensus/replica.py
@@ -212,7 +212,8 @@
 
     def tick(self, now_us: int, wall_ms: int) -> list[Output]:
         """At `due_us`. Hazard: time in which this process got no CPU is not counted; what it
-        has not read yet may say that all is well."""
+        has not read yet may say that all is well.
+        """
         self.wall_ms = wall_ms
         if now_us - self.tick_last_us > self.planned * TICK_US + STALL_US:
             self.barrier = 0
@@ -230,7 +231,8 @@
 
     def catch_up(self, now_us: int) -> None:
         """The ticks that have passed since the last one, but the one that something is due at: what comes now
-        counts from now."""
+        counts from now.
+        """
         passed = min((now_us - self.tick_last_us) // TICK_US, self.planned - 1)
         if passed > 0:
             for _ in range(passed):
--- a/sidecar_proxy/consensus/storage.py
+++ b/sidecar_proxy/consensus/storage.py
@@ -91,7 +91,8 @@
 
     def open(self) -> PersistedState:
         """Raises Damaged where what is there can't be relied on; nothing is changed then. Begins a log where
-        there is none."""
+        there is none.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         self.path.with_suffix(".part").unlink(missing_ok=True)
         if not self.path.exists():
--- a/sidecar_proxy/consensus/subsystem.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -1,5 +1,6 @@
 """Turns agreed state on in a sidecar: its store on a thread of its own, its connections, its words at the
-door, and what holds to the decisions. It decides nothing, and no request waits for it."""
+door, and what holds to the decisions. It decides nothing, and no request waits for it.
+"""
 
 from __future__ import annotations
 
@@ -236,7 +237,8 @@
 
     def step(self, does: Callable[[], list[Output]]) -> None:
         """Hazard: a fault here costs this part, never a request; and one that has failed in the middle must
-        neither promise nor vote any more."""
+        neither promise nor vote any more.
+        """
         if self.closed:
             return
         try:
@@ -345,7 +347,8 @@
 
     def as_one(self, does: AdminCommand, gives: bool, argument: str) -> str | Awaitable[str]:
         """PAUSE and RESUME of this sidecar: where sidecars have a budget, it takes a place first, and gives
-        it back after. `force` is done in any case."""
+        it back after. `force` is done in any case.
+        """
         if self.closed or not permits.budgets(words.limits(self.member.state), "sidecar"):
             return does("")
         return self.resumed(does) if gives else self.paused(does, argument)
--- a/sidecar_proxy/consensus/witness.py
+++ b/sidecar_proxy/consensus/witness.py
@@ -1,5 +1,6 @@
 """What this sidecar knows of who is out, for words that take or give a place: its list, what gossip has
-against nodes, and which sidecars gossip holds for dead. It decides nothing."""
+against nodes, and which sidecars gossip holds for dead. It decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -57,7 +58,8 @@
 
     def sidecars(self) -> Iterator[tuple[Member, bool]]:
         """Each that is there, and whether gossip holds it for dead. In a cell's place is its process: a place
-        of one that is no more is given back."""
+        of one that is no more is given back.
+        """
         assert self.gossip.transport is not None
         core = self.gossip.transport.instance.core
         yield Member(core.name, core.site, "", self.agreed.life), False
@@ -69,7 +71,8 @@
 
     def own(self, state: ReplicatedState) -> ReplicatedCommand | None:
         """The word that gives this sidecar's own place back, where another process of it took it: this one is
-        what it has come back as."""
+        what it has come back as.
+        """
         place = state.places.held.get(key_of("sidecar", self.agreed.name))
         if place is None or not place.member.cell or place.member.cell == self.agreed.life:
             return None
@@ -79,7 +82,8 @@
 
     def back(self, state: ReplicatedState) -> Iterator[ReplicatedCommand]:
         """Words that give places back: of nodes that are listed as ready with a later start than the one that
-        went out."""
+        went out.
+        """
         for one in list(state.places.held.values()):
             host = self.host(one.member.name) if one.what == "node" else None
             if host is None or (host.told or host.entry).state is not UpstreamState.READY:
--- a/sidecar_proxy/gossip/broadcasts.py
+++ b/sidecar_proxy/gossip/broadcasts.py
@@ -34,7 +34,8 @@
 
     def put(self, key: Key, told: Signed, late: bool = False) -> None:
         """In place of an older one of this key. What no packet can hold is left to exchanges: it would keep
-        back all others."""
+        back all others.
+        """
         if key in self.by_key:
             self.drop(key)
         if size_of(told) > ROOM:
--- a/sidecar_proxy/gossip/core.py
+++ b/sidecar_proxy/gossip/core.py
@@ -231,7 +231,8 @@
     def exchange(self, now_us: int) -> list[Action]:
         """With a peer; with a seed while there is none, and now and then after, lest two parts that have
         forgotten one another stay so. Hazard: some that start together meet at one seed and some at another;
-        so each asks several of them, twice, before it asks peers."""
+        so each asks several of them, twice, before it asks peers.
+        """
         living = self.peers.living()
         if self.tries < 2 * min(len(self.seeds), FIRST_SEEDS):
             address = self.seeds[self.tries % min(len(self.seeds), FIRST_SEEDS)]
@@ -469,7 +470,8 @@
 
     def news(self, told: Signed, now_us: int, wait_us: int) -> list[Action]:
         """At once to a few; each passes on what is new to it, so that all have it in log n trips. Hazard: a
-        node that fails for many is news by the dozen; what comes together goes on together."""
+        node that fails for many is news by the dozen; what comes together goes on together.
+        """
         if not self.hot:
             self.hot_us = now_us + wait_us
         self.hot.append(told)
@@ -497,7 +499,8 @@
 
     def send(self, address: tuple[str, int], message: Message, peer: Peer | None = None) -> Send:
         """With the rumours that have gone out least. A suspect hears of it first, so that it can refute
-        (Lifeguard, Buddy System)."""
+        (Lifeguard, Buddy System).
+        """
         first: list[Signed] = []
         if peer is not None and peer.life is not Life.ALIVE:
             first.append(self.sign(Suspicion(peer.name, peer.incarnation)))
--- a/sidecar_proxy/gossip/credentials.py
+++ b/sidecar_proxy/gossip/credentials.py
@@ -1,5 +1,6 @@
 """What the operator's files let an instance say and believe, read anew when they change, so that keys and
-certificates are changed without a restart."""
+certificates are changed without a restart.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +52,8 @@
 
     def changed(self) -> Credentials | None:
         """What holds from now on, if it is not what held before. Raises FileError, once for each change, for
-        files that can't be used: what held goes on holding."""
+        files that can't be used: what held goes on holding.
+        """
         stamps = self.look()
         if stamps == self.stamps:
             return None
--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -70,7 +70,8 @@
 
 class Census:
     """How many there are, for those who share by it: up at once, down only after a long while, and never
-    below the floor, as half of a partition would else take itself for the whole."""
+    below the floor, as half of a partition would else take itself for the whole.
+    """
 
     def __init__(self, floor: int) -> None:
         self.floor = self.told = floor
--- a/sidecar_proxy/gossip/keys.py
+++ b/sidecar_proxy/gossip/keys.py
@@ -181,7 +181,8 @@
 
     def statement(self, told: Signed, known: Certificate | None, now_us: int, wall_us: int) -> Statement:
         """What an author says, by whomever it was passed on; `known` is the author's certificate, if it was
-        heard of. Its own Alive brings one."""
+        heard of. Its own Alive brings one.
+        """
         if told.at_us > wall_us + SKEW_US:
             raise RejectedError("another time")
         found = decode_or_reject(codec.statements, told.body)
--- a/sidecar_proxy/gossip/outlier_reports.py
+++ b/sidecar_proxy/gossip/outlier_reports.py
@@ -54,9 +54,10 @@
 
     def note(self, node: str, born_ms: int, outcome: Outcome, now_us: int) -> bool:
         """An attempt has ended. True if the others should hear of it at once: the node begins to fail, or is
-        well again."""
+        well again.
+        """
         kind = FAILURES.get(outcome)
-        if kind is None and outcome is not Outcome.OK or len(node) > MOST_NAME:
+        if (kind is None and outcome is not Outcome.OK) or len(node) > MOST_NAME:
             return False  # it never ran, or we gave it up: no word on the node; or it has no name to tell
         seen = self.nodes.get(node)
         if seen is None or seen.born_ms != born_ms or now_us - seen.since_us > WINDOW_US:
@@ -164,7 +165,8 @@
 
     def weight(self, node: str, born_ms: int, sites: Mapping[str, int], now_us: int) -> float:
         """0 to 1: how surely the node that started then fails for those who use it as we do. `sites` has the
-        number of live instances of each site, ourselves not among them."""
+        number of live instances of each site, ourselves not among them.
+        """
         found: dict[str, list[tuple[float, float]]] = {}
         well_here = 0
         for one in self.reports.get(node, {}).values():
--- a/sidecar_proxy/gossip/peers.py
+++ b/sidecar_proxy/gossip/peers.py
@@ -37,7 +37,8 @@
 
     def next_urgent_us(self, now_us: int) -> int:
         """From when news of it may be passed on at once: a few in a row, of who speaks on without end one in
-        a while. The generic cell rate algorithm (ITU-T I.371), with a gap besides."""
+        a while. The generic cell rate algorithm (ITU-T I.371), with a gap besides.
+        """
         paced_us = max(self.spent_us, now_us) - (URGENT_BURST - 1) * URGENT_EACH_US
         return max(self.urgent_us + URGENT_GAP_US, paced_us)
 
--- a/sidecar_proxy/gossip/subsystem.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -1,5 +1,6 @@
 """Turns gossip on in a sidecar, as the operator file says: what the engine sees goes out, what comes of it
-goes to the decisions as events."""
+goes to the decisions as events.
+"""
 
 from __future__ import annotations
 
@@ -104,7 +105,8 @@
 
     def observe(self, upstream: int, outcome: api.Outcome) -> None:
         """An attempt has ended. Hazard: this is on the way of every request; a fault here costs the gossip,
-        never a request."""
+        never a request.
+        """
         name = self.directory.names.get(upstream)
         entry = self.engine.balancer.entries.get(upstream)
         if name is None or entry is None or self.transport is None:
--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -116,7 +116,8 @@
 
     async def exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, head: bytes) -> None:
         """Each side says all that it knows. Who called speaks first, so that a stranger hears nothing.
-        `head`: the first bytes of one who has called; empty: we have."""
+        `head`: the first bytes of one who has called; empty: we have.
+        """
         first = not head
         if self.exchanges >= MOST_EXCHANGES:
             writer.transport.abort()
--- a/sidecar_proxy/overload_control/controller.py
+++ b/sidecar_proxy/overload_control/controller.py
@@ -89,7 +89,7 @@
 class Seen:
     """What one sidecar counts of one class."""
 
-    __slots__ = ("demand", "returns", "served", "busy")
+    __slots__ = ("busy", "demand", "returns", "served")
 
     def __init__(self, now_us: int) -> None:
         self.demand, self.returns = Rate(now_us), Rate(now_us)
@@ -168,7 +168,8 @@
 
     def refused(self, key: int, after_us: int, shed: bool, now_us: int) -> None:
         """The decisions have refused one, and told its client to stay away for so long; `shed` by the line,
-        or for want of a slot."""
+        or for want of a slot.
+        """
         self.refused_rate.count += 1
         self.crowded.count += not shed
         if key and after_us > 0:
@@ -277,7 +278,8 @@
 
     def follow_pace(self) -> None:
         """Hazard: what a cold node bears in slots is more than it works on at once, the warmer the more;
-        its queue would be judged as a warm node's in the moment that it is one, and close all slots."""
+        its queue would be judged as a warm node's in the moment that it is one, and close all slots.
+        """
         if self.warmth >= 1.0 or not self.slow_us:
             self.pace = 1.0
             return
@@ -344,7 +346,8 @@
     def room(self) -> tuple[int, bool]:
         """What nodes could take as it seems, in thousandths of what is served; and whether no limit is seen.
         Hazard: while nothing is served at all the nodes are away, and a line by that would shed all once they
-        are back."""
+        are back.
+        """
         served = self.served_per_s
         if served < 1.0:
             return 1000, True
--- a/sidecar_proxy/overload_control/retry_storm.py
+++ b/sidecar_proxy/overload_control/retry_storm.py
@@ -82,7 +82,8 @@
 
     def when(self, key: int, now_us: int) -> int:
         """When this one was told to come back; 0 = it was not, or long ago. One that comes at its time has
-        used its promise."""
+        used its promise.
+        """
         at_us = self.by_key.get(key, 0)
         if at_us and now_us >= at_us - EARLY_US:
             del self.by_key[key]
@@ -98,7 +99,8 @@
 
 def return_us(line: Line | None, work_us: float, usual_us: int, most_us: int) -> int:
     """The time in which the fleet's backlog fits into the room that fresh work leaves: a virtual queue whose
-    length all know. Between a usual answer and what the settings allow."""
+    length all know. Between a usual answer and what the settings allow.
+    """
     if line is None or line.spare_us <= 0.02 * line.room_us:
         return most_us
     wait_us = (line.backlog + 1) * work_us / line.spare_us * 1e6
--- a/sidecar_proxy/overload_control/shedding_threshold.py
+++ b/sidecar_proxy/overload_control/shedding_threshold.py
@@ -36,7 +36,8 @@
 
 def weights(reports: Mapping[str, Report], instances: int) -> dict[str, int]:
     """What each may spend by the word of others: what it owns by its number, without what it says that it has
-    lent, and with what their lenders say. Two of one number share it."""
+    lent, and with what their lenders say. Two of one number share it.
+    """
     owned = TOTAL_PARTS // instances
     by_index: dict[int, int] = {}
     for one in reports.values():
--- a/sidecar_proxy/overload_control/subsystem.py
+++ b/sidecar_proxy/overload_control/subsystem.py
@@ -1,5 +1,6 @@
 """Turns the fleet's part in overload on: counts of the engine and words of the others go into the core, what
-comes of it to the decisions and the others. It decides nothing."""
+comes of it to the decisions and the others. It decides nothing.
+"""
 
 from __future__ import annotations
 
@@ -159,7 +160,8 @@
 
     def trace(self) -> None:
         """What may be spent, for whoever adds it up over the fleet: [own, [[borrowed, until]]], by the clock
-        that all processes of a machine share. Hazard: written before what comes of it has left."""
+        that all processes of a machine share. Hazard: written before what comes of it has left.
+        """
         escrow, now_us = self.member.escrow, self.engine.clock.now_us()
         base_us = self.engine.clock.base_ns // 1000
         held = [[one.parts, one.until_us - base_us] for one in escrow.held.values() if one.until_us > now_us]
--- a/tests/admin/test_warm_start_codec.py
+++ b/tests/admin/test_warm_start_codec.py
@@ -27,10 +27,10 @@
 )
 from tests.admin.rig import Doored
 from tests.admin.test_hot_restart import platform
+from tests.balancer.world import START_US, upstreams
+from tests.balancer.world import settings as world_settings
 from tests.sockets import Upstream as Node
 from tests.sockets import answer, eventually
-from tests.world import START_US, upstreams
-from tests.world import settings as world_settings
 
 CLASSES = ["read", "pay", "mark"]
 NAMES = {number: f"node-{number}" for number in range(100, 106)}
--- a/tests/test_slots.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -16,7 +16,7 @@
     Upstream,
     UpstreamState,
 )
-from tests.world import World, settings, upstreams
+from tests.balancer.world import World, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2
 
@@ -152,7 +152,8 @@
 
 def sent_to_new(warm_us: int, new_us: int) -> int:
     """Of 300 requests of a sidecar among 40, those that six new upstreams of ten get; `warm_us` and `new_us`
-    are how long the two kinds take."""
+    are how long the two kinds take.
+    """
     world = World(settings(instances=40, overload_factor=2.5, cold_share=0.3))
     new = [Upstream(n, started_us=world.now_us - 1_000) for n in range(1, 7)]
     world.tell_list([*new, *upstreams(4)])
@@ -195,7 +196,8 @@
 
 def test_in_a_shortage_many_sidecars_use_the_slots_of_cold_upstreams_that_are_dealt_to_them() -> None:
     """Twenty warm ones are slow, so that the slots of all close: each cold one gets as much from all sidecars
-    together as it can bear, from few of them or from many."""
+    together as it can bear, from few of them or from many.
+    """
     for instances in (12, 40, 200):
         held = dict.fromkeys(range(1, 11), 0)
         for number in range(instances):
--- a/tests/test_list.py
+++ b/tests/balancer/test_endpoint_list_updates.py
@@ -16,7 +16,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from tests.world import START_US, World, settings, upstreams
+from tests.balancer.world import START_US, World, settings, upstreams
 
 
 def asking_world() -> World:
@@ -80,7 +80,8 @@
 
     Discovery works through calls in turn and could take one of each sidecar in `all_calls_us`. One that would
     wait longer than `patience_us` is turned away; one that nearly does waits so long all the same, behind
-    what is told of changes: it fails, and its work has been done."""
+    what is told of changes: it fails, and its work has been done.
+    """
     config = settings(instances=instances, list_on_request=True, max_poll_interval_us=10_000_000)
     cost_us, busy_us, now_us = all_calls_us // instances, START_US, START_US
     fleet = [Balancer(config, seed * 1000 + n, now_us) for n in range(instances)]
--- a/tests/test_fleet.py
+++ b/tests/balancer/test_endpoint_pool.py
@@ -16,7 +16,7 @@
 from sidecar_proxy.balancer.events import Upstream, UpstreamState
 from sidecar_proxy.balancer.ordered_index import BLOCK, OrderedIndex, Sorted
 from tests import plain
-from tests.world import START_US, settings
+from tests.balancer.world import START_US, settings
 
 WARM_UP_US = 20_000_000
 DRAWS = 3_000
--- a/tests/test_suspected.py
+++ b/tests/balancer/test_outlier_reports.py
@@ -9,7 +9,7 @@
 
 from sidecar_proxy.balancer.balancer import FRESH_US, MOST_TRIAL_US, TRIAL_US
 from sidecar_proxy.balancer.events import FleetResized, ListKind, Outcome, OutlierReported, UpstreamState
-from tests.world import World, settings, upstreams
+from tests.balancer.world import World, settings, upstreams
 
 BAD = 100
 GAP_US = 50_000
@@ -70,7 +70,8 @@
 
 def test_one_that_is_suspected_keeps_its_place_in_the_order_of_a_large_fleet() -> None:
     """Hazard: with 50 sidecars each uses the first few in its own order; moved down it, a falsely suspected
-    one would never have the trial that clears it."""
+    one would never have the trial that clears it.
+    """
     one = world(instances=50)
     servers = one.balancer.servers
     first = min(servers.values(), key=one.balancer.fleet.key).entry.id
--- a/tests/test_rules.py
+++ b/tests/balancer/test_service_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under arbitrary legal event sequences; tests/world.py checks every action."""
+"""The four rules under arbitrary legal event sequences; tests/balancer/world.py checks every action."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     UpstreamState,
     UpstreamsUpdated,
 )
-from tests.world import START_US, World, classes, settings, upstreams
+from tests.balancer.world import START_US, World, classes, settings, upstreams
 
 FAULTS = [o for o in Outcome if o is not Outcome.TIMEOUT]
 
@@ -155,7 +155,8 @@
     """The most work that sidecars together send one cold upstream in any `fall_us`, over its budget there.
 
     Of ten upstreams it and others, `new` together, have just started; each has one core and serves in turn;
-    requests take 40 ms when it is warm. Each sidecar gets `skew` requests a tick of 4 ms."""
+    requests take 40 ms when it is warm. Each sidecar gets `skew` requests a tick of 4 ms.
+    """
     config = settings(instances=len(skew), classes=[RequestClass("read", 300_000, 1_500_000)])
     balancers = [Balancer(config, n, START_US) for n in range(len(skew))]
     listed = [Upstream(n, started_us=START_US if n <= new else 0) for n in range(1, 11)]
--- a/tests/test_calm.py
+++ b/tests/balancer/test_steady_state.py
@@ -20,7 +20,7 @@
     UpstreamsUpdated,
 )
 from sidecar_proxy.balancer.events import ListKind as Kind
-from tests.world import START_US, World, settings, upstreams
+from tests.balancer.world import START_US, World, settings, upstreams
 
 
 def test_events_about_what_is_unknown_change_nothing() -> None:
--- a/tests/test_subset.py
+++ b/tests/balancer/test_subsetting.py
@@ -15,7 +15,7 @@
     UpstreamState,
 )
 from sidecar_proxy.balancer.subsetting import SHRINK_US, Subset
-from tests.world import START_US, World, settings
+from tests.balancer.world import START_US, World, settings
 
 READ, MARK = 0, 2
 MOST = 40
--- a/tests/consensus/rig.py
+++ b/tests/consensus/rig.py
@@ -61,7 +61,8 @@
 
 async def led(scene: Scene, numbers: Any, voters: int = 0) -> int:
     """1 and the number of the one that leads, if it does so for all of these; else 0. `voters`: so many, all
-    of them of these."""
+    of them of these.
+    """
     found = [await told(scene, number, "STATUS") for number in numbers]
     leaders = {one["leader"] for one in found}
     nodes: dict[str, int] = {one["node"]: number for one, number in zip(found, numbers, strict=True)}
--- a/tests/consensus/test_disruption_budgets.py
+++ b/tests/consensus/test_disruption_budgets.py
@@ -95,7 +95,8 @@
 
 def test_twelve_drains_at_six_doors_at_once_and_in_a_partition() -> None:
     """Three are done, whoever asks; a side without a quorum takes nothing out; a node that comes back with
-    a later start gives its place back; one that is down by itself counts."""
+    a later start gives its place back; one that is down by itself counts.
+    """
 
     async def test(scene: Scene) -> None:
         await begin(scene)
--- a/tests/consensus/test_fleet.py
+++ b/tests/consensus/test_fleet.py
@@ -197,7 +197,8 @@
 
 def test_clocks_links_strangers_and_a_later_version() -> None:
     """The wall clock of one an hour off; streams that break, double and stall; one whose certificate is
-    revoked; a kind of word that only one of them knows; noise at the address."""
+    revoked; a kind of word that only one of them knows; noise at the address.
+    """
 
     async def test(scene: Scene) -> None:
         later = scene.sidecars[0]
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -354,7 +354,8 @@
 
 def test_what_was_fetched_of_a_later_term_is_not_cut_by_a_leader_whose_time_is_over() -> None:
     """Found by a campaign: a node in term 2 fetched committed entries of term 3; the leader of term 2, cut
-    off from the others, then sent it one of its own for the same place."""
+    off from the others, then sent it one of its own for the same place.
+    """
     core = RaftCore("a", RaftLog(Snapshot(1, 0, ("a", "b", "c"))), HardState(2, ""), random.Random(1))
     core.step(Append("b", "a", 2, 1, 0, (Entry(2, 2, b"two"),), 2))
     core.ready()
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -173,5 +173,5 @@
         if done == 0:
             later.append((HardState(), Snapshot(), []))
         # what was not promised may be there as well, or some of its records: the hard state comes last
-        assert now in later or now[0] == later[0][0] and now[1:] == later[-1][1:], (folder, done)
+        assert now in later or (now[0] == later[0][0] and now[1:] == later[-1][1:]), (folder, done)
     assert killed >= 6, killed
--- a/tests/grpc/rig.py
+++ b/tests/grpc/rig.py
@@ -28,9 +28,9 @@
     TrailersReceived,
 )
 from sidecar_proxy.http2.guard import Rates
+from tests.balancer.world import settings
 from tests.http2.frames import frames
 from tests.test_engine import Decisions, NoDiscovery
-from tests.world import settings
 
 LONG_S = 20.0
 OPEN = Limits(
@@ -42,7 +42,7 @@
     rates=Rates(1e9, 1e9, 1e9, 1e9, 1e9),
 )
 ANSWER = [(b":status", b"200"), (b"content-type", b"application/grpc")]
-# classes of tests/world.py's settings: 0 idempotent, 1 unsafe, 2 keyed
+# classes of tests/balancer/world.py's settings: 0 idempotent, 1 unsafe, 2 keyed
 METHODS = {"/t.T/Read": "read", "/t.T/Pay": "pay", "/t.T/Top": "top", "/t.S/*": "stream"}
 
 
--- a/tests/overload_control/test_controller.py
+++ b/tests/overload_control/test_controller.py
@@ -247,7 +247,9 @@
     told.members.remove(told.members[1])
     told.run(8.0)
     assert (
-        not twin.escrow.barred and isinstance(twin.decided, api.OverloadUpdated) and twin.decided.budget_share > 0.0
+        not twin.escrow.barred
+        and isinstance(twin.decided, api.OverloadUpdated)
+        and twin.decided.budget_share > 0.0
     )
 
 
--- a/tests/overload_control/test_subsystem.py
+++ b/tests/overload_control/test_subsystem.py
@@ -54,7 +54,8 @@
 
 def test_a_liar_and_words_of_any_form_cost_a_line_and_no_sum() -> None:
     """One with a certificate and no number of its own: it says that it is sidecar 1 under a thousand times
-    the load, asks for loans without end, and sends noise."""
+    the load, asks for loans without end, and sends noise.
+    """
 
     async def test(scene: Scene) -> None:
         assert scene.keys is not None
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,8 +14,8 @@
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient as Watcher
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.http1.upstream import Exchange, Pool
+from tests.balancer.world import settings
 from tests.sockets import LONG_S, Discovery, Message, Sidecar, Upstream, answer, eventually
-from tests.world import settings
 
 
 def served_by(sidecar: Sidecar, upstream: Upstream) -> bool:
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -17,10 +17,10 @@
 from sidecar_proxy.engine.interfaces import Host
 from sidecar_proxy.http1.server import Server
 from sidecar_proxy.http1.upstream import Pool
+from tests.balancer.world import settings
 from tests.grpc.rig import Node, Rig, run
 from tests.sockets import Client, Message, Upstream, answer
 from tests.test_engine import NoDiscovery
-from tests.world import settings
 
 ROUNDS = 30
 
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -25,8 +25,8 @@
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.interfaces import Host
 from sidecar_proxy.http1.upstream import Pool
+from tests.balancer.world import settings
 from tests.sockets import LONG_S, Discovery, Sidecar, Upstream, eventually
-from tests.world import settings
 
 MANY = 10_000
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -19,8 +19,8 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.interfaces import Answer, Call, Finished, Host
-from tests.world import classes
-from tests.world import settings as told
+from tests.balancer.world import classes
+from tests.balancer.world import settings as told
 
 MS = 1000  # microseconds
 HOSTS = 6  # of four cells, one or two each
