--- a/sidecar_proxy/balancer/endpoint_pool.py
+++ b/sidecar_proxy/balancer/endpoint_pool.py
@@ -1,7 +1,7 @@
 """The index of the fleet: what one sidecar knows of each upstream, and who of them may have a send now.
 
 No I/O and no clock but the time handed in. Every change of an upstream is told by `touch`, in O(log n); after
-it the shelves agree with what a plain scan of all upstreams would find (tests/balancer/test_endpoint_pool.py).
+it the indexes agree with a plain scan of all upstreams (tests/balancer/test_endpoint_pool.py).
 """
 
 import heapq
