--- a/benchmarks/grpc.py
+++ b/benchmarks/grpc.py
@@ -257,7 +257,7 @@
     """A sidecar's gRPC side whose decisions send everything on at once, for the memory."""
     from sidecar_proxy.config.schema import Grpc
     from sidecar_proxy.engine.engine import Clock, Engine
-    from sidecar_proxy.engine.interfaces import Host
+    from sidecar_proxy.engine.interfaces import ListedUpstream
     from sidecar_proxy.grpc.subsystem import start
     from sidecar_proxy.http1.server import Server
     from sidecar_proxy.http1.upstream import Pool
@@ -279,7 +279,7 @@
     engine.balancer = Sends()  # type: ignore[assignment]
     server = Server(engine, 1000)
     start(Grpc(True, {"/bench.Komiks/*": "chapter-buy"}), engine, server)
-    hosts = [Host(api.Upstream(n), ("127.0.0.1", int(port))) for n, port in enumerate(sys.argv[2:])]
+    hosts = [ListedUpstream(api.Upstream(n), ("127.0.0.1", int(port))) for n, port in enumerate(sys.argv[2:])]
     engine.list_changed(api.ListKind.FULL, hosts, 1)
     print("port", server.listen(("127.0.0.1", 0))[1], flush=True)
     await asyncio.sleep(120)
--- a/sidecar_proxy/admin/commands.py
+++ b/sidecar_proxy/admin/commands.py
@@ -69,7 +69,7 @@
         return "done"
 
     def metrics(self, _: str) -> str:
-        return "\n".join([*self.engine.figures.lines(*self.engine.members()), "end"])
+        return "\n".join([*self.engine.metrics.lines(*self.engine.member_counts()), "end"])
 
     def suspend(self, name: str) -> str:
         return self.hand(name, True)
@@ -119,7 +119,7 @@
         succeeded = first and self.handover.succeeded()
         alone = first and not succeeded
         self.server.shrink(not alone)
-        self.engine.pool.shrink(not alone)
+        self.engine.transport.shrink(not alone)
         if succeeded and self.serving:
             self.memory.leave()
 
--- a/sidecar_proxy/admin/endpoint_overrides.py
+++ b/sidecar_proxy/admin/endpoint_overrides.py
@@ -10,7 +10,7 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Engine
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 
 ALWAYS = 1 << 62  # us: held whatever its start
 
@@ -23,7 +23,7 @@
         self.directory = directory
         self.sources: dict[str, Mapping[str, int]] = {}
         self.listed: list[Callable[[str], None]] = []  # who is told each name that a list has
-        engine.hold = self.hold
+        engine.apply_overrides = self.hold
 
     def holds(self, name: str, started_us: int) -> bool:
         return any(started_us <= told[name] for told in self.sources.values() if name in told)
@@ -32,16 +32,16 @@
         """All that this source holds from now on. The decisions are told where that has changed."""
         before = self.sources.get(source, {})
         self.sources[source] = names
-        known = self.engine.known()
+        known = self.engine.listed_upstreams()
         hosts = []
         for name in {name for name, _ in before.items() ^ names.items()}:
             host = known.get(self.directory.numbers.get(name, -1))
-            if host is not None and host.told is not None:
-                hosts.append(Host(host.told, host.dial, host.dial_grpc))
+            if host is not None and host.listed_entry is not None:
+                hosts.append(ListedUpstream(host.listed_entry, host.address, host.grpc_address))
         if hosts:
             self.engine.list_changed(api.ListKind.HELD, hosts, 0)
 
-    def hold(self, hosts: list[Host]) -> None:
+    def hold(self, hosts: list[ListedUpstream]) -> None:
         """What a list says, on its way to the decisions: what is held drains, whatever it says."""
         for host in hosts:
             name = self.directory.names.get(host.entry.id, "")
--- a/sidecar_proxy/admin/warm_start.py
+++ b/sidecar_proxy/admin/warm_start.py
@@ -29,7 +29,7 @@
     def started_us(self) -> dict[int, int]:
         return {
             ident: host.entry.started_us
-            for ident, host in self.engine.known().items()
+            for ident, host in self.engine.listed_upstreams().items()
             if host.entry.state is not api.UpstreamState.GONE
         }
 
@@ -76,5 +76,5 @@
         except UntrustedStateError as error:
             log.warning("what the process before has left is not used: %s", error)
             return
-        self.engine.tell(learnt)
+        self.engine.dispatch(learnt)
         log.info("takes over what was learnt of %d upstreams", len(learnt.upstreams))
--- a/sidecar_proxy/consensus/witness.py
+++ b/sidecar_proxy/consensus/witness.py
@@ -13,7 +13,7 @@
 from sidecar_proxy.consensus.replicated_commands import ReplicatedCommand, ReplicatedState
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Engine
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.gossip.subsystem import GossipSubsystem
 
 BAD = 0.5  # what all sidecars together have against a node, from which on it counts as out
@@ -48,8 +48,8 @@
         weights = self.gossip.transport.instance.weights
         zones = {number: name for name, number in self.directory.zones.items()}
         kinds = {number: name for name, number in self.directory.kinds.items()}
-        for number, host in self.engine.known().items():
-            told, name = host.told or host.entry, self.directory.names.get(number)
+        for number, host in self.engine.listed_upstreams().items():
+            told, name = host.listed_entry or host.entry, self.directory.names.get(number)
             if name is not None and told.state is not UpstreamState.GONE:
                 yield (
                     Member(name, zones.get(told.zone, ""), kinds.get(told.kind, ""), str(told.cell)),
@@ -86,7 +86,7 @@
         """
         for one in list(state.places.held.values()):
             host = self.host(one.member.name) if one.what == "node" else None
-            if host is None or (host.told or host.entry).state is not UpstreamState.READY:
+            if host is None or (host.listed_entry or host.entry).state is not UpstreamState.READY:
                 continue
             if host.entry.started_us // 1000 > one.born_ms:
                 held = state.held.get(one.member.name)
@@ -97,5 +97,5 @@
                 elif held.kind == words.DRAIN:
                     yield ReplicatedCommand(words.RESUME, f"back-{one.index}", "", 0, one.member.name)
 
-    def host(self, name: str) -> Host | None:
-        return self.engine.known().get(self.directory.numbers.get(name, -1))
+    def host(self, name: str) -> ListedUpstream | None:
+        return self.engine.listed_upstreams().get(self.directory.numbers.get(name, -1))
--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -25,7 +25,7 @@
 from sidecar_proxy.daemon.subsystems import Context, Running, close_all, start_wanted
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory, EndpointListError
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient
-from sidecar_proxy.engine.body_buffers import Spool
+from sidecar_proxy.engine.body_buffers import BodyMemoryBudget
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.gc_control import GcController
 from sidecar_proxy.http1.server import Server
@@ -64,7 +64,7 @@
     )
     engine = Engine(settings, config.seed, clock, pool, discovery)
     discovery.sink = engine
-    server = Server(engine, share, Spool(spool_bytes(config.memory_mb)))
+    server = Server(engine, share, BodyMemoryBudget(spool_bytes(config.memory_mb)))
     hand, door = None, None
     holding = (
         EndpointOverrides(engine, directory)
@@ -93,7 +93,7 @@
         # hazard: what discovery tells binds soon after the first yes, and the list at hand may be old; the
         # process before this one serves meanwhile
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(engine.listed.wait(), LIST_S)
+            await asyncio.wait_for(engine.list_received.wait(), LIST_S)
         await hand.memory.take_over()
     host, port = server.listen(config.listen, config.accept_fd)
     if hand is not None:
@@ -117,10 +117,10 @@
     try:
         address = configuration.load(os.environ).discovery
     except configuration.ConfigError as error:
-        engine.figures.reload_errors += 1
+        engine.metrics.config_reload_errors += 1
         log.warning("the new configuration is not taken: %s", error)
         return
-    engine.figures.reloads += 1
+    engine.metrics.config_reloads += 1
     log.info("the configuration is read again; discovery is at %s:%d", *address)
     discovery.move(address)
 
--- a/sidecar_proxy/discovery/endpoint_list.py
+++ b/sidecar_proxy/discovery/endpoint_list.py
@@ -16,7 +16,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.address import parse_address
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 
 SLICE = 64  # entries that are read, or told to the decisions, in one go
 MOST_HOSTS = 50_000  # entries of one list
@@ -112,14 +112,14 @@
         if name is not None:
             del self.numbers[name]
 
-    def read(self, told: Any) -> tuple[int, bool, list[Host]]:
+    def read(self, told: Any) -> tuple[int, bool, list[ListedUpstream]]:
         """The version, whether it is the whole list, and the entries, in one go."""
         reading = Reading(self, json.dumps(told))
         for _ in reading.steps():
             pass
         return reading.version, reading.whole, reading.hosts
 
-    def entry(self, told: dict[str, Any], fresh: list[int]) -> Host:
+    def entry(self, told: dict[str, Any], fresh: list[int]) -> ListedUpstream:
         """One entry; a number that is given for it is added to `fresh`."""
         name, state = told["host"], STATES.get(told["health"])
         if not isinstance(name, str) or not name:
@@ -136,7 +136,7 @@
         number = self.number(name)
         if not known:
             fresh.append(number)
-        return Host(
+        return ListedUpstream(
             api.Upstream(
                 number,
                 state,
@@ -161,7 +161,7 @@
         self.at = 0
         self.version = 0
         self.whole = False
-        self.hosts: list[Host] = []
+        self.hosts: list[ListedUpstream] = []
         self.places: dict[int, int] = {}  # of each number in `hosts`
         self.found: set[str] = set()  # keys
         self.fresh: list[int] = []  # numbers given for new names
@@ -229,7 +229,7 @@
             self.pass_comma("]")
         self.at += 1
 
-    def add(self, host: Host) -> None:
+    def add(self, host: ListedUpstream) -> None:
         place = self.places.setdefault(host.entry.id, len(self.hosts))
         if place == len(self.hosts):
             self.hosts.append(host)
@@ -259,26 +259,32 @@
         self.at += 1
 
 
-def changes(known: dict[int, Host], told: list[Host], whole: bool) -> Iterator[list[Host]]:
+def changes(
+    known: dict[int, ListedUpstream], told: list[ListedUpstream], whole: bool
+) -> Iterator[list[ListedUpstream]]:
     """What a large list says anew, in slices: who is not to be used any more comes first (rule 3). An empty
     slice only ends a step."""
     listed = {host.entry.id for host in told}
-    leaving: list[Host] = []
-    others: list[Host] = []
+    leaving: list[ListedUpstream] = []
+    others: list[ListedUpstream] = []
     for number, host in enumerate(told, 1):
         old = known.get(host.entry.id)
-        if old is None or old.entry != host.entry or (old.dial, old.dial_grpc) != (host.dial, host.dial_grpc):
+        if (
+            old is None
+            or old.entry != host.entry
+            or (old.address, old.grpc_address) != (host.address, host.grpc_address)
+        ):
             (others if host.entry.state is api.UpstreamState.READY else leaving).append(host)
         if number % (8 * SLICE) == 0:
             yield []
     for number, (ident, host) in enumerate(known.items() if whole else (), 1):
         if ident not in listed and host.entry.state is not api.UpstreamState.GONE:
-            leaving.append(Host(replace(host.entry, state=api.UpstreamState.GONE), ("", 0)))
+            leaving.append(ListedUpstream(replace(host.entry, state=api.UpstreamState.GONE), ("", 0)))
         if number % (8 * SLICE) == 0:
             yield []
     yield from cut(leaving)
     yield from cut(others)
 
 
-def cut(hosts: list[Host]) -> Iterable[list[Host]]:
+def cut(hosts: list[ListedUpstream]) -> Iterable[list[ListedUpstream]]:
     return (hosts[at : at + SLICE] for at in range(0, len(hosts), SLICE))
--- a/sidecar_proxy/discovery/feed.py
+++ b/sidecar_proxy/discovery/feed.py
@@ -16,7 +16,7 @@
 from sidecar_proxy.discovery.merge import Merge
 from sidecar_proxy.discovery.model import Entry
 from sidecar_proxy.engine.engine import Engine
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 
 READY, GONE = api.UpstreamState.READY, api.UpstreamState.GONE
 HEALTH = {READY: "in_service", api.UpstreamState.DRAINING: "terminating"}
@@ -36,7 +36,7 @@
 
     # In discovery's place
 
-    def list_changed(self, kind: api.ListKind, hosts: list[Host], version: int) -> None:
+    def list_changed(self, kind: api.ListKind, hosts: list[ListedUpstream], version: int) -> None:
         self.count += 1
         words = [
             (name, None if host.entry.state is GONE else self.entry_of(name, host))
@@ -53,17 +53,17 @@
     def list_failed(self) -> None:
         self.engine.list_failed()
 
-    def known(self) -> dict[int, Host]:
-        return self.engine.known()
+    def listed_upstreams(self) -> dict[int, ListedUpstream]:
+        return self.engine.listed_upstreams()
 
-    def entry_of(self, name: str, host: Host) -> Entry:
+    def entry_of(self, name: str, host: ListedUpstream) -> Entry:
         """The roster's word for a node, as the other sources would say it."""
         entry = host.entry
         return Entry(
             name,
             entry.state,
-            address(host.dial),
-            address(host.dial_grpc) if host.dial_grpc else "",
+            address(host.address),
+            address(host.grpc_address) if host.grpc_address else "",
             named(self.directory.zones, entry.zone),
             named(self.directory.kinds, entry.kind),
             entry.cell,
@@ -126,13 +126,13 @@
         if hosts:
             self.engine.list_changed(api.ListKind.HELD, hosts, 0)
 
-    def host_of(self, name: str) -> Host | None:
+    def host_of(self, name: str) -> ListedUpstream | None:
         """What a node is now, in the decisions' terms; None for one that they never heard of."""
         member = self.merge.member(name)
         if member is None:
             number = self.directory.numbers.get(name)
-            known = self.engine.known().get(number) if number is not None else None
-            return None if known is None else Host(replace(known.entry, state=GONE), ("", 0))
+            known = self.engine.listed_upstreams().get(number) if number is not None else None
+            return None if known is None else ListedUpstream(replace(known.entry, state=GONE), ("", 0))
         entry = member.entry
         told = {
             "host": name,
--- a/sidecar_proxy/discovery/platform_client.py
+++ b/sidecar_proxy/discovery/platform_client.py
@@ -24,7 +24,7 @@
 )
 from sidecar_proxy.engine.address import Address
 from sidecar_proxy.engine.gc_control import GcController
-from sidecar_proxy.engine.interfaces import Host, Sink
+from sidecar_proxy.engine.interfaces import EndpointListListener, ListedUpstream
 from sidecar_proxy.http1.upstream import MAX_HEAD, input_poll
 
 log = logging.getLogger("sidecar_proxy")
@@ -51,7 +51,7 @@
         self.directory = directory
         self.version = version
         self.pushed = pushed
-        self.sink: Sink | None = None
+        self.sink: EndpointListListener | None = None
         self.watch: Call | None = None
         self.wanted = pushed  # a watch is asked for
         self.closed = False
@@ -141,11 +141,11 @@
                 return
         self.working = False
         if self.collector is not None and self.sink is not None:
-            self.collector.resume(len(self.sink.known()))
+            self.collector.resume(len(self.sink.listed_upstreams()))
 
     def take(self, call: Call | None, text: bytes | None) -> Iterator[None]:
         """Read one object whole, then tell what it says: nothing is told of a bad one."""
-        hosts: list[Host] = []
+        hosts: list[ListedUpstream] = []
         version, whole = self.version, False
         if text is None:
             assert call is not None
@@ -169,7 +169,7 @@
         if self.sink is None:
             self.learn(call, version)
             return
-        known = self.sink.known()
+        known = self.sink.listed_upstreams()
         if max(len(hosts), len(known) if whole else 0) <= SLICE:
             self.sink.list_changed(api.ListKind.FULL if whole else api.ListKind.DELTA, hosts, version)
         else:
@@ -193,7 +193,7 @@
     def forget(self, numbers: Iterable[int]) -> None:
         """Names of those that are gone go once nothing is out to them."""
         assert self.sink is not None
-        known = self.sink.known()
+        known = self.sink.listed_upstreams()
         self.leaving.update(
             dict.fromkeys(
                 one for one in numbers if one not in known or known[one].entry.state is api.UpstreamState.GONE
--- a/sidecar_proxy/discovery/status_socket.py
+++ b/sidecar_proxy/discovery/status_socket.py
@@ -75,7 +75,7 @@
     def node(self, name: str) -> dict[str, Any]:
         member = self.feed.merge.member(name)
         number = self.feed.directory.numbers.get(name)
-        host = self.feed.known().get(number) if number is not None else None
+        host = self.feed.listed_upstreams().get(number) if number is not None else None
         return {
             "name": name,
             "state": "gone" if member is None else member.entry.state.value,
--- a/sidecar_proxy/engine/address.py
+++ b/sidecar_proxy/engine/address.py
@@ -1,17 +1,20 @@
-"""HOST:PORT as text."""
+"""Network addresses as text: HOST:PORT."""
 
 from __future__ import annotations
 
 Address = tuple[str, int]
 
+MAX_PORT = 65535
+
 
 class AddressError(ValueError):
-    """It is none; one line."""
+    """The text is not an address of the form HOST:PORT."""
 
 
 def parse_address(text: object) -> Address:
-    """Raises AddressError."""
+    """Return host and port of an address. Raises AddressError."""
     host, colon, port = str(text).rpartition(":")
-    if not colon or not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
+    is_number = port.isascii() and port.isdigit()
+    if not colon or not host or not is_number or int(port) > MAX_PORT:
         raise AddressError(f"expected an address HOST:PORT, got {text!r}")
     return host, int(port)
--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -1,7 +1,7 @@
-"""The only caller of the decision module: events in, actions out, and the ledger of what is owed.
+"""The one caller of the balancer: events in, actions out, and the requests for which a response is owed.
 
-It holds the clock, the timers and the request numbers, and keeps the contract of interface.py whatever
-the module does: one final answer for each request, one AttemptEnded for each Send.
+It holds the clock, the timers and the request numbers. Whatever the balancer does, it keeps the contract of
+balancer/events.py: one final response for each request, one AttemptEnded for each Send.
 """
 
 from __future__ import annotations
@@ -17,427 +17,538 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.balancer import Balancer
 from sidecar_proxy.balancer.settings import check_allowed, parse_report
-from sidecar_proxy.engine import wall_clock as wall
-from sidecar_proxy.engine.body_buffers import KEEP, Flow, Source
+from sidecar_proxy.engine import wall_clock
+from sidecar_proxy.engine.body_buffers import MAX_BUFFERED_BODY_BYTES, ResponseSink, ResponseSource
 from sidecar_proxy.engine.interfaces import (
-    Answer,
     Attempt,
+    AttemptCallback,
     Call,
-    Decisions,
-    Discovery,
-    Finished,
-    Fleet,
-    Host,
-    Nodes,
+    DecisionModule,
+    DiscoveryClient,
+    FleetObserver,
+    ListedUpstream,
     Recorder,
     Reply,
+    UpstreamResponse,
+    UpstreamTransport,
 )
-from sidecar_proxy.engine.metrics import Figures
-from sidecar_proxy.engine.timers import Timer, Timers
+from sidecar_proxy.engine.metrics import Metrics
+from sidecar_proxy.engine.timers import Timer, TimerQueue
 
 log = logging.getLogger("sidecar_proxy")
 
-NEVER_WRITTEN = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.CANCELLED)
+NEVER_SENT_OUTCOMES = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.CANCELLED)
+MAX_REQUEST_NUMBER = 0xFFFFFFFF
+LOOP_RESOLUTION_S = 0.001  # the loop's timers have whole milliseconds, and must not be early
+
+STATUS_OK = 200
+STATUS_BAD_GATEWAY = 502
+STATUS_SERVICE_UNAVAILABLE = 503
+STATUS_GATEWAY_TIMEOUT = 504
+STATUS_CLIENT_GONE = 0
+# 4xx that speak of the upstream's state and not of the request
+STATUSES_OF_UPSTREAM_STATE = (408, 425, 429)
+
+LOAD_PROBE_PATH = b"/status/load"
+HEALTH_CHECK_PATH = b"/health"
+
+ProbeCallback = AttemptCallback
 
 
 class Clock:
-    """Microseconds that only go forward, counted from Unix time at the start: so the list's born_ms is on
-    it without a second clock, and a step of the wall clock later moves nothing."""
+    """Microseconds that only go forward, counted from the Unix time at the start.
+
+    The start times in the endpoint list can be compared with it, and a later step of the wall clock moves
+    nothing.
+    """
 
     def __init__(self) -> None:
-        self.base_ns = wall.now_ns() - time.monotonic_ns()
+        self.base_ns = wall_clock.now_ns() - time.monotonic_ns()
 
     def now_us(self) -> int:
+        """Return the time in microseconds."""
         return (self.base_ns + time.monotonic_ns()) // 1000
 
 
 @dataclass(slots=True, eq=False)
-class Entry:
-    """What is owed for one request."""
+class PendingRequest:
+    """A request for which a response is owed, or attempts are in flight."""
 
     call: Call
     reply: Reply
-    guard: Timer | None = None
-    answered: bool = False
+    deadline_timer: Timer | None = None
+    is_answered: bool = False
     attempts: list[Attempt | None] = field(default_factory=list)  # None = never started, or ended
-    out: int = 0
+    attempts_in_flight: int = 0
 
 
-ProbeEnd = Finished
+def single_part(head: bytes) -> list[bytes]:
+    """Return a request of one part, whenever it is asked for."""
+    return [head]
 
 
-def just(head: bytes) -> list[bytes]:
-    """A request of one part, whenever it is asked for."""
-    return [head]
+def is_about_the_request(response: UpstreamResponse | None) -> bool:
+    """Say whether a response is an error that says something of the request and nothing of the upstream."""
+    if response is None:
+        return False
+    return 400 <= response.status < 500 and response.status not in STATUSES_OF_UPSTREAM_STATE
 
 
 class Engine:
+    """Hands events to the balancer and carries out its actions."""
+
     def __init__(
-        self, settings: api.Settings, seed: int, clock: Clock, pool: Nodes, discovery: Discovery
+        self,
+        settings: api.Settings,
+        seed: int,
+        clock: Clock,
+        transport: UpstreamTransport,
+        discovery: DiscoveryClient,
     ) -> None:
         self.settings = settings
         self.clock = clock
-        self.pool = pool
+        self.transport = transport
         self.discovery = discovery
         self.loop = asyncio.get_running_loop()
-        self.timers = Timers(self.loop)
+        self.timers = TimerQueue(self.loop)
         self.started_us = clock.now_us()
-        self.balancer: Decisions = Balancer(settings, seed, self.started_us)
-        self.requests: dict[int, Entry] = {}
+        self.balancer: DecisionModule = Balancer(settings, seed, self.started_us)
+        self.requests: dict[int, PendingRequest] = {}
         self.next_request = 1
         self.events: deque[api.Event] = deque()
-        self.handling = False
-        self.probes: Callable[[int, ProbeEnd, float], None] | None = None  # in place of HTTP/1.1's
-        self.figures = Figures(one.name for one in settings.classes)
-        self.listed = asyncio.Event()  # discovery has told a list, or a part of one
-        self.observe: Callable[[int, api.Outcome], None] | None = None  # who hears how each attempt ended
+        self.is_handling = False
+        self.metrics = Metrics(request_class.name for request_class in settings.classes)
+        self.list_received = asyncio.Event()  # discovery has sent a list, or changes of one
+        # Optional collaborators, set by subsystems that are on:
+        self.send_probe: Callable[[int, ProbeCallback, float], None] | None = None  # in place of HTTP/1.1's
+        self.on_attempt_ended: Callable[[int, api.Outcome], None] | None = None
         self.recorder: Recorder | None = None
-        self.fleet: Fleet | None = None
-        self.hold: Callable[[list[Host]], None] | None = None  # by operators' hands: may make entries drain
+        self.fleet_observer: FleetObserver | None = None
+        self.apply_overrides: Callable[[list[ListedUpstream]], None] | None = None  # may make entries drain
 
-    # From the application
+    # Called by downstream servers
 
     def accept(self, call: Call, reply: Reply) -> int:
-        """Take a request. Its answer may come before this returns."""
-        ident, self.next_request = self.next_request, self.next_request % 0xFFFFFFFF + 1
-        entry = self.requests[ident] = Entry(call, reply)
-        self.figures.taken()
-        # hazard: whatever the decisions do, the client is answered inside its time
-        entry.guard = self.later(call.due_us, self.overdue, ident)
+        """Take a request and return its number. Its response may come before this returns."""
+        number = self.next_request
+        self.next_request = self.next_request % MAX_REQUEST_NUMBER + 1
+        request = self.requests[number] = PendingRequest(call, reply)
+        self.metrics.request_accepted()
+        # whatever the balancer does, the client is answered inside its time
+        request.deadline_timer = self.call_at(call.due_us, self.deadline_passed, number)
         if self.recorder is not None:
-            self.recorder.named(ident, call.ident)
-        retry_due_us = self.fleet.arrived(call) if self.fleet is not None else 0
-        self.tell(
+            self.recorder.named(number, call.request_id)
+        retry_due_us = self.fleet_observer.arrived(call) if self.fleet_observer is not None else 0
+        self.dispatch(
             api.RequestArrived(
-                ident,
+                number,
                 call.due_us,
                 call.class_index,
                 call.tenant,
                 call.key,
                 call.cost_us,
-                call.retried,
+                call.is_retry,
                 False,
                 retry_due_us,
             )
         )
-        return ident
-
-    def uploaded(self, ident: int) -> None:
-        """The last byte of an upload has come: its time counts from now."""
-        entry = self.requests.get(ident)
-        if entry is not None and not entry.answered and entry.guard is not None:
-            entry.call.due_us = self.clock.now_us() + entry.call.after_us
-            entry.guard.cancel()
-            entry.guard = self.later(entry.call.due_us, self.overdue, ident)
-
-    def gone(self, ident: int) -> None:
-        """The client has closed its connection."""
-        entry = self.requests.get(ident)
-        if entry is not None and not entry.answered:
-            self.settle(ident, entry, 0)
-            self.tell(api.RequestGone(ident))
-
-    def overdue(self, ident: int) -> None:
-        self.give_up(ident, 504)
-
-    def give_up(self, ident: int, status: int = 502) -> None:
-        """The sidecar itself can't go on with a request."""
-        entry = self.requests.get(ident)
-        if entry is not None and not entry.answered:
-            self.answer(ident, status)
-            self.tell(api.RequestGone(ident))
-
-    # From discovery
-
-    def list_changed(self, kind: api.ListKind, hosts: list[Host], version: int) -> None:
-        if self.hold is not None:
-            for host in hosts:
-                host.told = host.entry
-            self.hold(hosts)
-        self.pool.update(hosts, whole=kind in (api.ListKind.FULL, api.ListKind.CACHED))
-        self.tell(api.UpstreamsUpdated(kind, [host.entry for host in hosts], version))
+        return number
+
+    def upload_complete(self, number: int) -> None:
+        """Note that the last byte of an upload has arrived: the time of its request counts from now."""
+        request = self.requests.get(number)
+        if request is None or request.is_answered or request.deadline_timer is None:
+            return
+        request.call.due_us = self.clock.now_us() + request.call.time_after_upload_us
+        request.deadline_timer.cancel()
+        request.deadline_timer = self.call_at(request.call.due_us, self.deadline_passed, number)
+
+    def client_gone(self, number: int) -> None:
+        """Note that the client has closed its connection."""
+        request = self.requests.get(number)
+        if request is not None and not request.is_answered:
+            self.settle(number, request, STATUS_CLIENT_GONE)
+            self.dispatch(api.RequestGone(number))
+
+    def deadline_passed(self, number: int) -> None:
+        """Answer a request whose time is over."""
+        self.fail_request(number, STATUS_GATEWAY_TIMEOUT)
+
+    def fail_request(self, number: int, status: int = STATUS_BAD_GATEWAY) -> None:
+        """Answer a request with which the sidecar itself can't go on."""
+        request = self.requests.get(number)
+        if request is not None and not request.is_answered:
+            self.answer(number, status)
+            self.dispatch(api.RequestGone(number))
+
+    # Called by discovery
+
+    def list_changed(self, kind: api.ListKind, upstreams: list[ListedUpstream], version: int) -> None:
+        """Take an endpoint list or changes of it."""
+        if self.apply_overrides is not None:
+            for upstream in upstreams:
+                upstream.listed_entry = upstream.entry
+            self.apply_overrides(upstreams)
+        is_whole = kind in (api.ListKind.FULL, api.ListKind.CACHED)
+        self.transport.update(upstreams, whole=is_whole)
+        self.dispatch(api.UpstreamsUpdated(kind, [upstream.entry for upstream in upstreams], version))
         if kind in (api.ListKind.FULL, api.ListKind.DELTA):
-            self.listed.set()
+            self.list_received.set()
 
     def list_failed(self) -> None:
-        self.tell(api.UpstreamsUpdated(api.ListKind.FAILED))
-
-    def known(self) -> dict[int, Host]:
-        return self.pool.hosts
-
-    def members(self) -> tuple[int, int]:
-        """How many upstreams are listed, and how many of them get nothing now, by hand or by choice."""
-        listed = sum(host.entry.state is not api.UpstreamState.GONE for host in self.pool.hosts.values())
+        """Note that a call for the list failed or a watch broke."""
+        self.dispatch(api.UpstreamsUpdated(api.ListKind.FAILED))
+
+    def listed_upstreams(self) -> dict[int, ListedUpstream]:
+        """Return the upstreams by number."""
+        return self.transport.upstreams
+
+    def member_counts(self) -> tuple[int, int]:
+        """Return how many upstreams are listed, and how many of them get nothing now."""
+        listed = sum(
+            upstream.entry.state is not api.UpstreamState.GONE
+            for upstream in self.transport.upstreams.values()
+        )
         return listed, self.balancer.avoided()
 
     # Events and actions
 
-    def tell(self, event: api.Event) -> None:
-        """Hand an event to the decisions. What their actions cause at once waits its turn in the queue:
-        the module is never entered again from inside."""
+    def dispatch(self, event: api.Event) -> None:
+        """Hand an event to the balancer.
+
+        Events that its actions cause at once wait in a queue: the balancer is never entered again from inside.
+        """
         self.events.append(event)
-        if self.handling:
+        if self.is_handling:
             return
-        self.handling = True
+        self.is_handling = True
         try:
             while self.events:
                 self.handle(self.events.popleft())
         finally:
-            self.handling = False
+            self.is_handling = False
 
     def handle(self, event: api.Event) -> None:
+        """Hand one event to the balancer and carry out its actions."""
         now_us = self.clock.now_us()
         try:
             actions = self.balancer.handle(now_us, event)
-        except Exception as error:
-            # hazard: a fault in the decisions costs the request that it met, never the sidecar
+        except Exception as error:  # a fault of the balancer costs the request that it met, not the sidecar
             log.exception("the decisions failed on %s", type(event).__name__)
             if self.recorder is not None:
                 self.recorder.failed(now_us, event, error)
             if isinstance(event, api.RequestArrived | api.AttemptEnded | api.StreamStarted):
-                self.give_up(event.request)
+                self.fail_request(event.request)
             return
         if self.recorder is not None:
             self.recorder.handled(now_us, event, actions)
         for action in actions:
-            try:
-                self.perform(action)
-            except Exception:
-                log.exception("the action %s failed", type(action).__name__)
-                if isinstance(action, api.Send | api.Refuse | api.Fail):
-                    self.give_up(action.request)
+            self.perform_safely(action)
+
+    def perform_safely(self, action: api.Action) -> None:
+        """Carry out one action; its failure costs the request that it names."""
+        try:
+            self.perform(action)
+        except Exception:  # the actions that follow have to be carried out all the same
+            log.exception("the action %s failed", type(action).__name__)
+            if isinstance(action, api.Send | api.Refuse | api.Fail):
+                self.fail_request(action.request)
 
     def perform(self, action: api.Action) -> None:
+        """Carry out one action. Raises SettingsError for one that the settings do not allow."""
         check_allowed(self.settings, action)
         match action:
             case api.Send():
                 self.send(action)
             case api.Refuse():
-                after = action.retry_after_us
-                if self.fleet is not None:
-                    refused = self.requests.get(action.request)
-                    if refused is not None and not refused.answered:
-                        self.fleet.refused(refused.call, after, action.shed)
-                head = b"Retry-After: %d.%06d\r\n" % divmod(after, 1_000_000) if after > 0 else b""
-                self.answer(action.request, 503, head)
+                self.reject(action)
             case api.Fail():
-                self.answer(action.request, 502)
+                self.answer(action.request, STATUS_BAD_GATEWAY)
             case api.Cancel():
-                entry = self.requests.get(action.request)
-                attempt = entry.attempts[action.attempt] if entry is not None else None
-                if attempt is not None:
-                    attempt.finish(api.Outcome.CANCELLED)
+                self.cancel(action)
             case api.Probe():
                 self.probe(action.upstream)
             case api.SetTimer():
-                self.fire(action)
+                self.fire_timer(action)
             case api.Subscribe():
                 self.discovery.subscribe(action.active)
             case api.FetchList():
                 self.discovery.fetch()
             case api.CloseIdle():
-                self.pool.close_idle(action.upstream)
+                self.transport.close_idle(action.upstream)
             case api.Log():
                 log.info("%s", action.text)
             case api.SendPeerMessage():
                 raise ValueError("messages to other sidecars are not carried")
 
-    def later(self, at_us: int, call: Callable[..., None], *arguments: object) -> Timer:
-        """Call at a time of our clock, within what the loop's timers of whole milliseconds can do."""
+    def reject(self, action: api.Refuse) -> None:
+        """Answer 503: the request has had no effect."""
+        if self.fleet_observer is not None:
+            request = self.requests.get(action.request)
+            if request is not None and not request.is_answered:
+                self.fleet_observer.refused(request.call, action.retry_after_us, action.shed)
+        header_lines = b""
+        if action.retry_after_us > 0:
+            header_lines = b"Retry-After: %d.%06d\r\n" % divmod(action.retry_after_us, 1_000_000)
+        self.answer(action.request, STATUS_SERVICE_UNAVAILABLE, header_lines)
+
+    def cancel(self, action: api.Cancel) -> None:
+        """End an attempt that is in flight."""
+        request = self.requests.get(action.request)
+        attempt = request.attempts[action.attempt] if request is not None else None
+        if attempt is not None:
+            attempt.finish(api.Outcome.CANCELLED)
+
+    def call_at(self, at_us: int, callback: Callable[..., None], *arguments: object) -> Timer:
+        """Call back at a time of the engine's clock, or a little later."""
         wait_us = max(0, at_us - self.clock.now_us())
-        return self.timers.later(wait_us / 1e6 + 0.001, call, *arguments)
+        return self.timers.later(wait_us / 1e6 + LOOP_RESOLUTION_S, callback, *arguments)
+
+    def fire_timer(self, timer: api.SetTimer, set_already: bool = False) -> None:
+        """Report a timer of the balancer once its time has come.
 
-    def fire(self, timer: api.SetTimer, set_already: bool = False) -> None:
-        """Hazard: the loop's clock is not ours and may be ahead; the module passes over a timer that is
-        told too early and would wait for ever. One that is due now waits for the next round."""
+        The loop's clock may be ahead of the engine's, and the balancer passes over a timer that is early: such
+        a one is set again. A timer that is due at once waits for the next turn of the loop.
+        """
         if set_already and self.clock.now_us() >= timer.at_us:
-            self.tell(api.TimerFired(timer.token))
+            self.dispatch(api.TimerFired(timer.token))
         else:
-            self.later(timer.at_us, self.fire, timer, True)
+            self.call_at(timer.at_us, self.fire_timer, timer, True)
 
     # Attempts
 
     def send(self, action: api.Send) -> None:
-        ident, now_us = action.request, self.clock.now_us()
-        entry = self.requests.get(ident)
-        if entry is None:  # the module never names a request that it was not given
-            self.tell(api.AttemptEnded(ident, 0, action.upstream, api.Outcome.NOT_SENT, 0, True))
+        """Start an attempt. What the limits do not allow ends at once as NOT_SENT."""
+        number, now_us = action.request, self.clock.now_us()
+        request = self.requests.get(number)
+        if request is None:  # the balancer never names a request that it was not given
+            self.dispatch(api.AttemptEnded(number, 0, action.upstream, api.Outcome.NOT_SENT, 0, True))
             return
-        call, attempt = entry.call, len(entry.attempts)
-        entry.attempts.append(None)
-        entry.out += 1
-        out = Out(self, entry, ident, attempt, action, now_us)
-        most_us = call.due_us - now_us if call.upload is None else call.after_us
-        timeout_us = min(action.timeout_us or most_us, most_us)
-        if (
-            out.left_us() <= 0
-            or timeout_us <= 0
-            or attempt >= self.settings.max_attempts
-            or (entry.out > 1 and not self.settings.hedging_allowed)
-            or (call.upload is not None and call.upload.taken)
-        ):
-            out.ended(api.Outcome.NOT_SENT, None)
+        call, attempt_index = request.call, len(request.attempts)
+        request.attempts.append(None)
+        request.attempts_in_flight += 1
+        attempt = AttemptInFlight(self, request, number, attempt_index, action, now_us)
+        left_us = call.due_us - now_us if call.upload is None else call.time_after_upload_us
+        timeout_us = min(action.timeout_us or left_us, left_us)
+        if timeout_us <= 0 or not self.may_start(request, attempt):
+            attempt.ended(api.Outcome.NOT_SENT, None)
             return
         if action.until_us:
-            out.window = self.later(action.until_us, out.lapse)
+            attempt.window_timer = self.call_at(action.until_us, attempt.window_over)
         if call.carrier is not None:
-            carried = entry.attempts[attempt] = call.carrier.attempt(out.left_us, out.ended, out.began)
+            carried = call.carrier.attempt(attempt.left_us, attempt.ended, attempt.began)
+            request.attempts[attempt_index] = carried
             carried.start(action.upstream, timeout_us / 1e6)
             return
-        exchange = entry.attempts[attempt] = self.pool.exchange(
-            out.render, out.ended, out.wrote, out.opens if call.opens is not None else None, call.upload
+        open_stream = attempt.open_stream if call.open_stream is not None else None
+        exchange = self.transport.exchange(
+            attempt.render, attempt.ended, attempt.wrote, open_stream, call.upload
+        )
+        request.attempts[attempt_index] = exchange
+        self.transport.start(action.upstream, exchange, timeout_us / 1e6)
+
+    def may_start(self, request: PendingRequest, attempt: AttemptInFlight) -> bool:
+        """Say whether the limits allow an attempt, which counts as in flight already."""
+        upload = request.call.upload
+        is_hedged = request.attempts_in_flight > 1
+        return (
+            attempt.left_us() > 0
+            and attempt.index < self.settings.max_attempts
+            and (not is_hedged or self.settings.hedging_allowed)
+            and (upload is None or not upload.is_partly_consumed)
         )
-        self.pool.start(action.upstream, exchange, timeout_us / 1e6)
 
     def probe(self, upstream: int) -> None:
-        ended = partial(self.probed, upstream, self.clock.now_us())
-        if self.probes is not None:
-            self.probes(upstream, ended, self.settings.probe_timeout_us / 1e6)
+        """Ask an upstream for its health, or for its load if it reports that."""
+        ended = partial(self.probe_ended, upstream, self.clock.now_us())
+        timeout_s = self.settings.probe_timeout_us / 1e6
+        if self.send_probe is not None:
+            self.send_probe(upstream, ended, timeout_s)
             return
-        path = b"/status/load" if self.settings.report_names else b"/health"
+        path = LOAD_PROBE_PATH if self.settings.report_names else HEALTH_CHECK_PATH
         head = b"GET %s HTTP/1.1\r\nHost: backend.local\r\n\r\n" % path
-        exchange = self.pool.exchange(partial(just, head), ended)
-        self.pool.start(upstream, exchange, self.settings.probe_timeout_us / 1e6)
+        exchange = self.transport.exchange(partial(single_part, head), ended)
+        self.transport.start(upstream, exchange, timeout_s)
 
-    def probed(self, upstream: int, since_us: int, outcome: api.Outcome, answer: Answer | None) -> None:
-        if answer is not None and answer.status == 200:
+    def probe_ended(
+        self, upstream: int, since_us: int, outcome: api.Outcome, response: UpstreamResponse | None
+    ) -> None:
+        """Report the end of a probe."""
+        if response is not None and response.status == STATUS_OK:
             outcome = api.Outcome.OK
-        load = answer.body if answer is not None and outcome is api.Outcome.OK else b""
-        self.tell(api.ProbeEnded(upstream, outcome, self.clock.now_us() - since_us, self.report(load)))
-
-    def report(self, text: bytes) -> list[float]:
-        return parse_report(text, self.settings.report_names)
-
-    # Answers
-
-    def answer(self, ident: int, status: int, head: bytes = b"", body: bytes = b"") -> None:
-        """The one place of final answers: the first stands, a later one is dropped."""
-        entry = self.requests.get(ident)
-        if entry is not None and not entry.answered:
-            self.settle(ident, entry, status)
-            try:
-                entry.reply(status, head, body)
-            except Exception:
-                # hazard: on the way out of here the decisions are told how the attempt ended; if they were
-                # not, its slot would stay taken for good
-                log.exception("an answer could not be written")
-
-    def streamed(self, class_index: int, whole: bool | None) -> None:
-        """A large answer has ended. Hazard: what is handed out here must not hold the request's body."""
-        self.figures.answered(class_index, 0 if whole is None else 200 if whole else 502)
-
-    def settle(self, ident: int, entry: Entry, status: int) -> None:
-        entry.answered = True
-        self.figures.answered(entry.call.class_index, status)
-        if entry.guard is not None:
-            entry.guard.cancel()
-        if entry.out == 0:
-            del self.requests[ident]
-        else:
-            # a client that left says nothing of the upstream; one that took no request in its time does
-            outcome = api.Outcome.NOT_SENT if status == 0 else api.Outcome.CONNECT_FAILED
-            for attempt in list(entry.attempts):
-                if attempt is not None:
-                    attempt.forgo(outcome)
+        load_report = response.body if response is not None and outcome is api.Outcome.OK else b""
+        elapsed_us = self.clock.now_us() - since_us
+        self.dispatch(api.ProbeEnded(upstream, outcome, elapsed_us, self.parse_load(load_report)))
 
+    def parse_load(self, load_report: bytes) -> list[float]:
+        """Return the values of a load report, in the order of the settings; empty if it is malformed."""
+        return parse_report(load_report, self.settings.report_names)
 
-class Out:
-    """One attempt that is out, and what its end means for its request."""
+    # Responses
 
-    __slots__ = ("engine", "entry", "ident", "attempt", "upstream", "sent_us", "until_us", "window")
+    def answer(self, number: int, status: int, header_lines: bytes = b"", body: bytes = b"") -> None:
+        """Give the final response, here and nowhere else: the first stands, a later one is dropped."""
+        request = self.requests.get(number)
+        if request is None or request.is_answered:
+            return
+        self.settle(number, request, status)
+        try:
+            request.reply(status, header_lines, body)
+        except Exception:
+            # The balancer still has to learn how the attempt ended: else its part of the concurrency limit
+            # would stay in use for good.
+            log.exception("an answer could not be written")
+
+    def stream_ended(self, class_index: int, is_whole: bool | None) -> None:
+        """Count the end of a streamed response; None = the client has left.
+
+        It takes the class and not the request, so that the callback does not keep the request's body alive.
+        """
+        status = STATUS_OK if is_whole else STATUS_BAD_GATEWAY
+        self.metrics.request_ended(class_index, STATUS_CLIENT_GONE if is_whole is None else status)
+
+    def settle(self, number: int, request: PendingRequest, status: int) -> None:
+        """Mark a request as answered, and end what has not been sent for it."""
+        request.is_answered = True
+        self.metrics.request_ended(request.call.class_index, status)
+        if request.deadline_timer is not None:
+            request.deadline_timer.cancel()
+        if request.attempts_in_flight == 0:
+            del self.requests[number]
+            return
+        # a client that left says nothing of the upstream; one that took no request in its time does
+        is_client_gone = status == STATUS_CLIENT_GONE
+        outcome = api.Outcome.NOT_SENT if is_client_gone else api.Outcome.CONNECT_FAILED
+        for attempt in list(request.attempts):
+            if attempt is not None:
+                attempt.abandon_unsent(outcome)
+
+
+class AttemptInFlight:
+    """One attempt, and what its end means for its request."""
+
+    __slots__ = (
+        "engine",
+        "request",
+        "request_number",
+        "index",
+        "upstream",
+        "sent_us",
+        "until_us",
+        "window_timer",
+    )
 
     def __init__(
-        self, engine: Engine, entry: Entry, ident: int, attempt: int, action: api.Send, now_us: int
+        self,
+        engine: Engine,
+        request: PendingRequest,
+        request_number: int,
+        index: int,
+        action: api.Send,
+        now_us: int,
     ) -> None:
         self.engine = engine
-        self.entry = entry
-        self.ident = ident  # of its request
-        self.attempt = attempt  # its number
+        self.request = request
+        self.request_number = request_number
+        self.index = index  # among the attempts of its request
         self.upstream = action.upstream
         self.sent_us = now_us
         self.until_us = action.until_us
-        self.window: Timer | None = None  # ends with what the settings remember of an earlier attempt
+        self.window_timer: Timer | None = None  # runs until the deduplication window is over
 
     def left_us(self) -> int:
-        """Asked for just before the first byte: by then the request may be over, its time, or its window."""
+        """Return the time left; 0 if the request, its time, or its deduplication window is over.
+
+        It is asked just before the first byte is written.
+        """
         now_us = self.engine.clock.now_us()
-        if self.entry.answered or (self.until_us and now_us >= self.until_us):
+        is_window_over = self.until_us and now_us >= self.until_us
+        if self.request.is_answered or is_window_over:
             return 0
-        return max(0, self.entry.call.due_us - now_us)
+        return max(0, self.request.call.due_us - now_us)
 
-    def lapse(self) -> None:
-        attempt = self.entry.attempts[self.attempt]
+    def window_over(self) -> None:
+        """End the attempt if it has not been sent when the deduplication window is over."""
+        attempt = self.request.attempts[self.index]
         if attempt is not None:
-            attempt.lapse()
+            attempt.expire_unsent()
 
     def render(self) -> list[bytes] | None:
-        call, left_us = self.entry.call, self.left_us()
+        """Return the parts of the request; None if it is no longer wanted."""
+        call, left_us = self.request.call, self.left_us()
         if left_us <= 0:
             return None
-        body = call.body if len(call.body) <= KEEP else b""
+        is_small = len(call.body) <= MAX_BUFFERED_BODY_BYTES
+        body = call.body if is_small else b""
         head = b"%sReq-Deadline: %d.%06d\r\n\r\n%s" % (call.head, *divmod(left_us, 1_000_000), body)
-        return [head] if len(body) == len(call.body) else [head, call.body]
+        return [head] if is_small else [head, call.body]
 
     def wrote(self) -> None:
-        self.engine.figures.upstream_requests += 1
-        if self.entry.call.upload is not None:
-            # what the client takes to send it says nothing of the upstream
+        """Note that the kernel has the whole request."""
+        self.engine.metrics.upstream_requests += 1
+        if self.request.call.upload is not None:
+            # the time that the client takes to send it says nothing of the upstream
             self.sent_us = self.engine.clock.now_us()
 
-    def opens(self, head: bytes, length: int | None, load: bytes, source: Source) -> Flow | None:
-        engine, entry, call, flow = self.engine, self.entry, self.entry.call, None
-        entry.attempts[self.attempt] = None
-        entry.out -= 1
-        if not entry.answered and call.opens is not None:
-            entry.answered = True
-            if entry.guard is not None:
-                entry.guard.cancel()
-            flow = call.opens(head, length, source, partial(engine.streamed, call.class_index))
-        self.tell_end(api.Outcome.OK, load)
-        return flow
+    def open_stream(
+        self, header_lines: bytes, length: int | None, load_report: bytes, source: ResponseSource
+    ) -> ResponseSink | None:
+        """Begin to pass on a large response; None if nobody wants it. The attempt has ended by this."""
+        engine, request, call = self.engine, self.request, self.request.call
+        sink = None
+        request.attempts[self.index] = None
+        request.attempts_in_flight -= 1
+        if not request.is_answered and call.open_stream is not None:
+            request.is_answered = True
+            if request.deadline_timer is not None:
+                request.deadline_timer.cancel()
+            stream_ended = partial(engine.stream_ended, call.class_index)
+            sink = call.open_stream(header_lines, length, source, stream_ended)
+        self.report_end(api.Outcome.OK, load_report)
+        return sink
 
     def began(self) -> None:
-        self.engine.tell(
-            api.StreamStarted(
-                self.ident, self.attempt, self.upstream, self.engine.clock.now_us() - self.sent_us
-            )
-        )
-
-    def ended(self, outcome: api.Outcome, answer: Answer | None) -> None:
-        engine, entry = self.engine, self.entry
-        entry.attempts[self.attempt] = None
-        entry.out -= 1
-        if entry.call.carrier is not None and outcome not in NEVER_WRITTEN:
-            engine.figures.upstream_requests += 1
-        if outcome is api.Outcome.OK and answer is not None:
-            engine.answer(self.ident, 200, answer.head, answer.body)
-        elif answer is not None and 400 <= answer.status < 500 and answer.status not in (408, 425, 429):
-            # hazard: bad requests that only an upstream can tell from good ones would make it look ill
-            engine.answer(self.ident, answer.status)
+        """Note that a part of the response has gone to the client."""
+        elapsed_us = self.engine.clock.now_us() - self.sent_us
+        self.engine.dispatch(api.StreamStarted(self.request_number, self.index, self.upstream, elapsed_us))
+
+    def ended(self, outcome: api.Outcome, response: UpstreamResponse | None) -> None:
+        """Note the end of the attempt, answer its request if that ends it too, and report it."""
+        engine, request = self.engine, self.request
+        request.attempts[self.index] = None
+        request.attempts_in_flight -= 1
+        if request.call.carrier is not None and outcome not in NEVER_SENT_OUTCOMES:
+            engine.metrics.upstream_requests += 1
+        if outcome is api.Outcome.OK and response is not None:
+            engine.answer(self.request_number, STATUS_OK, response.header_lines, response.body)
+        elif response is not None and is_about_the_request(response):
+            # only an upstream can tell such requests from good ones: it is no outlier for that
+            engine.answer(self.request_number, response.status)
             outcome = api.Outcome.NOT_SENT
-        elif answer is not None and answer.last:
-            engine.answer(self.ident, 502)
-        self.tell_end(outcome, answer.load if answer is not None else b"")
-
-    def tell_end(self, outcome: api.Outcome, load: bytes) -> None:
-        engine, entry = self.engine, self.entry
-        if self.window is not None:
-            self.window.cancel()
-        if entry.answered and entry.out == 0:
-            engine.requests.pop(self.ident, None)
+        elif response is not None and response.is_final:
+            engine.answer(self.request_number, STATUS_BAD_GATEWAY)
+        self.report_end(outcome, response.load_report if response is not None else b"")
+
+    def report_end(self, outcome: api.Outcome, load_report: bytes) -> None:
+        """Report the end of the attempt to the balancer and to the observers."""
+        engine, request = self.engine, self.request
+        if self.window_timer is not None:
+            self.window_timer.cancel()
+        if request.is_answered and request.attempts_in_flight == 0:
+            engine.requests.pop(self.request_number, None)
         elapsed_us = engine.clock.now_us() - self.sent_us
-        if engine.fleet is not None:
-            engine.fleet.ended(entry.call.class_index, outcome, elapsed_us)
-        engine.tell(
+        if engine.fleet_observer is not None:
+            engine.fleet_observer.ended(request.call.class_index, outcome, elapsed_us)
+        engine.dispatch(
             api.AttemptEnded(
-                self.ident,
-                self.attempt,
+                self.request_number,
+                self.index,
                 self.upstream,
                 outcome,
                 elapsed_us,
-                entry.answered,
-                engine.report(load) if load else [],
+                request.is_answered,
+                engine.parse_load(load_report) if load_report else [],
             )
         )
-        if engine.observe is not None:
-            engine.observe(self.upstream, outcome)
+        if engine.on_attempt_ended is not None:
+            engine.on_attempt_ended(self.upstream, outcome)
--- a/sidecar_proxy/engine/gc_control.py
+++ b/sidecar_proxy/engine/gc_control.py
@@ -1,32 +1,40 @@
-"""Python's cycle collector, kept from holding the loop. Next to nothing of ours is left to it: what a request
-or an upstream takes is freed by its count of references, so a full search of 10,000 upstreams finds nothing
-and holds the loop for 10 to 20 ms."""
+"""Keeps Python's cycle collector from blocking the event loop.
+
+Requests and upstreams are freed by reference counting, so a full collection of a process that knows 10,000
+upstreams finds nothing and blocks the loop for 10 to 20 ms.
+"""
 
 from __future__ import annotations
 
 import gc
 
-YOUNG = 5_000  # new objects between two looks at the young ones; the usual 700 looks at every dozenth request
-GROWN = 1.25  # times as many upstreams as at the last time, from which what is there is set aside
+YOUNG_GENERATION_THRESHOLD = 5_000  # objects; the default of 700 collects at every dozenth request
+MIDDLE_GENERATION_THRESHOLD = 20  # collections of the young generation
+OLD_GENERATION_THRESHOLD = 20  # collections of the middle generation
+GROWTH_FACTOR = 1.25  # of the number of upstreams since the last freeze, from which to freeze again
+FEW_UPSTREAMS = 256  # a list that grows to less than this needs no freeze
 
 
 class GcController:
-    """Sets aside what stays: at the start, and when a list has grown."""
+    """Freezes long-lived objects: at the start, and when the endpoint list has grown."""
 
     def __init__(self) -> None:
-        self.known = 256
-        gc.set_threshold(YOUNG, 20, 20)
+        self.frozen_upstreams = FEW_UPSTREAMS
+        gc.set_threshold(YOUNG_GENERATION_THRESHOLD, MIDDLE_GENERATION_THRESHOLD, OLD_GENERATION_THRESHOLD)
         gc.collect()
         gc.freeze()
 
     def pause(self) -> None:
-        """A large list is being read."""
+        """Disable collections while a large list is being read."""
         gc.disable()
 
-    def resume(self, known: int) -> None:
-        """It is read. Hazard: cycles that are garbage just now are set aside as well and never freed, so this
-        is done only as the list grows, not as often as discovery likes."""
-        if known > GROWN * self.known:
-            self.known = known
+    def resume(self, upstream_count: int) -> None:
+        """Enable collections again, and freeze what is there if the list has grown.
+
+        Cyclic garbage that exists at this moment is frozen as well and never freed, so this happens only as
+        the list grows, not at each change of it.
+        """
+        if upstream_count > GROWTH_FACTOR * self.frozen_upstreams:
+            self.frozen_upstreams = upstream_count
             gc.freeze()
         gc.enable()
--- a/sidecar_proxy/engine/interfaces.py
+++ b/sidecar_proxy/engine/interfaces.py
@@ -1,7 +1,8 @@
-"""The seams of the house: what fronts, node transports and sources of the list are to the engine.
+"""The interfaces of the engine: what downstream servers, upstream transports and discovery are to it.
 
-A front turns bytes into Calls (`Engine.accept`) and the one answer that it is handed back into bytes. It
-never picks, retries or refuses for load. Every other side is one Protocol here, with its contract.
+A downstream server turns bytes into Calls (`Engine.accept`) and the one response that it is handed back into
+bytes. It never picks, retries or sheds load. Every other side is a Protocol here, with its contract. Times
+that end in `_us` are microseconds of the engine's clock.
 """
 
 from __future__ import annotations
@@ -13,51 +14,64 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.endpoint_pool import Endpoint
 from sidecar_proxy.engine.address import Address
-from sidecar_proxy.engine.body_buffers import Flow, Opens, Source, Upload
+from sidecar_proxy.engine.body_buffers import ClientStreamOpener, ResponseSink, ResponseSource, Upload
 
-# Where a request's one answer goes: status, header lines, body.
+# Takes the one response of a request: status, header lines, body.
 Reply = Callable[[int, bytes, bytes], None]
-# Given a large answer's header lines, its length if known, its Srv-Load and where it comes from.
-OpensAnswer = Callable[[bytes, "int | None", bytes, Source], "Flow | None"]
+# Opens a streamed response, given its header lines, its length if known, its Srv-Load and where it comes from.
+ResponseStreamOpener = Callable[[bytes, "int | None", bytes, ResponseSource], "ResponseSink | None"]
 
 
 @dataclass(slots=True)
-class Answer:
-    """What a node answered."""
+class UpstreamResponse:
+    """What an upstream answered."""
 
     status: int
-    head: bytes  # the header lines that go on to the client
+    header_lines: bytes  # those that go on to the client
     body: bytes
-    load: bytes  # its Srv-Load, if any
-    last: bool = False  # no further attempt can be made
+    load_report: bytes  # the value of Srv-Load, if any
+    is_final: bool = False  # no further attempt can be made
 
 
-Finished = Callable[[api.Outcome, "Answer | None"], None]
+# Called once when an attempt has ended, with the response if there is one.
+AttemptCallback = Callable[[api.Outcome, "UpstreamResponse | None"], None]
 
 
 class Attempt(Protocol):
-    """What the engine holds of one that is out. `finish` gives it up; its end is told once, whatever ends it,
-    and says NOT_SENT or CONNECT_FAILED only if the kernel never had the whole request."""
+    """An attempt in flight, as the engine holds it.
 
-    def finish(self, outcome: api.Outcome) -> None: ...
+    Its end is reported once, whatever ends it. It is reported as NOT_SENT or CONNECT_FAILED only if the kernel
+    never had the whole request, so that the request can't have run.
+    """
 
-    def forgo(self, outcome: api.Outcome) -> None:
-        """Its request is over: what the kernel has not whole goes no further, and ends so."""
+    def finish(self, outcome: api.Outcome) -> None:
+        """End the attempt now."""
 
-    def lapse(self) -> None:
-        """Rule 2's window is over: what the kernel has not whole goes no further, and ends as NOT_SENT."""
+    def abandon_unsent(self, outcome: api.Outcome) -> None:
+        """End it with this outcome, unless the kernel has the whole request: the request is over."""
 
+    def expire_unsent(self) -> None:
+        """End it as NOT_SENT, unless the kernel has the whole request: its deduplication window is over."""
 
-class Started(Attempt, Protocol):
-    def start(self, upstream: int, timeout_s: float) -> None: ...
 
+class StartableAttempt(Attempt, Protocol):
+    """An attempt that has not begun."""
 
-class Carrier(Protocol):
-    """Takes a request's attempts where it is no plain HTTP/1.1. `left_us` is 0 once nothing may be sent any
-    more; `ended` is called once; `began` is called when a part of the answer has gone to the client, from
-    when on no other attempt may follow."""
+    def start(self, upstream: int, timeout_s: float) -> None:
+        """Begin it; it may end before this returns."""
+
+
+class CallCarrier(Protocol):
+    """Makes the attempts of a request that is not plain HTTP/1.1."""
+
+    def attempt(
+        self, left_us: Callable[[], int], ended: AttemptCallback, began: Callable[[], None]
+    ) -> StartableAttempt:
+        """Return a new attempt.
 
-    def attempt(self, left_us: Callable[[], int], ended: Finished, began: Callable[[], None]) -> Started: ...
+        `left_us` gives the time left, 0 once nothing may be sent any more; `ended` is called once; `began` is
+        called when a part of the response has gone to the client, after which no other attempt may follow.
+        """
 
 
 @dataclass(slots=True, eq=False)
@@ -71,127 +85,150 @@
     tenant: int = 0
     key: int = 0
     cost_us: int = 0
-    retried: bool = False
-    ident: bytes = b""  # its Req-Id
-    carrier: Carrier | None = None  # None = HTTP/1.1, with the head and body above
-    upload: Upload | None = None  # in place of `body`: it is passed on as it comes
-    after_us: int = 0  # what is left of its time once an upload is whole
-    opens: Opens | None = None  # where a large answer goes; None = nowhere
+    is_retry: bool = False
+    request_id: bytes = b""  # its Req-Id
+    carrier: CallCarrier | None = None  # None = HTTP/1.1, with the head and body above
+    upload: Upload | None = None  # in place of `body`, for a large body
+    time_after_upload_us: int = 0  # what is left of its time once an upload is complete
+    open_stream: ClientStreamOpener | None = None  # where a large response goes; None = nowhere
 
 
-class Idle(Protocol):
+class IdleConnection(Protocol):
     """A connection that carries one exchange at a time, and none now."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close it."""
 
 
-class Shared(Protocol):
+class MultiplexedConnection(Protocol):
     """A connection that carries many streams."""
 
     def retire(self) -> None:
-        """No new streams; those that are open go on."""
+        """Open no new streams; those that are open go on."""
 
 
 @dataclass(slots=True, eq=False)
-class Host:
-    """One upstream: its entry of the list, where it listens, its connections."""
+class ListedUpstream:
+    """One upstream: its entry of the endpoint list, its addresses and its connections."""
 
     entry: api.Upstream
-    dial: Address
-    dial_grpc: Address | None = None  # where it speaks gRPC, if not there as well
-    shared: list[Shared] = field(default_factory=list)
-    idle: dict[Idle, None] = field(default_factory=dict)  # the last one was used most recently
-    told: api.Upstream | None = None  # the entry as the list has it, where a hand holds it otherwise
-    heard: float = 0.0  # loop time of the last byte from it
-    odd: bool = False  # it has answered twice, or what nobody asked
+    address: Address
+    grpc_address: Address | None = None  # where it speaks gRPC, if at another address
+    multiplexed: list[MultiplexedConnection] = field(default_factory=list)
+    idle: dict[IdleConnection, None] = field(default_factory=dict)  # the last one was used most recently
+    listed_entry: api.Upstream | None = None  # as the list has it, where an operator's override differs
+    last_received_s: float = 0.0  # loop time of the last byte from it
+    has_misbehaved: bool = False  # it has answered twice, or without a request
     generation: int = 0  # counts its restarts
-    open: int = 0  # connections, those being made among them
+    open_connections: int = 0  # those being made among them
 
-    def wanted(self) -> bool:
+    def is_ready(self) -> bool:
+        """Say whether new requests may go to it."""
         return self.entry.state is api.UpstreamState.READY
 
     def close_idle(self) -> None:
+        """Close the connections that carry nothing."""
         for connection in list(self.idle):
             connection.close()
-        for shared in list(self.shared):
+        for shared in list(self.multiplexed):
             shared.retire()
 
 
-class Nodes(Protocol):
-    """The upstreams' side by HTTP/1.1: knows the hosts, and turns one Send into one attempt with one end."""
+class UpstreamTransport(Protocol):
+    """The connections to upstreams by HTTP/1.1: turns one Send into one attempt with one end."""
 
-    hosts: dict[int, Host]
+    upstreams: dict[int, ListedUpstream]
 
-    def update(self, hosts: list[Host], whole: bool) -> None:
-        """Rule 3: to what is READY no more, nothing new goes from here on; its idle connections end."""
+    def update(self, upstreams: list[ListedUpstream], whole: bool) -> None:
+        """Take over changed entries, or the whole list.
+
+        Rule 3: nothing new goes to an upstream that is no longer READY; its idle connections are closed.
+        """
 
     def exchange(
         self,
         render: Callable[[], list[bytes] | None],
-        ended: Finished,
+        ended: AttemptCallback,
         wrote: Callable[[], None] | None = None,
-        opens: OpensAnswer | None = None,
+        opens: ResponseStreamOpener | None = None,
         upload: Upload | None = None,
     ) -> Attempt:
-        """One that is not begun. `render` is asked for the request's parts just before the first byte (None:
-        it is no longer wanted); `wrote` is called once the kernel has the whole request."""
+        """Return an attempt that has not begun.
+
+        `render` is asked for the parts of the request just before the first byte (None: it is no longer
+        wanted); `wrote` is called once the kernel has the whole request.
+        """
 
     def start(self, upstream: int, exchange: Attempt, timeout_s: float) -> None:
-        """Begin it; it may end before this returns."""
+        """Begin an attempt; it may end before this returns."""
 
-    def close_idle(self, upstream: int) -> None: ...
+    def close_idle(self, upstream: int) -> None:
+        """Close the idle connections to one upstream."""
 
-    def shrink(self, half: bool) -> None: ...
+    def shrink(self, half: bool) -> None:
+        """Use half of the connections while another process of this sidecar runs, or all again."""
 
 
-class Discovery(Protocol):
-    """Who tells the list when it is asked to; what comes of it goes to a Sink."""
+class DiscoveryClient(Protocol):
+    """Asks for the endpoint list; the results go to an EndpointListListener."""
 
-    def subscribe(self, active: bool) -> None: ...
+    def subscribe(self, active: bool) -> None:
+        """Open a watch, or close it."""
 
-    def fetch(self) -> None: ...
+    def fetch(self) -> None:
+        """Ask for the list once."""
 
 
-class Sink(Protocol):
-    """Whom a source of membership tells what it has heard: the engine, or a merge in front of it."""
+class EndpointListListener(Protocol):
+    """Receives the endpoint list from a discovery source: the engine, or a merge in front of it."""
 
-    def list_changed(self, kind: api.ListKind, hosts: list[Host], version: int) -> None: ...
+    def list_changed(self, kind: api.ListKind, upstreams: list[ListedUpstream], version: int) -> None:
+        """Take a list or changes of it."""
 
-    def list_failed(self) -> None: ...
+    def list_failed(self) -> None:
+        """Note that a call failed or a watch broke."""
 
-    def known(self) -> dict[int, Host]: ...
+    def listed_upstreams(self) -> dict[int, ListedUpstream]:
+        """Return the upstreams by number."""
 
 
-class Fleet(Protocol):
-    """Who counts requests for all sidecars together, and knows what clients were told. None of it raises, or
-    takes long."""
+class FleetObserver(Protocol):
+    """Counts requests for all sidecars together, and knows what clients were told. It never raises or blocks."""
 
     def arrived(self, call: Call) -> int:
-        """When its client was told to come back, on our clock; 0 = it was not."""
+        """Return when the client was told to retry, in microseconds of the engine's clock; 0 = it was not."""
 
-    def refused(self, call: Call, after_us: int, shed: bool) -> None: ...
+    def refused(self, call: Call, after_us: int, shed: bool) -> None:
+        """Note a rejection and the Retry-After that the client was given."""
 
-    def ended(self, class_index: int, outcome: api.Outcome, elapsed_us: int) -> None: ...
+    def ended(self, class_index: int, outcome: api.Outcome, elapsed_us: int) -> None:
+        """Note the end of an attempt."""
 
 
 class Recorder(Protocol):
-    """Who keeps what goes into the decisions and what comes out. None of it raises, or takes long."""
+    """Keeps what goes into the decisions and what comes out. It never raises or blocks."""
 
-    def named(self, request: int, ident: bytes) -> None: ...
+    def named(self, request: int, ident: bytes) -> None:
+        """Note the Req-Id that a request's number stands for."""
 
-    def handled(self, now_us: int, event: api.Event, actions: list[api.Action]) -> None: ...
+    def handled(self, now_us: int, event: api.Event, actions: list[api.Action]) -> None:
+        """Note an event and the actions that came of it."""
 
-    def failed(self, now_us: int, event: api.Event, error: Exception) -> None: ...
+    def failed(self, now_us: int, event: api.Event, error: Exception) -> None:
+        """Note an event on which the decisions failed."""
 
 
-class Decisions(Protocol):
-    """What of the decision module is called by the engine, and nowhere else."""
+class DecisionModule(Protocol):
+    """The part of the balancer that the engine calls, and nobody else."""
 
-    entries: dict[int, api.Upstream]  # the list
+    entries: dict[int, api.Upstream]  # the endpoint list
     servers: dict[int, Endpoint]  # those in use
 
-    def handle(self, now_us: int, event: api.Event) -> list[api.Action]: ...
+    def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
+        """Return the actions that an event calls for, in order."""
 
-    def avoided(self) -> int: ...
+    def avoided(self) -> int:
+        """Return how many listed upstreams get nothing now, or next to nothing."""
 
-    def learnt(self) -> api.WarmStartState: ...
+    def learnt(self) -> api.WarmStartState:
+        """Return what a next process of this sidecar may begin with."""
--- a/sidecar_proxy/engine/timers.py
+++ b/sidecar_proxy/engine/timers.py
@@ -1,8 +1,8 @@
-"""Many timers, most of which are cancelled, on one timer of the loop.
+"""A queue of many timers, most of which are cancelled, on one timer of the event loop.
 
-Each request sets a guard and a time for each attempt, and nearly all are cancelled milliseconds later; in the
-loop each of them is a handle, a context and two calls of libuv. Here setting one is a push on a heap, and
-cancelling one leaves it there, empty, till its time comes or the empty ones are most of all.
+Each request sets a deadline timer and one for each attempt, and nearly all are cancelled milliseconds later. A
+timer of the loop costs a handle, a context and two calls of libuv; here setting one is a push on a heap, and a
+cancelled one stays on the heap, empty, until its time comes or most of the heap is empty.
 """
 
 from __future__ import annotations
@@ -11,84 +11,101 @@
 import heapq
 from collections.abc import Callable
 
-TICK_S = 0.0005  # the loop's timers are of whole milliseconds, rounded
-MOST_EMPTY = 1024  # beyond this, and beyond half of all, the empty ones are taken out
+TIMER_RESOLUTION_S = 0.0005  # the loop's timers are rounded to whole milliseconds
+MAX_CANCELLED = 1024  # with more, and more than half of the heap, cancelled timers are removed from it
 
 
 class Timer:
-    """One call to come."""
+    """One call that is due at some time."""
 
-    __slots__ = ("owner", "call", "arguments")
+    __slots__ = ("queue", "callback", "arguments")
 
-    def __init__(self, owner: Timers, call: Callable[..., None], arguments: tuple[object, ...]) -> None:
-        self.owner = owner
-        self.call: Callable[..., None] | None = call  # None = made, or cancelled
+    def __init__(
+        self, queue: TimerQueue, callback: Callable[..., None], arguments: tuple[object, ...]
+    ) -> None:
+        self.queue = queue
+        self.callback: Callable[..., None] | None = callback  # None once called or cancelled
         self.arguments = arguments
 
     def cancel(self) -> None:
-        """Never called from now on; harmless once it has been."""
-        if self.call is not None:
-            self.call, self.arguments = None, ()
-            self.owner.emptied()
+        """Make sure that the call is not made; does nothing if it has been made."""
+        if self.callback is not None:
+            self.callback = None
+            self.arguments = ()
+            self.queue.timer_cancelled()
 
 
-class Timers:
+class TimerQueue:
+    """The timers of one event loop, in the order of their times."""
+
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.heap: list[tuple[float, int, Timer]] = []
-        self.number = 0  # of the next one: those of one time come in the order that they were set
-        self.empty = 0
-        self.armed: asyncio.TimerHandle | None = None
-        self.armed_s = 0.0
-        self.firing = False
-
-    def later(self, wait_s: float, call: Callable[..., None], *arguments: object) -> Timer:
-        """Make a call in this many seconds, to the loop's millisecond."""
-        timer = Timer(self, call, arguments)
-        self.number += 1
-        at_s = self.loop.time() + wait_s
-        heapq.heappush(self.heap, (at_s, self.number, timer))
-        if not self.firing and (self.armed is None or at_s < self.armed_s):
+        self.sequence = 0  # of the last timer: equal times are called in the order in which they were set
+        self.cancelled = 0  # timers on the heap
+        self.loop_timer: asyncio.TimerHandle | None = None
+        self.loop_timer_s = 0.0
+        self.is_firing = False
+
+    def later(self, delay_s: float, callback: Callable[..., None], *arguments: object) -> Timer:
+        """Call back in this many seconds, at the resolution of the loop."""
+        timer = Timer(self, callback, arguments)
+        self.sequence += 1
+        at_s = self.loop.time() + delay_s
+        heapq.heappush(self.heap, (at_s, self.sequence, timer))
+        if not self.is_firing and (self.loop_timer is None or at_s < self.loop_timer_s):
             self.arm()
         return timer
 
     def arm(self) -> None:
-        if self.armed is not None:
-            self.armed.cancel()
-            self.armed = None
+        """Set the loop's timer for the first time on the heap."""
+        if self.loop_timer is not None:
+            self.loop_timer.cancel()
+            self.loop_timer = None
         if self.heap:
-            self.armed_s = self.heap[0][0]
-            self.armed = self.loop.call_later(max(0.0, self.armed_s - self.loop.time()) + TICK_S, self.fire)
+            self.loop_timer_s = self.heap[0][0]
+            delay_s = max(0.0, self.loop_timer_s - self.loop.time()) + TIMER_RESOLUTION_S
+            self.loop_timer = self.loop.call_later(delay_s, self.fire)
 
     def fire(self) -> None:
-        now_s, self.armed, self.firing = self.loop.time() + TICK_S, None, True
+        """Make all calls that are due, then set the loop's timer anew."""
+        now_s = self.loop.time() + TIMER_RESOLUTION_S
+        self.loop_timer = None
+        self.is_firing = True
         try:
             while self.heap and self.heap[0][0] <= now_s:
-                timer = heapq.heappop(self.heap)[2]
-                call, arguments = timer.call, timer.arguments
-                if call is None:
-                    self.empty -= 1
-                    continue
-                timer.call, timer.arguments = None, ()
-                try:
-                    call(*arguments)
-                except Exception as error:
-                    # hazard: a fault in one call is not to cost the others theirs
-                    self.loop.call_exception_handler({"message": "a timer's call failed", "exception": error})
+                self.call(heapq.heappop(self.heap)[2])
         finally:
-            self.firing = False
+            self.is_firing = False
             self.arm()
 
-    def emptied(self) -> None:
-        self.empty += 1
-        if self.empty > MOST_EMPTY and self.empty * 2 > len(self.heap) and not self.firing:
-            self.heap = [one for one in self.heap if one[2].call is not None]
+    def call(self, timer: Timer) -> None:
+        """Make the call of a timer that was taken from the heap, unless it was cancelled."""
+        callback = timer.callback
+        arguments = timer.arguments
+        if callback is None:
+            self.cancelled -= 1
+            return
+        timer.callback = None
+        timer.arguments = ()
+        try:
+            callback(*arguments)
+        except Exception as error:  # the failure of one call must not cost the others theirs
+            self.loop.call_exception_handler({"message": "a timer's call failed", "exception": error})
+
+    def timer_cancelled(self) -> None:
+        """Count a timer that was cancelled on the heap, and remove such ones if they are most of it."""
+        self.cancelled += 1
+        is_mostly_cancelled = self.cancelled > MAX_CANCELLED and self.cancelled * 2 > len(self.heap)
+        if is_mostly_cancelled and not self.is_firing:
+            self.heap = [item for item in self.heap if item[2].callback is not None]
             heapq.heapify(self.heap)
-            self.empty = 0
+            self.cancelled = 0
 
     def close(self) -> None:
+        """Drop all timers."""
         self.heap.clear()
-        self.empty = 0
-        if self.armed is not None:
-            self.armed.cancel()
-            self.armed = None
+        self.cancelled = 0
+        if self.loop_timer is not None:
+            self.loop_timer.cancel()
+            self.loop_timer = None
--- a/sidecar_proxy/engine/wall_clock.py
+++ b/sidecar_proxy/engine/wall_clock.py
@@ -1,7 +1,7 @@
-"""The wall clock: when something is by the calendar, for stamps that other machines compare. May step.
+"""The wall clock: calendar time for stamps that other machines compare. It may step.
 
-`SIDECAR_PROXY_CLOCK_FILE` names a file with a number of microseconds that is added: so a rig steps one
-process's clock. Without it the cost is the system's call.
+`SIDECAR_PROXY_CLOCK_FILE` names a file with a number of microseconds that is added to the system's time; the
+testbed steps the clock of one process with it. Without the variable the cost is that of the system call.
 """
 
 from __future__ import annotations
@@ -10,28 +10,28 @@
 
 from sidecar_proxy.environment import read_variable
 
-LOOK_NS = 100_000_000  # between two looks at the file
+OFFSET_REFRESH_NS = 100_000_000  # between two reads of the file
 
 
-class Wall:
-    """The system's clock, and an offset that is handed in."""
+class WallClock:
+    """The system's clock, plus the offset that a file contains."""
 
-    def __init__(self, path: str) -> None:
-        self.path = path
+    def __init__(self, offset_path: str) -> None:
+        self.offset_path = offset_path
         self.offset_ns = 0
-        self.look_ns = 0
+        self.next_refresh_ns = 0  # on the monotonic clock
 
     def now_ns(self) -> int:
-        """Unix time in nanoseconds."""
-        if self.path and time.monotonic_ns() >= self.look_ns:
-            self.look_ns = time.monotonic_ns() + LOOK_NS
+        """Return the Unix time in nanoseconds."""
+        if self.offset_path and time.monotonic_ns() >= self.next_refresh_ns:
+            self.next_refresh_ns = time.monotonic_ns() + OFFSET_REFRESH_NS
             try:
-                with open(self.path) as file:
+                with open(self.offset_path) as file:
                     self.offset_ns = int(file.read() or 0) * 1000
             except (OSError, ValueError):
-                pass  # what held goes on holding
+                pass  # an unreadable file leaves the last offset in force
         return time.time_ns() + self.offset_ns
 
 
-_wall = Wall(read_variable("CLOCK_FILE"))
-now_ns = _wall.now_ns
+_wall_clock = WallClock(read_variable("CLOCK_FILE"))
+now_ns = _wall_clock.now_ns
--- a/sidecar_proxy/gossip/subsystem.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -94,7 +94,7 @@
         log.info(
             "gossip: %s of %s is heard at %s:%d", instance.core.name, instance.core.site, *instance.address
         )
-        engine.observe = self.observe
+        engine.on_attempt_ended = self.observe
         self.transport.start()
         self.look()
 
@@ -118,7 +118,7 @@
             if outputs:
                 self.transport.perform(outputs)
         except Exception:
-            self.engine.observe = None
+            self.engine.on_attempt_ended = None
             log.exception("gossip: what this sidecar sees is told no more")
 
     def take(self, one: OutlierWeight | FleetSize | SubsystemMessage) -> None:
@@ -128,11 +128,11 @@
                     listener(one)
             return
         if isinstance(one, FleetSize):
-            self.engine.tell(api.FleetResized(one.instances, one.index))
+            self.engine.dispatch(api.FleetResized(one.instances, one.index))
             return
         number = self.directory.numbers.get(one.node)
         if number is not None:
-            self.engine.tell(api.OutlierReported(number, one.weight))
+            self.engine.dispatch(api.OutlierReported(number, one.weight))
 
     def look(self) -> None:
         """Keys, the certificate or the list of the revoked may have changed."""
@@ -213,7 +213,7 @@
             writer.transport.abort()
 
     def close(self) -> None:
-        self.engine.observe = None
+        self.engine.on_attempt_ended = None
         if self.watch is not None:
             self.watch.cancel()
         if self.transport is not None:
--- a/sidecar_proxy/grpc/nodes.py
+++ b/sidecar_proxy/grpc/nodes.py
@@ -9,7 +9,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.engine import Engine
-from sidecar_proxy.engine.interfaces import Answer, Finished, Host
+from sidecar_proxy.engine.interfaces import AttemptCallback, ListedUpstream, UpstreamResponse
 from sidecar_proxy.grpc.held import WIDE, Held
 from sidecar_proxy.grpc.message import first_size
 from sidecar_proxy.grpc.metadata import Headers, Request, value_of
@@ -58,7 +58,7 @@
 
     def ending(
         self, attempt: Attempt, outcome: api.Outcome, ended: Ended | None
-    ) -> tuple[api.Outcome, Answer | None]: ...
+    ) -> tuple[api.Outcome, UpstreamResponse | None]: ...
 
     def pump(self) -> None: ...
 
@@ -95,7 +95,7 @@
         source: Source,
         nodes: Nodes,
         left_us: Callable[[], int],
-        ended: Finished,
+        ended: AttemptCallback,
         began: Callable[[], None],
     ) -> None:
         self.source = source
@@ -120,10 +120,10 @@
         self.wide = False  # the node may send more than the first window
         self.since = 0.0
 
-    def forgo(self, outcome: api.Outcome) -> None:
+    def abandon_unsent(self, outcome: api.Outcome) -> None:
         """Its relay gives up what is out as soon as the call is over."""
 
-    def lapse(self) -> None:
+    def expire_unsent(self) -> None:
         """It must not go out any more."""
         if not self.handed:
             self.finish(api.Outcome.NOT_SENT)
@@ -137,7 +137,7 @@
     def begin(self, connection: NodeConnection) -> None:
         """Its headers, and what there is of its body. Hazard: by now the request may be over, or the node may
         drain."""
-        left_us = self.left_us() if connection.host.wanted() else 0
+        left_us = self.left_us() if connection.host.is_ready() else 0
         source = self.source
         if left_us <= 0 or not source.again():
             self.finish(api.Outcome.NOT_SENT)
@@ -265,7 +265,7 @@
 class NodeConnection(Endpoint):
     """A connection to a node."""
 
-    def __init__(self, nodes: Nodes, host: Host) -> None:
+    def __init__(self, nodes: Nodes, host: ListedUpstream) -> None:
         super().__init__(Connection(True, LIMITS, nodes.now_us()), nodes.loop)
         self.nodes = nodes
         self.host = host
@@ -405,7 +405,7 @@
         """The connection is of no more use."""
         self.retire()
         if event.code != NO_ERROR:
-            self.nodes.pool.complain(f"node {self.host.dial[0]}: HTTP/2: {event.why}")
+            self.nodes.pool.complain(f"node {self.host.address[0]}: HTTP/2: {event.why}")
         self.flush()
         for attempt in list(self.streams.values()):
             attempt.closed(End.BROKEN if event.code != NO_ERROR else End.CLOSED)
@@ -416,8 +416,8 @@
         if self.lost:
             return
         self.lost = self.retired = True
-        if self in self.host.shared:
-            self.host.shared.remove(self)
+        if self in self.host.multiplexed:
+            self.host.multiplexed.remove(self)
         self.nodes.connections.discard(self)
         self.nodes.pool.closed(self.host)
         for attempt in list(self.streams.values()):
@@ -464,7 +464,7 @@
 
     def __init__(self, engine: Engine, idle_s: float, ping_s: float, most_held: int) -> None:
         self.engine = engine
-        self.pool = cast(Pool, engine.pool)
+        self.pool = cast(Pool, engine.transport)
         self.loop = engine.loop
         self.idle_s = idle_s
         self.ping_s = ping_s
@@ -478,34 +478,34 @@
         return self.engine.clock.now_us()
 
     def attempt(
-        self, source: Source, left_us: Callable[[], int], ended: Finished, began: Callable[[], None]
+        self, source: Source, left_us: Callable[[], int], ended: AttemptCallback, began: Callable[[], None]
     ) -> Attempt:
         return Attempt(source, self, left_us, ended, began)
 
     def start(self, upstream: int, attempt: Attempt, timeout_s: float) -> None:
-        host = self.pool.hosts.get(upstream)
-        if host is None or not host.wanted():
+        host = self.pool.upstreams.get(upstream)
+        if host is None or not host.is_ready():
             attempt.finish(api.Outcome.NOT_SENT)
             return
         attempt.timer = self.loop.call_later(timeout_s, attempt.expire)
         self.choose(host, attempt)
 
-    def choose(self, host: Host, attempt: Attempt) -> None:
+    def choose(self, host: ListedUpstream, attempt: Attempt) -> None:
         """The first connection with room: so few are used, and the others come to rest."""
-        for one in host.shared:
+        for one in host.multiplexed:
             if isinstance(one, NodeConnection) and one.room():
                 one.place(attempt)
                 return
         full = self.pool.open >= self.pool.most and not self.pool.evict()
-        if full or len(host.shared) >= MOST_CONNECTIONS or not host.wanted():
+        if full or len(host.multiplexed) >= MOST_CONNECTIONS or not host.is_ready():
             attempt.finish(api.Outcome.NOT_SENT)
             return
         connection = NodeConnection(self, host)
         connection.waiting.append(attempt)
-        host.shared.append(connection)
+        host.multiplexed.append(connection)
         self.connections.add(connection)
         self.pool.open += 1
-        host.open += 1
+        host.open_connections += 1
         task = self.loop.create_task(self.dial(connection))
         self.dials.add(task)
         task.add_done_callback(self.dials.discard)
@@ -514,7 +514,9 @@
         host = connection.host
         try:
             async with asyncio.timeout(self.pool.connect_s):
-                await self.loop.create_connection(partial(itself, connection), *(host.dial_grpc or host.dial))
+                await self.loop.create_connection(
+                    partial(itself, connection), *(host.grpc_address or host.address)
+                )
         except (OSError, TimeoutError, ValueError) as error:  # ValueError: a name that is none
             ours = isinstance(error, OSError) and error.errno in LOCAL_ERRORS
             if ours:
--- a/sidecar_proxy/grpc/probe.py
+++ b/sidecar_proxy/grpc/probe.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.engine.engine import ProbeEnd
-from sidecar_proxy.engine.interfaces import Answer
+from sidecar_proxy.engine.engine import ProbeCallback
+from sidecar_proxy.engine.interfaces import UpstreamResponse
 from sidecar_proxy.grpc import health
 from sidecar_proxy.grpc.metadata import Request
 from sidecar_proxy.grpc.nodes import Attempt, Nodes
@@ -59,7 +59,7 @@
 
     def ending(
         self, attempt: Attempt, outcome: api.Outcome, ended: Ended | None
-    ) -> tuple[api.Outcome, Answer | None]:
+    ) -> tuple[api.Outcome, UpstreamResponse | None]:
         """Served only by an answer that says SERVING."""
         if ended is not None:
             outcome = judge(ended).outcome
@@ -67,10 +67,12 @@
         if outcome is api.Outcome.OK and not serving:
             outcome = api.Outcome.ERROR
         status = 200 if outcome is api.Outcome.OK else 503
-        return outcome, Answer(status, b"", attempt.load(), b"") if outcome is api.Outcome.OK else None
+        return outcome, UpstreamResponse(
+            status, b"", attempt.load(), b""
+        ) if outcome is api.Outcome.OK else None
 
 
-def probe(nodes: Nodes, upstream: int, ended: ProbeEnd, timeout_s: float) -> None:
+def probe(nodes: Nodes, upstream: int, ended: ProbeCallback, timeout_s: float) -> None:
     """Ask; `ended` is called once."""
     asked = Probe(int(timeout_s * 1e6))
     asked.attempt = nodes.attempt(asked, lambda: asked.request.due_us, ended, lambda: None)
--- a/sidecar_proxy/grpc/relay.py
+++ b/sidecar_proxy/grpc/relay.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.engine.interfaces import Answer, Finished
+from sidecar_proxy.engine.interfaces import AttemptCallback, UpstreamResponse
 from sidecar_proxy.grpc.held import WIDE, Holder
 from sidecar_proxy.grpc.metadata import Headers, Request, answer_headers, retry_after_us
 from sidecar_proxy.grpc.nodes import Attempt, Nodes
@@ -104,7 +104,7 @@
         """The client has reset its stream, or its connection is lost: nodes learn of it at once."""
         self.over = True
         if self.number:
-            self.nodes.engine.gone(self.number)
+            self.nodes.engine.client_gone(self.number)
         self.cancel()
         self.release()
 
@@ -117,7 +117,7 @@
         self.verdict = Verdict(api.Outcome.ERROR, Code.RESOURCE_EXHAUSTED, False)
         unread = self.told
         if self.number:
-            self.nodes.engine.give_up(self.number)
+            self.nodes.engine.fail_request(self.number)
         self.reply(502)
         self.release()
         if unread:
@@ -132,7 +132,9 @@
 
     # The engine's Carrier
 
-    def attempt(self, left_us: Callable[[], int], ended: Finished, began: Callable[[], None]) -> Attempt:
+    def attempt(
+        self, left_us: Callable[[], int], ended: AttemptCallback, began: Callable[[], None]
+    ) -> Attempt:
         attempt = self.nodes.attempt(self, left_us, ended, began)
         self.attempts.append(attempt)
         return attempt
@@ -203,7 +205,7 @@
 
     def ending(
         self, attempt: Attempt, outcome: api.Outcome, ended: Ended | None
-    ) -> tuple[api.Outcome, Answer | None]:
+    ) -> tuple[api.Outcome, UpstreamResponse | None]:
         """An attempt is over. What the engine is to make of it."""
         self.attempts.remove(attempt)
         load = attempt.load()
@@ -211,19 +213,21 @@
             verdict = self.verdict = judge(ended)
             outcome = verdict.outcome
             if self.over:
-                return outcome, Answer(0, b"", b"", load)
+                return outcome, UpstreamResponse(0, b"", b"", load)
             if verdict.pass_on or self.bound is attempt:
                 # hazard: once a part has gone on, the node's own status is the only one that fits it
                 if any(name == b"grpc-status" for name, _ in attempt.trailers):
                     self.final = attempt
                     if verdict.outcome is api.Outcome.OK:
-                        return outcome, Answer(200, b"", b"", load)
-                    return outcome, Answer(0 if self.bound is attempt else 400, b"", b"", load, True)
-                return outcome, Answer(0, b"", b"", load, True)
+                        return outcome, UpstreamResponse(200, b"", b"", load)
+                    return outcome, UpstreamResponse(
+                        0 if self.bound is attempt else 400, b"", b"", load, True
+                    )
+                return outcome, UpstreamResponse(0, b"", b"", load, True)
         elif outcome in (api.Outcome.NOT_SENT, api.Outcome.CONNECT_FAILED) and self.verdict is None:
             self.verdict = Verdict(outcome, Code.UNAVAILABLE, False)
         stuck = not self.over and (self.bound is attempt or (not self.again() and not self.attempts))
-        return outcome, Answer(0, b"", b"", load, stuck) if load or stuck else None
+        return outcome, UpstreamResponse(0, b"", b"", load, stuck) if load or stuck else None
 
     # From the engine
 
--- a/sidecar_proxy/grpc/subsystem.py
+++ b/sidecar_proxy/grpc/subsystem.py
@@ -23,5 +23,5 @@
     nodes = Nodes(engine, told.idle_s, told.ping_s, told.buffered_kib * 1024)
     server.front = Front(server, Reader(methods, engine.settings), nodes, told.streams, told.idle_s)
     if told.probe == "grpc":
-        engine.probes = partial(probe, nodes)
+        engine.send_probe = partial(probe, nodes)
     return nodes
--- a/sidecar_proxy/http1/client.py
+++ b/sidecar_proxy/http1/client.py
@@ -11,7 +11,13 @@
 
 import httptools
 
-from sidecar_proxy.engine.body_buffers import KEEP, MOST_BODY, Flow, Source, Upload
+from sidecar_proxy.engine.body_buffers import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    ResponseSink,
+    ResponseSource,
+    Upload,
+)
 from sidecar_proxy.http1.listener import Listener
 from sidecar_proxy.http1.outflow import InLine, Outflow
 from sidecar_proxy.http1.request import Rejected
@@ -50,12 +56,12 @@
             self.connection.flush()
 
     def open(
-        self, head: bytes, length: int | None, source: Source, ended: Callable[[bool | None], None]
-    ) -> Flow:
+        self, head: bytes, length: int | None, source: ResponseSource, ended: Callable[[bool | None], None]
+    ) -> ResponseSink:
         """Its answer is a large one."""
         self.flow = Outflow(self, head, length, source, ended)
-        if self.upload is not None and not self.upload.started:
-            self.upload.drop()  # it won't be sent again
+        if self.upload is not None and not self.upload.is_streaming:
+            self.upload.discard()  # it won't be sent again
         self.connection.flush()
         return self.flow
 
@@ -64,8 +70,8 @@
         self.connection.server.open.discard(self.ident)
         if self.upload is not None:
             # hazard: behind an answer to half a request its other half would be read as the next one
-            self.keep = self.keep and self.upload.whole
-            self.upload.drop()
+            self.keep = self.keep and self.upload.is_complete
+            self.upload.discard()
 
     def release(self) -> None:
         """Its large answer has ended, and holds it as it holds that."""
@@ -81,7 +87,7 @@
         elif self.answer is None:
             self.answer = 0, b"", b""
             self.answered()
-            self.connection.server.engine.gone(self.request)
+            self.connection.server.engine.client_gone(self.request)
 
 
 class ClientConnection:
@@ -241,7 +247,7 @@
         for low, (_, value) in zip(names, self.headers, strict=True):
             if low == b"content-length":
                 self.length = int(value)
-                if self.length > MOST_BODY:
+                if self.length > MAX_BODY_BYTES:
                     raise Rejected(413, "body too large")
             if low == b"expect" and value.lower() == b"100-continue":
                 self.continues = True
@@ -257,24 +263,24 @@
         if self.deaf:
             return
         self.size += len(body)
-        if self.size > MOST_BODY:
+        if self.size > MAX_BODY_BYTES:
             raise Rejected(413, "body too large")
         upload = self.upload
         if upload is None:
             self.body += body
-            if self.size <= KEEP:
+            if self.size <= MAX_BUFFERED_BODY_BYTES:
                 return
             upload = self.upload = Upload(self.server.spool, self.length)
             body, self.body = bytes(self.body), bytearray()
-        upload.put(body)
-        if not upload.started and not upload.fits():
+        upload.append(body)
+        if not upload.is_streaming and not upload.fits_budget():
             self.pass_on(upload)
-        if upload.full() and not self.deaf:
+        if upload.is_full() and not self.deaf:
             self.pause()
 
     def pass_on(self, upload: Upload) -> None:
         """Too large to be held: the request is taken now, and its body passed on as it comes."""
-        upload.started, upload.room = True, self.hear
+        upload.is_streaming, upload.on_capacity = True, self.hear
         one = self.begun = self.request()
         one.upload = upload
         self.server.uploads[self] = None
@@ -289,12 +295,12 @@
         if one is not None and upload is not None:
             self.server.uploads.pop(self, None)
             one.keep = self.parser.should_keep_alive()
-            self.server.engine.uploaded(one.request)
-            upload.end()
+            self.server.engine.upload_complete(one.request)
+            upload.complete()
             return
         one = self.request()
         one.upload = upload
-        self.take(one, bytes(self.body) if upload is None else upload.join(), None)
+        self.take(one, bytes(self.body) if upload is None else upload.take_whole(), None)
 
     def request(self) -> Pending:
         """The request that is being read stands in line for its answer."""
@@ -320,7 +326,7 @@
         self.server.uploads.pop(self, None)
         if upload is not None:
             upload.fail()
-            upload.drop()
+            upload.discard()
 
     # Answers
 
@@ -333,7 +339,7 @@
             self.turn_away(one, error)
             return
         self.deaf, one.keep = True, False
-        self.server.engine.give_up(one.request, error.status)  # it has been taken
+        self.server.engine.fail_request(one.request, error.status)  # it has been taken
 
     def turn_away(self, one: Pending, error: Rejected) -> None:
         """Answer and end the connection. Hazard: what comes behind a bad request is mostly bad as well, by
--- a/sidecar_proxy/http1/listener.py
+++ b/sidecar_proxy/http1/listener.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from sidecar_proxy.engine.body_buffers import Flow, Source, Spool, Upload
+from sidecar_proxy.engine.body_buffers import BodyMemoryBudget, ResponseSink, ResponseSource, Upload
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.http1.request import Rejected
 
@@ -72,8 +72,8 @@
     def reply(self, status: int, head: bytes = b"", body: bytes = b"") -> None: ...
 
     def open(
-        self, head: bytes, length: int | None, source: Source, ended: Callable[[bool | None], None]
-    ) -> Flow: ...
+        self, head: bytes, length: int | None, source: ResponseSource, ended: Callable[[bool | None], None]
+    ) -> ResponseSink: ...
 
 
 class OtherFront(Protocol):
@@ -89,7 +89,7 @@
 class Listener:
     """What connections need of their listener."""
 
-    def __init__(self, engine: Engine, spool: Spool) -> None:
+    def __init__(self, engine: Engine, spool: BodyMemoryBudget) -> None:
         self.engine = engine
         self.loop = engine.loop
         self.spool = spool
--- a/sidecar_proxy/http1/outflow.py
+++ b/sidecar_proxy/http1/outflow.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from sidecar_proxy.engine.body_buffers import Source
+from sidecar_proxy.engine.body_buffers import ResponseSource
 
 
 class Line(Protocol):
@@ -41,7 +41,7 @@
         pending: InLine,
         head: bytes,
         length: int | None,
-        source: Source,
+        source: ResponseSource,
         ended: Callable[[bool | None], None],
     ) -> None:
         self.pending = pending
--- a/sidecar_proxy/http1/request.py
+++ b/sidecar_proxy/http1/request.py
@@ -102,9 +102,9 @@
         return Call(
             class_index=class_index,
             due_us=now_us + coming_us + after_us,
-            after_us=after_us,
+            time_after_upload_us=after_us,
             upload=upload,
-            ident=found[b"req-id"],
+            request_id=found[b"req-id"],
             # a Connection header may name others that go no further
             head=b"%s %s HTTP/1.1\r\n%s%s"
             % (
@@ -117,5 +117,5 @@
             tenant=tenant,
             key=key_number(parts[-1]) if len(parts) > 1 else 0,
             cost_us=cost_us(found.get(b"req-cost", b"")),
-            retried=found.get(b"req-retry") == b"1",
+            is_retry=found.get(b"req-retry") == b"1",
         )
--- a/sidecar_proxy/http1/server.py
+++ b/sidecar_proxy/http1/server.py
@@ -9,7 +9,7 @@
 from functools import partial
 
 from sidecar_proxy.engine.address import Address
-from sidecar_proxy.engine.body_buffers import Spool, Upload
+from sidecar_proxy.engine.body_buffers import BodyMemoryBudget, Upload
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.http1.admission import Admission
 from sidecar_proxy.http1.client import ClientConnection
@@ -34,8 +34,8 @@
 class Server(Listener):
     """The listener, within a budget of client connections."""
 
-    def __init__(self, engine: Engine, most: int, spool: Spool | None = None) -> None:
-        super().__init__(engine, spool or Spool(4 * 1024 * 1024))
+    def __init__(self, engine: Engine, most: int, spool: BodyMemoryBudget | None = None) -> None:
+        super().__init__(engine, spool or BodyMemoryBudget(4 * 1024 * 1024))
         self.reader = Reader(engine.settings)
         self.most = self.whole = most
         self.connections: set[Incoming] = set()
@@ -199,12 +199,12 @@
             one.reply(200 if self.ready else 503)
             return
         call = self.reader.read(method, target, headers, body, self.engine.clock.now_us(), upload)
-        if call.ident in self.open:
+        if call.request_id in self.open:
             # hazard: upstreams tell requests apart by it; two at once could get each other's answer
             raise Rejected(409, "a request with this Req-Id is open")
-        call.opens = one.open
-        one.ident = call.ident
-        self.open.add(call.ident)
+        call.open_stream = one.open
+        one.ident = call.request_id
+        self.open.add(call.request_id)
         one.request = self.engine.accept(call, one.reply)
 
     def shrink(self, half: bool) -> None:
@@ -292,7 +292,7 @@
                     self.drop(connection)
             if self.loop.time() >= late:  # hazard: clients send on what is open till the kill
                 for ident in list(self.engine.requests):
-                    self.engine.give_up(ident, 504)  # hazard: what a kill finds unanswered is lost
+                    self.engine.fail_request(ident, 504)  # hazard: what a kill finds unanswered is lost
             if self.loop.time() >= late + FLUSH_S:
                 for connection in left:
                     self.drop(connection)  # large answers on their way: they are seen not to be whole
--- a/sidecar_proxy/http1/upstream.py
+++ b/sidecar_proxy/http1/upstream.py
@@ -16,14 +16,22 @@
 import httptools
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.engine.body_buffers import KEEP, MOST_BODY, Flow, Upload
-from sidecar_proxy.engine.interfaces import Answer, Attempt, Finished, Host, OpensAnswer
-from sidecar_proxy.engine.timers import Timer, Timers
+from sidecar_proxy.engine.body_buffers import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, ResponseSink, Upload
+from sidecar_proxy.engine.interfaces import (
+    Attempt,
+    AttemptCallback,
+    ListedUpstream,
+    ResponseStreamOpener,
+    UpstreamResponse,
+)
+from sidecar_proxy.engine.timers import Timer, TimerQueue
 
 log = logging.getLogger("sidecar_proxy")
 
 MAX_HEAD = 16 * 1024
-MAX_RAW = MAX_HEAD + 8 * KEEP  # an answer that is held whole, with its framing: chunks may be small
+MAX_RAW = (
+    MAX_HEAD + 8 * MAX_BUFFERED_BODY_BYTES
+)  # an answer that is held whole, with its framing: chunks may be small
 FIRST_S = 0.1  # an answer of unknown length that takes longer than this is passed on as it comes
 STALL_S = 10.0  # no byte of a body moves for so long: it is given up
 SWEEP_S = 0.25
@@ -87,9 +95,9 @@
     def __init__(
         self,
         render: Callable[[], list[bytes] | None],
-        ended: Finished,
+        ended: AttemptCallback,
         wrote: Callable[[], None] | None = None,
-        opens: OpensAnswer | None = None,
+        opens: ResponseStreamOpener | None = None,
         upload: Upload | None = None,
     ) -> None:
         self.render = render  # the parts, asked for when they are to be written; None = no longer wanted
@@ -104,7 +112,7 @@
         self.connection: Connection | None = None
         self.done = False
 
-    def finish(self, outcome: api.Outcome, answer: Answer | None = None) -> None:
+    def finish(self, outcome: api.Outcome, answer: UpstreamResponse | None = None) -> None:
         if self.done:
             return
         self.done = True
@@ -115,14 +123,14 @@
             connection.release()
         self.ended(outcome, answer)
 
-    def forgo(self, outcome: api.Outcome) -> None:
+    def abandon_unsent(self, outcome: api.Outcome) -> None:
         """Its request is over. Hazard: the rest of one that is half written would go once the upstream reads
         on, and it would run for nobody."""
         connection = self.connection
         if connection is not None and not connection.written:
             self.finish(outcome)
 
-    def lapse(self) -> None:
+    def expire_unsent(self) -> None:
         """It must not go out any more. A dial that comes up later serves the next one."""
         if self.connection is None or not self.connection.written:
             self.finish(api.Outcome.NOT_SENT)
@@ -140,7 +148,7 @@
             self.finish(api.Outcome.CONNECT_FAILED)
             return
         host = connection.host
-        if host.heard < connection.began:
+        if host.last_received_s < connection.began:
             # hazard: a machine that vanished leaves its connections open and silent; an unsafe request on
             # one is lost, while a new connection fails before anything can run
             host.close_idle()
@@ -168,7 +176,7 @@
     """A connection carries one exchange at a time and is pooled in between. An asyncio.Protocol in all but
     its bases: with one that is not compiled, each attribute would be looked up in a dictionary."""
 
-    def __init__(self, pool: Pool, host: Host) -> None:
+    def __init__(self, pool: Pool, host: ListedUpstream) -> None:
         self.pool = pool
         self.host = host
         self.generation = host.generation
@@ -177,7 +185,7 @@
         self.exchange: Exchange | None = None
         self.written = False  # the kernel has the whole request
         self.fed = False  # nothing of the request is still to come
-        self.flow: Flow | None = None  # where the answer goes that is passed on as it comes
+        self.flow: ResponseSink | None = None  # where the answer goes that is passed on as it comes
         self.held = False  # ... and is not read just now
         self.began = self.moved = 0.0
         # monotonic. Hazard: the loop's clock has whole milliseconds, and stands for as long as a turn takes
@@ -195,16 +203,16 @@
         self.poll = input_poll(transport)
 
     def rest_left_s(self) -> float:
-        return self.idle_since + (ODD_REST_S if self.host.odd else REST_S) - time.monotonic()
+        return self.idle_since + (ODD_REST_S if self.host.has_misbehaved else REST_S) - time.monotonic()
 
     def rested(self, exchange: Exchange) -> None:
         """It has been kept for this one till now."""
         left_s = self.rest_left_s()
         if exchange.done:
             self.park()
-        elif left_s > 0.0 and not self.host.odd:  # that timer counted by the loop's clock
+        elif left_s > 0.0 and not self.host.has_misbehaved:  # that timer counted by the loop's clock
             self.pool.timers.later(left_s, self.rested, exchange)
-        elif self.usable() and not self.host.odd and self.generation == self.host.generation:
+        elif self.usable() and not self.host.has_misbehaved and self.generation == self.host.generation:
             self.begin(exchange)
         else:
             self.close()
@@ -220,7 +228,7 @@
         )
 
     def begin(self, exchange: Exchange) -> None:
-        data = exchange.render() if self.host.wanted() else None
+        data = exchange.render() if self.host.is_ready() else None
         if data is None:
             self.park()
             exchange.finish(api.Outcome.NOT_SENT)
@@ -240,7 +248,7 @@
         for part in data:
             self.transport.write(part)
         if exchange.upload is not None:
-            exchange.upload.more = self.feed
+            exchange.upload.on_data = self.feed
         self.feed()
 
     def feed(self) -> None:
@@ -250,17 +258,17 @@
             return
         upload = exchange.upload
         while upload is not None and not self.fed and not transport.get_write_buffer_size():
-            if upload.failed:
+            if upload.has_failed:
                 exchange.finish(api.Outcome.NOT_SENT)  # closing it here: the last byte never comes
                 return
-            piece = upload.take()
-            if piece is None and not upload.whole:
+            piece = upload.consume()
+            if piece is None and not upload.is_complete:
                 return
             self.moved = self.loop.time()
             if piece is not None:
                 chunked = upload.length is None
                 transport.write(b"%x\r\n%s\r\n" % (len(piece), piece) if chunked else piece)
-            if upload.whole and not upload.data:
+            if upload.is_complete and not upload.data:
                 self.fed = True
                 if upload.length is None:
                     transport.write(b"0\r\n\r\n")
@@ -292,9 +300,9 @@
             self.feed()
 
     def data_received(self, data: bytes) -> None:
-        self.host.heard = self.loop.time()
+        self.host.last_received_s = self.loop.time()
         if self.exchange is None:  # nothing was asked: out of step
-            self.host.odd = True
+            self.host.has_misbehaved = True
             self.close()
             return
         self.raw += len(data)
@@ -384,7 +392,7 @@
 
     def fail(self, why: str) -> None:
         """Hazard: an answer that is not whole and well formed is never passed on as served."""
-        self.pool.complain(f"upstream {self.host.dial[0]}:{self.host.dial[1]}: bad answer: {why}")
+        self.pool.complain(f"upstream {self.host.address[0]}:{self.host.address[1]}: bad answer: {why}")
         if self.flow is not None:
             self.close()
         elif self.exchange is not None:
@@ -392,7 +400,7 @@
 
     def on_message_begin(self) -> None:
         if self.complete:  # a second answer to one request: the connection is out of step
-            self.status_begun = self.host.odd = True
+            self.status_begun = self.host.has_misbehaved = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if not self.complete:
@@ -412,12 +420,12 @@
                 framed = True
             elif low == b"connection":
                 closes = closes or b"close" in value.lower()
-        most = MOST_BODY if self.streams() else KEEP
+        most = MAX_BODY_BYTES if self.streams() else MAX_BUFFERED_BODY_BYTES
         if size > MAX_HEAD or (self.length or 0) > most:
             raise ValueError("too large")  # hazard: 3 GB would keep coming until the time-out
         # RFC 9112, 6.3: it ends with its connection
         self.to_end = closes and not framed
-        if (self.length or 0) > KEEP:
+        if (self.length or 0) > MAX_BUFFERED_BODY_BYTES:
             self.open()
 
     def on_body(self, body: bytes) -> None:
@@ -425,7 +433,7 @@
             return
         if self.flow is None:
             self.body += body
-            if len(self.body) > KEEP:
+            if len(self.body) > MAX_BUFFERED_BODY_BYTES:
                 if not self.streams():
                     raise ValueError("too large")
                 self.open()
@@ -453,7 +461,7 @@
             flow.end()
             return
         found = {name.lower(): value for name, value in self.headers}
-        answer = Answer(
+        answer = UpstreamResponse(
             self.status,
             end_to_end(self.headers, ANSWER_STOPPED),
             bytes(self.body),
@@ -466,7 +474,7 @@
         else:
             outcome = api.Outcome.ERROR  # hazard: a bare 503 does not say that nothing ran
         if exchange.upload is not None:
-            exchange.upload.more = None
+            exchange.upload.on_data = None
         if self.keep and self.written and not self.status_begun:
             self.exchange = exchange.connection = None
             self.park()
@@ -475,7 +483,7 @@
     def park(self) -> None:
         """Back to the pool, unless the upstream has restarted, left or is not to be used any more."""
         host = self.host
-        if self.lost or self.generation != host.generation or not host.wanted():
+        if self.lost or self.generation != host.generation or not host.is_ready():
             self.close()
             return
         self.idle_since = time.monotonic()
@@ -484,7 +492,7 @@
     def release(self) -> None:
         """The exchange ends before its answer is whole: closing gives the attempt up."""
         if self.exchange is not None and self.exchange.upload is not None:
-            self.exchange.upload.more = None
+            self.exchange.upload.on_data = None
         self.exchange = None
         self.close()
 
@@ -530,63 +538,68 @@
         self.idle_s = max(idle_s / 2, idle_s - 0.5) if idle_s > 0 else float("inf")
         self.most = self.whole = most
         self.open = 0  # connections, those being made among them
-        self.hosts: dict[int, Host] = {}
+        self.upstreams: dict[int, ListedUpstream] = {}
         # all that are idle, the one that has been so for longest first; a plain dict would search its head
         self.idle: OrderedDict[Connection, None] = OrderedDict()
         self.dials: set[asyncio.Task[None]] = set()
         self.spare: Callable[[], bool] = bool  # closes a shared connection that is idle; False: there is none
         self.next_complaint = 0.0
-        self.timers = Timers(self.loop)
+        self.timers = TimerQueue(self.loop)
         self.sweep_timer = self.loop.call_later(SWEEP_S, self.sweep)
 
-    def update(self, hosts: list[Host], whole: bool) -> None:
+    def update(self, hosts: list[ListedUpstream], whole: bool) -> None:
         if whole:
             listed = {host.entry.id for host in hosts}
-            for ident, host in list(self.hosts.items()):
+            for ident, host in list(self.upstreams.items()):
                 if ident not in listed:
                     host.entry = replace(host.entry, state=api.UpstreamState.GONE)
                     host.close_idle()
                     self.forget(host)
         for new in hosts:
-            old = self.hosts.setdefault(new.entry.id, new)
-            if (old.dial, old.dial_grpc, old.entry.started_us) != (
-                new.dial,
-                new.dial_grpc,
+            old = self.upstreams.setdefault(new.entry.id, new)
+            if (old.address, old.grpc_address, old.entry.started_us) != (
+                new.address,
+                new.grpc_address,
                 new.entry.started_us,
             ):
                 # hazard: connections to the process before are dead, though they look open
                 old.generation += 1
-                old.odd = False
+                old.has_misbehaved = False
                 old.close_idle()
-            old.entry, old.dial, old.dial_grpc, old.told = new.entry, new.dial, new.dial_grpc, new.told
-            if not old.wanted():
+            old.entry, old.address, old.grpc_address, old.listed_entry = (
+                new.entry,
+                new.address,
+                new.grpc_address,
+                new.listed_entry,
+            )
+            if not old.is_ready():
                 old.close_idle()
             self.forget(old)
 
-    def closed(self, host: Host) -> None:
+    def closed(self, host: ListedUpstream) -> None:
         self.open -= 1
-        host.open -= 1
+        host.open_connections -= 1
         self.forget(host)
 
-    def forget(self, host: Host) -> None:
+    def forget(self, host: ListedUpstream) -> None:
         """Hazard: where upstreams are replaced all day, those that are gone would be kept for good; one that
         has something out is kept, as its name may come back meanwhile."""
-        if host.entry.state is api.UpstreamState.GONE and not host.open:
-            self.hosts.pop(host.entry.id, None)
+        if host.entry.state is api.UpstreamState.GONE and not host.open_connections:
+            self.upstreams.pop(host.entry.id, None)
 
     def exchange(
         self,
         render: Callable[[], list[bytes] | None],
-        ended: Finished,
+        ended: AttemptCallback,
         wrote: Callable[[], None] | None = None,
-        opens: OpensAnswer | None = None,
+        opens: ResponseStreamOpener | None = None,
         upload: Upload | None = None,
     ) -> Exchange:
         return Exchange(render, ended, wrote, opens, upload)
 
     def start(self, upstream: int, exchange: Attempt, timeout_s: float) -> None:
         assert isinstance(exchange, Exchange)
-        host = self.hosts.get(upstream)
+        host = self.upstreams.get(upstream)
         if host is None:
             exchange.finish(api.Outcome.NOT_SENT)
             return
@@ -594,9 +607,9 @@
         exchange.timer = self.timers.later(timeout_s, exchange.expire)
         self.carry(host, exchange)
 
-    def carry(self, host: Host, exchange: Exchange) -> None:
+    def carry(self, host: ListedUpstream, exchange: Exchange) -> None:
         """By an idle connection that has rested, by one that soon will have, or by a new one."""
-        if not host.wanted():
+        if not host.is_ready():
             exchange.finish(api.Outcome.NOT_SENT)
             return
         rested: Connection | None = None
@@ -617,7 +630,7 @@
             rested.leave()
             rested.begin(exchange)
             return
-        if resting is not None and not host.odd:
+        if resting is not None and not host.has_misbehaved:
             resting.leave()
             self.timers.later(resting.rest_left_s(), resting.rested, exchange)
             return
@@ -625,16 +638,16 @@
             exchange.finish(api.Outcome.NOT_SENT)
             return
         self.open += 1
-        host.open += 1
+        host.open_connections += 1
         task = self.loop.create_task(self.dial(host, exchange))
         self.dials.add(task)
         task.add_done_callback(self.dials.discard)
 
-    async def dial(self, host: Host, exchange: Exchange) -> None:
+    async def dial(self, host: ListedUpstream, exchange: Exchange) -> None:
         connection = Connection(self, host)
         try:
             async with asyncio.timeout(self.connect_s):
-                await self.loop.create_connection(partial(itself, connection), *host.dial)
+                await self.loop.create_connection(partial(itself, connection), *host.address)
         except (OSError, TimeoutError, ValueError) as error:  # ValueError: a name that is none
             connection.close()
             connection.connection_lost(error)  # hazard: of one that came up just now the loop never says so
@@ -668,8 +681,8 @@
                 break
 
     def close_idle(self, upstream: int) -> None:
-        if upstream in self.hosts:
-            self.hosts[upstream].close_idle()
+        if upstream in self.upstreams:
+            self.upstreams[upstream].close_idle()
 
     def sweep(self) -> None:
         oldest = time.monotonic() - self.idle_s
--- a/sidecar_proxy/overload_control/subsystem.py
+++ b/sidecar_proxy/overload_control/subsystem.py
@@ -65,11 +65,11 @@
 
     def start(self) -> None:
         self.gossip.listeners[words.TOPIC] = self.hear
-        self.engine.fleet = self
+        self.engine.fleet_observer = self
         self.tick()
 
     def close(self) -> None:
-        self.engine.fleet = None
+        self.engine.fleet_observer = None
         self.gossip.listeners.pop(words.TOPIC, None)
         if self.timer is not None:
             self.timer.cancel()
@@ -78,7 +78,7 @@
 
     def arrived(self, call: Call) -> int:
         try:
-            return self.member.arrived(call.class_index, call.key, call.retried, self.engine.clock.now_us())
+            return self.member.arrived(call.class_index, call.key, call.is_retry, self.engine.clock.now_us())
         except Exception:
             self.give_up()
             return 0
@@ -156,7 +156,7 @@
             elif isinstance(one, LogMessage):
                 log.info("overload: %s", one.text)
             else:
-                self.engine.tell(one)
+                self.engine.dispatch(one)
 
     def trace(self) -> None:
         """What may be spent, for whoever adds it up over the fleet: [own, [[borrowed, until]]], by the clock
--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.upstream import Exchange, Pool
 from tests.admin.rig import Doored
 from tests.sockets import LONG_S, Client, Discovery, Message, Upstream, answer, eventually
@@ -222,7 +222,7 @@
     async def test() -> None:
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         pool = Pool(connect_s=5.0, idle_s=60.0, most=8)
-        host = Host(api.Upstream(7), server.sockets[0].getsockname())
+        host = ListedUpstream(api.Upstream(7), server.sockets[0].getsockname())
         pool.update([host], whole=True)
         for _ in range(8):
             done = Exchange(lambda: None, lambda outcome, answer: None)
--- a/tests/admin/test_pure.py
+++ b/tests/admin/test_pure.py
@@ -11,16 +11,16 @@
 
 from sidecar_proxy.admin.hot_restart import HotRestart
 from sidecar_proxy.admin.suspensions import MOST_SUSPENDED, Suspensions, UnknownEndpointError
-from sidecar_proxy.engine.metrics import Figures
+from sidecar_proxy.engine.metrics import Metrics
 from tests.sockets import LONG_S, ROOT
 
 
 def test_each_request_is_counted_once_under_what_its_client_was_told() -> None:
-    figures = Figures(["read", "pay"])
+    figures = Metrics(["read", "pay"])
     for status in (200, 200, 429, 503, 502, 504, 400, 0):
-        figures.taken()
-        figures.answered(1, status)
-    figures.taken()
+        figures.request_accepted()
+        figures.request_ended(1, status)
+    figures.request_accepted()
     lines = list(figures.lines(5, 2))
     assert lines[:6] == [
         "app.completed.read:0|c",
--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -10,15 +10,15 @@
 import uvloop
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.engine.body_buffers import KEEP
-from sidecar_proxy.engine.interfaces import Answer, Host
+from sidecar_proxy.engine.body_buffers import MAX_BUFFERED_BODY_BYTES
+from sidecar_proxy.engine.interfaces import ListedUpstream, UpstreamResponse
 from sidecar_proxy.http1.upstream import FIRST_S, ODD_REST_S, REST_S, Connection, Exchange, Pool
 from tests.sockets import LONG_S, Message, Upstream, answer
 
 
-def host_of(upstream: Upstream) -> Host:
+def host_of(upstream: Upstream) -> ListedUpstream:
     name, _, port = upstream.address.partition(":")
-    return Host(api.Upstream(1), (name, int(port)))
+    return ListedUpstream(api.Upstream(1), (name, int(port)))
 
 
 def request(body: bytes) -> list[bytes]:
@@ -38,10 +38,10 @@
         pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
         host = host_of(upstream)
         pool.update([host], whole=True)
-        got: list[Answer | None] = []
+        got: list[UpstreamResponse | None] = []
         both = asyncio.Event()
 
-        def ended(outcome: api.Outcome, found: Answer | None) -> None:
+        def ended(outcome: api.Outcome, found: UpstreamResponse | None) -> None:
             assert outcome is api.Outcome.OK
             got.append(found)
             if len(got) == 1:
@@ -53,7 +53,7 @@
         pool.start(1, Exchange(lambda: request(b"first"), ended), LONG_S)
         await both.wait()
         assert [one and one.body for one in got] == [b"first", b"second"]
-        assert upstream.accepted == 2 and host.odd
+        assert upstream.accepted == 2 and host.has_misbehaved
         pool.close()
 
     with Upstream(script=script) as upstream:
@@ -78,7 +78,7 @@
             await done.wait()
 
         await exchange()
-        assert not host.idle and host.odd
+        assert not host.idle and host.has_misbehaved
         await exchange()
         (one,) = [cast(Connection, idle) for idle in host.idle]
         before_s = time.monotonic()
@@ -95,9 +95,9 @@
             cast(Connection, each).idle_since = time.monotonic() - ODD_REST_S
         await exchange()
         assert upstream.accepted == 3
-        restarted = Host(api.Upstream(1, started_us=9), host.dial)
+        restarted = ListedUpstream(api.Upstream(1, started_us=9), host.address)
         pool.update([restarted], whole=True)
-        assert not host.odd and REST_S < ODD_REST_S
+        assert not host.has_misbehaved and REST_S < ODD_REST_S
         pool.close()
 
     with Upstream(script=script) as upstream:
@@ -131,9 +131,9 @@
     async def test(listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
-        pool.update([Host(api.Upstream(1), listener.getsockname())], whole=True)
+        pool.update([ListedUpstream(api.Upstream(1), listener.getsockname())], whole=True)
         sunk: list[Sunk] = []
-        ends: list[tuple[api.Outcome, Answer | None]] = []
+        ends: list[tuple[api.Outcome, UpstreamResponse | None]] = []
 
         def opens(head: bytes, length: int | None, load: bytes, source: object) -> Sunk:
             sunk.append(Sunk())
@@ -153,11 +153,14 @@
         while connection.watch is None:
             await asyncio.sleep(0)
         began_s = loop.time()
-        await loop.sock_sendall(upstream, b"%x\r\n%s\r\n0\r\n\r\n" % (2 * KEEP, bytes(2 * KEEP)))
+        await loop.sock_sendall(
+            upstream,
+            b"%x\r\n%s\r\n0\r\n\r\n" % (2 * MAX_BUFFERED_BODY_BYTES, bytes(2 * MAX_BUFFERED_BODY_BYTES)),
+        )
         while not sunk:
             await asyncio.sleep(0)
         await sunk[0].ends.wait()
-        assert sunk[0].got == b"x" + bytes(2 * KEEP) and not ends
+        assert sunk[0].got == b"x" + bytes(2 * MAX_BUFFERED_BODY_BYTES) and not ends
         connection.idle_since -= REST_S
         second = exchange(b"second")
         assert second.connection is connection
@@ -193,7 +196,7 @@
                 rested.append(time.monotonic() - answered[-1])
                 return request(b"x")
 
-            def ended(outcome: api.Outcome, found: Answer | None) -> None:
+            def ended(outcome: api.Outcome, found: UpstreamResponse | None) -> None:
                 answered.append(time.monotonic())
                 done.set()
 
--- a/tests/crossings/test_dials.py
+++ b/tests/crossings/test_dials.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.upstream import Connection, Exchange, Pool
 from tests.crossings.test_answers import host_of, request
 from tests.sockets import LONG_S, Upstream
@@ -49,14 +49,14 @@
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
         loop = HeldUp(pool.loop, 0.4)
         pool.loop = cast(Any, loop)
-        host = Host(api.Upstream(1), listener.getsockname())
+        host = ListedUpstream(api.Upstream(1), listener.getsockname())
         pool.update([host], whole=True)
         ends: list[api.Outcome] = []
         pool.start(1, Exchange(lambda: request(b"x"), lambda outcome, answer: ends.append(outcome)), LONG_S)
         while not ends:
             await asyncio.sleep(0)
         assert ends == [api.Outcome.CONNECT_FAILED] and loop.held == 1
-        assert (pool.open, host.open, len(pool.idle)) == (0, 0, 0)
+        assert (pool.open, host.open_connections, len(pool.idle)) == (0, 0, 0)
         pool.close()
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
--- a/tests/crossings/test_time_out.py
+++ b/tests/crossings/test_time_out.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.upstream import Exchange, Pool
 from tests.crossings.stand_ins import narrow
 from tests.sockets import LONG_S
@@ -24,7 +24,7 @@
 ) -> tuple[Pool, Exchange, socket.socket]:
     """A request with a body of so many bytes, as far as the kernel takes it; and the upstream's side."""
     pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
-    pool.update([Host(api.Upstream(1), listener.getsockname())], whole=True)
+    pool.update([ListedUpstream(api.Upstream(1), listener.getsockname())], whole=True)
     exchange = Exchange(lambda: [HEAD % size, bytes(size)], lambda outcome, answer: ends.append(outcome))
     pool.start(1, exchange, LONG_S)
     upstream, _ = await asyncio.get_running_loop().sock_accept(listener)
@@ -98,7 +98,7 @@
                 [api.Send(event.request, 1, 0, 1 << 60)] if isinstance(event, api.RequestArrived) else []
             )
         )
-        engine.pool.update([Host(api.Upstream(1), listener.getsockname())], whole=True)
+        engine.transport.update([ListedUpstream(api.Upstream(1), listener.getsockname())], whole=True)
         asked = call(engine)
         asked.body = bytes(BODY)
         replies: list[int] = []
@@ -107,14 +107,14 @@
         while not await engine.loop.sock_recv(upstream, 1):
             pass
         if how == "its client left":
-            engine.gone(ident)
+            engine.client_gone(ident)
         elif how == "its time is out":
-            engine.overdue(ident)
+            engine.deadline_passed(ident)
         else:
             (attempt,) = engine.requests[ident].attempts
             assert attempt is not None
-            attempt.lapse()
-            engine.give_up(ident)
+            attempt.expire_unsent()
+            engine.fail_request(ident)
         ended = [event for event in decisions.events if isinstance(event, api.AttemptEnded)]
         assert [event.outcome for event in ended] == [outcome] and not engine.requests
         assert replies == {"its client left": [], "its time is out": [504], "its window is over": [502]}[how]
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -22,7 +22,7 @@
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.discovery.platform_client import SILENCE_S
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient as Watcher
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.upstream import input_poll
 from tests.balancer.world import settings
 from tests.sockets import LONG_S, Discovery, Sidecar, Upstream, eventually
@@ -129,13 +129,13 @@
         self.heard: list[tuple[int, api.UpstreamState]] = []
         self.failures = 0
 
-    def list_changed(self, kind: api.ListKind, hosts: list[Host], version: int) -> None:
+    def list_changed(self, kind: api.ListKind, hosts: list[ListedUpstream], version: int) -> None:
         self.heard += [(version, host.entry.state) for host in hosts]
 
     def list_failed(self) -> None:
         self.failures += 1
 
-    def known(self) -> dict[int, Host]:
+    def listed_upstreams(self) -> dict[int, ListedUpstream]:
         return {}
 
 
--- a/tests/grpc/rig.py
+++ b/tests/grpc/rig.py
@@ -11,7 +11,7 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.config.schema import Grpc
 from sidecar_proxy.engine.engine import Clock, Engine
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.grpc.message import framed
 from sidecar_proxy.grpc.subsystem import start
 from sidecar_proxy.http1.server import Server
@@ -243,8 +243,8 @@
 
     def told(self, number: int, state: api.UpstreamState, dial: tuple[str, int] = ("", 0)) -> None:
         """Discovery has a word on a node."""
-        old = self.pool.hosts.get(number)
-        host = Host(api.Upstream(number, state), old.dial if old is not None else dial)
+        old = self.pool.upstreams.get(number)
+        host = ListedUpstream(api.Upstream(number, state), old.address if old is not None else dial)
         self.engine.list_changed(api.ListKind.DELTA, [host], number)
 
     async def client(self, limits: Limits = OPEN, frames: bool = True) -> Client:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,7 +16,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sidecar_proxy.engine.body_buffers import MOST_BODY, WINDOW, Spool, Upload
+from sidecar_proxy.engine.body_buffers import (
+    FLOW_CONTROL_WINDOW_BYTES,
+    MAX_BODY_BYTES,
+    BodyMemoryBudget,
+    Upload,
+)
 from sidecar_proxy.http1.outflow import Outflow
 from tests.sockets import LONG_S, Message, Script, Sidecar, Upstream, answer, eventually
 
@@ -414,53 +419,53 @@
         st.tuples(
             st.integers(0, 3),
             st.sampled_from(["put", "take", "end", "fail", "drop", "start"]),
-            st.integers(1, 2 * WINDOW),
+            st.integers(1, 2 * FLOW_CONTROL_WINDOW_BYTES),
         ),
         max_size=60,
     )
 )
 def test_the_spool_counts_what_is_held_and_nothing_comes_out_twice(steps: list[tuple[int, str, int]]) -> None:
-    spool = Spool(1000)
+    spool = BodyMemoryBudget(1000)
     uploads = [Upload(spool, None) for _ in range(4)]
     sent, got = [b""] * 4, [b""] * 4
     dropped = set()
     for number, what, size in steps:
         one = uploads[number]
-        if what == "put" and not one.whole and number not in dropped:
+        if what == "put" and not one.is_complete and number not in dropped:
             data = bytes([number]) * size
-            one.put(data)
+            one.append(data)
             sent[number] += data
         elif what == "take":
-            got[number] += one.take() or b""
+            got[number] += one.consume() or b""
         elif what == "drop":
             left = bool(one.data)
-            one.drop()
+            one.discard()
             dropped.add(number)
-            assert one.failed or not left, "what is left of it must not look like its end"
+            assert one.has_failed or not left, "what is left of it must not look like its end"
         elif what in ("end", "fail"):
-            (one.end if what == "end" else one.fail)()
+            (one.complete if what == "end" else one.fail)()
         else:
-            one.started = True
-        assert spool.used == sum(len(upload.data) for upload in uploads)
+            one.is_streaming = True
+        assert spool.used_bytes == sum(len(upload.data) for upload in uploads)
         assert sent[number].startswith(got[number])
-        assert not one.full() or len(one.data) >= WINDOW
+        assert not one.is_full() or len(one.data) >= FLOW_CONTROL_WINDOW_BYTES
 
 
 def test_a_spooled_body_counts_until_it_is_dropped() -> None:
-    spool = Spool(MOST_BODY)
+    spool = BodyMemoryBudget(MAX_BODY_BYTES)
     upload = Upload(spool, 5)
-    upload.put(b"12345")
-    assert upload.join() == b"12345" and spool.used == 5
-    upload.drop()
-    assert spool.used == 0 and not upload.failed
+    upload.append(b"12345")
+    assert upload.take_whole() == b"12345" and spool.used_bytes == 5
+    upload.discard()
+    assert spool.used_bytes == 0 and not upload.has_failed
 
 
 def test_what_comes_for_a_dropped_body_is_not_held_and_its_taker_is_told() -> None:
-    spool, told = Spool(MOST_BODY), []
+    spool, told = BodyMemoryBudget(MAX_BODY_BYTES), []
     upload = Upload(spool, None)
-    upload.more = lambda: told.append(upload.failed)
-    upload.put(b"12345")
-    assert upload.take() == b"12345"
-    upload.drop()
-    upload.put(b"6")
-    assert told == [False, True] and spool.used == 0 and upload.take() is None
+    upload.on_data = lambda: told.append(upload.has_failed)
+    upload.append(b"12345")
+    assert upload.consume() == b"12345"
+    upload.discard()
+    upload.append(b"6")
+    assert told == [False, True] and spool.used_bytes == 0 and upload.consume() is None
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -174,17 +174,17 @@
         for number in range(50):
             tell(f"s-{number}", "in_service")
             tell(f"s-{number}", "terminated")
-        kept = (directory.numbers, directory.names, pool.hosts, engine.balancer.servers)
+        kept = (directory.numbers, directory.names, pool.upstreams, engine.balancer.servers)
         assert [len(one) for one in kept] == [0, 0, 0, 0]
         # while something is out to it, it is kept: its end must find it
         ident = tell("s-busy", "in_service")
         ends: list[api.Outcome] = []
-        host = pool.hosts[ident]
+        host = pool.upstreams[ident]
         pool.start(ident, Exchange(lambda: [b""], lambda outcome, answer: ends.append(outcome)), 5.0)
         tell("s-busy", "terminated")
-        assert pool.hosts == {ident: host} and tell("s-busy", "in_service") == ident
+        assert pool.upstreams == {ident: host} and tell("s-busy", "in_service") == ident
         tell("s-busy", "terminated")
-        while not ends or pool.hosts:
+        while not ends or pool.upstreams:
             await asyncio.sleep(0)
         assert ends == [api.Outcome.CONNECT_FAILED] and pool.open == 0
         discovery.close()
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -12,7 +12,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.engine import Clock, Engine
-from sidecar_proxy.engine.interfaces import Answer, Call, Host
+from sidecar_proxy.engine.interfaces import Call, ListedUpstream, UpstreamResponse
 from sidecar_proxy.http1.upstream import Connection, Exchange, Pool
 from tests.balancer.world import settings
 
@@ -95,12 +95,12 @@
             exchange = staticmethod(Exchange)
 
             def start(self, upstream: int, exchange: Exchange, timeout_s: float) -> None:
-                engine.loop.call_soon(exchange.finish, api.Outcome.OK, Answer(200, b"", b"ok", b""))
+                engine.loop.call_soon(exchange.finish, api.Outcome.OK, UpstreamResponse(200, b"", b"ok", b""))
 
         engine, decisions = engine_of(
             lambda event: [api.Send(1, 7)] if isinstance(event, api.RequestArrived) else []
         )
-        engine.pool = cast(Any, Connections())
+        engine.transport = cast(Any, Connections())
 
         def reply(status: int, head: bytes, body: bytes) -> None:
             raise RuntimeError("a fault")
@@ -155,7 +155,7 @@
             assert engine.clock.now_us() >= at_us
         # a loop whose clock is ahead calls too early
         engine, decisions = engine_of(lambda event: [])
-        engine.fire(api.SetTimer(engine.clock.now_us() + 60_000_000, 3), set_already=True)
+        engine.fire_timer(api.SetTimer(engine.clock.now_us() + 60_000_000, 3), set_already=True)
         assert decisions.events == []
 
     run(test)
@@ -199,7 +199,7 @@
 ) -> None:
     async def test() -> None:
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
-        host = Host(api.Upstream(7), ("127.0.0.1", 1))
+        host = ListedUpstream(api.Upstream(7), ("127.0.0.1", 1))
         pool.update([host], whole=True)
         connection = Connection(pool, host)
         wire = Wire(left)
@@ -223,7 +223,7 @@
 def test_nothing_is_written_for_a_request_that_is_over_or_to_an_upstream_that_drains() -> None:
     async def test() -> None:
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
-        host = Host(api.Upstream(7), ("127.0.0.1", 1))
+        host = ListedUpstream(api.Upstream(7), ("127.0.0.1", 1))
         outcomes: list[api.Outcome] = []
         for state, data in ((api.UpstreamState.READY, None), (api.UpstreamState.DRAINING, b"request")):
             host.entry.state = state
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -14,7 +14,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.engine import Clock, Engine
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.server import Server
 from sidecar_proxy.http1.upstream import Pool
 from tests.balancer.world import settings
@@ -69,13 +69,13 @@
         engine = Engine(settings(instances=1), 1, Clock(), pool, NoDiscovery())
         server = Server(engine, 16)
         host, _, port = upstream.address.partition(":")
-        engine.list_changed(api.ListKind.FULL, [Host(api.Upstream(7), (host, int(port)))], 1)
+        engine.list_changed(api.ListKind.FULL, [ListedUpstream(api.Upstream(7), (host, int(port)))], 1)
         address = server.listen(("127.0.0.1", 0))
         found: list[int] = []
 
         async def play() -> None:
             found.extend(await asyncio.to_thread(ask, address))
-            while server.connections or pool.open > len(pool.hosts[7].idle):
+            while server.connections or pool.open > len(pool.upstreams[7].idle):
                 await asyncio.sleep(0.01)
 
         await asyncio.to_thread(ask, address)  # what is made once is there
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -23,7 +23,7 @@
 from sidecar_proxy.discovery.platform_client import Call
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient as Watcher
 from sidecar_proxy.engine.engine import Clock, Engine
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.upstream import Pool
 from tests.balancer.world import settings
 from tests.sockets import LONG_S, Discovery, Sidecar, Upstream, eventually
@@ -60,10 +60,10 @@
 
     def __init__(self) -> None:
         self.events: list[tuple[api.ListKind, list[api.Upstream], int]] = []
-        self.hosts: dict[int, Host] = {}
+        self.hosts: dict[int, ListedUpstream] = {}
         self.failures = 0
 
-    def list_changed(self, kind: api.ListKind, hosts: list[Host], version: int) -> None:
+    def list_changed(self, kind: api.ListKind, hosts: list[ListedUpstream], version: int) -> None:
         self.events.append((kind, [host.entry for host in hosts], version))
         if kind is not api.ListKind.DELTA:
             self.hosts.clear()
@@ -76,7 +76,7 @@
     def list_failed(self) -> None:
         self.failures += 1
 
-    def known(self) -> dict[int, Host]:
+    def listed_upstreams(self) -> dict[int, ListedUpstream]:
         return self.hosts
 
 
@@ -265,23 +265,23 @@
         one.sink = engine = Engine(told, 1, Clock(), pool, one)
         one.told(text([entry(n) for n in range(3000)], 5).encode())
         await settled(one)
-        assert len(pool.hosts) == 3000 and len(engine.balancer.servers) <= 64
+        assert len(pool.upstreams) == 3000 and len(engine.balancer.servers) <= 64
         looked: list[int] = []
 
-        class Watched(dict[int, Host]):
+        class Watched(dict[int, ListedUpstream]):
             def values(self) -> Any:
                 raise AssertionError("all were looked at")
 
             items = values
 
-            def __getitem__(self, ident: int) -> Host:
+            def __getitem__(self, ident: int) -> ListedUpstream:
                 looked.append(ident)
                 return super().__getitem__(ident)
 
-        pool.hosts = Watched(pool.hosts)
+        pool.upstreams = Watched(pool.upstreams)
         one.told(text([entry(9, health="terminating")], 6, False).encode())
         one.told(text([entry(9, health="terminated")], 7, False).encode())
-        assert len(pool.hosts) == 2999 and len(set(looked)) == 1
+        assert len(pool.upstreams) == 2999 and len(set(looked)) == 1
         one.close()
 
     asyncio.run(asyncio.wait_for(test(), LONG_S))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -18,7 +18,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.engine import Clock, Engine
-from sidecar_proxy.engine.interfaces import Answer, Call, Finished, Host
+from sidecar_proxy.engine.interfaces import AttemptCallback, Call, ListedUpstream, UpstreamResponse
 from tests.balancer.world import classes
 from tests.balancer.world import settings as told
 
@@ -83,24 +83,24 @@
     pool: Pool
     upstream: int
     render: Callable[[], list[bytes] | None]
-    ended: Finished
+    ended: AttemptCallback
     wrote: Callable[[], None] | None
     owner: Asked | None = None
     begun_us: int = 0  # its first byte; 0 = it dials
     whole_us: int = 0  # its last one
     outcome: api.Outcome | None = None
 
-    def finish(self, outcome: api.Outcome, answer: Answer | None = None) -> None:
+    def finish(self, outcome: api.Outcome, answer: UpstreamResponse | None = None) -> None:
         if self.outcome is None:
             self.outcome = outcome
             self.pool.out.remove(self)
             self.ended(outcome, answer)
 
-    def forgo(self, outcome: api.Outcome) -> None:
+    def abandon_unsent(self, outcome: api.Outcome) -> None:
         if self.begun_us and not self.whole_us:
             self.finish(outcome)
 
-    def lapse(self) -> None:
+    def expire_unsent(self) -> None:
         if not self.whole_us:
             self.finish(api.Outcome.NOT_SENT)
 
@@ -111,16 +111,16 @@
 class Pool:
     def __init__(self, loop: Virtual) -> None:
         self.loop = loop
-        self.hosts: dict[int, Host] = {}
+        self.hosts: dict[int, ListedUpstream] = {}
         self.out: list[Sent] = []
 
-    def update(self, hosts: list[Host], whole: bool) -> None:
+    def update(self, hosts: list[ListedUpstream], whole: bool) -> None:
         self.hosts.update((host.entry.id, host) for host in hosts)
 
     def exchange(
         self,
         render: Callable[[], list[bytes] | None],
-        ended: Finished,
+        ended: AttemptCallback,
         wrote: Callable[[], None] | None = None,
         opens: object = None,
         upload: object = None,
@@ -131,13 +131,13 @@
         exchange.upstream = upstream
         self.out.append(exchange)
         self.loop.call_later(timeout_s, exchange.expire)
-        if not self.hosts[upstream].wanted():
+        if not self.hosts[upstream].is_ready():
             exchange.finish(api.Outcome.NOT_SENT)
 
     def begin(self, one: Sent) -> None:
         """Its connection is up."""
         host = self.hosts[one.upstream]
-        parts = one.render() if host.wanted() else None
+        parts = one.render() if host.is_ready() else None
         if parts is None:
             one.finish(api.Outcome.NOT_SENT)
             return
@@ -199,7 +199,7 @@
         self.tell(api.ListKind.FULL, self.entries)
 
     def tell(self, kind: api.ListKind, entries: list[api.Upstream]) -> None:
-        self.engine.list_changed(kind, [Host(one, ("127.0.0.1", one.id)) for one in entries], 1)
+        self.engine.list_changed(kind, [ListedUpstream(one, ("127.0.0.1", one.id)) for one in entries], 1)
 
     # The application
 
@@ -230,7 +230,7 @@
         if waiting:
             one = waiting[pick % len(waiting)]
             one.left, one.over_us = True, self.loop.now_us
-            self.engine.gone(one.ident)
+            self.engine.client_gone(one.ident)
 
     # The upstreams
 
@@ -272,7 +272,7 @@
         for one in [one.owner for one in self.pool.out if one.begun_us and not one.whole_us and one.owner]:
             if not one.answers and not one.left:
                 one.left, one.over_us = True, self.loop.now_us
-                self.engine.gone(one.ident)
+                self.engine.client_gone(one.ident)
 
     @rule(pick=st.integers(0, 999))
     def last_byte_is_taken(self, pick: int) -> None:
@@ -288,7 +288,7 @@
         one = self.one_of(pick, lambda one: bool(one.whole_us))
         if one is not None:
             status = {api.Outcome.OK: 200, api.Outcome.FULL: 503, api.Outcome.ERROR: 500}[outcome]
-            one.finish(outcome, Answer(status, b"", b"y", b""))
+            one.finish(outcome, UpstreamResponse(status, b"", b"y", b""))
 
     @rule(pick=st.integers(0, 999))
     def breaks(self, pick: int) -> None:
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from sidecar_proxy.engine.timers import MOST_EMPTY, TICK_S, Timer, Timers
+from sidecar_proxy.engine.timers import MAX_CANCELLED, TIMER_RESOLUTION_S, Timer, TimerQueue
 
 
 class Loop:
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_each_is_called_once_in_order_and_not_early_and_no_cancelled_one_is(seed: int) -> None:
     dice, loop = random.Random(seed), Loop()
-    timers = Timers(cast(Any, loop))
+    timers = TimerQueue(cast(Any, loop))
     made: list[tuple[float, int]] = []
     set_at: dict[int, float] = {}
     live: dict[int, Timer] = {}
@@ -72,12 +72,12 @@
         else:
             loop.pass_time(loop.now_s + dice.choice((0.001, 0.02, 0.5)))
         assert len([one for one in loop.handles if not one[2]]) <= 1
-        assert len(timers.heap) <= 2 * (MOST_EMPTY + len(live)) + 1
+        assert len(timers.heap) <= 2 * (MAX_CANCELLED + len(live)) + 1
         assert all(set_at[number] > loop.now_s - 0.002 for number in live)  # none is forgotten
     loop.pass_time(loop.now_s + 5.0)
     assert not live and len(made) == len({number for _, number in made})
-    assert all(at_s - set_at[number] + 2 * TICK_S >= 0 for at_s, number in made)
-    assert loop.errors and not timers.heap and timers.empty == 0
+    assert all(at_s - set_at[number] + 2 * TIMER_RESOLUTION_S >= 0 for at_s, number in made)
+    assert loop.errors and not timers.heap and timers.cancelled == 0
     timers.later(1.0, called, 0)
     timers.close()
     assert not [one for one in loop.handles if not one[2]]
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -14,7 +14,7 @@
 import pytest
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.engine.interfaces import Host
+from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.upstream import REST_S, Exchange, Pool
 from tests.sockets import LONG_S, Message, Script, Sidecar, Upstream, answer, eventually
 
@@ -270,7 +270,7 @@
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         pool = Pool(connect_s=5.0, idle_s=60.0, most=8)
-        host = Host(api.Upstream(7), server.sockets[0].getsockname())
+        host = ListedUpstream(api.Upstream(7), server.sockets[0].getsockname())
         pool.update([host], whole=True)
 
         def start(timeout_s: float) -> asyncio.Future[api.Outcome]:
