--- /dev/null
+++ b/tests/golden/forms.py
@@ -0,0 +1,145 @@
+"""How the golden files name what the code reads: the only place to change when a class or field is renamed.
+
+A golden JSON file holds each record as its kind and its fields, under names of the golden files' own. FORMS
+says which class reads a kind and which attribute holds each field, in the order of the bytes.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+from pathlib import Path
+from typing import Any
+
+from wickspread.agreement import frames, messages, permits, session, store
+from wickspread.agreement import words as agreed
+from wickspread.decisions import interface as api
+from wickspread.gossip import codec
+from wickspread.operations import remembered
+from wickspread.overload import words as overload
+
+GOLDEN = Path(__file__).parent
+
+
+class Form:
+    """A class and its fields. `fields` are golden names; one whose attribute has another name in the code is
+    written `golden=attribute`."""
+
+    def __init__(self, of: type[Any], fields: str) -> None:
+        self.of = of
+        pairs = [one.partition("=") for one in fields.split()]
+        self.attributes = {golden: attribute or golden for golden, _, attribute in pairs}
+
+
+FORMS: dict[str, Form] = {
+    # gossip
+    "certificate": Form(codec.Certificate, "serial name site key until_s signature"),
+    "alive": Form(codec.Alive, "host port incarnation certificate"),
+    "accusation": Form(codec.Accusation, "subject incarnation"),
+    "count": Form(codec.Count, "node born_ms attempts timed_out reset failed well run age_ms"),
+    "bulletin": Form(codec.Bulletin, "counts"),
+    "gossip_word": Form(codec.Word, "topic body"),
+    "signed": Form(codec.Signed, "author at_us body signature"),
+    "ping": Form(codec.Ping, "seq target"),
+    "ack": Form(codec.Ack, "seq"),
+    "nack": Form(codec.Nack, "seq"),
+    "ask_ping": Form(codec.Ask, "seq target"),
+    "news": Form(codec.News, ""),
+    "note": Form(codec.Note, "topic body"),
+    "packet": Form(codec.Packet, "certificate at_us message rumours"),
+    "state": Form(codec.State, "certificate at_us statements"),
+    # agreement: Raft and its log
+    "entry": Form(messages.Entry, "term index data voters"),
+    "hard_state": Form(messages.HardState, "term vote"),
+    "snapshot": Form(messages.Snapshot, "index term voters data"),
+    "vote_request": Form(messages.VoteRequest, "source target term last_index last_term pre transfer"),
+    "vote_reply": Form(messages.VoteReply, "source target term granted pre"),
+    "append": Form(messages.Append, "source target term prev_index prev_term entries commit round"),
+    "append_reply": Form(messages.AppendReply, "source target term ok match round"),
+    "timeout_now": Form(messages.TimeoutNow, "source target term"),
+    "store_owner": Form(store.Owner, "incarnation inode made_ns"),
+    "store_hard": Form(store.Hard, "term vote commit"),
+    "store_entries": Form(store.Entries, "entries"),
+    "store_whole": Form(store.Whole, "snapshot"),
+    # agreement: the other frames
+    "offer": Form(frames.Offer, "source target term index round"),
+    "want": Form(frames.Want, "number after index offset most"),
+    "batch": Form(frames.Batch, "number fleet commit entries"),
+    "piece": Form(frames.Piece, "number fleet commit index term voters size digest offset data"),
+    "later": Form(frames.Later, "number wait_ms"),
+    "ask": Form(frames.Ask, "number word name"),
+    "answer": Form(frames.Answer, "number what index text leader"),
+    "here": Form(frames.Here, "incarnation fleet term leader since_ms votes commit applied at_ms life able"),
+    "greeting": Form(session.Greeting, "certificate node key answers"),
+    # agreement: words and the state that they come to
+    "word": Form(agreed.Word, "kind id by at_ms name born_ms value facts"),
+    "held": Form(agreed.Held, "index kind born_ms"),
+    "setting": Form(agreed.Setting, "index value"),
+    "once": Form(agreed.Once, "index content error text"),
+    "agreed_state": Form(agreed.State, "fleet index held settings said latest unread places"),
+    "member": Form(permits.Member, "name site kind cell"),
+    "facts": Form(permits.Facts, "what about total down more"),
+    "place": Form(permits.Place, "index what member by id born_ms at_ms forced"),
+    "waiting": Form(permits.Waiting, "place facts"),
+    "places": Form(permits.Places, "held line forced"),
+    # overload
+    "loan": Form(overload.Loan, "to parts"),
+    "work": Form(overload.Work, "demand returns served busy_us"),
+    "report": Form(overload.Report,
+                   "index number storm weight spare refused grows easy backlog classes loans"),
+    "need": Form(overload.Need, "number asked_us parts renews"),
+    "lend": Form(overload.Lend, "number asked_us parts"),
+    "return": Form(overload.Return, "number"),
+    # what a process leaves to the next
+    "remembered": Form(remembered.Remembered, "at_us answers_us total nodes"),
+    "remembered_node": Form(remembered.Node, "name started_us window failing answer_us"),
+    "learnt": Form(api.Learnt, "answers_us total upstreams"),
+    "learnt_upstream": Form(api.LearntUpstream, "upstream window failing answer_us"),
+    # the list of upstreams
+    "upstream": Form(api.Upstream, "id state zone kind cell weight started_us"),
+}
+KINDS: dict[type[Any], str] = {form.of: kind for kind, form in FORMS.items()}
+STATES: dict[api.UpstreamState, str] = {
+    api.UpstreamState.READY: "ready",
+    api.UpstreamState.DRAINING: "draining",
+    api.UpstreamState.GONE: "gone",
+}
+
+
+def describe(value: Any) -> Any:
+    """A value as it stands in the golden JSON."""
+    if isinstance(value, bytes):
+        return {"hex": value.hex()}
+    if isinstance(value, dict):
+        return {"map": [[key, describe(inner)] for key, inner in value.items()]}
+    if isinstance(value, list | tuple):
+        return [describe(inner) for inner in value]
+    if isinstance(value, api.UpstreamState):
+        return STATES[value]
+    kind = KINDS.get(type(value))
+    if kind is None:
+        assert value is None or isinstance(value, bool | int | float | str), type(value)
+        return value
+    attributes = FORMS[kind].attributes
+    return {"kind": kind,
+            "fields": {name: describe(getattr(value, attribute)) for name, attribute in attributes.items()}}
+
+
+def build(told: Any) -> Any:
+    """The value that a golden JSON describes."""
+    if isinstance(told, list):
+        return [build(inner) for inner in told]
+    if not isinstance(told, dict):
+        return told
+    if "hex" in told:
+        return bytes.fromhex(told["hex"])
+    if "map" in told:
+        return {key: build(inner) for key, inner in told["map"]}
+    form = FORMS[told["kind"]]
+    return form.of(**{form.attributes[name]: build(inner) for name, inner in told["fields"].items()})
+
+
+def field_names(of: type[Any]) -> list[str]:
+    """The fields of a class, in the order of the bytes."""
+    if dataclasses.is_dataclass(of):
+        return [one.name for one in dataclasses.fields(of)]
+    return list(of.__struct_fields__)
