--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -10,12 +10,14 @@
 from pathlib import Path
 from typing import Any
 
-from wickspread.agreement import frames, messages, permits, session, store
-from wickspread.agreement import words as agreed
-from wickspread.decisions import interface as api
-from wickspread.gossip import codec
-from wickspread.operations import remembered
-from wickspread.overload import words as overload
+from sidecar_proxy.admin import warm_start_codec as remembered
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.consensus import disruption_budgets as permits
+from sidecar_proxy.consensus import frames, messages, session
+from sidecar_proxy.consensus import replicated_commands as agreed
+from sidecar_proxy.consensus import storage as store
+from sidecar_proxy.gossip import codec
+from sidecar_proxy.overload_control import messages as overload
 
 GOLDEN = Path(__file__).parent
 
@@ -34,17 +36,17 @@
     # gossip
     "certificate": Form(codec.Certificate, "serial name site key until_s signature"),
     "alive": Form(codec.Alive, "host port incarnation certificate"),
-    "accusation": Form(codec.Accusation, "subject incarnation"),
+    "accusation": Form(codec.Suspicion, "subject incarnation"),
     "count": Form(codec.Count, "node born_ms attempts timed_out reset failed well run age_ms"),
-    "bulletin": Form(codec.Bulletin, "counts"),
-    "gossip_word": Form(codec.Word, "topic body"),
+    "bulletin": Form(codec.OutlierReport, "counts"),
+    "gossip_word": Form(codec.TopicBroadcast, "topic body"),
     "signed": Form(codec.Signed, "author at_us body signature"),
     "ping": Form(codec.Ping, "seq target"),
     "ack": Form(codec.Ack, "seq"),
     "nack": Form(codec.Nack, "seq"),
     "ask_ping": Form(codec.Ask, "seq target"),
     "news": Form(codec.News, ""),
-    "note": Form(codec.Note, "topic body"),
+    "note": Form(codec.TopicMessage, "topic body"),
     "packet": Form(codec.Packet, "certificate at_us message rumours"),
     "state": Form(codec.State, "certificate at_us statements"),
     # agreement: Raft and its log
@@ -68,32 +70,38 @@
     "later": Form(frames.Later, "number wait_ms"),
     "ask": Form(frames.Ask, "number word name"),
     "answer": Form(frames.Answer, "number what index text leader"),
-    "here": Form(frames.Here, "incarnation fleet term leader since_ms votes commit applied at_ms life able"),
+    "here": Form(
+        frames.ReplicaStatus, "incarnation fleet term leader since_ms votes commit applied at_ms life able"
+    ),
     "greeting": Form(session.Greeting, "certificate node key answers"),
     # agreement: words and the state that they come to
-    "word": Form(agreed.Word, "kind id by at_ms name born_ms value facts"),
+    "word": Form(agreed.ReplicatedCommand, "kind id by at_ms name born_ms value facts"),
     "held": Form(agreed.Held, "index kind born_ms"),
     "setting": Form(agreed.Setting, "index value"),
     "once": Form(agreed.Once, "index content error text"),
-    "agreed_state": Form(agreed.State, "fleet index held settings said latest unread places"),
+    "agreed_state": Form(agreed.ReplicatedState, "fleet index held settings said latest unread places"),
     "member": Form(permits.Member, "name site kind cell"),
     "facts": Form(permits.Facts, "what about total down more"),
     "place": Form(permits.Place, "index what member by id born_ms at_ms forced"),
     "waiting": Form(permits.Waiting, "place facts"),
     "places": Form(permits.Places, "held line forced"),
     # overload
-    "loan": Form(overload.Loan, "to parts"),
+    "loan": Form(overload.LeaseRecord, "to parts"),
     "work": Form(overload.Work, "demand returns served busy_us"),
-    "report": Form(overload.Report,
-                   "index number storm weight spare refused grows easy backlog classes loans"),
-    "need": Form(overload.Need, "number asked_us parts renews"),
-    "lend": Form(overload.Lend, "number asked_us parts"),
-    "return": Form(overload.Return, "number"),
+    "report": Form(
+        overload.Report, "index number storm weight spare refused grows easy backlog classes loans"
+    ),
+    "need": Form(overload.LeaseRequest, "number asked_us parts renews"),
+    "lend": Form(overload.LeaseGrant, "number asked_us parts"),
+    "return": Form(overload.LeaseReturn, "number"),
     # what a process leaves to the next
-    "remembered": Form(remembered.Remembered, "at_us answers_us total nodes"),
+    "remembered": Form(remembered.WarmStartRecord, "at_us answers_us=response_times_us total nodes"),
     "remembered_node": Form(remembered.Node, "name started_us window failing answer_us"),
-    "learnt": Form(api.Learnt, "answers_us total upstreams"),
-    "learnt_upstream": Form(api.LearntUpstream, "upstream window failing answer_us"),
+    "learnt": Form(api.WarmStartState, "answers_us=response_times_us total=total_limit_ratio upstreams"),
+    "learnt_upstream": Form(
+        api.WarmStartUpstream,
+        "upstream window=concurrency_limit failing=failure_rate answer_us=response_time_us",
+    ),
     # the list of upstreams
     "upstream": Form(api.Upstream, "id state zone kind cell weight started_us"),
 }
@@ -120,8 +128,10 @@
         assert value is None or isinstance(value, bool | int | float | str), type(value)
         return value
     attributes = FORMS[kind].attributes
-    return {"kind": kind,
-            "fields": {name: describe(getattr(value, attribute)) for name, attribute in attributes.items()}}
+    return {
+        "kind": kind,
+        "fields": {name: describe(getattr(value, attribute)) for name, attribute in attributes.items()},
+    }
 
 
 def build(told: Any) -> Any:
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -23,23 +23,27 @@
 from nacl.public import PrivateKey
 from nacl.signing import SigningKey
 
+from sidecar_proxy.admin import warm_start_codec as remembered
+from sidecar_proxy.admin.hot_restart import HotRestart
+from sidecar_proxy.admin.warm_start import WarmStart
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.cli import config as operator_command
+from sidecar_proxy.cli import gossip as command
+from sidecar_proxy.config import platform_settings as config
+from sidecar_proxy.config import reader as reading
+from sidecar_proxy.config import schema
+from sidecar_proxy.consensus import frames, session
+from sidecar_proxy.consensus import replicated_commands as words
+from sidecar_proxy.consensus import storage as store
+from sidecar_proxy.consensus import subsystem as agreement_start
+from sidecar_proxy.consensus.messages import Entry
+from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
+from sidecar_proxy.gossip import codec, credentials, files
+from sidecar_proxy.gossip.instance import Address
+from sidecar_proxy.gossip.keys import Keyring, RejectedError
+from sidecar_proxy.gossip.transport import frame_message
+from sidecar_proxy.overload_control import messages as overload
 from tests.golden.forms import FORMS, GOLDEN, Form, build, describe, field_names
-from wickspread.agreement import frames, session, store, words
-from wickspread.agreement import start as agreement_start
-from wickspread.agreement.messages import Entry
-from wickspread.daemon import config
-from wickspread.decisions import interface as api
-from wickspread.gossip import codec, command, credentials, files
-from wickspread.gossip.instance import Address
-from wickspread.gossip.keys import Keyring, Refused
-from wickspread.gossip.transport import framed
-from wickspread.operations import remembered
-from wickspread.operations.handover import Handover
-from wickspread.operations.memory import Memory
-from wickspread.operator import command as operator_command
-from wickspread.operator import reading, schema
-from wickspread.overload import words as overload
-from wickspread.roster.listing import Directory
 
 WALL_US = 1_796_000_000_000_000  # when the golden files were signed
 WALL_S = WALL_US // 1_000_000
@@ -47,13 +51,36 @@
 
 # Every golden frame, by who reads it.
 FRAMES: dict[str, list[str]] = {
-    "agreement-frame": ["answer", "append", "append_heartbeat", "append_reply", "ask", "ask_name", "batch",
-                        "later", "offer", "piece", "timeout_now", "vote_reply", "vote_request",
-                        "vote_request_transfer", "want"],
+    "agreement-frame": [
+        "answer",
+        "append",
+        "append_heartbeat",
+        "append_reply",
+        "ask",
+        "ask_name",
+        "batch",
+        "later",
+        "offer",
+        "piece",
+        "timeout_now",
+        "vote_reply",
+        "vote_request",
+        "vote_request_transfer",
+        "want",
+    ],
     "agreement-here": ["here"],
     "agreement-state": ["begun", "full"],
-    "agreement-word": ["drain", "permit", "permit_node", "resume", "return", "set", "set_share", "suspend",
-                       "unset"],
+    "agreement-word": [
+        "drain",
+        "permit",
+        "permit_node",
+        "resume",
+        "return",
+        "set",
+        "set_share",
+        "suspend",
+        "unset",
+    ],
     "gossip-packet": ["ack", "ask", "nack", "news", "note", "ping"],
     "gossip-state": ["state"],
     "gossip-statement": ["accusation", "alive", "bulletin", "word"],
@@ -105,14 +132,24 @@
 
 
 READERS: dict[str, Callable[[bytes], Any]] = {
-    "agreement-frame": read_frame, "agreement-here": frames.read_here, "agreement-state": words.restored,
-    "agreement-word": words.decode, "gossip-packet": read_packet, "gossip-state": read_state,
-    "gossip-statement": read_statement, "overload-word": overload.read,
+    "agreement-frame": read_frame,
+    "agreement-here": frames.read_here,
+    "agreement-state": words.restored,
+    "agreement-word": words.decode,
+    "gossip-packet": read_packet,
+    "gossip-state": read_state,
+    "gossip-statement": read_statement,
+    "overload-word": overload.read,
 }
 WRITERS: dict[str, Callable[[Any], bytes]] = {
-    "agreement-frame": frames.encode, "agreement-here": frames.encode, "agreement-state": words.kept,
-    "agreement-word": words.encoded, "gossip-packet": write_sealed, "gossip-state": write_sealed,
-    "gossip-statement": codec.encode, "overload-word": overload.encode,
+    "agreement-frame": frames.encode,
+    "agreement-here": frames.encode,
+    "agreement-state": words.kept,
+    "agreement-word": words.encoded,
+    "gossip-packet": write_sealed,
+    "gossip-state": write_sealed,
+    "gossip-statement": codec.encode,
+    "overload-word": overload.encode,
 }
 
 
@@ -152,7 +189,7 @@
     for rumour in found.rumours:
         own.statement(rumour, found.certificate, 0, WALL_US)
     changed = data[:-1] + bytes([data[-1] ^ 1])
-    with pytest.raises(Refused):
+    with pytest.raises(RejectedError):
         west_keyring().packet(changed, 0, WALL_US)
 
 
@@ -160,8 +197,10 @@
     own = west_keyring()
     found = own.state(golden_hex("frames/gossip-state/state.hex"), 0, WALL_US)
     told = [own.statement(one, found.certificate, 0, WALL_US) for one in found.statements]
-    expected = [golden_json(f"frames/gossip-statement/{kind}.json")
-                for kind in ("alive", "accusation", "bulletin", "word")]
+    expected = [
+        golden_json(f"frames/gossip-statement/{kind}.json")
+        for kind in ("alive", "accusation", "bulletin", "word")
+    ]
     assert text([describe(one) for one in told]) == text(expected)
 
 
@@ -178,7 +217,7 @@
 
 
 def test_the_length_before_a_frame_on_a_connection() -> None:
-    assert framed(b"abc") == b"\0\0\0\x03abc"
+    assert frame_message(b"abc") == b"\0\0\0\x03abc"
 
 
 def test_the_golden_words_come_to_the_golden_state() -> None:
@@ -213,9 +252,9 @@
     told = golden_json("session/session.json")
     caller, called = sessions()
     first = caller.greeting()
-    assert session.MAGIC + framed(first) == golden_hex("session/caller_greeting.hex")
+    assert session.MAGIC + frame_message(first) == golden_hex("session/caller_greeting.hex")
     answer = called.greeting(called.greeted(first, 0, WALL_US))
-    assert framed(answer) == golden_hex("session/answer_greeting.hex")
+    assert frame_message(answer) == golden_hex("session/answer_greeting.hex")
     caller.greeted(answer, 0, WALL_US)
     assert caller.seal(frames.encode(build(told["caller_frame"]))) == golden_hex("session/caller_frame.hex")
     assert called.seal(frames.encode(build(told["answer_frame"]))) == golden_hex("session/answer_frame.hex")
@@ -236,7 +275,7 @@
 
 @pytest.mark.parametrize(("name", "head"), [("caller_greeting", 4 + 4), ("answer_greeting", 4)])
 def test_a_greeting_reads_as_its_golden_values(name: str, head: int) -> None:
-    payload = golden_hex(f"session/{name}.hex")[head + codec.SIGNATURE:]
+    payload = golden_hex(f"session/{name}.hex")[head + codec.SIGNATURE_BYTES :]
     found = codec.read(session.decoder, payload)
     assert_described(found, golden_json("session/session.json")[name])
     assert session.encode(found) == payload
@@ -290,10 +329,10 @@
     own = east_keyring()
     own.certified(west, 0, WALL_US)
     own.certified(west, 0, west.until_s * 1_000_000)
-    with pytest.raises(Refused, match="expired"):
+    with pytest.raises(RejectedError, match="expired"):
         own.certified(west, 0, west.until_s * 1_000_000 + 1)
     own.revoked = frozenset(golden_json("keys/keys.json")["revoked"])
-    with pytest.raises(Refused, match="revoked"):
+    with pytest.raises(RejectedError, match="revoked"):
         own.certified(west, 0, WALL_US)
 
 
@@ -301,8 +340,23 @@
     monkeypatch.setattr(time, "time", lambda: float(WALL_S))
     for name, days, serial in (("east", "36500", "4101"), ("west", "90", "4102")):
         out = keys / f"{name}.again"
-        assert command.main(["certify", str(keys / "fleet.key"), str(keys / f"{name}.key.pub"), f"{name}-1",
-                             name, str(out), "--days", days, "--serial", serial]) == 0
+        assert (
+            command.main(
+                [
+                    "certify",
+                    str(keys / "fleet.key"),
+                    str(keys / f"{name}.key.pub"),
+                    f"{name}-1",
+                    name,
+                    str(out),
+                    "--days",
+                    days,
+                    "--serial",
+                    serial,
+                ]
+            )
+            == 0
+        )
         assert out.read_bytes() == (keys / f"{name}.certificate").read_bytes()
 
 
@@ -326,9 +380,14 @@
 
 def test_the_files_of_an_operator_are_loaded_together(keys: Path) -> None:
     told = golden_json("keys/keys.json")
-    found = credentials.load(schema.Gossip(
-        key_file=str(keys / "east.key"), certificate_file=str(keys / "east.certificate"),
-        fleet_keys=(str(keys / "fleet.key.pub"),), revoked_file=str(keys / "revoked")))
+    found = credentials.load(
+        schema.Gossip(
+            key_file=str(keys / "east.key"),
+            certificate_file=str(keys / "east.certificate"),
+            fleet_keys=(str(keys / "fleet.key.pub"),),
+            revoked_file=str(keys / "revoked"),
+        )
+    )
     assert_described(found.certificate, told["east_certificate"])
     assert [one.hex() for one in found.fleet] == [told["fleet_public"]]
     assert found.revoked == frozenset(told["revoked"])
@@ -342,9 +401,14 @@
 
 
 def described_kept(kept: Any) -> dict[str, Any]:
-    return {"incarnation": kept.incarnation, "hard_state": describe(kept.hard), "commit": kept.commit,
-            "snapshot": describe(kept.log.snapshot), "entries": describe(kept.log.entries),
-            "torn": kept.torn}
+    return {
+        "incarnation": kept.incarnation,
+        "hard_state": describe(kept.hard),
+        "commit": kept.commit,
+        "snapshot": describe(kept.log.snapshot),
+        "entries": describe(kept.log.entries),
+        "torn": kept.torn,
+    }
 
 
 @pytest.mark.parametrize("name", STORES)
@@ -358,7 +422,7 @@
     told = golden_json(f"store/{name}.json")
     data = store.MAGIC + store.framed(build(told["records"]), b"")[0]
     torn = told["kept"]["torn"]
-    assert data == store_bytes(name)[:len(data)] and len(store_bytes(name)) == len(data) + torn
+    assert data == store_bytes(name)[: len(data)] and len(store_bytes(name)) == len(data) + torn
     assert (torn > 0) == (name == "torn")
 
 
@@ -413,31 +477,36 @@
     """As much of an engine as taking over and leaving need."""
 
     def __init__(self, told: dict[str, Any]) -> None:
-        self.learnt: api.Learnt = build(told["learnt"])
-        self.told: list[api.Learnt] = []
+        self.learnt: api.WarmStartState = build(told["learnt"])
+        self.told: list[api.WarmStartState] = []
         self.settings = SimpleNamespace(classes=[SimpleNamespace(name=name) for name in told["classes"]])
         self.loop = SimpleNamespace(time=time.monotonic)
         self.clock = SimpleNamespace(now_us=lambda: WALL_US)
         self.balancer = SimpleNamespace(learnt=lambda: self.learnt)
-        self.hosts = {int(number): SimpleNamespace(entry=api.Upstream(int(number), started_us=started_us))
-                      for number, started_us in told["started_us"].items()}
+        self.hosts = {
+            int(number): SimpleNamespace(entry=api.Upstream(int(number), started_us=started_us))
+            for number, started_us in told["started_us"].items()
+        }
 
-    def known(self) -> dict[int, SimpleNamespace]:
+    def listed_upstreams(self) -> dict[int, SimpleNamespace]:
         return self.hosts
 
-    def tell(self, learnt: api.Learnt) -> None:
+    def dispatch(self, learnt: api.WarmStartState) -> None:
         self.told.append(learnt)
 
 
-def memory(engine: NextProcess, told: dict[str, Any], handover: Handover) -> Memory:
+def memory(engine: NextProcess, told: dict[str, Any], handover: HotRestart) -> WarmStart:
     names = {int(number): name for number, name in told["names"].items()}
     directory = SimpleNamespace(names=names, numbers={name: number for number, name in names.items()})
-    return Memory(cast(Any, engine), cast(Any, directory), handover)
+    return WarmStart(cast(Any, engine), cast(Any, directory), handover)
 
 
 def files_below(folder: Path) -> dict[str, bytes]:
-    return {path.relative_to(folder).as_posix(): path.read_bytes()
-            for path in sorted(folder.rglob("*")) if path.is_file()}
+    return {
+        path.relative_to(folder).as_posix(): path.read_bytes()
+        for path in sorted(folder.rglob("*"))
+        if path.is_file()
+    }
 
 
 @pytest.fixture
@@ -451,7 +520,7 @@
 
 def test_a_process_leaves_the_golden_files_under_their_golden_names(tmp_path: Path) -> None:
     told = golden_json("tmpdir.json")
-    own, other = (Handover.of({"TMPDIR": str(tmp_path)}) for _ in range(2))
+    own, other = (HotRestart.of({"TMPDIR": str(tmp_path)}) for _ in range(2))
     assert own.alone() and not other.alone() and own.succeeded()
     for name in told["suspended"]:
         assert own.put(name)
@@ -464,7 +533,7 @@
 
 def test_what_was_learnt_reads_as_its_golden_values_and_is_written_as_the_same_bytes(tmpdir: Path) -> None:
     told = golden_json("tmpdir.json")
-    found = Handover.of({"TMPDIR": str(tmpdir)}).left(remembered.MOST_BYTES)
+    found = HotRestart.of({"TMPDIR": str(tmpdir)}).left(remembered.MOST_BYTES)
     assert found is not None
     data, left_s = found
     assert left_s == WALL_S
@@ -477,13 +546,13 @@
 def test_the_next_process_takes_over_what_the_golden_folder_holds(tmpdir: Path) -> None:
     told = golden_json("tmpdir.json")
     engine = NextProcess(told)
-    asyncio.run(memory(engine, told, Handover.of({"TMPDIR": str(tmpdir)})).take_over())
+    asyncio.run(memory(engine, told, HotRestart.of({"TMPDIR": str(tmpdir)})).take_over())
     assert text(describe(engine.told)) == text([told["learnt"]])
 
 
 def test_the_next_process_reads_the_suspensions_of_the_golden_folder(tmpdir: Path) -> None:
     told = golden_json("tmpdir.json")
-    own = Handover.of({"TMPDIR": str(tmpdir)})
+    own = HotRestart.of({"TMPDIR": str(tmpdir)})
     assert own.read() == set(told["suspended"])
     for name in told["suspended"]:
         assert own.take(name)
@@ -491,7 +560,7 @@
 
 
 def test_who_serves_and_who_is_next_is_known_by_the_golden_locks(tmpdir: Path) -> None:
-    old, new = (Handover.of({"TMPDIR": str(tmpdir)}) for _ in range(2))
+    old, new = (HotRestart.of({"TMPDIR": str(tmpdir)}) for _ in range(2))
     assert old.alone() and not old.succeeded() and sorted(old.locks) == ["serving"]
     assert not new.alone() and old.succeeded() and sorted(new.locks) == ["next"]
     old.close()
@@ -519,7 +588,8 @@
 
 
 def test_an_operator_file_with_every_key_is_shown_as_the_golden_json(
-        capsys: pytest.CaptureFixture[str]) -> None:
+    capsys: pytest.CaptureFixture[str],
+) -> None:
     path = str(GOLDEN / "operator" / "operator.toml")
     assert operator_command.main(["check", path]) == 0
     assert capsys.readouterr().out == f"{path}: good\n"
@@ -528,7 +598,8 @@
 
 
 def test_an_operator_file_shown_as_toml_reads_as_the_golden_json(
-        tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     source = str(GOLDEN / "operator" / "operator.toml")
     assert operator_command.main(["show", source]) == 0
     shown = tmp_path / "shown.toml"
@@ -540,19 +611,32 @@
 
 
 def described_host(entry: Any, dial: Address, dial_grpc: Address | None) -> dict[str, Any]:
-    return {"upstream": describe(entry), "dial": list(dial),
-            "dial_grpc": None if dial_grpc is None else list(dial_grpc)}
+    return {
+        "upstream": describe(entry),
+        "dial": list(dial),
+        "dial_grpc": None if dial_grpc is None else list(dial_grpc),
+    }
 
 
 def test_a_configuration_with_a_known_list_gives_the_golden_entries() -> None:
-    found = config.load({"PROXY_NAME": "n0", "PROXY_LISTEN": "127.0.0.1:0", "PROXY_DISCOVERY": "127.0.0.1:1",
-                         "PROXY_CONFIG": str(GOLDEN / "known" / "config.json")})
+    found = config.load(
+        {
+            "PROXY_NAME": "n0",
+            "PROXY_LISTEN": "127.0.0.1:0",
+            "PROXY_DISCOVERY": "127.0.0.1:1",
+            "PROXY_CONFIG": str(GOLDEN / "known" / "config.json"),
+        }
+    )
     assert (found.seed, found.memory_mb) == (0x8C1F30D27A5BE964, 160)
     assert (found.discovery, found.door) == (("127.0.0.1", 7000), ("127.0.0.1", 7001))
-    directory = Directory(found.settings)
+    directory = EndpointDirectory(found.settings)
     version, whole, hosts = directory.read(found.known)
-    told = {"version": version, "whole": whole,
-            "name_of": {str(number): name for number, name in directory.names.items()},
-            "zones": directory.zones, "kinds": directory.kinds,
-            "hosts": [described_host(one.entry, one.dial, one.dial_grpc) for one in hosts]}
+    told = {
+        "version": version,
+        "whole": whole,
+        "name_of": {str(number): name for number, name in directory.names.items()},
+        "zones": directory.zones,
+        "kinds": directory.kinds,
+        "hosts": [described_host(one.entry, one.address, one.grpc_address) for one in hosts],
+    }
     assert text(told) == text(golden_json("known/expected.json"))
