--- a/sidecar_proxy/engine/body_buffers.py
+++ b/sidecar_proxy/engine/body_buffers.py
@@ -30,16 +30,16 @@
 
     __slots__ = (
         "budget",
-        "length",
-        "data",
         "buffered_bytes",
-        "is_complete",
+        "data",
         "has_failed",
-        "is_streaming",
-        "is_partly_consumed",
+        "is_complete",
         "is_discarded",
-        "on_data",
+        "is_partly_consumed",
+        "is_streaming",
+        "length",
         "on_capacity",
+        "on_data",
     )
 
     def __init__(self, budget: BodyMemoryBudget, length: int | None) -> None:
--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -216,7 +216,7 @@
     def dispatch(self, event: api.Event) -> None:
         """Hand an event to the balancer.
 
-        Events that its actions cause at once wait in a queue: the balancer is never entered again from inside.
+        Events that its actions cause at once are queued: the balancer is never entered again from inside.
         """
         self.events.append(event)
         if self.is_handling:
@@ -307,8 +307,8 @@
     def fire_timer(self, timer: api.SetTimer, set_already: bool = False) -> None:
         """Report a timer of the balancer once its time has come.
 
-        The loop's clock may be ahead of the engine's, and the balancer passes over a timer that is early: such
-        a one is set again. A timer that is due at once waits for the next turn of the loop.
+        The loop's clock may be ahead of the engine's, and the balancer ignores a timer that is early. Such a one
+        is set again. A timer that is due at once waits for the next turn of the loop.
         """
         if set_already and self.clock.now_us() >= timer.at_us:
             self.dispatch(api.TimerFired(timer.token))
@@ -429,12 +429,12 @@
 
     __slots__ = (
         "engine",
+        "index",
         "request",
         "request_number",
-        "index",
-        "upstream",
         "sent_us",
         "until_us",
+        "upstream",
         "window_timer",
     )
 
--- a/sidecar_proxy/engine/interfaces.py
+++ b/sidecar_proxy/engine/interfaces.py
@@ -18,7 +18,7 @@
 
 # Takes the one response of a request: status, header lines, body.
 Reply = Callable[[int, bytes, bytes], None]
-# Opens a streamed response, given its header lines, its length if known, its Srv-Load and where it comes from.
+# Opens a streamed response, given its header lines, its length if known, its Srv-Load and its source.
 ResponseStreamOpener = Callable[[bytes, "int | None", bytes, ResponseSource], "ResponseSink | None"]
 
 
@@ -40,8 +40,8 @@
 class Attempt(Protocol):
     """An attempt in flight, as the engine holds it.
 
-    Its end is reported once, whatever ends it. It is reported as NOT_SENT or CONNECT_FAILED only if the kernel
-    never had the whole request, so that the request can't have run.
+    Its end is reported once, whatever ends it. It is reported as NOT_SENT or CONNECT_FAILED only if the
+    kernel never had the whole request, so that the request can't have run.
     """
 
     def finish(self, outcome: api.Outcome) -> None:
@@ -193,7 +193,10 @@
 
 
 class FleetObserver(Protocol):
-    """Counts requests for all sidecars together, and knows what clients were told. It never raises or blocks."""
+    """Counts requests for all sidecars together, and knows the Retry-After given to clients.
+
+    It never raises or blocks.
+    """
 
     def arrived(self, call: Call) -> int:
         """Return when the client was told to retry, in microseconds of the engine's clock; 0 = it was not."""
--- a/sidecar_proxy/engine/timers.py
+++ b/sidecar_proxy/engine/timers.py
@@ -1,8 +1,8 @@
 """A queue of many timers, most of which are cancelled, on one timer of the event loop.
 
-Each request sets a deadline timer and one for each attempt, and nearly all are cancelled milliseconds later. A
-timer of the loop costs a handle, a context and two calls of libuv; here setting one is a push on a heap, and a
-cancelled one stays on the heap, empty, until its time comes or most of the heap is empty.
+Each request sets a deadline timer and one for each attempt, and nearly all are cancelled within ms. A
+timer of the loop costs a handle, a context and two calls of libuv. Here setting one is a push on a heap, and
+a cancelled one stays on the heap until its time comes or most of the heap is cancelled.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 class Timer:
     """One call that is due at some time."""
 
-    __slots__ = ("queue", "callback", "arguments")
+    __slots__ = ("arguments", "callback", "queue")
 
     def __init__(
         self, queue: TimerQueue, callback: Callable[..., None], arguments: tuple[object, ...]
--- a/tests/check.sh
+++ b/tests/check.sh
@@ -26,7 +26,7 @@
 SIDECAR_PROXY_PURE=1 "$python" -m pytest -n 6 --dist loadfile "$@"
 if [ $# = 0 ]; then
     "$python" -m pytest -n 6 --dist loadfile tests/balancer/test_concurrency_limit.py tests/balancer/test_service_rules.py tests/balancer/test_steady_state.py \
-        tests/balancer/test_endpoint_pool.py tests/balancer/test_subsetting.py tests/test_engine.py tests/test_server.py tests/test_upstream.py \
-        tests/test_bodies.py tests/test_admission.py tests/test_garbage.py tests/test_timers.py \
+        tests/balancer/test_endpoint_pool.py tests/balancer/test_subsetting.py tests/engine/test_engine.py tests/test_server.py tests/test_upstream.py \
+        tests/test_bodies.py tests/test_admission.py tests/engine/test_reference_counting.py tests/engine/test_timers.py \
         tests/test_discovery.py tests/balancer/test_outlier_reports.py tests/admin/test_hot_restart.py tests/testbed/test_scenario.py tests/testbed/test_scenario_answers.py tests/grpc tests/http2 tests/crossings
 fi
--- a/tests/crossings/test_making_room.py
+++ b/tests/crossings/test_making_room.py
@@ -9,8 +9,8 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.http1.server import Server
+from tests.engine.test_engine import make_engine
 from tests.sockets import LONG_S
-from tests.test_engine import engine_of
 
 ASK = b"POST /pay/1 HTTP/1.1\r\nHost: b\r\nReq-Id: %016x\r\nReq-Deadline: 5.0\r\nContent-Length: 0\r\n\r\n"
 
@@ -20,7 +20,7 @@
     in the loop's buffer, it would be dropped with it: the loop hands it to the kernel at once."""
 
     async def test() -> None:
-        engine, _ = engine_of(
+        engine, _ = make_engine(
             lambda event: [api.Refuse(event.request)] if isinstance(event, api.RequestArrived) else []
         )
         server = Server(engine, 1)
--- a/tests/crossings/test_time_out.py
+++ b/tests/crossings/test_time_out.py
@@ -12,8 +12,8 @@
 from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.upstream import Exchange, Pool
 from tests.crossings.stand_ins import narrow
+from tests.engine.test_engine import make_call, make_engine
 from tests.sockets import LONG_S
-from tests.test_engine import call, engine_of
 
 BODY = 8 * 1024 * 1024  # bytes; more than the kernels of one connection hold
 HEAD = b"POST /pay/1 HTTP/1.1\r\nHost: b\r\nContent-Length: %d\r\n\r\n"
@@ -93,13 +93,13 @@
     how: str, outcome: api.Outcome
 ) -> None:
     async def test(listener: socket.socket) -> None:
-        engine, decisions = engine_of(
+        engine, decisions = make_engine(
             lambda event: (
                 [api.Send(event.request, 1, 0, 1 << 60)] if isinstance(event, api.RequestArrived) else []
             )
         )
         engine.transport.update([ListedUpstream(api.Upstream(1), listener.getsockname())], whole=True)
-        asked = call(engine)
+        asked = make_call(engine)
         asked.body = bytes(BODY)
         replies: list[int] = []
         ident = engine.accept(asked, lambda status, head, body: replies.append(status))
--- a/tests/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine alone: its contract with the decisions, whatever these do."""
+"""The engine alone: its contract with the balancer, whatever the balancer does."""
 
 from __future__ import annotations
 
@@ -20,13 +20,15 @@
 
 
 class NoDiscovery:
+    """A discovery client that never answers."""
+
     def subscribe(self, active: bool) -> None: ...
 
     def fetch(self) -> None: ...
 
 
-class Decisions:
-    """In the module's place: notes each event and does as the test says."""
+class ScriptedBalancer:
+    """Stands in for the balancer: notes each event and returns the actions that the test says."""
 
     def __init__(self, act: Callable[[api.Event], list[api.Action]]) -> None:
         self.act = act
@@ -43,97 +45,103 @@
             self.inside = False
 
 
-def engine_of(act: Callable[[api.Event], list[api.Action]]) -> tuple[Engine, Decisions]:
+def make_engine(act: Callable[[api.Event], list[api.Action]]) -> tuple[Engine, ScriptedBalancer]:
     pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
     engine = Engine(settings(), 1, Clock(), pool, NoDiscovery())
-    decisions = Decisions(act)
-    engine.balancer = cast(Any, decisions)
-    return engine, decisions
+    balancer = ScriptedBalancer(act)
+    engine.balancer = cast(Any, balancer)
+    return engine, balancer
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
     uvloop.run(asyncio.wait_for(test(), 20.0))
 
 
-def call(engine: Engine, lasts_us: int = 60_000_000) -> Call:
+def make_call(engine: Engine, lasts_us: int = 60_000_000) -> Call:
     return Call(1, engine.clock.now_us() + lasts_us, b"POST /pay/7 HTTP/1.1\r\nContent-Length: 0\r\n", b"")
 
 
-@pytest.mark.parametrize("answer", [api.Refuse(1, 250_000), api.Fail(1)])
-def test_the_first_final_answer_stands(answer: api.Action) -> None:
+@pytest.mark.parametrize(
+    ("first_action", "expected"),
+    [
+        (api.Refuse(1, 250_000), (503, b"Retry-After: 0.250000\r\n")),
+        (api.Fail(1), (502, b"")),
+    ],
+)
+def test_first_final_response_stands(first_action: api.Action, expected: tuple[int, bytes]) -> None:
     async def test() -> None:
-        engine, _ = engine_of(lambda event: [answer, api.Fail(1), api.Refuse(1)])
-        told: list[tuple[int, bytes]] = []
-        engine.accept(call(engine), lambda status, head, body: told.append((status, head)))
-        refused = isinstance(answer, api.Refuse)
-        assert told == [(503, b"Retry-After: 0.250000\r\n")] if refused else [(502, b"")]
+        engine, _ = make_engine(lambda event: [first_action, api.Fail(1), api.Refuse(1)])
+        responses: list[tuple[int, bytes]] = []
+        engine.accept(make_call(engine), lambda status, head, body: responses.append((status, head)))
+        assert responses == [expected]
         assert not engine.requests
 
     run(test)
 
 
-def test_a_fault_in_the_decisions_fails_that_request_and_no_other() -> None:
+def test_fault_of_the_balancer_fails_that_request_and_no_other() -> None:
     async def test() -> None:
         def act(event: api.Event) -> list[api.Action]:
             if isinstance(event, api.RequestArrived) and event.request == 1:
                 raise RuntimeError("a fault")
             return [api.Refuse(event.request)] if isinstance(event, api.RequestArrived) else []
 
-        engine, decisions = engine_of(act)
-        told: list[int] = []
-        engine.accept(call(engine), lambda status, head, body: told.append(status))
-        engine.accept(call(engine), lambda status, head, body: told.append(status))
-        assert told == [502, 503]
-        assert api.RequestGone(1) in decisions.events
+        engine, balancer = make_engine(act)
+        statuses: list[int] = []
+        engine.accept(make_call(engine), lambda status, head, body: statuses.append(status))
+        engine.accept(make_call(engine), lambda status, head, body: statuses.append(status))
+        assert statuses == [502, 503]
+        assert api.RequestGone(1) in balancer.events
 
     run(test)
 
 
-def test_an_answer_that_cannot_be_written_takes_no_slot_with_it() -> None:
+def test_response_that_cannot_be_written_still_ends_its_attempt() -> None:
     async def test() -> None:
-        class Connections:
+        class AnsweringTransport:
             exchange = staticmethod(Exchange)
 
             def start(self, upstream: int, exchange: Exchange, timeout_s: float) -> None:
                 engine.loop.call_soon(exchange.finish, api.Outcome.OK, UpstreamResponse(200, b"", b"ok", b""))
 
-        engine, decisions = engine_of(
+        engine, balancer = make_engine(
             lambda event: [api.Send(1, 7)] if isinstance(event, api.RequestArrived) else []
         )
-        engine.transport = cast(Any, Connections())
+        engine.transport = cast(Any, AnsweringTransport())
 
         def reply(status: int, head: bytes, body: bytes) -> None:
             raise RuntimeError("a fault")
 
-        engine.accept(call(engine), reply)
-        while len(decisions.events) < 2:
+        engine.accept(make_call(engine), reply)
+        while len(balancer.events) < 2:
             await asyncio.sleep(0)
-        end = decisions.events[1]
-        assert isinstance(end, api.AttemptEnded) and (end.outcome, end.final) == (api.Outcome.OK, True)
+        end = balancer.events[1]
+        assert isinstance(end, api.AttemptEnded)
+        assert (end.outcome, end.final) == (api.Outcome.OK, True)
         assert not engine.requests
 
     run(test)
 
 
-def test_a_request_that_the_decisions_forget_is_answered_at_its_due_time() -> None:
+def test_request_that_the_balancer_forgets_is_answered_at_its_deadline() -> None:
     async def test() -> None:
-        engine, decisions = engine_of(lambda event: [])
-        told: asyncio.Future[int] = engine.loop.create_future()
-        engine.accept(call(engine, 50_000), lambda status, head, body: told.set_result(status))
-        assert await told == 504
-        assert decisions.events[-1] == api.RequestGone(1)
+        engine, balancer = make_engine(lambda event: [])
+        status_future: asyncio.Future[int] = engine.loop.create_future()
+        engine.accept(make_call(engine, 50_000), lambda status, head, body: status_future.set_result(status))
+        assert await status_future == 504
+        assert balancer.events[-1] == api.RequestGone(1)
 
     run(test)
 
 
-def test_each_send_has_one_end_and_what_is_over_the_limits_is_not_sent() -> None:
+def test_each_send_has_one_end_and_none_over_the_limits_is_sent() -> None:
     async def test() -> None:
         def act(event: api.Event) -> list[api.Action]:
             return [api.Send(1, 7)] * 6 if isinstance(event, api.RequestArrived) else []
 
-        engine, decisions = engine_of(act)  # upstream 7 is in no list: it can't be sent to
-        engine.accept(call(engine), lambda status, head, body: None)
-        ends = [event for event in decisions.events if isinstance(event, api.AttemptEnded)]
+        engine, balancer = make_engine(act)  # upstream 7 is in no list: it can't be sent to
+        engine.accept(make_call(engine), lambda status, head, body: None)
+        ends = [event for event in balancer.events if isinstance(event, api.AttemptEnded)]
         assert [(end.attempt, end.outcome, end.final) for end in ends] == [
             (n, api.Outcome.NOT_SENT, False) for n in range(6)
         ]
@@ -141,39 +149,40 @@
     run(test)
 
 
-def test_timers_never_come_early() -> None:
-    """The module passes over a timer that comes before its time, and would wait for ever."""
+def test_timers_are_never_reported_early() -> None:
+    """The balancer passes over a timer that is early, and would wait for ever."""
 
     async def test() -> None:
         fired: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         for wait_us in (0, 1, 400, 999, 1400, 2600):
             fired = asyncio.get_running_loop().create_future()
-            engine, _ = engine_of(lambda event, fired=fired: fired.set_result(0) or [])  # type: ignore[misc]
+            engine, _ = make_engine(lambda event, fired=fired: fired.set_result(0) or [])  # type: ignore[misc]
             at_us = engine.clock.now_us() + wait_us
             engine.perform(api.SetTimer(at_us, 3))
             await fired
             assert engine.clock.now_us() >= at_us
         # a loop whose clock is ahead calls too early
-        engine, decisions = engine_of(lambda event: [])
+        engine, balancer = make_engine(lambda event: [])
         engine.fire_timer(api.SetTimer(engine.clock.now_us() + 60_000_000, 3), set_already=True)
-        assert decisions.events == []
+        assert balancer.events == []
 
     run(test)
 
 
-class Wire:
+class FullTransport:
     """A transport that keeps what it is given in its own buffer, as a full socket does."""
 
-    def __init__(self, left: int) -> None:
-        self.left, self.closing = left, False
+    def __init__(self, buffered_bytes: int) -> None:
+        self.buffered_bytes = buffered_bytes
+        self.is_aborted = False
 
     def write(self, data: bytes) -> None: ...
 
     def get_write_buffer_size(self) -> int:
-        return self.left
+        return self.buffered_bytes
 
     def is_closing(self) -> bool:
-        return self.closing
+        return self.is_aborted
 
     def set_write_buffer_limits(self, high: int) -> None:
         assert high == 0  # or a write would wait in the loop's buffer and count as written
@@ -182,11 +191,11 @@
         return socket.socket()
 
     def abort(self) -> None:
-        self.closing = True
+        self.is_aborted = True
 
 
 @pytest.mark.parametrize(
-    ("left", "drained", "lost", "timed_out"),
+    ("buffered_bytes", "is_drained", "lost", "timed_out"),
     [
         (0, False, api.Outcome.RESET, api.Outcome.TIMEOUT),
         (9, False, api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_FAILED),
@@ -194,21 +203,21 @@
     ],
 )
 @pytest.mark.parametrize("ends", ["lost", "timed out"])
-def test_only_what_the_kernel_has_whole_may_have_run(
-    left: int, drained: bool, lost: api.Outcome, timed_out: api.Outcome, ends: str
+def test_only_a_request_that_the_kernel_has_whole_may_have_run(
+    buffered_bytes: int, is_drained: bool, lost: api.Outcome, timed_out: api.Outcome, ends: str
 ) -> None:
     async def test() -> None:
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
-        host = ListedUpstream(api.Upstream(7), ("127.0.0.1", 1))
-        pool.update([host], whole=True)
-        connection = Connection(pool, host)
-        wire = Wire(left)
-        connection.connection_made(cast(Any, wire))
+        upstream = ListedUpstream(api.Upstream(7), ("127.0.0.1", 1))
+        pool.update([upstream], whole=True)
+        connection = Connection(pool, upstream)
+        transport = FullTransport(buffered_bytes)
+        connection.connection_made(cast(Any, transport))
         outcomes: list[api.Outcome] = []
         exchange = Exchange(lambda: [b"request"], lambda outcome, answer: outcomes.append(outcome))
         connection.begin(exchange)
-        if drained:
-            wire.left = 0
+        if is_drained:
+            transport.buffered_bytes = 0
             connection.resume_writing()
         if ends == "lost":
             connection.connection_lost(None)
@@ -220,15 +229,15 @@
     run(test)
 
 
-def test_nothing_is_written_for_a_request_that_is_over_or_to_an_upstream_that_drains() -> None:
+def test_nothing_is_written_for_a_finished_request_or_to_a_draining_upstream() -> None:
     async def test() -> None:
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
-        host = ListedUpstream(api.Upstream(7), ("127.0.0.1", 1))
+        upstream = ListedUpstream(api.Upstream(7), ("127.0.0.1", 1))
         outcomes: list[api.Outcome] = []
         for state, data in ((api.UpstreamState.READY, None), (api.UpstreamState.DRAINING, b"request")):
-            host.entry.state = state
-            connection = Connection(pool, host)
-            connection.connection_made(cast(Any, Wire(0)))
+            upstream.entry.state = state
+            connection = Connection(pool, upstream)
+            connection.connection_made(cast(Any, FullTransport(0)))
             connection.begin(Exchange(lambda data=data: data, lambda end, answer: outcomes.append(end)))  # type: ignore[misc]
         assert outcomes == [api.Outcome.NOT_SENT] * 2
 
--- a/tests/test_garbage.py
+++ b/tests/engine/test_reference_counting.py
@@ -1,7 +1,7 @@
-"""What a request takes is freed by its count of references, from the sources and compiled.
+"""Requests are freed by reference counting, from the sources and compiled.
 
-Compiled, each function inside another one and what it closes over hold one another: with a body of 64 KiB in
-every request, a day of large bodies took a sidecar to its memory limit before the cycle collector came.
+Compiled, an inner function and its closure reference each other: with a body of 64 KiB in every request, a
+sidecar reached its memory limit before the cycle collector ran.
 """
 
 from __future__ import annotations
@@ -18,47 +18,49 @@
 from sidecar_proxy.http1.server import Server
 from sidecar_proxy.http1.upstream import Pool
 from tests.balancer.world import settings
+from tests.engine.test_engine import NoDiscovery
 from tests.grpc.rig import Node, Rig, run
 from tests.sockets import Client, Message, Upstream, answer
-from tests.test_engine import NoDiscovery
 
 ROUNDS = 30
 
 
-def ask(address: tuple[str, int]) -> list[int]:
-    """Kept and new connections, refused and failed ones, bodies held whole and passed on."""
-    kept, found = Client(address), []
+def send_requests(address: tuple[str, int]) -> list[int]:
+    """Send requests that succeed and fail, with buffered and streamed bodies; return the statuses."""
+    kept_alive = Client(address)
+    statuses = []
     for number in range(ROUNDS):
-        found.append(kept.request("POST", "/pay/1", b"x" * 60_000).status)
+        statuses.append(kept_alive.request("POST", "/pay/1", b"x" * 60_000).status)
         new = Client(address)
-        found.append(new.request("GET", f"/read/{number}").status)
-        found.append(new.request("POST", "/pay/2", b"y" * 200_000).status)
-        found.append(new.request("POST", "/pay/err", b"z").status)
+        statuses.append(new.request("GET", f"/read/{number}").status)
+        statuses.append(new.request("POST", "/pay/2", b"y" * 200_000).status)
+        statuses.append(new.request("POST", "/pay/err", b"z").status)
         new.close()
-    kept.close()
-    return found
+    kept_alive.close()
+    return statuses
 
 
-async def leaves(play: Callable[[], Awaitable[None]]) -> list[object]:
-    """What of ours only the cycle collector would free."""
+async def cyclic_garbage_of(play: Callable[[], Awaitable[None]]) -> list[object]:
+    """Return the objects of this program that only the cycle collector would free."""
     gc.collect()
     gc.disable()
     gc.set_debug(gc.DEBUG_SAVEALL)
     try:
         await play()
         gc.collect()
-        return [one for one in gc.garbage if type(one).__module__.startswith("sidecar_proxy")]
+        return [item for item in gc.garbage if type(item).__module__.startswith("sidecar_proxy")]
     finally:
         gc.set_debug(0)
         gc.garbage.clear()
         gc.enable()
 
 
-def names(left: list[object]) -> list[str]:
-    return sorted({type(one).__name__ for one in left})
+def class_names(garbage: list[object]) -> list[str]:
+    """Return the names of the objects' classes."""
+    return sorted({type(item).__name__ for item in garbage})
 
 
-def test_a_request_leaves_nothing_to_the_cycle_collector() -> None:
+def test_http_request_leaves_nothing_to_the_cycle_collector() -> None:
     def script(request: Message, _: object) -> bytes:
         if request.start.split()[1] == "/pay/err":
             return answer(b"", "500 Internal Server Error")
@@ -71,26 +73,26 @@
         host, _, port = upstream.address.partition(":")
         engine.list_changed(api.ListKind.FULL, [ListedUpstream(api.Upstream(7), (host, int(port)))], 1)
         address = server.listen(("127.0.0.1", 0))
-        found: list[int] = []
+        statuses: list[int] = []
 
         async def play() -> None:
-            found.extend(await asyncio.to_thread(ask, address))
+            statuses.extend(await asyncio.to_thread(send_requests, address))
             while server.connections or pool.open > len(pool.upstreams[7].idle):
                 await asyncio.sleep(0.01)
 
-        await asyncio.to_thread(ask, address)  # what is made once is there
-        left = await leaves(play)
+        await asyncio.to_thread(send_requests, address)  # what is made once is there
+        garbage = await cyclic_garbage_of(play)
         pool.close()
         await server.stop()
-        return found, left
+        return statuses, garbage
 
     with Upstream(script=script) as upstream:
-        found, left = uvloop.run(asyncio.wait_for(test(upstream), 60.0))
-    assert found.count(200) >= ROUNDS
-    assert len(left) < ROUNDS, f"{len(left)} objects for {len(found)} requests: {names(left)}"
+        statuses, garbage = uvloop.run(asyncio.wait_for(test(upstream), 60.0))
+    assert statuses.count(200) >= ROUNDS
+    assert len(garbage) < ROUNDS, f"{len(garbage)} objects: {class_names(garbage)}"
 
 
-def test_a_call_of_grpc_leaves_nothing_to_the_cycle_collector() -> None:
+def test_grpc_call_leaves_nothing_to_the_cycle_collector() -> None:
     """Answered and failed calls, long ones, and calls that their client resets."""
 
     async def test() -> None:
@@ -113,8 +115,8 @@
             await client.answer(client.call("/t.T/Read", what="good"))
 
         await play()
-        left = await leaves(play)
+        garbage = await cyclic_garbage_of(play)
         rig.close()
-        assert len(left) < ROUNDS, f"{len(left)} objects for {4 * ROUNDS} calls: {names(left)}"
+        assert len(garbage) < ROUNDS, f"{len(garbage)} objects for {4 * ROUNDS} calls: {class_names(garbage)}"
 
     run(test)
--- a/tests/grpc/rig.py
+++ b/tests/grpc/rig.py
@@ -29,8 +29,8 @@
 )
 from sidecar_proxy.http2.guard import Rates
 from tests.balancer.world import settings
+from tests.engine.test_engine import NoDiscovery, ScriptedBalancer
 from tests.http2.frames import frames
-from tests.test_engine import Decisions, NoDiscovery
 
 LONG_S = 20.0
 OPEN = Limits(
@@ -214,9 +214,9 @@
         self.settings.max_attempts = 4
         self.pool = Pool(connect_s=connect_s, idle_s=5.0, most=64)
         self.engine = Engine(self.settings, 1, Clock(), self.pool, NoDiscovery())
-        self.decisions: Decisions | None = None
+        self.decisions: ScriptedBalancer | None = None
         if act is not None:
-            self.decisions = Decisions(act)
+            self.decisions = ScriptedBalancer(act)
             self.engine.balancer = cast(Any, self.decisions)
         self.server = Server(self.engine, 64)
         self.nodes = start(told or Grpc(True, METHODS), self.engine, self.server)
@@ -285,7 +285,7 @@
 
 
 def send_to(*upstreams: int) -> Callable[[api.Event], list[api.Action]]:
-    """Decisions: each request to these in turn, as attempts fail; then it is failed."""
+    """Return a balancer that sends each request to these upstreams in turn, then fails it."""
 
     def act(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.RequestArrived):
