--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -307,8 +307,8 @@
     def fire_timer(self, timer: api.SetTimer, set_already: bool = False) -> None:
         """Report a timer of the balancer once its time has come.
 
-        The loop's clock may be ahead of the engine's, and the balancer ignores a timer that is early. Such a one
-        is set again. A timer that is due at once waits for the next turn of the loop.
+        The loop's clock may be ahead of the engine's, and the balancer ignores a timer that is early: such a
+        timer is set again. One that is due at once waits for the next turn of the loop.
         """
         if set_already and self.clock.now_us() >= timer.at_us:
             self.dispatch(api.TimerFired(timer.token))
