--- a/sidecar_proxy/emulator/fleet.py
+++ b/sidecar_proxy/emulator/fleet.py
@@ -18,14 +18,9 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.balancer import Balancer
 from sidecar_proxy.overload_control import messages as words
-from sidecar_proxy.overload_control.controller import (
-    Broadcast,
-    FleetBudgets,
-    Output,
-    OverloadController,
-    SendMessage,
-    mean_slow_start_weight,
-)
+from sidecar_proxy.overload_control.controller import FleetBudgets, OverloadController
+from sidecar_proxy.overload_control.outputs import Broadcast, Output, SendMessage
+from sidecar_proxy.overload_control.slow_start import mean_slow_start_weight
 from sidecar_proxy.testbed.capacity import Capacity, Machine
 
 START_US = 1_000_000_000
@@ -254,14 +249,14 @@
             self.perform(n, member.tick(self.now_us, warmth))
             self.ticks(n)
 
-        self.at_sidecar(member.due_us + 1, n, tick)
+        self.at_sidecar(member.next_tick_us + 1, n, tick)
 
     def perform(self, n: int, outputs: Iterable[Output]) -> None:
         for one in outputs:
             if isinstance(one, Broadcast):
                 self.spread(n, one)
             elif isinstance(one, SendMessage):
-                target = int(one.to[1:])
+                target = int(one.recipient[1:])
                 self.at_sidecar(self.now_us + NOTE_US, target, partial(self.posted, n, target, one))
             elif isinstance(one, api.OverloadUpdated):
                 self.handle(n, one)
@@ -279,17 +274,19 @@
                 for other in some:
                     member = self.sidecars[other].member
                     assert member is not None
-                    self.perform(other, member.heard(f"s{n}", said.report, self.now_us))
+                    self.perform(other, member.receive_report(f"s{n}", said.report, self.now_us))
 
             self.at(self.now_us + (part + 1) * SPREAD_US // 2, hear)
 
     def posted(self, source: int, target: int, post: SendMessage) -> None:
         member = self.sidecars[target].member
-        assert member is not None and not isinstance(post.word, words.Report)
-        self.perform(target, member.noted(f"s{source}", post.word, self.now_us))
+        assert member is not None
+        self.perform(target, member.receive_message(f"s{source}", post.message, self.now_us))
 
     def look(self) -> None:
-        weights = [one.member.escrow.weight(self.now_us) for one in self.sidecars if one.member is not None]
+        weights = [
+            one.member.escrow.usable_parts(self.now_us) for one in self.sidecars if one.member is not None
+        ]
         self.seen.overspent += sum(weights) > words.TOTAL_PARTS
         self.at(self.now_us + SECOND_US // 10, self.look)
 
@@ -373,7 +370,7 @@
         self.at(due_us + 4 * self.plan.settings.tick_us, lambda: self.check(sidecar, request))
         retry_due_us = 0
         if sidecar.member is not None:
-            retry_due_us = sidecar.member.arrived(one.kind, one.wish, one.refused > 0, self.now_us)
+            retry_due_us = sidecar.member.record_arrival(one.kind, one.wish, one.refused > 0, self.now_us)
         key = one.wish if sidecar.member is not None else 0
         self.handle(n, api.RequestArrived(request, due_us, one.kind, key=key, retry_due_us=retry_due_us))
 
@@ -390,7 +387,9 @@
                 one = self.answer(sidecar, action.request, type(action).__name__.lower())
                 if isinstance(action, api.Refuse):
                     if sidecar.member is not None:
-                        sidecar.member.refused(one.wish, action.retry_after_us, action.shed, self.now_us)
+                        sidecar.member.record_rejection(
+                            one.wish, action.retry_after_us, action.shed, self.now_us
+                        )
                     self.come_again(n, one, action.retry_after_us)
             elif isinstance(action, api.SetTimer):
                 self.at_sidecar(action.at_us, n, partial(self.handle, n, api.TimerFired(action.token)))
@@ -507,7 +506,7 @@
             sidecar.idle[attempt.upstream].append(self.now_us)
         if outcome is api.Outcome.OK and sidecar.member is not None and attempt.request in sidecar.tries:
             kind = sidecar.tries[attempt.request].kind
-            sidecar.member.served(kind, self.now_us - attempt.sent_us)
+            sidecar.member.record_success(kind, self.now_us - attempt.sent_us)
         if outcome is api.Outcome.OK and attempt.request in sidecar.tries:
             one = self.answer(sidecar, attempt.request, "ok")
             if self.now_us - one.since_us <= self.plan.settings.classes[one.kind].latency_objective_us:
--- a/sidecar_proxy/overload_control/__init__.py
+++ b/sidecar_proxy/overload_control/__init__.py
@@ -1,1 +1,1 @@
-"""Overload handled by the fleet as one: shares of budgets, one cut, times to come back."""
+"""Overload control of the whole fleet: shared quotas, one shedding threshold and Retry-After advice."""
--- a/sidecar_proxy/overload_control/controller.py
+++ b/sidecar_proxy/overload_control/controller.py
@@ -1,472 +1,309 @@
-"""One sidecar's part in the fleet's overload: what it counts, hears, says, and what its decisions are told.
+"""One sidecar's overload controller: dispatches what happens to the parts, and their results to the shell.
 
-Pure: no I/O, no clock and no dice but what is handed in. Times are microseconds of the monotonic clock.
+The controller receives the requests' arrivals and outcomes from the engine and messages from the other
+sidecars. Four times a second it updates its measurements, the retry storm, its quota leases and the
+shedding threshold, and returns what the balancer and the other sidecars shall know. It is pure: it does no
+I/O, reads no clock, and draws random numbers only from the generator that it is given. Times are
+microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
 
-import math
 import random
 from collections import Counter
-from collections.abc import Iterable, Sequence
+from collections.abc import Sequence
 from dataclasses import dataclass, replace
+from enum import StrEnum
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.balancer.balancer import EARLY_US
-from sidecar_proxy.overload_control import shedding_threshold as cut
+from sidecar_proxy.overload_control.load_measurement import LoadMeasurement
 from sidecar_proxy.overload_control.messages import (
-    MOST_CLASSES,
+    MAX_CLASSES,
     TOTAL_PARTS,
     LeaseGrant,
+    LeaseMessage,
     LeaseRecord,
     LeaseRequest,
     LeaseReturn,
-    OverloadMessage,
     Report,
-    Work,
 )
-from sidecar_proxy.overload_control.quota_leases import KEPT, LEAST, TERM_US, Escrow
-from sidecar_proxy.overload_control.retry_storm import Promises, Rate, Storm, return_us
+from sidecar_proxy.overload_control.outputs import Broadcast, LogMessage, Output, SendMessage
+from sidecar_proxy.overload_control.peer_reports import FRESH_INTERVALS, PeerReports, report_interval_us
+from sidecar_proxy.overload_control.quota_borrowing import adjust_leases, needed_parts, reserved_parts
+from sidecar_proxy.overload_control.quota_leases import QuotaEscrow
+from sidecar_proxy.overload_control.retry_after import RetrySchedule, advised_retry_after_us
+from sidecar_proxy.overload_control.retry_storm import RetryStormDetector
+from sidecar_proxy.overload_control.shedding_threshold import SheddingThreshold, compute_threshold
+from sidecar_proxy.overload_control.slow_start import SlowStartPacing
 
 TICK_US = 250_000
-REPORT_US = 1_000_000  # between two reports of one sidecar
-REPORTS_A_SECOND = 20  # of the whole fleet; more sidecars report less often
-FRESH = 3  # intervals that a report counts
-HOLDS_US = 3_000_000  # what the decisions are told counts so long
-ROTATE_US = 30_000_000  # a number of the cut lasts so long
-EASY = 0.05  # of what is admitted, refused for want of a slot: there is more room
-GROWS = ((EASY, 2.0), (0.15, 1.4), (2.0, 1.15))  # room beyond what is served, by that share
-GROWS_COLD = 3.0  # and where nodes warm up: words are a second or two old, and their room doubles in that
-FULL = 0.85  # of the slow time, where the slots at cold nodes settle, as those of warm ones do
-LEAST_PACE = 0.55
-PEAK_US = 10_000_000  # in which what was served at most is forgotten to a third
-NEEDED = 1.2  # of the demand's part of the weight: for chance
-RENEW = 0.5  # of a loan's term, after which it is renewed
-MOST_AUTHORS = 5000
-LINE_US_EACH = 3000  # between two lines, for each sidecar heard: a line costs some 10 us for each
+MIN_REPORT_JITTER = 0.8  # of the interval between two reports
+REPORT_JITTER_RANGE = 0.4
+UPDATE_VALID_US = 3_000_000  # for which the balancer uses an update
+GENERATION_US = 30_000_000  # after which other requests of a class are admitted
+THRESHOLD_INTERVAL_US_PER_PEER = 3000  # computing a threshold takes some 10 us for each peer
 
 
 @dataclass(slots=True, frozen=True)
 class FleetBudgets:
-    """What the fleet may spend altogether, a second."""
+    """What all sidecars together may spend per second."""
 
-    reissues_per_s: float = 50.0
+    retries_per_s: float = 50.0
     probes_per_s: float = 50.0
-    tries_per_s: float = 4.0  # at each node that fails
+    attempts_per_s: float = 4.0  # at each upstream that fails
 
 
-@dataclass(slots=True, frozen=True)
-class Broadcast:
-    """To all, in place of the last."""
-
-    report: Report
-
-
-@dataclass(slots=True, frozen=True)
-class SendMessage:
-    """To one."""
-
-    to: str
-    word: OverloadMessage
-
-
-@dataclass(slots=True, frozen=True)
-class LogMessage:
-    """For the log."""
-
-    text: str
-
-
-Output = Broadcast | SendMessage | LogMessage | api.OverloadUpdated
+class LeaseEvent(StrEnum):
+    """Events that the controller counts. The values are keys of the OVERLOAD command's answer."""
 
-
-@dataclass(slots=True)
-class Heard:
-    report: Report
-    at_us: int
-
-
-class Seen:
-    """What one sidecar counts of one class."""
-
-    __slots__ = ("busy", "demand", "returns", "served")
-
-    def __init__(self, now_us: int) -> None:
-        self.demand, self.returns = Rate(now_us), Rate(now_us)
-        self.served, self.busy = Rate(now_us), Rate(now_us)
-
-
-def mean_slow_start_weight(entries: Iterable[api.Upstream], settings: api.Settings, now_us: int) -> float:
-    """Of the nodes that warm up, by the least that the rules allow them; 1 = none does."""
-    ages = [now_us - one.started_us for one in entries if one.started_us] if settings.warm_up_us else []
-    cold = [
-        settings.cold_share + (1.0 - settings.cold_share) * max(0, age_us) / settings.warm_up_us
-        for age_us in ages
-        if age_us < settings.warm_up_us
-    ]
-    return sum(cold) / len(cold) if cold else 1.0
+    REQUEST_RECEIVED = "asked"
+    LEASE_BORROWED = "borrowed"
 
 
 class OverloadController:
+    """Dispatches between the parts of one sidecar's overload control."""
+
     def __init__(
         self,
         name: str,
         index: int,
         instances: int,
-        worths: Sequence[float],
-        most_return_us: int,
-        limits: FleetBudgets,
-        dice: random.Random,
+        priority_weights: Sequence[float],
+        max_retry_after_us: int,
+        budgets: FleetBudgets,
+        rng: random.Random,
         now_us: int,
-        slow_us: int = 0,
+        slow_latency_us: int = 0,
     ) -> None:
-        """`slow_us`: a node's answer that takes longer, when it is warm, comes of a queue; 0 = not known."""
+        """`index` is this sidecar's in the fleet of `instances`; `priority_weights` are by request class.
+
+        `slow_latency_us` is the latency of a warm upstream that has a queue; 0 if it is not known.
+        """
         self.name = name
         self.index = index
         self.instances = max(1, instances)
-        self.worths = tuple(worths[:MOST_CLASSES])
-        self.most_return_us = most_return_us
-        self.limits = limits
-        self.dice = dice
-        self.escrow = Escrow(index, self.instances, dice, now_us)
-        self.seen = [Seen(now_us) for _ in self.worths]
-        self.tries, self.repeats = Rate(now_us), Rate(now_us)
-        self.refused_rate, self.crowded = Rate(now_us), Rate(now_us)  # all; and for want of a slot
-        self.peak, self.peak_us = 0.0, now_us  # the most that was served a second, of late
-        self.storm = Storm()
-        self.promises = Promises()
-        self.heard_of: dict[str, Heard] = {}
-        self.number, self.number_us = 0, now_us
-        self.line: cut.Line | None = None
-        self.line_us = now_us  # when it is made anew
-        self.wanted = int(self.escrow.owned * KEPT)  # parts that our load needs, as last reckoned
-        self.own: Report | None = None  # our last report
-        self.warmth = 1.0  # of the nodes that warm up, in the mean; 1 = none does
-        self.slow_us = slow_us
-        self.pace = 1.0  # of its weight, that its decisions may use at cold nodes
-        self.tick_us = now_us + int(TICK_US * dice.random())
-        self.report_us = self.tick_us
-        self.decided: api.OverloadUpdated | None = None
-        self.counts: Counter[str] = Counter()
-
-    # From the engine
-
-    def arrived(self, kind: int, key: int, retried: bool, now_us: int) -> int:
-        """A request has come; when its client was told to come back, 0 = it was not."""
-        retry_due_us = self.promises.when(key, now_us) if key and self.promises.by_key else 0
-        self.tries.count += 1
-        if retry_due_us and retry_due_us <= now_us + EARLY_US:
-            if kind < len(self.seen):
-                self.seen[kind].returns.count += 1
-        elif retried or retry_due_us:
-            # hazard: those that are shed come again and again; counted as demand they would lower the line
-            # for all, by themselves
-            self.repeats.count += 1
-        elif kind < len(self.seen):
-            self.seen[kind].demand.count += 1
-        return retry_due_us if self.storm.on else 0
-
-    def refused(self, key: int, after_us: int, shed: bool, now_us: int) -> None:
-        """The decisions have refused one, and told its client to stay away for so long; `shed` by the line,
-        or for want of a slot.
+        self.priority_weights = tuple(priority_weights[:MAX_CLASSES])
+        self.max_retry_after_us = max_retry_after_us
+        self.budgets = budgets
+        self.rng = rng
+        self.load = LoadMeasurement(len(self.priority_weights), now_us)
+        self.peers = PeerReports(name, index)
+        self.escrow = QuotaEscrow(index, self.instances, rng, now_us)
+        self.wanted_parts = reserved_parts(self.escrow.owned_parts)
+        self.lease_events: Counter[LeaseEvent] = Counter()
+        self.storm_detector = RetryStormDetector()
+        self.retry_schedule = RetrySchedule()
+        self.pacing = SlowStartPacing(slow_latency_us)
+        self.has_slow_start = False  # of any upstream in use
+        self.generation = 0
+        self.generation_since_us = now_us
+        self.threshold: SheddingThreshold | None = None
+        self.next_threshold_us = now_us
+        self.next_tick_us = now_us + int(TICK_US * rng.random())
+        self.next_report_us = self.next_tick_us
+        self.last_update: api.OverloadUpdated | None = None
+
+    # Events of the engine
+
+    def record_arrival(self, class_index: int, key: int, is_retry: bool, now_us: int) -> int:
+        """Counts a request; `key` identifies it and its retries, 0 if it has none.
+
+        Returns when the Retry-After of its client expires; 0 if it has none, or outside of a retry storm.
         """
-        self.refused_rate.count += 1
-        self.crowded.count += not shed
-        if key and after_us > 0:
-            self.promises.note(key, now_us + after_us)
+        schedule = self.retry_schedule
+        retry_due_us = schedule.take_due_us(key, now_us) if key and schedule.due_us_by_key else 0
+        self.load.record_arrival(class_index, is_retry, retry_due_us, now_us)
+        return retry_due_us if self.storm_detector.is_active else 0
+
+    def record_rejection(self, key: int, retry_after_us: int, is_shed: bool, now_us: int) -> None:
+        """Counts a rejected request and the Retry-After that its client got (0: none).
 
-    def served(self, kind: int, elapsed_us: int) -> None:
-        """A node has answered an attempt well after so long."""
-        if kind < len(self.seen):
-            self.seen[kind].served.count += 1
-            self.seen[kind].busy.count += elapsed_us
+        `is_shed` tells a rejection by the shedding threshold from one for want of a free slot.
+        """
+        self.load.record_rejection(is_shed)
+        if key and retry_after_us > 0:
+            self.retry_schedule.add(key, now_us + retry_after_us)
 
-    # From the others
+    def record_success(self, class_index: int, elapsed_us: int) -> None:
+        """Counts an attempt that an upstream has served, and its response time."""
+        self.load.record_success(class_index, elapsed_us)
 
-    @property
-    def interval_us(self) -> int:
-        return max(REPORT_US, self.instances * 1_000_000 // REPORTS_A_SECOND)
+    # Messages of the other sidecars
 
-    def heard(self, author: str, report: Report, now_us: int) -> list[Output]:
-        if author == self.name or (author not in self.heard_of and len(self.heard_of) >= MOST_AUTHORS):
+    def receive_report(self, author: str, report: Report, now_us: int) -> list[Output]:
+        """Takes in a peer's broadcast report."""
+        if not self.peers.add(author, report, now_us):
             return []
-        self.heard_of[author] = Heard(report, now_us)
-        if report.index == self.index and author < self.name and not self.escrow.barred:
-            self.escrow.barred = True
-            return [
-                *self.decide(now_us),
-                LogMessage(
-                    f"{author} says that it is number {self.index} as well: this "
-                    "one spends nothing of the fleet's budgets"
-                ),
-            ]
-        return []
+        if self.escrow.is_suspended or not self.peers.claims_own_index(author):
+            return []
+        self.escrow.is_suspended = True
+        text = (
+            f"{author} reports index {self.index} as well: this sidecar spends nothing of the fleet's budgets"
+        )
+        return [self._update_balancer(now_us), LogMessage(text)]
+
+    def remove_peer(self, author: str) -> None:
+        """Forgets the report of a peer that is considered dead.
 
-    def left(self, author: str) -> None:
-        """It is held for dead. Hazard: its loans run out by themselves and no sooner, as it may live."""
-        self.heard_of.pop(author, None)
-
-    def noted(self, author: str, word: OverloadMessage, now_us: int) -> list[Output]:
-        """One has said something to us alone."""
-        if isinstance(word, LeaseRequest):
-            self.counts["asked"] += 1
-            lend = self.escrow.need(author, word, self.wanted, now_us)
-            # hazard: our own decisions have less from the moment that another one may have it
-            return [*(self.decide(now_us) if lend.parts else ()), SendMessage(author, lend)]
-        if isinstance(word, LeaseGrant):
-            if not self.escrow.lent(author, word, now_us):
+        Its leases stay until they expire, because it may be alive.
+        """
+        self.peers.remove(author)
+
+    def receive_message(self, author: str, message: LeaseMessage, now_us: int) -> list[Output]:
+        """Takes in a message that a peer has sent to this sidecar alone."""
+        if isinstance(message, LeaseRequest):
+            return self._receive_lease_request(author, message, now_us)
+        if isinstance(message, LeaseGrant):
+            if not self.escrow.receive_grant(author, message, now_us):
                 return []
-            self.counts["borrowed"] += 1
-            return self.decide(now_us)
-        if isinstance(word, LeaseReturn):
-            self.escrow.back(author, word)
+            self.lease_events[LeaseEvent.LEASE_BORROWED] += 1
+            return [self._update_balancer(now_us)]
+        if isinstance(message, LeaseReturn):
+            self.escrow.receive_return(author, message)
         return []
 
+    def _receive_lease_request(self, author: str, request: LeaseRequest, now_us: int) -> list[Output]:
+        self.lease_events[LeaseEvent.REQUEST_RECEIVED] += 1
+        grant = self.escrow.handle_request(author, request, self.wanted_parts, now_us)
+        response = SendMessage(author, grant)
+        if not grant.parts:
+            return [response]
+        # the own balancer has to spend less before the borrower may spend more
+        return [self._update_balancer(now_us), response]
+
     # Time
 
-    @property
-    def due_us(self) -> int:
-        return self.tick_us
+    def tick(self, now_us: int, slow_start_weight: float = 1.0) -> list[Output]:
+        """Updates all parts; does nothing before `next_tick_us`.
 
-    def tick(self, now_us: int, warmth: float = 1.0) -> list[Output]:
-        """`warmth`: of those nodes in use that warm up, in the mean; 1 = none does."""
-        if now_us < self.tick_us:
+        `slow_start_weight` is the mean of the upstreams in slow start; 1.0 if there is none.
+        """
+        if now_us < self.next_tick_us:
             return []
-        self.tick_us = now_us + TICK_US
-        self.warmth = warmth
-        self.follow_pace()
-        found: list[Output] = []
-        tries = self.settle(now_us)
-        fresh_us = FRESH * self.interval_us
-        for name in [name for name, one in self.heard_of.items() if now_us - one.at_us > fresh_us]:
-            del self.heard_of[name]
-        self.escrow.barred = self.escrow.barred and any(
-            one.report.index == self.index and name < self.name for name, one in self.heard_of.items()
+        self.next_tick_us = now_us + TICK_US
+        self.has_slow_start = slow_start_weight < 1.0
+        self.pacing.update(slow_start_weight, self.load.mean_service_time_us())
+        self.load.update(now_us)
+        self._expire_reports(now_us)
+        self._update_threshold(now_us)
+        outputs = self._update_storm(now_us)
+        self._update_generation(now_us)
+        outputs += adjust_leases(self.escrow, self.wanted_parts, self.peers.by_name(), now_us)
+        outputs += self._report_if_due(now_us)
+        return self._update_balancer_if_changed(now_us) + outputs
+
+    def _expire_reports(self, now_us: int) -> None:
+        self.peers.remove_older(FRESH_INTERVALS * report_interval_us(self.instances), now_us)
+        if self.escrow.is_suspended:
+            self.escrow.is_suspended = self.peers.has_index_conflict()
+
+    def _update_threshold(self, now_us: int) -> None:
+        if now_us < self.next_threshold_us:
+            return
+        self.next_threshold_us = now_us + len(self.peers) * THRESHOLD_INTERVAL_US_PER_PEER
+        peer_reports = self.peers.by_name()
+        self.wanted_parts = needed_parts(
+            self.load.demand_per_s, list(peer_reports.values()), self.instances, self.escrow.owned_parts
         )
-        if now_us >= self.line_us:
-            self.line_us = now_us + len(self.heard_of) * LINE_US_EACH
-            self.wanted = self.needed()
-            self.own = self.report(now_us)
-            # a line costs some CPU, and where nobody is short there is nothing to shed
-            short = self.own.refused > 0 or any(one.report.refused for one in self.heard_of.values())
-            self.line = cut.line(self.fresh(), self.worths, self.instances) if short else None
-        if self.storm.look(
-            tries,
-            self.repeats.value,
-            self.refused_rate.value,
-            self.line is not None and self.line.storm,
+        own_report = self._build_report(now_us)
+        self.threshold = None
+        # the threshold takes CPU time, and without rejections there is nothing to shed
+        if own_report.rejected_per_1000_s > 0 or self.peers.has_rejections():
+            reports = {**peer_reports, self.name: own_report}
+            self.threshold = compute_threshold(reports, self.priority_weights, self.instances)
+
+    def _update_storm(self, now_us: int) -> list[Output]:
+        has_changed = self.storm_detector.update(
+            self.load.attempts.per_s,
+            self.load.early_retries.per_s,
+            self.load.rejections.per_s,
+            self.threshold is not None and self.threshold.has_retry_storm,
             now_us,
-        ):
-            word = "begins" if self.storm.on else "ends"
-            found.append(LogMessage(f"a storm {word}: {self.storm.why}"))
-            self.report_us = now_us
-        self.turn(now_us)
-        found += self.trade(now_us)
-        if now_us >= self.report_us:
-            self.report_us = now_us + int(self.interval_us * (0.8 + 0.4 * self.dice.random()))
-            found.append(Broadcast(self.report(now_us)))
-        told = self.decided
-        decided = self.decide(now_us)
-        if (
-            told is not None
-            and told.valid_until_us - now_us > HOLDS_US // 2
-            and self.decided is not None
-            and (replace(self.decided, valid_until_us=told.valid_until_us) == told)
-        ):
-            self.decided, decided = told, []  # it holds on as it was told
-        return decided + found
-
-    def follow_pace(self) -> None:
-        """Hazard: what a cold node bears in slots is more than it works on at once, the warmer the more;
-        its queue would be judged as a warm node's in the moment that it is one, and close all slots.
-        """
-        if self.warmth >= 1.0 or not self.slow_us:
-            self.pace = 1.0
-            return
-        late = self.usual_us() * self.warmth / self.slow_us
-        if late > FULL:
-            self.pace = max(LEAST_PACE, self.pace * 0.95)
-        elif late < FULL / 2:
-            self.pace = min(1.0, self.pace * 1.05)
-
-    @property
-    def served_per_s(self) -> float:
-        return sum(one.served.value for one in self.seen)
-
-    def settle(self, now_us: int) -> float:
-        for one in self.seen:
-            for rate in (one.demand, one.returns, one.served, one.busy):
-                rate.settle(now_us)
-        for rate in (self.tries, self.repeats, self.refused_rate, self.crowded):
-            rate.settle(now_us)
-        # hazard: words are old by a second or two; a line by what was served just now starves nodes that
-        # were, by chance or by the line, given less
-        passed_us, self.peak_us = now_us - self.peak_us, now_us
-        self.peak = max(self.served_per_s, self.peak * math.exp(-passed_us / PEAK_US))
-        return self.tries.value
-
-    def fresh(self) -> dict[str, Report]:
-        found = {name: one.report for name, one in self.heard_of.items()}
-        if self.own is not None:
-            found[self.name] = self.own
-        return found
-
-    def turn(self, now_us: int) -> None:
-        """The cut's number: that of most, and a new one now and then."""
-        told = self.line.number if self.line is not None else self.number
-        if told != self.number:
-            self.number, self.number_us = told, now_us
-        elif now_us - self.number_us >= ROTATE_US:
-            self.number, self.number_us = self.number + 1, now_us
-
-    def report(self, now_us: int) -> Report:
-        work = [
-            Work(
-                int(one.demand.value * 1000),
-                int(one.returns.value * 1000),
-                int(one.served.value * 1000),
-                int(one.busy.value),
-            )
-            for one in self.seen
-        ]
-        loans = [LeaseRecord(to, parts) for to, parts in self.escrow.loans(now_us).items()]
+        )
+        if not has_changed:
+            return []
+        self.next_report_us = now_us
+        change = "begins" if self.storm_detector.is_active else "ends"
+        return [LogMessage(f"a retry storm {change}: {self.storm_detector.reason}")]
+
+    def _update_generation(self, now_us: int) -> None:
+        """Follows the fleet's generation, and begins a new one from time to time."""
+        fleet_generation = self.threshold.generation if self.threshold is not None else self.generation
+        if fleet_generation != self.generation:
+            self.generation = fleet_generation
+            self.generation_since_us = now_us
+        elif now_us - self.generation_since_us >= GENERATION_US:
+            self.generation += 1
+            self.generation_since_us = now_us
+
+    def _report_if_due(self, now_us: int) -> list[Output]:
+        if now_us < self.next_report_us:
+            return []
+        jitter = MIN_REPORT_JITTER + REPORT_JITTER_RANGE * self.rng.random()
+        self.next_report_us = now_us + int(report_interval_us(self.instances) * jitter)
+        return [Broadcast(self._build_report(now_us))]
+
+    def _build_report(self, now_us: int) -> Report:
+        lent = self.escrow.lent_by_borrower(now_us)
+        capacity = self.load.capacity_estimate(self.has_slow_start)
         return Report(
-            self.index,
-            self.number,
-            self.storm.on,
-            min(TOTAL_PARTS, self.escrow.weight(now_us)),
-            self.escrow.spare(self.wanted, now_us),
-            int(self.refused_rate.value * 1000),
-            *self.room(),
-            self.promises.backlog(now_us),
-            work,
-            loans,
+            index=self.index,
+            generation=self.generation,
+            has_retry_storm=self.storm_detector.is_active,
+            usable_parts=min(TOTAL_PARTS, self.escrow.usable_parts(now_us)),
+            lendable_parts=self.escrow.lendable_parts(self.wanted_parts, now_us),
+            rejected_per_1000_s=int(self.load.rejections.per_s * 1000),
+            capacity_permille=capacity.permille,
+            is_unconstrained=capacity.is_unconstrained,
+            backlog=self.retry_schedule.backlog(now_us),
+            classes=self.load.class_loads(),
+            leases=[LeaseRecord(borrower, parts) for borrower, parts in lent.items()],
         )
 
-    def room(self) -> tuple[int, bool]:
-        """What nodes could take as it seems, in thousandths of what is served; and whether no limit is seen.
-        Hazard: while nothing is served at all the nodes are away, and a line by that would shed all once they
-        are back.
-        """
-        served = self.served_per_s
-        if served < 1.0:
-            return 1000, True
-        crowded = self.crowded.value / (self.crowded.value + served)
-        easy = crowded < EASY and self.refused_rate.value < EASY * self.tries.value
-        grows = GROWS_COLD if self.warmth < 1.0 else next(by for most, by in GROWS if crowded < most)
-        return int(1000 * grows * self.peak / served), easy
-
-    # Loans
-
-    def needed(self) -> int:
-        """Parts of the weight that our part of the fleet's demand needs."""
-        own = sum(one.demand.value for one in self.seen)
-        others = [sum(work.demand for work in one.report.classes) / 1000 for one in self.heard_of.values()]
-        total = own + sum(others)
-        if total <= 0.0:
-            return int(self.escrow.owned * KEPT)
-        heard = (len(others) + 1) / self.instances  # of a part of the fleet, its part
-        return int(min(1.0, NEEDED * own / total * min(1.0, heard)) * TOTAL_PARTS)
-
-    def trade(self, now_us: int) -> list[Output]:
-        """Borrow what is missing from who has most to spare, renew what is used, give back what is not."""
-        escrow, found = self.escrow, list[Output]()
-        missing = self.wanted - escrow.weight(now_us)
-        if missing < LEAST and not escrow.held:
+    # Updates for the balancer
+
+    def _update_balancer(self, now_us: int) -> api.OverloadUpdated:
+        self.last_update = self._compute_update(now_us)
+        return self.last_update
+
+    def _update_balancer_if_changed(self, now_us: int) -> list[Output]:
+        previous = self.last_update
+        update = self._compute_update(now_us)
+        if previous is not None and _is_repetition(update, previous, now_us):
             return []
-        for number, one in list(escrow.held.items()):
-            if now_us >= one.until_us:
-                continue
-            if missing <= -one.parts - LEAST:
-                lender, word = escrow.give_back(number)
-                missing += one.parts
-                found.append(SendMessage(lender, word))
-                continue
-            heard = self.heard_of.get(one.lender)
-            more = min(missing, heard.report.spare if heard is not None else 0)
-            if one.until_us - now_us < RENEW * TERM_US or more >= LEAST:
-                asked = escrow.ask(one.lender, one.parts + more, now_us, renews=number)
-                if asked is not None:
-                    missing -= more
-                    found.append(SendMessage(one.lender, asked))
-        lenders = {one.lender for one in escrow.held.values()}
-        spares = sorted(
-            (
-                (one.report.spare, name)
-                for name, one in self.heard_of.items()
-                if one.report.spare >= LEAST and name not in lenders
-            ),
-            reverse=True,
-        )
-        for spare, name in spares:
-            if missing < LEAST:
-                break
-            asked = escrow.ask(name, min(spare, missing), now_us)
-            if asked is not None:
-                missing -= asked.parts
-                found.append(SendMessage(name, asked))
-        return found
-
-    # What the decisions are told
-
-    def decide(self, now_us: int) -> list[Output]:
-        weight = self.escrow.weight(now_us) / TOTAL_PARTS * self.pace
-        until_us = now_us + HOLDS_US
-        # hazard: what is borrowed may end sooner than the next word to the decisions
-        ends = [one.until_us for one in self.escrow.held.values() if one.until_us > now_us]
-        until_us = min([until_us, *ends])
-        line, usual_us = self.line, self.usual_us()
-        storm = self.storm.on
-        retry_due_us = return_us(line, usual_us, int(usual_us), self.most_return_us) if storm else 0
-        whole = [1.0] * len(self.worths)
-        kept = list(line.kept) if line is not None else whole
-        returning = list(line.returning) if line is not None else whole
-        limits = self.limits
-        told = api.OverloadUpdated(
-            budget_share=weight,
-            admitted_shares=kept,
-            returning_shares=returning,
-            generation=self.number,
-            retry_after_us=retry_due_us,
-            valid_until_us=until_us,
-            retries_per_s=limits.reissues_per_s * weight,
-            probes_per_s=limits.probes_per_s * weight,
-            attempts_per_s=limits.tries_per_s * weight,
+        self.last_update = update
+        return [update]
+
+    def _compute_update(self, now_us: int) -> api.OverloadUpdated:
+        budget_share = self.escrow.usable_parts(now_us) / TOTAL_PARTS * self.pacing.factor
+        threshold = self.threshold
+        advised_us = 0
+        if self.storm_detector.is_active:
+            advised_us = advised_retry_after_us(
+                threshold, self.load.mean_service_time_us(), self.max_retry_after_us
+            )
+        if threshold is not None:
+            admitted_shares = list(threshold.admitted_shares)
+            returning_shares = list(threshold.returning_shares)
+        else:
+            admitted_shares = [1.0] * len(self.priority_weights)
+            returning_shares = [1.0] * len(self.priority_weights)
+        return api.OverloadUpdated(
+            budget_share=budget_share,
+            admitted_shares=admitted_shares,
+            returning_shares=returning_shares,
+            generation=self.generation,
+            retry_after_us=advised_us,
+            # a borrowed lease may expire before the next update
+            valid_until_us=min([now_us + UPDATE_VALID_US, *self.escrow.expirations_us(now_us)]),
+            retries_per_s=self.budgets.retries_per_s * budget_share,
+            probes_per_s=self.budgets.probes_per_s * budget_share,
+            attempts_per_s=self.budgets.attempts_per_s * budget_share,
         )
-        self.decided = told
-        return [told]
-
-    def usual_us(self) -> float:
-        """Nodes' time for one request, as seen here."""
-        served = self.served_per_s
-        return sum(one.busy.value for one in self.seen) / served if served >= 0.5 else 100_000.0
-
-    # For people
-
-    def described(self, now_us: int) -> dict[str, object]:
-        line = self.line
-        return {
-            "tries_per_s": round(self.tries.value, 1),
-            "repeats_per_s": round(self.repeats.value, 1),
-            "crowded_per_s": round(self.crowded.value, 1),
-            "served_per_s": round(self.served_per_s, 1),
-            "returns_per_s": round(sum(one.returns.value for one in self.seen), 1),
-            "refused_per_s": round(self.refused_rate.value, 1),
-            "index": self.index,
-            "instances": self.instances,
-            "storm": self.storm.on,
-            "why": self.storm.why,
-            "weight": self.escrow.weight(now_us),
-            "owned": self.escrow.owned,
-            "lent": self.escrow.loans(now_us),
-            "borrowed": {one.lender: one.parts for one in self.escrow.held.values() if one.until_us > now_us},
-            "number": self.number,
-            "kept": [round(one, 3) for one in line.kept] if line is not None else None,
-            "returning": [round(one, 3) for one in line.returning] if line is not None else None,
-            "return_us": self.decided.retry_after_us if self.decided is not None else 0,
-            "demand_us": int(line.demand_us) if line is not None else 0,
-            "room_us": int(line.room_us) if line is not None else 0,
-            "backlog": line.backlog if line is not None else 0,
-            "heard": {name: now_us - one.at_us for name, one in sorted(self.heard_of.items())},
-            "counts": dict(self.counts),
-        }
+
+
+def _is_repetition(update: api.OverloadUpdated, previous: api.OverloadUpdated, now_us: int) -> bool:
+    """Returns whether the previous update says the same and stays valid for long enough."""
+    if previous.valid_until_us - now_us <= UPDATE_VALID_US // 2:
+        return False
+    return replace(update, valid_until_us=previous.valid_until_us) == previous
--- a/sidecar_proxy/overload_control/messages.py
+++ b/sidecar_proxy/overload_control/messages.py
@@ -1,7 +1,9 @@
-"""What sidecars tell each other on overload: MessagePack arrays, each length bounded. Pure.
+"""Messages between the overload controllers of a fleet, and their MessagePack codec.
 
-A Report goes to all as a rumour, in place of its author's last one; the others from one to one. What a newer
-version adds at the end of an array is passed over.
+Each message is an array with a bounded length. The order of the fields, their types and the tags are the
+wire format; the names of the fields do not appear on the wire. A decoder ignores what a newer version
+appends to an array. A `Report` is broadcast to all sidecars and replaces its author's previous one; the
+other messages go from one sidecar to one other. The module is pure: it does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -12,10 +14,12 @@
 from msgspec import Meta
 
 TOPIC = "overload"
-MOST_CLASSES = 16
-MOST_LOANS = 8  # named in one report
-MOST_BODY = 512  # bytes of one word
-TOTAL_PARTS = 1_000_000  # parts of every budget of the fleet
+MAX_CLASSES = 16
+MAX_LEASE_RECORDS = 8  # in one report
+MAX_MESSAGE_BYTES = 512
+MAX_ERROR_CHARS = 100
+TOTAL_PARTS = 1_000_000  # a quota is counted in parts of a million of every budget of the fleet
+NO_LEASE = 0  # `LeaseRequest.renews` of a request for a new lease
 
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 Parts = Annotated[int, Meta(ge=0, le=TOTAL_PARTS)]
@@ -23,76 +27,78 @@
 
 
 class LeaseRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What the author has lent."""
+    """A lease that the author of the report has granted."""
 
-    to: Name
+    borrower: Name
     parts: Parts
 
 
-class Work(msgspec.Struct, array_like=True, frozen=True):
-    """Of one class, a second: in thousandths."""
+class ClassLoad(msgspec.Struct, array_like=True, frozen=True):
+    """The load of one request class at one sidecar. A rate per 1000 s is one in thousandths per second."""
 
-    demand: Count  # tries of clients that have not been refused before
-    returns: Count  # of those that come back when they were told to
-    served: Count
-    busy_us: Count  # that nodes took for those served
+    demand_per_1000_s: Count  # first attempts
+    returning_per_1000_s: Count  # retries that waited for their Retry-After
+    served_per_1000_s: Count
+    busy_us_per_s: Count  # response time of the served requests, summed
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """What one sidecar sees. Every figure is its own word, bounded by whoever reads it."""
+    """The state of one sidecar. Each value is the author's claim, which the reader has to bound."""
 
-    index: Count  # its number in the fleet
-    number: Count  # of the cut that it goes by
-    storm: bool
-    weight: Parts  # that it may spend
-    spare: Parts  # that it would lend
-    refused: Count  # for want of slots, thousandths a second
-    grows: Count  # thousandths of what is served, that nodes could take as it seems
-    easy: bool  # it knows no limit
-    backlog: Count  # clients told to come back, whose time has not come
-    classes: Annotated[list[Work], Meta(max_length=MOST_CLASSES)]
-    loans: Annotated[list[LeaseRecord], Meta(max_length=MOST_LOANS)]
+    index: Count  # the author's index in the fleet
+    generation: Count  # of the shedding threshold that the author uses
+    has_retry_storm: bool
+    usable_parts: Parts
+    lendable_parts: Parts
+    rejected_per_1000_s: Count
+    capacity_permille: Count  # estimated capacity, in thousandths of the served rate
+    is_unconstrained: bool  # the author sees no limit of capacity
+    backlog: Count  # clients whose Retry-After has not expired
+    classes: Annotated[list[ClassLoad], Meta(max_length=MAX_CLASSES)]
+    leases: Annotated[list[LeaseRecord], Meta(max_length=MAX_LEASE_RECORDS)]
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Lend me so much; `renews` is a loan that this one takes the place of, 0 = none."""
+    """A request to borrow quota, or to renew the lease `renews`."""
 
-    number: Count  # of the loan, chosen by who asks
-    asked_us: Count  # by the asker's clock
+    lease_id: Count  # chosen by the borrower
+    requested_us: Count  # by the borrower's clock
     parts: Parts
     renews: Count
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """So much is lent, for a term from when it was asked for."""
+    """The response to a lease request; 0 parts reject it. The term starts at `requested_us`."""
 
-    number: Count
-    asked_us: Count
+    lease_id: Count
+    requested_us: Count
     parts: Parts
 
 
 class LeaseReturn(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """That loan is used no more."""
+    """The borrower gives a lease back before it expires."""
 
-    number: Count
+    lease_id: Count
 
 
-OverloadMessage = Report | LeaseRequest | LeaseGrant | LeaseReturn
+LeaseMessage = LeaseRequest | LeaseGrant | LeaseReturn
+OverloadMessage = Report | LeaseMessage
 
 
 class MessageError(ValueError):
-    """It is no word of this form; one line."""
+    """The bytes are not a valid message. The text is one line."""
 
 
 encode = msgspec.msgpack.Encoder().encode
-decoder: msgspec.msgpack.Decoder[OverloadMessage] = msgspec.msgpack.Decoder(OverloadMessage)
+_decoder: msgspec.msgpack.Decoder[OverloadMessage] = msgspec.msgpack.Decoder(OverloadMessage)
 
 
-def read(data: bytes) -> OverloadMessage:
-    """Raises WordError."""
-    if len(data) > MOST_BODY:
+def decode(data: bytes) -> OverloadMessage:
+    """Decodes one message; raises MessageError."""
+    if len(data) > MAX_MESSAGE_BYTES:
         raise MessageError("too large")
     try:
-        return decoder.decode(data)
+        return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise MessageError(" ".join(str(error).split())[:100]) from error
+        text = " ".join(str(error).split())
+        raise MessageError(text[:MAX_ERROR_CHARS]) from error
--- a/sidecar_proxy/overload_control/quota_leases.py
+++ b/sidecar_proxy/overload_control/quota_leases.py
@@ -1,11 +1,15 @@
-"""A budget of the fleet in escrow: each sidecar owns a part for good and lends of it for a term. Pure.
-
-The sum of what all may spend is at most the whole at any moment, whatever networks, restarts and pauses do:
-- a borrower's term counts from when it asked, the lender's from when it granted, and longer than clocks may
-  differ in rate (Gray and Cheriton, "Leases", SOSP 1989);
-- what was borrowed is not lent on;
-- who starts owns nothing until whatever a process before it may have lent or held has ended.
-Times are microseconds of a monotonic clock; parts are of `WHOLE`. Escrow: O'Neil, TODS 1986.
+"""Quota escrow: each sidecar owns a fixed part of the fleet's budgets and lends some of it for a term.
+
+The sum of what all sidecars may spend never exceeds the budget, whatever networks, restarts and pauses do:
+
+- The borrower counts a term from its request, the lender from its grant, and the lender adds the highest
+  difference in clock rate (Gray and Cheriton, "Leases", SOSP 1989).
+- Borrowed quota is not lent on.
+- A process that starts may spend nothing until every lease that its predecessor may have granted or held has
+  expired.
+
+Escrow: O'Neil, "The Escrow Transactional Method", TODS 1986. Times are microseconds of a monotonic clock;
+quota is counted in parts of `TOTAL_PARTS`. The module is pure: it does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -13,151 +17,223 @@
 import random
 from dataclasses import dataclass, field
 
-from sidecar_proxy.overload_control.messages import TOTAL_PARTS, LeaseGrant, LeaseRequest, LeaseReturn
+from sidecar_proxy.overload_control.messages import (
+    NO_LEASE,
+    TOTAL_PARTS,
+    LeaseGrant,
+    LeaseRequest,
+    LeaseReturn,
+)
+
+LEASE_TERM_US = 3_000_000
+MAX_CLOCK_DRIFT = 0.02  # the rates of two clocks differ by less
+MAX_CLOCK_READ_AGE_US = 100_000  # a process acts on a clock reading that is no older
+REQUEST_TIMEOUT_US = 1_000_000  # a pending request blocks another one to the same lender
+MIN_LEASE_PARTS = 1000  # smaller leases are not worth a message
+MAX_LEASES = 8  # that one sidecar grants, and that it borrows
+MAX_CLOSED_LEASES = 64 * MAX_LEASES  # remembered, so that a late request does not open them again
+RESERVED_SHARE = 0.25  # of the owned quota, never lent, so that a burst can start at once
+LEASE_ID_BITS = 52
 
-TERM_US = 3_000_000  # of a loan
-MAX_CLOCK_DRIFT = 0.02  # clocks of two machines differ in rate by less
-MARGIN_US = 100_000  # and a process reads its clock so long before it acts on it, at most
-ANSWER_US = 1_000_000  # who does not answer within this is asked no more for now
-LEAST = 1000  # parts: less is not worth a word
-MOST_LOANS = 8  # that one lends, and that one borrows
-KEPT = 0.25  # of what is owned, that is never lent: a burst begins with it
 
+def grant_term_us() -> int:
+    """Returns how long the lender counts a lease as granted."""
+    return int(LEASE_TERM_US * (1 + MAX_CLOCK_DRIFT)) + MAX_CLOCK_READ_AGE_US
 
-def lent_us() -> int:
-    """How long a lender counts a loan as out."""
-    return int(TERM_US * (1 + MAX_CLOCK_DRIFT)) + MARGIN_US
+
+@dataclass(slots=True, frozen=True)
+class Grant:
+    """One grant of a lease: the parts, and when the lender may spend them again."""
+
+    parts: int
+    expires_us: int
 
 
 @dataclass(slots=True)
-class Given:
-    """A loan as its lender counts it: of each grant till when, as an older and larger one may hold yet."""
+class GrantedLease:
+    """A lease as its lender counts it.
+
+    A renewal adds a grant, and an older and larger grant counts until it expires, because the borrower may
+    not have received the newer one.
+    """
 
-    to: str
-    grants: list[tuple[int, int]] = field(default_factory=list)  # parts, until
+    borrower: str
+    grants: list[Grant] = field(default_factory=list)
 
-    def out(self, now_us: int) -> int:
-        self.grants = [one for one in self.grants if one[1] > now_us]
-        return max((parts for parts, _ in self.grants), default=0)
+    def lent_parts(self, now_us: int) -> int:
+        """Returns the largest unexpired grant, and forgets the expired ones."""
+        self.grants = [grant for grant in self.grants if grant.expires_us > now_us]
+        return max((grant.parts for grant in self.grants), default=0)
 
 
 @dataclass(slots=True)
-class Held:
-    """A loan as its borrower counts it."""
+class BorrowedLease:
+    """A lease as its borrower counts it."""
 
     lender: str
     parts: int
-    until_us: int
+    expires_us: int
 
 
-class Escrow:
-    """What one sidecar owns, has lent and has borrowed."""
+@dataclass(slots=True, frozen=True)
+class PendingRequest:
+    """A lease request without a response."""
 
-    def __init__(self, index: int, instances: int, dice: random.Random, now_us: int) -> None:
-        self.owned = TOTAL_PARTS // instances if 0 <= index < instances else 0
-        self.free_us = now_us + lent_us()  # what is owned may be spent from then on
-        self.dice = dice
-        self.given: dict[int, Given] = {}  # by number
-        self.held: dict[int, Held] = {}
-        self.asked: dict[int, tuple[str, int, int]] = {}  # by number: whom, when, the loan it renews
-        self.returned: dict[int, None] = {}  # numbers that can't be lent again; the last of them
-        self.barred = False  # another process says that it is the same sidecar
+    lender: str
+    requested_us: int
+    renews: int  # the lease that the new one replaces, or NO_LEASE
 
-    # What may be spent
 
-    def own(self, now_us: int) -> int:
-        """Of what is owned, what is here."""
-        if self.barred or now_us < self.free_us:
-            return 0
-        return max(0, self.owned - self.out(now_us))
+class QuotaEscrow:
+    """The quota that one sidecar owns, has lent and has borrowed."""
 
-    def out(self, now_us: int) -> int:
-        for number in [number for number, one in self.given.items() if not one.out(now_us)]:
-            del self.given[number]
-        return sum(one.out(now_us) for one in self.given.values())
+    def __init__(self, index: int, instances: int, rng: random.Random, now_us: int) -> None:
+        self.owned_parts = TOTAL_PARTS // instances if 0 <= index < instances else 0
+        self.usable_from_us = now_us + grant_term_us()  # applies to the owned quota
+        self.rng = rng
+        self.granted: dict[int, GrantedLease] = {}  # by lease id, as the three below
+        self.borrowed: dict[int, BorrowedLease] = {}
+        self.pending: dict[int, PendingRequest] = {}
+        self.closed: dict[int, None] = {}  # leases that can't be granted again, oldest first
+        self.is_suspended = False  # another process claims the same index
 
-    def borrowed(self, now_us: int) -> int:
-        if self.barred:
+    # Usable quota
+
+    def retained_parts(self, now_us: int) -> int:
+        """Returns the owned quota that may be spent here, without what is lent."""
+        if self.is_suspended or now_us < self.usable_from_us:
+            return 0
+        return max(0, self.owned_parts - self.lent_parts(now_us))
+
+    def lent_parts(self, now_us: int) -> int:
+        """Returns the quota that is lent, and forgets the leases that have expired."""
+        expired = [lease_id for lease_id, lease in self.granted.items() if not lease.lent_parts(now_us)]
+        for lease_id in expired:
+            del self.granted[lease_id]
+        return sum(lease.lent_parts(now_us) for lease in self.granted.values())
+
+    def borrowed_parts(self, now_us: int) -> int:
+        """Returns the quota of the borrowed leases that have not expired."""
+        if self.is_suspended:
             return 0
-        return sum(one.parts for one in self.held.values() if now_us < one.until_us)
+        return sum(lease.parts for lease in self.borrowed.values() if now_us < lease.expires_us)
 
-    def weight(self, now_us: int) -> int:
-        """Parts that may be spent now. Hazard: asked for at each use; a process may have been stopped."""
-        return self.own(now_us) + self.borrowed(now_us)
+    def usable_parts(self, now_us: int) -> int:
+        """Returns the quota that may be spent now.
+
+        Callers ask at each use, because the process may have been stopped since the last answer.
+        """
+        return self.retained_parts(now_us) + self.borrowed_parts(now_us)
+
+    def lendable_parts(self, needed_parts: int, now_us: int) -> int:
+        """Returns what may be lent while this sidecar needs `needed_parts` itself."""
+        if len(self.granted) >= MAX_LEASES:
+            return 0
+        return max(0, self.retained_parts(now_us) - self._reserved_parts(needed_parts))
 
-    def spare(self, needed: int, now_us: int) -> int:
-        """What would be lent, where so much is needed here."""
-        kept = max(int(self.owned * KEPT), needed)
-        return max(0, self.own(now_us) - kept) if len(self.given) < MOST_LOANS else 0
+    def _reserved_parts(self, needed_parts: int) -> int:
+        return max(int(self.owned_parts * RESERVED_SHARE), needed_parts)
 
     # Borrowing
 
-    def ask(self, lender: str, parts: int, now_us: int, renews: int = 0) -> LeaseRequest | None:
-        """One is asked at a time; None: it waits for an answer, or there are enough loans."""
-        self.asked = {number: one for number, one in self.asked.items() if now_us - one[1] < ANSWER_US}
-        self.held = {number: one for number, one in self.held.items() if now_us < one.until_us}
-        if any(one[0] == lender for one in self.asked.values()) or parts < LEAST or self.barred:
+    def request_lease(
+        self, lender: str, parts: int, now_us: int, renews: int = NO_LEASE
+    ) -> LeaseRequest | None:
+        """Returns a request for a new lease, or for one that replaces the lease `renews`.
+
+        Returns None while the lender has a request to answer, if the lease would be too small, if there are
+        enough leases already, or while the escrow is suspended.
+        """
+        self.pending = {
+            lease_id: request
+            for lease_id, request in self.pending.items()
+            if now_us - request.requested_us < REQUEST_TIMEOUT_US
+        }
+        self.borrowed = {
+            lease_id: lease for lease_id, lease in self.borrowed.items() if now_us < lease.expires_us
+        }
+        has_pending_request = any(request.lender == lender for request in self.pending.values())
+        if has_pending_request or parts < MIN_LEASE_PARTS or self.is_suspended:
             return None
-        if renews not in self.held and len(self.held) + len(self.asked) >= MOST_LOANS:
+        if renews not in self.borrowed and len(self.borrowed) + len(self.pending) >= MAX_LEASES:
             return None
-        number = self.dice.getrandbits(52) + 1
-        self.asked[number] = lender, now_us, renews
-        return LeaseRequest(number, now_us, min(parts, TOTAL_PARTS), renews)
-
-    def lent(self, lender: str, told: LeaseGrant, now_us: int) -> bool:
-        """An answer. False: not to what was asked, or it has ended on its way."""
-        whom, asked_us, renews = self.asked.get(told.number, ("", -1, 0))
-        if whom != lender or asked_us != told.asked_us:
+        lease_id = self.rng.getrandbits(LEASE_ID_BITS) + 1
+        self.pending[lease_id] = PendingRequest(lender, now_us, renews)
+        return LeaseRequest(lease_id, now_us, min(parts, TOTAL_PARTS), renews)
+
+    def receive_grant(self, lender: str, grant: LeaseGrant, now_us: int) -> bool:
+        """Records a response. Returns whether there is a new lease.
+
+        There is none if the lender rejects the request, if the response matches no pending request, or if the
+        term has ended on the way.
+        """
+        request = self.pending.get(grant.lease_id)
+        if request is None or request.lender != lender or request.requested_us != grant.requested_us:
             return False
-        del self.asked[told.number]
-        if told.parts == 0 or now_us >= asked_us + TERM_US:
+        del self.pending[grant.lease_id]
+        expires_us = request.requested_us + LEASE_TERM_US
+        if grant.parts == 0 or now_us >= expires_us:
             return False
-        self.held.pop(renews, None)
-        self.held[told.number] = Held(lender, told.parts, asked_us + TERM_US)
+        self.borrowed.pop(request.renews, None)
+        self.borrowed[grant.lease_id] = BorrowedLease(lender, grant.parts, expires_us)
         return True
 
-    def give_back(self, number: int) -> tuple[str, LeaseReturn]:
-        """It is not spent from now on."""
-        return self.held.pop(number).lender, LeaseReturn(number)
+    def release_lease(self, lease_id: int) -> LeaseReturn:
+        """Stops spending a borrowed lease, and returns the message for its lender."""
+        del self.borrowed[lease_id]
+        return LeaseReturn(lease_id)
 
     # Lending
 
-    def need(self, borrower: str, told: LeaseRequest, needed: int, now_us: int) -> LeaseGrant:
-        """Someone asks: nothing is lent that is needed here, or has been given back under that number."""
-        if told.number in self.given or told.number in self.returned:
-            return LeaseGrant(told.number, told.asked_us, 0)  # it came twice
-        old = self.given.get(told.renews)
-        if old is not None and (old.to != borrower or not old.out(now_us)):
-            old = None  # it has run out: a new one
-        free = self.spare(needed, now_us)
-        if old is not None:
-            # hazard: the older grant counts until its end, as the answer to this one may be lost
-            free = max(0, self.own(now_us) + old.out(now_us) - max(int(self.owned * KEPT), needed))
-        parts = min(told.parts, free)
-        if parts < LEAST:
-            return LeaseGrant(told.number, told.asked_us, 0)
-        grants = [*(old.grants if old is not None else ()), (parts, now_us + lent_us())]
-        if old is not None:
-            del self.given[told.renews]
-            self.note_returned(told.renews)
-        self.given[told.number] = Given(borrower, grants)
-        return LeaseGrant(told.number, told.asked_us, parts)
-
-    def back(self, borrower: str, told: LeaseReturn) -> None:
-        one = self.given.get(told.number)
-        if one is not None and one.to == borrower:
-            del self.given[told.number]
-            self.note_returned(told.number)
-
-    def note_returned(self, number: int) -> None:
-        self.returned[number] = None
-        while len(self.returned) > 64 * MOST_LOANS:
-            del self.returned[next(iter(self.returned))]
-
-    def loans(self, now_us: int) -> dict[str, int]:
-        """By borrower, what is out."""
-        found: dict[str, int] = {}
-        for one in self.given.values():
-            if one.out(now_us):
-                found[one.to] = found.get(one.to, 0) + one.out(now_us)
-        return found
+    def handle_request(
+        self, borrower: str, request: LeaseRequest, needed_parts: int, now_us: int
+    ) -> LeaseGrant:
+        """Returns the response to a peer's request; it grants nothing that this sidecar needs itself."""
+        rejection = LeaseGrant(request.lease_id, request.requested_us, 0)
+        if request.lease_id in self.granted or request.lease_id in self.closed:
+            return rejection  # a duplicate
+        renewed = self.granted.get(request.renews)
+        if renewed is not None and (renewed.borrower != borrower or not renewed.lent_parts(now_us)):
+            renewed = None
+        parts = min(request.parts, self._grantable_parts(renewed, needed_parts, now_us))
+        if parts < MIN_LEASE_PARTS:
+            return rejection
+        grants = [Grant(parts, now_us + grant_term_us())]
+        if renewed is not None:
+            grants = [*renewed.grants, *grants]
+            del self.granted[request.renews]
+            self._remember_closed(request.renews)
+        self.granted[request.lease_id] = GrantedLease(borrower, grants)
+        return LeaseGrant(request.lease_id, request.requested_us, parts)
+
+    def _grantable_parts(self, renewed: GrantedLease | None, needed_parts: int, now_us: int) -> int:
+        if renewed is None:
+            return self.lendable_parts(needed_parts, now_us)
+        # the quota of the renewed lease can be granted again, but only to its borrower
+        available_parts = self.retained_parts(now_us) + renewed.lent_parts(now_us)
+        return max(0, available_parts - self._reserved_parts(needed_parts))
+
+    def receive_return(self, borrower: str, message: LeaseReturn) -> None:
+        """Takes a lease back that its borrower has released."""
+        lease = self.granted.get(message.lease_id)
+        if lease is not None and lease.borrower == borrower:
+            del self.granted[message.lease_id]
+            self._remember_closed(message.lease_id)
+
+    def _remember_closed(self, lease_id: int) -> None:
+        self.closed[lease_id] = None
+        while len(self.closed) > MAX_CLOSED_LEASES:
+            del self.closed[next(iter(self.closed))]
+
+    def lent_by_borrower(self, now_us: int) -> dict[str, int]:
+        """Returns the parts that are lent, by borrower."""
+        lent: dict[str, int] = {}
+        for lease in self.granted.values():
+            parts = lease.lent_parts(now_us)
+            if parts:
+                lent[lease.borrower] = lent.get(lease.borrower, 0) + parts
+        return lent
+
+    def expirations_us(self, now_us: int) -> list[int]:
+        """Returns when each of the borrowed leases that have not expired ends."""
+        return [lease.expires_us for lease in self.borrowed.values() if lease.expires_us > now_us]
--- /dev/null
+++ b/sidecar_proxy/overload_control/retry_after.py
@@ -0,0 +1,62 @@
+"""Retry-After advice: when rejected clients shall retry, and which of them have done so.
+
+The advice spreads the fleet's backlog of rejected clients over the capacity that first attempts leave, like a
+virtual queue whose length all sidecars know. The module is pure: it does no I/O and reads no clock.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+
+from sidecar_proxy.balancer.balancer import EARLY_US
+from sidecar_proxy.overload_control.shedding_threshold import SheddingThreshold
+
+MAX_SCHEDULED_RETRIES = 20_000
+MAX_LATENESS_US = 5_000_000  # an advised retry is remembered for so long after its due time
+MIN_SPARE_SHARE = 0.02  # of the capacity; with less the advice is the maximum
+
+
+class RetrySchedule:
+    """The advised retry time of each rejected client, by the key of its request."""
+
+    def __init__(self) -> None:
+        self.due_us_by_key: OrderedDict[int, int] = OrderedDict()
+
+    def add(self, key: int, due_us: int) -> None:
+        """Records that the client was advised to retry at `due_us`."""
+        self.due_us_by_key.pop(key, None)
+        self.due_us_by_key[key] = due_us
+        while len(self.due_us_by_key) > MAX_SCHEDULED_RETRIES:
+            self.due_us_by_key.popitem(last=False)
+
+    def take_due_us(self, key: int, now_us: int) -> int:
+        """Returns when the client was advised to retry; 0 if it was not, or if that is long ago.
+
+        A client that comes at its time has used its entry; the entry of one that comes too early stays.
+        """
+        due_us = self.due_us_by_key.get(key, 0)
+        if not due_us or now_us < due_us - EARLY_US:
+            return due_us
+        del self.due_us_by_key[key]
+        return due_us if now_us <= due_us + MAX_LATENESS_US else 0
+
+    def backlog(self, now_us: int) -> int:
+        """Returns how many clients still wait, and forgets the entries that are long past."""
+        expired = [key for key, due_us in self.due_us_by_key.items() if now_us > due_us + MAX_LATENESS_US]
+        for key in expired:
+            del self.due_us_by_key[key]
+        return sum(due_us > now_us for due_us in self.due_us_by_key.values())
+
+
+def advised_retry_after_us(
+    threshold: SheddingThreshold | None, service_time_us: float, max_retry_after_us: int
+) -> int:
+    """Returns the time in which the spare capacity serves the fleet's backlog.
+
+    It lies between the mean service time of a request and the maximum of the settings.
+    """
+    if threshold is None or threshold.spare_us <= MIN_SPARE_SHARE * threshold.capacity_us:
+        return max_retry_after_us
+    drain_us = (threshold.backlog + 1) * service_time_us / threshold.spare_us * 1e6
+    min_retry_after_us = min(int(service_time_us), max_retry_after_us)
+    return max(min_retry_after_us, min(max_retry_after_us, int(drain_us)))
--- a/sidecar_proxy/overload_control/shedding_threshold.py
+++ b/sidecar_proxy/overload_control/shedding_threshold.py
@@ -1,6 +1,12 @@
-"""One line for all: which classes, and which share of the one at the line, fit what nodes take. Pure.
+"""Computes the fleet's shedding threshold from the sidecars' reports.
 
-The same for everybody who has heard the same: nothing of one's own goes in but the own report.
+The threshold says which request classes, and which share of the class at the threshold, fit the capacity of
+the upstreams. All sidecars that have received the same reports compute the same threshold, because nothing
+but the reports goes into it. Demand and capacity are measured in upstream time: microseconds of work per
+second.
+
+A sidecar's claims count in proportion to its quota, which it can't claim itself, so a sidecar that lies moves
+the threshold by no more than its own part. The module is pure: it does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -8,149 +14,235 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-from sidecar_proxy.overload_control.messages import TOTAL_PARTS, Report
+from sidecar_proxy.overload_control.messages import TOTAL_PARTS, ClassLoad, Report
 
-AMPLE = 1.5  # of its demand is the room of who knows no limit
-STAKE = 1.25  # times its weight's part: more of a claim does not count
-ENOUGH = 0.499  # of the weight has to be heard from; half of it, as parts are whole numbers
-MOST_STEP = 1  # that the cut's number moves at a time
+UNCONSTRAINED_CAPACITY = 1.5  # of its demand, at a sidecar that sees no limit
+MAX_CLAIM = 1.25  # of a quota's proportional part of all claims; more of a claim does not count
+MIN_REPORTED_SHARE = 0.499  # of the quota; a little below half, because quotas are whole numbers
+MIN_SERVED_PER_1000_S = 500  # for a sidecar's service time of a class to count
 
 
 @dataclass(slots=True, frozen=True)
-class Line:
-    """What of each class is kept, 0 to 1: of what comes anew, and of those that come back when told to."""
-
-    kept: tuple[float, ...]
-    returning: tuple[float, ...]
-    number: int
-    demand_us: float  # of nodes' time a second, all together
-    room_us: float
-    spare_us: float  # room that fresh work leaves
-    backlog: float
-    storm: bool  # more than half of the weight says so
+class SheddingThreshold:
+    """The share of each class that is admitted (0 to 1), and the sums that it rests on."""
+
+    admitted_shares: tuple[float, ...]  # of first attempts
+    returning_shares: tuple[float, ...]  # of retries that waited for their Retry-After
+    generation: int  # selects which requests of a class are admitted
+    demand_us: float  # upstream time per second for first attempts
+    capacity_us: float  # upstream time per second
+    spare_us: float  # upstream time per second that admitted requests leave
+    backlog: float  # clients of all sidecars whose Retry-After has not expired
+    has_retry_storm: bool  # sidecars with more than half of the quota see one
 
     @property
     def sheds(self) -> bool:
-        return min(self.kept, default=1.0) < 1.0
+        """Whether first attempts of any class are shed."""
+        return min(self.admitted_shares, default=1.0) < 1.0
+
 
+def reported_quotas(reports: Mapping[str, Report], instances: int) -> dict[str, int]:
+    """Returns each sidecar's quota by the word of the others.
 
-def weights(reports: Mapping[str, Report], instances: int) -> dict[str, int]:
-    """What each may spend by the word of others: what it owns by its number, without what it says that it has
-    lent, and with what their lenders say. Two of one number share it.
+    A sidecar owns the part of its index, less what it reports as lent, and has what its lenders report.
+    Sidecars with the same index share its part.
     """
-    owned = TOTAL_PARTS // instances
-    by_index: dict[int, int] = {}
-    for one in reports.values():
-        by_index[one.index] = by_index.get(one.index, 0) + 1
-    found = {
-        name: owned // by_index[one.index] if one.index < instances else 0 for name, one in reports.items()
-    }
-    lent: dict[str, int] = {}
-    for name, one in reports.items():
-        left = found[name]
-        for loan in one.loans:
-            parts = min(loan.parts, left)  # hazard: nobody lends what it does not own
-            left -= parts
-            if loan.to in found and loan.to != name:
-                lent[loan.to] = lent.get(loan.to, 0) + parts
-        found[name] = left
-    return {name: parts + lent.get(name, 0) for name, parts in found.items()}
-
-
-def middle(pairs: Sequence[tuple[float, float]]) -> float:
-    """The weighted median of (value, weight); 0 of nothing."""
-    total = sum(weight for _, weight in pairs)
-    if total <= 0.0:
+    parts_per_index = TOTAL_PARTS // instances
+    claims_by_index: dict[int, int] = {}
+    for report in reports.values():
+        claims_by_index[report.index] = claims_by_index.get(report.index, 0) + 1
+    retained: dict[str, int] = {}
+    for name, report in reports.items():
+        is_member = report.index < instances
+        retained[name] = parts_per_index // claims_by_index[report.index] if is_member else 0
+    borrowed: dict[str, int] = {}
+    for name, report in reports.items():
+        for lease in report.leases:
+            parts = min(lease.parts, retained[name])  # nobody lends more than it owns
+            retained[name] -= parts
+            if lease.borrower in reports and lease.borrower != name:
+                borrowed[lease.borrower] = borrowed.get(lease.borrower, 0) + parts
+    return {name: parts + borrowed.get(name, 0) for name, parts in retained.items()}
+
+
+def weighted_median(pairs: Sequence[tuple[float, float]]) -> float:
+    """Returns the weighted median of (value, weight) pairs, 0.0 if they have no weight."""
+    total_weight = sum(weight for _, weight in pairs)
+    if total_weight <= 0.0:
         return 0.0
-    passed = 0.0
+    weight_so_far = 0.0
     ordered = sorted(pairs)
     for value, weight in ordered:
-        passed += weight
-        if passed >= total / 2:
+        weight_so_far += weight
+        if weight_so_far >= total_weight / 2:
             return value
     return ordered[-1][0]
 
 
-def bounded(claims: Mapping[str, float], stakes: Mapping[str, int]) -> dict[str, float]:
-    """Of each claim what counts: STAKE times its weight's part, by the median of claim per weight."""
-    known = {name: stakes.get(name, 0) for name in claims}
-    a_part = middle([(claims[name] / parts, float(parts)) for name, parts in known.items() if parts > 0])
-    return {name: min(claim, STAKE * known[name] * a_part) for name, claim in claims.items()}
+def bound_claims(claims: Mapping[str, float], quotas: Mapping[str, int]) -> dict[str, float]:
+    """Limits each claim to `MAX_CLAIM` times its quota's part, by the median of the claims per quota."""
+    quota_by_name = {name: quotas.get(name, 0) for name in claims}
+    claims_per_part = [
+        (claims[name] / parts, float(parts)) for name, parts in quota_by_name.items() if parts > 0
+    ]
+    median_per_part = weighted_median(claims_per_part)
+    return {
+        name: min(claim, MAX_CLAIM * quota_by_name[name] * median_per_part) for name, claim in claims.items()
+    }
+
+
+def median_service_times_us(
+    reports: Mapping[str, Report], quotas: Mapping[str, int], class_count: int
+) -> list[float]:
+    """Returns, by class, the upstream time of one request: the median of the sidecars' measurements.
+
+    A class without any measurement has the median of the other classes; 0.0 without one.
+    """
+    service_times_us = []
+    for class_index in range(class_count):
+        measured = []
+        for name, report in reports.items():
+            if class_index >= len(report.classes):
+                continue
+            load = report.classes[class_index]
+            if load.served_per_1000_s >= MIN_SERVED_PER_1000_S:
+                time_us = load.busy_us_per_s / load.served_per_1000_s * 1000
+                measured.append((time_us, float(quotas.get(name, 0))))
+        service_times_us.append(weighted_median(measured))
+    usual_us = weighted_median([(time_us, 1.0) for time_us in service_times_us if time_us > 0.0])
+    return [time_us or usual_us for time_us in service_times_us]
+
+
+@dataclass(slots=True, frozen=True)
+class _Demand:
+    """Upstream time per second that requests need: by sidecar and class."""
+
+    first_us: dict[str, list[float]]
+    returning_us: dict[str, list[float]]
+
+    def claim_us(self, name: str) -> float:
+        return sum(self.first_us[name]) + sum(self.returning_us[name])
+
 
+def _demand(reports: Mapping[str, Report], service_times_us: Sequence[float]) -> _Demand:
+    no_load = ClassLoad(0, 0, 0, 0)
+    first_us: dict[str, list[float]] = {}
+    returning_us: dict[str, list[float]] = {}
+    for name, report in reports.items():
+        loads = list(report.classes[: len(service_times_us)])
+        loads += [no_load] * (len(service_times_us) - len(loads))
+        timed_loads = list(zip(loads, service_times_us, strict=True))
+        first_us[name] = [load.demand_per_1000_s / 1000 * time_us for load, time_us in timed_loads]
+        returning_us[name] = [load.returning_per_1000_s / 1000 * time_us for load, time_us in timed_loads]
+    return _Demand(first_us, returning_us)
 
-def work_us(reports: Mapping[str, Report], stakes: Mapping[str, int], kinds: int) -> list[float]:
-    """By class, nodes' time for one request, in microseconds: the median of what sidecars see; 0 = none."""
-    found = []
-    for kind in range(kinds):
-        seen = [
-            (one.classes[kind].busy_us / one.classes[kind].served * 1000, float(stakes.get(name, 0)))
-            for name, one in reports.items()
-            if kind < len(one.classes) and one.classes[kind].served >= 500
-        ]
-        found.append(middle(seen))
-    usual = middle([(one, 1.0) for one in found if one > 0.0])
-    return [one or usual for one in found]
 
+def _sum_by_class(
+    demand_us: Mapping[str, Sequence[float]], counted_shares: Mapping[str, float], class_count: int
+) -> list[float]:
+    return [
+        sum(demand_us[name][class_index] * share for name, share in counted_shares.items())
+        for class_index in range(class_count)
+    ]
 
-def line(reports: Mapping[str, Report], worths: Sequence[float], instances: int) -> Line | None:
-    """Of the reports that are fresh, the own one among them. None: too little is heard for one."""
-    stakes = weights(reports, instances)
-    if sum(stakes.values()) < ENOUGH * TOTAL_PARTS:
+
+def compute_threshold(
+    reports: Mapping[str, Report], priority_weights: Sequence[float], instances: int
+) -> SheddingThreshold | None:
+    """Returns the threshold of the fresh reports (the own one included), by name.
+
+    Returns None if sidecars with too little of the quota have reported.
+    """
+    quotas = reported_quotas(reports, instances)
+    total_quota = sum(quotas.values())
+    if total_quota < MIN_REPORTED_SHARE * TOTAL_PARTS:
         return None
-    kinds = len(worths)
-    times_us = work_us(reports, stakes, kinds)
-    # by sidecar and class, nodes' time for what comes anew and for those that come back in time
-    fresh, back = (
-        {
-            name: [
-                getattr(one.classes[kind], field) / 1000 * times_us[kind] if kind < len(one.classes) else 0.0
-                for kind in range(kinds)
-            ]
-            for name, one in reports.items()
-        }
-        for field in ("demand", "returns")
+    class_count = len(priority_weights)
+    service_times_us = median_service_times_us(reports, quotas, class_count)
+    demand = _demand(reports, service_times_us)
+    claims_us = {name: demand.claim_us(name) for name in reports}
+    bounded_us = bound_claims(claims_us, quotas)
+    # by the same service times as the demand, because measured ones vary threefold as queues come and go
+    capacity_claims_us = {
+        name: claimed_capacity_us(report, service_times_us, claims_us[name])
+        for name, report in reports.items()
+    }
+    capacity_us = sum(bound_claims(capacity_claims_us, quotas).values())
+    counted_shares = {
+        name: bounded_us[name] / claim_us for name, claim_us in claims_us.items() if claim_us > 0.0
+    }
+    first_us = _sum_by_class(demand.first_us, counted_shares, class_count)
+    returning_us = _sum_by_class(demand.returning_us, counted_shares, class_count)
+    order = _admission_order(priority_weights, service_times_us)
+    admission = _admit(capacity_us, order, first_us, returning_us)
+    backlogs = bound_claims({name: float(report.backlog) for name, report in reports.items()}, quotas)
+    storm_quota = sum(quotas[name] for name, report in reports.items() if report.has_retry_storm)
+    return SheddingThreshold(
+        admitted_shares=tuple(admission.admitted_shares),
+        returning_shares=tuple(admission.returning_shares),
+        generation=median_generation(reports, quotas),
+        demand_us=sum(first_us),
+        capacity_us=capacity_us,
+        spare_us=admission.spare_us,
+        backlog=sum(backlogs.values()),
+        has_retry_storm=2 * storm_quota > total_quota,
     )
-    claims = {name: sum(fresh[name]) + sum(back[name]) for name in reports}
-    counted = bounded(claims, stakes)
-    # hazard: by the same times as the demand; nodes' times move threefold while queues come and go
-    rooms = bounded({name: room_us(one, times_us, claims[name]) for name, one in reports.items()}, stakes)
-    all_us = left_us = sum(rooms.values())
-    parts = {name: counted[name] / claim for name, claim in claims.items() if claim > 0.0}
-    new_us, retry_due_us = (
-        [sum(told[name][kind] * part for name, part in parts.items()) for kind in range(kinds)]
-        for told in (fresh, back)
+
+
+@dataclass(slots=True, frozen=True)
+class _Admission:
+    """The share of each class that fits the capacity, and the capacity that is left."""
+
+    admitted_shares: list[float]
+    returning_shares: list[float]
+    spare_us: float
+
+
+def _admission_order(priority_weights: Sequence[float], service_times_us: Sequence[float]) -> list[int]:
+    """Returns the classes by priority weight per upstream time; of equals the earlier class comes first."""
+    return sorted(
+        range(len(priority_weights)),
+        key=lambda class_index: (
+            -priority_weights[class_index] / max(1.0, service_times_us[class_index]),
+            class_index,
+        ),
     )
-    kept, returning = [1.0] * kinds, [1.0] * kinds
-    # the dearest of a node's time first; of equals the earlier class, so that all have one order. Within a
-    # class who has waited goes first
-    for kind in sorted(range(kinds), key=lambda kind: (-worths[kind] / max(1.0, times_us[kind]), kind)):
-        for share, wanted_us in ((returning, retry_due_us[kind]), (kept, new_us[kind])):
+
+
+def _admit(
+    capacity_us: float, order: Sequence[int], first_us: Sequence[float], returning_us: Sequence[float]
+) -> _Admission:
+    """Allocates the capacity in order; in a class, retries that have waited go before first attempts."""
+    admitted_shares = [1.0] * len(order)
+    returning_shares = [1.0] * len(order)
+    spare_us = capacity_us
+    for class_index in order:
+        for shares, wanted_us in (
+            (returning_shares, returning_us[class_index]),
+            (admitted_shares, first_us[class_index]),
+        ):
             if wanted_us > 0.0:
-                share[kind] = min(1.0, left_us / wanted_us)
-                left_us = max(0.0, left_us - wanted_us)
-    backlogs = bounded({name: float(one.backlog) for name, one in reports.items()}, stakes)
-    storm = sum(stakes[name] for name, one in reports.items() if one.storm)
-    return Line(
-        tuple(kept),
-        tuple(returning),
-        number_of(reports, stakes),
-        sum(new_us),
-        all_us,
-        left_us,
-        sum(backlogs.values()),
-        2 * storm > sum(stakes.values()),
-    )
+                shares[class_index] = min(1.0, spare_us / wanted_us)
+                spare_us = max(0.0, spare_us - wanted_us)
+    return _Admission(admitted_shares, returning_shares, spare_us)
 
 
-def room_us(one: Report, times_us: Sequence[float], claim_us: float) -> float:
-    """What one could use, of nodes' time a second."""
+def claimed_capacity_us(report: Report, service_times_us: Sequence[float], claim_us: float) -> float:
+    """Returns the upstream time per second that the author could use by its report."""
     served_us = sum(
-        work.served / 1000 * time_us for work, time_us in zip(one.classes, times_us, strict=False)
+        load.served_per_1000_s / 1000 * time_us
+        for load, time_us in zip(report.classes, service_times_us, strict=False)
+    )
+    capacity_us = served_us * report.capacity_permille / 1000 + max(service_times_us, default=0.0)
+    if report.is_unconstrained:
+        return max(capacity_us, UNCONSTRAINED_CAPACITY * claim_us)
+    return capacity_us
+
+
+def median_generation(reports: Mapping[str, Report], quotas: Mapping[str, int]) -> int:
+    """Returns the generation by the median of the reports, so that a minority does not change it."""
+    return int(
+        weighted_median(
+            [(float(report.generation), float(quotas.get(name, 0))) for name, report in reports.items()]
+        )
     )
-    found = served_us * one.grows / 1000 + max(times_us, default=0.0)
-    return max(found, AMPLE * claim_us) if one.easy else found
-
-
-def number_of(reports: Mapping[str, Report], stakes: Mapping[str, int]) -> int:
-    """The cut's number, by the median: no few move it."""
-    return int(middle([(float(one.number), float(stakes.get(name, 0))) for name, one in reports.items()]))
--- a/sidecar_proxy/overload_control/subsystem.py
+++ b/sidecar_proxy/overload_control/subsystem.py
@@ -1,5 +1,7 @@
-"""Turns the fleet's part in overload on: counts of the engine and words of the others go into the core, what
-comes of it to the decisions and the others. It decides nothing.
+"""Connects the overload controller to the engine, the gossip transport, the admin server and the log.
+
+The subsystem makes no decisions. It hands the engine's counts and the peers' messages to the controller, and
+the controller's outputs to the balancer and the peers.
 """
 
 from __future__ import annotations
@@ -16,161 +18,195 @@
 from sidecar_proxy.engine.interfaces import Call
 from sidecar_proxy.gossip.instance import SubsystemMessage
 from sidecar_proxy.gossip.subsystem import GossipSubsystem
-from sidecar_proxy.overload_control import messages as words
-from sidecar_proxy.overload_control.controller import (
-    Broadcast,
-    FleetBudgets,
-    LogMessage,
-    Output,
-    OverloadController,
-    SendMessage,
-    mean_slow_start_weight,
-)
+from sidecar_proxy.overload_control import messages
+from sidecar_proxy.overload_control.controller import FleetBudgets, OverloadController
+from sidecar_proxy.overload_control.outputs import Broadcast, LogMessage, Output, SendMessage
+from sidecar_proxy.overload_control.slow_start import mean_slow_start_weight
+from sidecar_proxy.overload_control.status import controller_status
 
-log = logging.getLogger("sidecar_proxy")
+logger = logging.getLogger("sidecar_proxy")
 
-COMPLAIN_S = 1.0  # between two log lines on what could not be read
+ADMIN_COMMAND = "OVERLOAD"
+REJECTION_LOG_INTERVAL_S = 1.0
+TIMER_SLACK_S = 0.001  # so that the timer does not fire just before the controller is due
+# Trace lines, which the testbed parses.
+TRACE_REPORT = "said overload %d %s"
+TRACE_QUOTA = "said lease %d %s"
 
 
 class OverloadControlSubsystem:
-    """A sidecar that handles overload with the others."""
+    """The overload control of one running sidecar."""
 
     def __init__(
-        self, told: Overload, engine: Engine, gossip: GossipSubsystem, seed: int, door: AdminServer | None
+        self,
+        options: Overload,
+        engine: Engine,
+        gossip: GossipSubsystem,
+        seed: int,
+        admin_server: AdminServer | None,
     ) -> None:
+        self.options = options
         self.engine = engine
         self.gossip = gossip
-        self.told = told
-        settings, now_us = engine.settings, engine.clock.now_us()
-        most_us = settings.max_retry_after_us * settings.retry_after
-        # hazard: numbers of loans of a process before this one must not come again
-        dice = random.Random(f"{seed} {gossip.name} {now_us}")
-        self.member = OverloadController(
-            gossip.name,
-            settings.self_index,
-            settings.instances,
-            [one.priority_weight for one in settings.classes],
-            most_us,
-            FleetBudgets(told.reissues_per_s, told.probes_per_s, told.tries_per_s),
-            dice,
-            now_us,
-            min(one.latency_objective_us for one in settings.classes) // 2,
-        )
+        self.controller = _new_controller(options, engine, gossip.name, seed)
         self.timer: asyncio.TimerHandle | None = None
-        self.traced = ""
-        self.bad = self.bad_logged = 0
-        self.next_complaint = 0.0
-        if door is not None:
-            door.calls["OVERLOAD"] = self.show
+        self.last_quota_trace = ""
+        self.rejected_messages = 0
+        self.next_rejection_log_s = 0.0
+        if admin_server is not None:
+            admin_server.calls[ADMIN_COMMAND] = self.handle_admin_command
 
     def start(self) -> None:
-        self.gossip.listeners[words.TOPIC] = self.hear
+        """Begins to count requests, to receive messages and to tick."""
+        self.gossip.listeners[messages.TOPIC] = self.receive
         self.engine.fleet = self
-        self.tick()
+        self._tick()
 
     def close(self) -> None:
+        """Stops; the balancer goes on with the last update until it expires."""
         self.engine.fleet = None
-        self.gossip.listeners.pop(words.TOPIC, None)
+        self.gossip.listeners.pop(messages.TOPIC, None)
         if self.timer is not None:
             self.timer.cancel()
 
-    # From the engine. Hazard: on the way of every request; a fault here costs this part, never a request.
+    # Events of the engine, on the path of every request. A fault in the controller must not cost a request,
+    # so any exception turns overload control off instead.
 
     def arrived(self, call: Call) -> int:
+        """Counts a request; returns when its Retry-After expires, 0 if it has none."""
         try:
-            return self.member.arrived(call.class_index, call.key, call.retried, self.engine.clock.now_us())
+            return self.controller.record_arrival(
+                call.class_index, call.key, call.retried, self.engine.clock.now_us()
+            )
         except Exception:
-            self.give_up()
+            self._turn_off()
             return 0
 
     def refused(self, call: Call, after_us: int, shed: bool) -> None:
+        """Counts a rejected request, its Retry-After, and whether it was shed."""
         try:
-            self.member.refused(call.key, after_us, shed, self.engine.clock.now_us())
+            self.controller.record_rejection(call.key, after_us, shed, self.engine.clock.now_us())
         except Exception:
-            self.give_up()
+            self._turn_off()
 
     def ended(self, class_index: int, outcome: api.Outcome, elapsed_us: int) -> None:
+        """Counts an attempt that has ended."""
         if outcome is api.Outcome.OK:
-            self.member.served(class_index, elapsed_us)
+            self.controller.record_success(class_index, elapsed_us)
 
-    def give_up(self) -> None:
-        log.exception("overload: this sidecar goes on by itself")
+    def _turn_off(self) -> None:
+        logger.exception("overload: overload control is off after an internal error")
         self.close()
 
-    # From the others
+    # Messages of the other sidecars
 
-    def hear(self, told: SubsystemMessage) -> None:
+    def receive(self, delivery: SubsystemMessage) -> None:
+        """Hands a message of the gossip transport to the controller; logs a malformed one."""
         now_us = self.engine.clock.now_us()
-        if told.left:
-            self.member.left(told.author)
+        if delivery.left:
+            self.controller.remove_peer(delivery.author)
             return
         try:
-            word = words.read(told.body)
-        except words.MessageError as error:
-            self.complain(f"{told.author}: {error}")
+            message = messages.decode(delivery.body)
+        except messages.MessageError as error:
+            self._log_rejected(f"{delivery.author}: {error}")
+            return
+        is_broadcast = not delivery.alone
+        if isinstance(message, messages.Report):
+            if is_broadcast:
+                self._perform(self.controller.receive_report(delivery.author, message, now_us))
+                return
+        elif not is_broadcast:
+            self._perform(self.controller.receive_message(delivery.author, message, now_us))
             return
-        if isinstance(word, words.Report) == told.alone:
-            self.complain(f"{told.author}: a word out of its place")
-        elif isinstance(word, words.Report):
-            self.perform(self.member.heard(told.author, word, now_us))
-        else:
-            self.perform(self.member.noted(told.author, word, now_us))
-
-    def complain(self, text: str) -> None:
-        """One line a second at most, whatever comes."""
-        self.bad += 1
-        if self.engine.loop.time() >= self.next_complaint:
-            self.next_complaint = self.engine.loop.time() + COMPLAIN_S
-            log.warning("overload: %d words not taken so far, the last of %s", self.bad, text)
+        self._log_rejected(f"{delivery.author}: a report to one sidecar, or a lease message to all")
+
+    def _log_rejected(self, text: str) -> None:
+        """Logs at most one line per second, however many messages are rejected."""
+        self.rejected_messages += 1
+        now_s = self.engine.loop.time()
+        if now_s >= self.next_rejection_log_s:
+            self.next_rejection_log_s = now_s + REJECTION_LOG_INTERVAL_S
+            logger.warning("overload: %d messages rejected, the last from %s", self.rejected_messages, text)
 
     # Time
 
-    def tick(self) -> None:
+    def _tick(self) -> None:
         now_us = self.engine.clock.now_us()
         try:
-            warmth = mean_slow_start_weight(
-                self.engine.balancer.entries.values(), self.engine.settings, now_us
-            )
-            self.perform(self.member.tick(now_us, warmth))
-        except Exception:
-            self.give_up()
+            upstreams = self.engine.balancer.entries.values()
+            slow_start_weight = mean_slow_start_weight(upstreams, self.engine.settings, now_us)
+            self._perform(self.controller.tick(now_us, slow_start_weight))
+        except Exception:  # as above: no fault here may cost a request
+            self._turn_off()
             return
-        wait_us = max(0, self.member.due_us - self.engine.clock.now_us())
-        self.timer = self.engine.loop.call_later(wait_us / 1e6 + 0.001, self.tick)
-
-    def perform(self, outputs: list[Output]) -> None:
-        if self.told.trace:
-            self.trace()
-        for one in outputs:
-            if isinstance(one, Broadcast):
-                if self.told.trace:
-                    at_us = self.engine.clock.now_us() - self.engine.clock.base_ns // 1000
-                    log.info(
-                        "said overload %d %s",
-                        at_us,
-                        json.dumps(self.member.described(self.engine.clock.now_us())),
-                    )
-                self.gossip.say(words.TOPIC, words.encode(one.report))
-            elif isinstance(one, SendMessage):
-                self.gossip.note(one.to, words.TOPIC, words.encode(one.word))
-            elif isinstance(one, LogMessage):
-                log.info("overload: %s", one.text)
+        wait_us = max(0, self.controller.next_tick_us - self.engine.clock.now_us())
+        self.timer = self.engine.loop.call_later(wait_us / 1e6 + TIMER_SLACK_S, self._tick)
+
+    # Outputs of the controller
+
+    def _perform(self, outputs: list[Output]) -> None:
+        if self.options.trace:
+            self._trace_quota()
+        for output in outputs:
+            if isinstance(output, Broadcast):
+                if self.options.trace:
+                    self._trace_report()
+                self.gossip.say(messages.TOPIC, messages.encode(output.report))
+            elif isinstance(output, SendMessage):
+                self.gossip.note(output.recipient, messages.TOPIC, messages.encode(output.message))
+            elif isinstance(output, LogMessage):
+                logger.info("overload: %s", output.text)
             else:
-                self.engine.tell(one)
+                self.engine.tell(output)
 
-    def trace(self) -> None:
-        """What may be spent, for whoever adds it up over the fleet: [own, [[borrowed, until]]], by the clock
-        that all processes of a machine share. Hazard: written before what comes of it has left.
-        """
-        escrow, now_us = self.member.escrow, self.engine.clock.now_us()
-        base_us = self.engine.clock.base_ns // 1000
-        held = [[one.parts, one.until_us - base_us] for one in escrow.held.values() if one.until_us > now_us]
-        text = json.dumps([escrow.own(now_us), [] if escrow.barred else held])
-        if text != self.traced:
-            self.traced = text
-            log.info("said lease %d %s", now_us - base_us, text)
+    def _trace_report(self) -> None:
+        clock = self.engine.clock
+        at_us = clock.now_us() - clock.base_ns // 1000
+        logger.info(TRACE_REPORT, at_us, json.dumps(controller_status(self.controller, clock.now_us())))
 
-    # For people
+    def _trace_quota(self) -> None:
+        """Logs the usable quota if it has changed: [retained, [[borrowed, expires], ...]].
 
-    def show(self, _: str) -> str:
-        return json.dumps(self.member.described(self.engine.clock.now_us())) + "\nend"
+        The times are of the clock that all processes of a machine share, so that a checker can add the
+        quotas of a fleet up. The line is written before the outputs that follow from the change are
+        performed.
+        """
+        escrow = self.controller.escrow
+        now_us = self.engine.clock.now_us()
+        base_us = self.engine.clock.base_ns // 1000
+        borrowed = [
+            [lease.parts, lease.expires_us - base_us]
+            for lease in escrow.borrowed.values()
+            if lease.expires_us > now_us
+        ]
+        if escrow.is_suspended:
+            borrowed = []
+        trace = json.dumps([escrow.retained_parts(now_us), borrowed])
+        if trace != self.last_quota_trace:
+            self.last_quota_trace = trace
+            logger.info(TRACE_QUOTA, now_us - base_us, trace)
+
+    # Admin
+
+    def handle_admin_command(self, _: str) -> str:
+        """Returns the answer of the OVERLOAD command: one line of JSON and `end`."""
+        return json.dumps(controller_status(self.controller, self.engine.clock.now_us())) + "\nend"
+
+
+def _new_controller(options: Overload, engine: Engine, name: str, seed: int) -> OverloadController:
+    settings = engine.settings
+    now_us = engine.clock.now_us()
+    # the time keeps a restarted process from drawing the lease ids of its predecessor again
+    rng = random.Random(f"{seed} {name} {now_us}")
+    return OverloadController(
+        name,
+        settings.self_index,
+        settings.instances,
+        [request_class.priority_weight for request_class in settings.classes],
+        settings.max_retry_after_us * settings.retry_after,
+        FleetBudgets(options.reissues_per_s, options.probes_per_s, options.tries_per_s),
+        rng,
+        now_us,
+        slow_latency_us=min(request_class.latency_objective_us for request_class in settings.classes) // 2,
+    )
--- a/sidecar_proxy/testbed/campaign.py
+++ b/sidecar_proxy/testbed/campaign.py
@@ -1,6 +1,6 @@
 """Campaigns: scripts drawn by seed, played, judged; a failing one is made smaller and printed.
 
-By default in virtual time, by the pure cores that the sidecars run (overload/core.py) and their decisions,
+By default in virtual time, by the pure cores that the sidecars run (overload_control/) and their decisions,
 with no upstream, so that all is refused; on a network that delays, loses, doubles, reorders and parts; with
 processes that are killed, stopped, started anew, and clocks that run at their own rate. `--real` plays the
 same scripts with processes and sockets, on the rig.
@@ -22,14 +22,9 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.balancer import Balancer
 from sidecar_proxy.overload_control import messages as words
-from sidecar_proxy.overload_control.controller import (
-    Broadcast,
-    FleetBudgets,
-    Output,
-    OverloadController,
-    SendMessage,
-)
+from sidecar_proxy.overload_control.controller import FleetBudgets, OverloadController
 from sidecar_proxy.overload_control.messages import TOTAL_PARTS
+from sidecar_proxy.overload_control.outputs import Broadcast, Output, SendMessage
 from sidecar_proxy.overload_control.quota_leases import MAX_CLOCK_DRIFT
 from sidecar_proxy.testbed.fault_injection import LINK_KINDS, SIZED, pairs
 from sidecar_proxy.testbed.fault_schedule import Fault, ScriptError, read, written
@@ -163,7 +158,7 @@
         return call
 
     def wake_later(self, mind: Mind) -> None:
-        wait_us = max(0, mind.member.due_us - self.clock(mind)) / mind.rate
+        wait_us = max(0, mind.member.next_tick_us - self.clock(mind)) / mind.rate
 
         def tick() -> None:
             self.perform(mind, mind.member.tick(self.clock(mind)))
@@ -178,9 +173,9 @@
         def arrive() -> None:
             member, mine = mind.member, self.clock(mind)
             kind, key = self.dice.randrange(3), self.dice.getrandbits(60) + 1
-            member.arrived(kind, key, False, mine)
+            member.record_arrival(kind, key, False, mine)
             if self.dice.random() < 0.6:
-                member.served(kind, 100_000)
+                member.record_success(kind, 100_000)
             else:
                 mind.requests += 1
                 self.decide(mind, api.RequestArrived(mind.requests, mine + 1_000_000, kind, key=key), key)
@@ -191,7 +186,7 @@
     def decide(self, mind: Mind, event: api.Event, key: int = 0) -> None:
         for action in mind.balancer.handle(self.clock(mind), event):
             if isinstance(action, api.Refuse) and action.retry_after_us:
-                mind.member.refused(key, action.retry_after_us, action.shed, self.clock(mind))
+                mind.member.record_rejection(key, action.retry_after_us, action.shed, self.clock(mind))
                 self.told.append((self.now_us, self.now_us + action.retry_after_us))
 
     # Words
@@ -203,7 +198,7 @@
                     if other is not mind:
                         self.post(mind, other, words.encode(one.report))
             elif isinstance(one, SendMessage):
-                self.post(mind, self.minds[int(one.to[1:])], words.encode(one.word))
+                self.post(mind, self.minds[int(one.recipient[1:])], words.encode(one.message))
             elif isinstance(one, api.OverloadUpdated):
                 self.decide(mind, one)
 
@@ -225,11 +220,11 @@
         if target.stopped:
             self.at(STEP_US, lambda: self.deliver(source, target, data))
             return
-        word, name, mine = words.read(data), f"s{source.number}", self.clock(target)
+        word, name, mine = words.decode(data), f"s{source.number}", self.clock(target)
         if isinstance(word, words.Report):
-            self.perform(target, target.member.heard(name, word, mine))
+            self.perform(target, target.member.receive_report(name, word, mine))
         else:
-            self.perform(target, target.member.noted(name, word, mine))
+            self.perform(target, target.member.receive_message(name, word, mine))
 
     # Faults
 
@@ -254,7 +249,7 @@
         """Who has not been heard for a while is held for dead, rightly or not."""
         for source, target in some:
             if self.cut.get((source, target), 0) and not self.minds[target].away:
-                self.minds[target].member.left(f"s{source}")
+                self.minds[target].member.remove_peer(f"s{source}")
 
     def begin(self, number: int) -> None:
         """A new process, which knows nothing."""
@@ -284,12 +279,14 @@
     def look(self) -> None:
         self.at(STEP_US, self.look)
         weights = {
-            mind.number: mind.member.escrow.weight(self.clock(mind)) for mind in self.minds if not mind.away
+            mind.number: mind.member.escrow.usable_parts(self.clock(mind))
+            for mind in self.minds
+            if not mind.away
         }
         if sum(weights.values()) > TOTAL_PARTS:
             self.find(f"all may spend {sum(weights.values())} parts of {TOTAL_PARTS}: {weights}")
         for mind in self.minds:
-            told = mind.member.decided
+            told = mind.member.last_update
             if mind.away or told is None or self.clock(mind) >= told.valid_until_us:
                 continue
             # what the decisions go by must not outlast what it rests on
--- a/sidecar_proxy/testbed/gossip.py
+++ b/sidecar_proxy/testbed/gossip.py
@@ -117,7 +117,7 @@
     async def lie(self) -> None:
         while True:
             await asyncio.sleep(LIE_S)
-            work = [words.Work(int(self.tries * 1000), 0, 1000, 100_000) for _ in range(3)]
+            work = [words.ClassLoad(int(self.tries * 1000), 0, 1000, 100_000) for _ in range(3)]
             told = words.Report(
                 self.index, 0, True, words.TOTAL_PARTS, 0, 10**9, 1000, False, 10**6, work, []
             )
--- a/tests/overload_control/test_quota_leases.py
+++ b/tests/overload_control/test_quota_leases.py
@@ -1,137 +1,244 @@
-"""Escrow of the fleet's budgets: the sum holds in any order of asking, lending, losing and restarting."""
+"""Quota escrow: the sum of the quotas holds in any order of requests, grants, losses and restarts."""
 
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass
 
+import pytest
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from sidecar_proxy.overload_control.messages import TOTAL_PARTS, LeaseGrant, LeaseRequest, LeaseReturn
-from sidecar_proxy.overload_control.quota_leases import KEPT, MARGIN_US, TERM_US, Escrow, lent_us
+from sidecar_proxy.overload_control.messages import (
+    TOTAL_PARTS,
+    LeaseGrant,
+    LeaseMessage,
+    LeaseRequest,
+    LeaseReturn,
+)
+from sidecar_proxy.overload_control.quota_leases import (
+    LEASE_TERM_US,
+    MAX_CLOCK_READ_AGE_US,
+    RESERVED_SHARE,
+    QuotaEscrow,
+    grant_term_us,
+)
 
-COUNT = 3
-WHO = st.integers(0, COUNT - 1)
+SIDECARS = 3
+INDEXES = st.integers(0, SIDECARS - 1)
+CLOCK_RATES = (0.992, 1.0, 1.008)
 
 
-class Budgets(RuleBasedStateMachine):
-    """Three sidecars and a network that keeps, doubles, loses and reorders words. Each has its own clock."""
+@dataclass(frozen=True)
+class SentMessage:
+    """A message on the network."""
+
+    source: int
+    target: int
+    message: LeaseMessage
+
+
+class EscrowMachine(RuleBasedStateMachine):
+    """Three sidecars with their own clocks, and a network that doubles, delays and loses messages."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_us = 0
-        self.rates = [0.992, 1.0, 1.008]
-        self.lives = [0] * COUNT
-        self.all = [self.new(n) for n in range(COUNT)]
-        self.words: list[
-            tuple[int, int, LeaseRequest | LeaseGrant | LeaseReturn]
-        ] = []  # from, to, what; never forgotten
-        self.now_us = lent_us() * 2
-
-    def new(self, n: int) -> Escrow:
-        return Escrow(n, COUNT, random.Random(f"{n} {self.lives[n]}"), self.clock(n))
-
-    def clock(self, n: int) -> int:
-        return int(self.now_us * self.rates[n])
-
-    @rule(n=WHO, other=WHO, parts=st.integers(1, TOTAL_PARTS))
-    def ask(self, n: int, other: int, parts: int) -> None:
-        word = self.all[n].ask(str(other), parts, self.clock(n)) if n != other else None
-        if word is not None:
-            self.words.append((n, other, word))
-
-    @rule(n=WHO, chance=st.integers(0, 7), parts=st.integers(1, TOTAL_PARTS))
-    def renew(self, n: int, chance: int, parts: int) -> None:
-        held = list(self.all[n].held.items())
-        if held:
-            number, one = held[chance % len(held)]
-            word = self.all[n].ask(one.lender, parts, self.clock(n), renews=number)
-            if word is not None:
-                self.words.append((n, int(one.lender), word))
-
-    @rule(n=WHO, chance=st.integers(0, 7))
-    def give_back(self, n: int, chance: int) -> None:
-        held = list(self.all[n].held)
-        if held:
-            lender, word = self.all[n].give_back(held[chance % len(held)])
-            self.words.append((n, int(lender), word))
-
-    @rule(chance=st.integers(0, 1000), latest=st.booleans(), needed=st.integers(0, TOTAL_PARTS // COUNT))
-    def deliver(self, chance: int, latest: bool, needed: int) -> None:
-        """Any word that was ever said, the last one more often."""
-        if not self.words:
+        self.incarnations = [0] * SIDECARS
+        self.escrows = [self.new_escrow(index) for index in range(SIDECARS)]
+        self.sent: list[SentMessage] = []  # never forgotten
+        self.now_us = grant_term_us() * 2
+
+    def new_escrow(self, index: int) -> QuotaEscrow:
+        rng = random.Random(f"{index} {self.incarnations[index]}")
+        return QuotaEscrow(index, SIDECARS, rng, self.clock_us(index))
+
+    def clock_us(self, index: int) -> int:
+        return int(self.now_us * CLOCK_RATES[index])
+
+    @rule(index=INDEXES, lender=INDEXES, parts=st.integers(1, TOTAL_PARTS))
+    def request(self, index: int, lender: int, parts: int) -> None:
+        if index == lender:
+            return
+        request = self.escrows[index].request_lease(str(lender), parts, self.clock_us(index))
+        if request is not None:
+            self.sent.append(SentMessage(index, lender, request))
+
+    @rule(index=INDEXES, choice=st.integers(0, 7), parts=st.integers(1, TOTAL_PARTS))
+    def renew(self, index: int, choice: int, parts: int) -> None:
+        borrowed = list(self.escrows[index].borrowed.items())
+        if not borrowed:
             return
-        source, target, word = self.words[-1 if latest else chance % len(self.words)]
-        one, now_us = self.all[target], self.clock(target)
-        if isinstance(word, LeaseRequest):
-            self.words.append((target, source, one.need(str(source), word, needed, now_us)))
-        elif isinstance(word, LeaseGrant):
-            one.lent(str(source), word, now_us)
+        lease_id, lease = borrowed[choice % len(borrowed)]
+        request = self.escrows[index].request_lease(
+            lease.lender, parts, self.clock_us(index), renews=lease_id
+        )
+        if request is not None:
+            self.sent.append(SentMessage(index, int(lease.lender), request))
+
+    @rule(index=INDEXES, choice=st.integers(0, 7))
+    def release(self, index: int, choice: int) -> None:
+        borrowed = list(self.escrows[index].borrowed.items())
+        if borrowed:
+            lease_id, lease = borrowed[choice % len(borrowed)]
+            message = self.escrows[index].release_lease(lease_id)
+            self.sent.append(SentMessage(index, int(lease.lender), message))
+
+    @rule(choice=st.integers(0, 1000), latest=st.booleans(), needed=st.integers(0, TOTAL_PARTS // SIDECARS))
+    def deliver(self, choice: int, latest: bool, needed: int) -> None:
+        """Delivers any message that was ever sent, the last one more often."""
+        if not self.sent:
+            return
+        sent = self.sent[-1] if latest else self.sent[choice % len(self.sent)]
+        escrow = self.escrows[sent.target]
+        now_us = self.clock_us(sent.target)
+        source = str(sent.source)
+        if isinstance(sent.message, LeaseRequest):
+            grant = escrow.handle_request(source, sent.message, needed, now_us)
+            self.sent.append(SentMessage(sent.target, sent.source, grant))
+        elif isinstance(sent.message, LeaseGrant):
+            escrow.receive_grant(source, sent.message, now_us)
         else:
-            one.back(str(source), word)
+            escrow.receive_return(source, sent.message)
 
-    @rule(passed_us=st.sampled_from([1, 100_000, TERM_US // 2, TERM_US - 1, TERM_US, lent_us()]))
-    def wait(self, passed_us: int) -> None:
-        self.now_us += passed_us
+    @rule(
+        elapsed_us=st.sampled_from(
+            [1, 100_000, LEASE_TERM_US // 2, LEASE_TERM_US - 1, LEASE_TERM_US, grant_term_us()]
+        )
+    )
+    def wait(self, elapsed_us: int) -> None:
+        self.now_us += elapsed_us
 
-    @rule(n=WHO)
-    def start_anew(self, n: int) -> None:
-        self.lives[n] += 1
-        self.all[n] = self.new(n)
+    @rule(index=INDEXES)
+    def restart(self, index: int) -> None:
+        self.incarnations[index] += 1
+        self.escrows[index] = self.new_escrow(index)
 
     @invariant()
-    def the_sum_is_at_most_the_whole(self) -> None:
-        for later_us in (0, MARGIN_US // 2):  # whoever was stopped for a moment after it had looked
-            weights = [one.weight(self.clock(n) + later_us) for n, one in enumerate(self.all)]
-            assert sum(weights) <= TOTAL_PARTS, weights
+    def usable_quotas_never_exceed_the_total(self) -> None:
+        # also for a process that was stopped for a moment after it had read its clock
+        for delay_us in (0, MAX_CLOCK_READ_AGE_US // 2):
+            quotas = [
+                escrow.usable_parts(self.clock_us(index) + delay_us)
+                for index, escrow in enumerate(self.escrows)
+            ]
+            assert sum(quotas) <= TOTAL_PARTS, quotas
 
 
-TestBudgets = Budgets.TestCase
-TestBudgets.settings = settings(max_examples=120, stateful_step_count=40, deadline=None)
+TestEscrowMachine = EscrowMachine.TestCase
+TestEscrowMachine.settings = settings(max_examples=120, stateful_step_count=40, deadline=None)
 
 
-def pair() -> tuple[Escrow, Escrow, int]:
-    one, two = (Escrow(n, 2, random.Random(n), 0) for n in range(2))
-    return one, two, 2 * lent_us()
+NOW_US = 2 * grant_term_us()  # the escrows of the fixtures may spend what they own
+HALF = TOTAL_PARTS // 2
+QUARTER = TOTAL_PARTS // 4
 
 
-def borrow(one: Escrow, two: Escrow, parts: int, now_us: int) -> bool:
-    word = one.ask("two", parts, now_us)
-    assert word is not None
-    return one.lent("two", two.need("one", word, 0, now_us), now_us)
+@pytest.fixture
+def borrower() -> QuotaEscrow:
+    return QuotaEscrow(0, 2, random.Random(0), 0)
 
 
-def test_what_is_lent_is_spent_by_the_borrower_and_ends_there_first() -> None:
-    one, two, now_us = pair()
-    assert one.weight(now_us) == two.weight(now_us) == TOTAL_PARTS // 2
-    assert borrow(one, two, TOTAL_PARTS // 4, now_us)
-    assert one.weight(now_us) == 3 * TOTAL_PARTS // 4 and two.weight(now_us) == TOTAL_PARTS // 4
-    assert (
-        one.weight(now_us + TERM_US) == TOTAL_PARTS // 2 and two.weight(now_us + TERM_US) == TOTAL_PARTS // 4
-    )
-    assert two.weight(now_us + lent_us()) == TOTAL_PARTS // 2
+@pytest.fixture
+def lender() -> QuotaEscrow:
+    return QuotaEscrow(1, 2, random.Random(1), 0)
 
 
-def test_an_answer_that_comes_after_the_term_is_not_taken() -> None:
-    one, two, now_us = pair()
-    word = one.ask("two", TOTAL_PARTS // 4, now_us)
-    assert word is not None
-    lend = two.need("one", word, 0, now_us)
-    assert (
-        lend.parts and not one.lent("two", lend, now_us + TERM_US) and one.weight(now_us) == TOTAL_PARTS // 2
-    )
+def request_quarter(borrower: QuotaEscrow) -> LeaseRequest:
+    request = borrower.request_lease("lender", QUARTER, NOW_US)
+    assert request is not None
+    return request
+
+
+def borrow(borrower: QuotaEscrow, lender: QuotaEscrow, parts: int) -> bool:
+    request = borrower.request_lease("lender", parts, NOW_US)
+    assert request is not None
+    return borrower.receive_grant("lender", lender.handle_request("borrower", request, 0, NOW_US), NOW_US)
+
+
+def test_lent_quota_is_usable_by_the_borrower_and_expires_there_first(
+    borrower: QuotaEscrow, lender: QuotaEscrow
+) -> None:
+    assert borrower.usable_parts(NOW_US) == HALF
+    assert lender.usable_parts(NOW_US) == HALF
+    assert borrow(borrower, lender, QUARTER)
+    assert borrower.usable_parts(NOW_US) == 3 * QUARTER
+    assert lender.usable_parts(NOW_US) == QUARTER
+    assert borrower.usable_parts(NOW_US + LEASE_TERM_US) == HALF
+    assert lender.usable_parts(NOW_US + LEASE_TERM_US) == QUARTER
+    assert lender.usable_parts(NOW_US + grant_term_us()) == HALF
+
+
+def test_grant_received_after_the_term_is_ignored(borrower: QuotaEscrow, lender: QuotaEscrow) -> None:
+    grant = lender.handle_request("borrower", request_quarter(borrower), 0, NOW_US)
+    assert grant.parts
+    assert not borrower.receive_grant("lender", grant, NOW_US + LEASE_TERM_US)
+    assert borrower.usable_parts(NOW_US) == HALF
+
+
+def test_grant_of_another_sidecar_or_another_request_is_ignored(
+    borrower: QuotaEscrow, lender: QuotaEscrow
+) -> None:
+    grant = lender.handle_request("borrower", request_quarter(borrower), 0, NOW_US)
+    other_time = LeaseGrant(grant.lease_id, grant.requested_us + 1, grant.parts)
+    assert not borrower.receive_grant("another", grant, NOW_US)
+    assert not borrower.receive_grant("lender", other_time, NOW_US)
+    assert borrower.receive_grant("lender", grant, NOW_US)
+    assert not borrower.receive_grant("lender", grant, NOW_US)
+
+
+def test_reserved_share_is_never_lent(borrower: QuotaEscrow, lender: QuotaEscrow) -> None:
+    assert borrow(borrower, lender, TOTAL_PARTS)
+    assert lender.usable_parts(NOW_US) == int(HALF * RESERVED_SHARE)
+
+
+def test_quota_that_the_lender_needs_is_not_lent() -> None:
+    lender = QuotaEscrow(0, 3, random.Random(3), 0)
+    request = LeaseRequest(7, 1, TOTAL_PARTS, 0)
+    assert lender.handle_request("borrower", request, TOTAL_PARTS // 3, NOW_US).parts == 0
+
+
+def test_duplicate_request_is_rejected(borrower: QuotaEscrow, lender: QuotaEscrow) -> None:
+    request = request_quarter(borrower)
+    assert lender.handle_request("borrower", request, 0, NOW_US).parts == QUARTER
+    assert lender.handle_request("borrower", request, 0, NOW_US).parts == 0
+
+
+def test_request_that_arrives_after_its_lease_was_returned_is_rejected(
+    borrower: QuotaEscrow, lender: QuotaEscrow
+) -> None:
+    request = request_quarter(borrower)
+    lender.handle_request("borrower", request, 0, NOW_US)
+    lender.receive_return("borrower", LeaseReturn(request.lease_id))
+    assert lender.usable_parts(NOW_US) == HALF
+    assert lender.handle_request("borrower", request, 0, NOW_US).parts == 0
+
+
+def test_return_by_another_sidecar_is_ignored(borrower: QuotaEscrow, lender: QuotaEscrow) -> None:
+    request = request_quarter(borrower)
+    lender.handle_request("borrower", request, 0, NOW_US)
+    lender.receive_return("another", LeaseReturn(request.lease_id))
+    assert lender.lent_by_borrower(NOW_US) == {"borrower": QUARTER}
+
+
+def test_second_request_to_a_lender_waits_for_the_response_to_the_first(borrower: QuotaEscrow) -> None:
+    request_quarter(borrower)
+    assert borrower.request_lease("lender", QUARTER, NOW_US) is None
+    assert borrower.request_lease("another", QUARTER, NOW_US) is not None
+
+
+def test_suspended_escrow_has_no_quota_and_borrows_none(borrower: QuotaEscrow) -> None:
+    borrower.is_suspended = True
+    assert borrower.usable_parts(NOW_US) == 0
+    assert borrower.request_lease("lender", QUARTER, NOW_US) is None
 
 
-def test_a_part_is_kept_and_nothing_that_is_needed_is_lent() -> None:
-    one, two, now_us = pair()
-    assert borrow(one, two, TOTAL_PARTS, now_us)
-    assert two.weight(now_us) == int(TOTAL_PARTS // 2 * KEPT)
-    third = Escrow(0, 3, random.Random(3), 0)
-    assert third.need("x", LeaseRequest(7, 1, TOTAL_PARTS, 0), TOTAL_PARTS // 3, 2 * lent_us()).parts == 0
+def test_started_process_has_no_quota_until_leases_of_its_predecessor_have_expired() -> None:
+    escrow = QuotaEscrow(0, 2, random.Random(0), 1000)
+    assert escrow.usable_parts(1000 + grant_term_us() - 1) == 0
+    assert escrow.usable_parts(1000 + grant_term_us()) == HALF
 
 
-def test_a_process_that_starts_spends_nothing_for_as_long_as_a_loan_may_last() -> None:
-    one = Escrow(0, 2, random.Random(0), 1000)
-    assert one.weight(1000 + lent_us() - 1) == 0 and one.weight(1000 + lent_us()) == TOTAL_PARTS // 2
-    assert Escrow(5, 2, random.Random(0), 0).weight(2 * lent_us()) == 0  # no number of this fleet
+def test_index_outside_of_the_fleet_owns_nothing() -> None:
+    assert QuotaEscrow(5, 2, random.Random(0), 0).usable_parts(NOW_US) == 0
--- a/tests/overload_control/test_subsystem.py
+++ b/tests/overload_control/test_subsystem.py
@@ -1,4 +1,4 @@
-"""The part in overload of real sidecars: words that are wrong, a liar, the door, the operator file."""
+"""Overload control of real sidecars: invalid messages, false reports, admin command, operator settings."""
 
 from __future__ import annotations
 
@@ -16,80 +16,104 @@
 import pytest
 
 from sidecar_proxy.gossip.transport import wall_clock_us
-from sidecar_proxy.overload_control import messages as words
+from sidecar_proxy.overload_control import messages
 from sidecar_proxy.overload_control.messages import TOTAL_PARTS, LeaseRequest
+from sidecar_proxy.testbed.fault_schedule import Fault
 from sidecar_proxy.testbed.gossip import Braggart
 from sidecar_proxy.testbed.scenario import Plan, Scene, settings
 from tests.sockets import LONG_S
 from tests.testbed.playing import RIG, on_rig
 
 BUSY = replace(RIG, rate=90.0, seconds=2.0)
+LIAR = "a-braggart"  # sorts before the sidecars' names, so that it takes precedence
+LIAR_RANDOM_BITS = 50
 
 
-async def state(scene: Scene, number: int) -> dict[str, Any]:
-    told, end = (await scene.sidecars[number].call("OVERLOAD")).split("\n")
+async def read_status(scene: Scene, number: int) -> dict[str, Any]:
+    """Returns the answer of the OVERLOAD command at one sidecar."""
+    answer, end = (await scene.sidecars[number].call("OVERLOAD")).split("\n")
     assert end == "end"
-    found: dict[str, Any] = json.loads(told)
-    return found
+    status: dict[str, Any] = json.loads(answer)
+    return status
 
 
-async def comes(scene: Scene, number: int, holds: Callable[[dict[str, Any]], bool]) -> dict[str, Any]:
-    end = time.monotonic() + LONG_S
+async def wait_for_status(
+    scene: Scene, number: int, condition: Callable[[dict[str, Any]], bool]
+) -> dict[str, Any]:
+    """Waits until the status fulfils the condition, and returns it."""
+    deadline_s = time.monotonic() + LONG_S
     while True:
-        found = await state(scene, number)
-        if holds(found):
-            return found
-        assert time.monotonic() < end, found
+        status = await read_status(scene, number)
+        if condition(status):
+            return status
+        assert time.monotonic() < deadline_s, status
         await asyncio.sleep(0.05)
 
 
-def test_the_door_shows_whose_words_count_and_what_may_be_spent() -> None:
+def is_ready(status: dict[str, Any]) -> bool:
+    """Returns whether the sidecar has its peers' reports and may spend quota."""
+    return len(status["heard"]) == 2 and status["weight"] > 0
+
+
+def test_admin_command_shows_peers_and_quota() -> None:
     async def test(scene: Scene) -> None:
-        told = await comes(scene, 0, lambda told: len(told["heard"]) == 2 and told["weight"] > 0)
-        assert told["index"] == 0 and told["owned"] == TOTAL_PARTS // 3 and not told["storm"]
+        status = await wait_for_status(scene, 0, is_ready)
+        assert status["index"] == 0
+        assert status["owned"] == TOTAL_PARTS // 3
+        assert not status["storm"]
         assert (await scene.sidecars[0].call("STATUS")) == "done"
 
     on_rig(BUSY, test)
 
 
-def test_a_liar_and_words_of_any_form_cost_a_line_and_no_sum() -> None:
-    """One with a certificate and no number of its own: it says that it is sidecar 1 under a thousand times
-    the load, asks for loans without end, and sends noise.
-    """
+async def send_noise(liar: Braggart) -> None:
+    """Sends malformed messages and lease requests to all peers."""
+    instance = liar.instance
+    now_us = liar.transport.now_us()
+    malformed = (
+        b"",
+        b"\xc1noise",
+        messages.encode([99]),
+        messages.encode(LeaseRequest(1, 1, 5, 0))[:-1],
+    )
+    for body in malformed:
+        for name in list(instance.core.peers):
+            outputs = instance.note(name, messages.TOPIC, body, now_us, wall_clock_us())
+            liar.transport.perform(outputs)
+            lease_id = instance.core.dice.getrandbits(LIAR_RANDOM_BITS)
+            request = messages.encode(LeaseRequest(lease_id, 1, TOTAL_PARTS, 0))
+            outputs = instance.note(name, messages.TOPIC, request, now_us, wall_clock_us())
+            liar.transport.perform(outputs)
+
+
+def test_false_reports_and_malformed_messages_break_no_invariant() -> None:
+    """A process with a certificate claims index 1 under a thousand times the load, and sends noise."""
 
     async def test(scene: Scene) -> None:
         assert scene.keys is not None
-        await comes(scene, 0, lambda told: len(told["heard"]) == 2 and told["weight"] > 0)
-        liar = Braggart(scene.keys.keyring("a-braggart", "makati"), scene.gossip, 1, 30_000.0)
+        await wait_for_status(scene, 0, is_ready)
+        liar = Braggart(scene.keys.keyring(LIAR, "makati"), scene.gossip, 1, 30_000.0)
         await liar.start(scene.links, 99)
         try:
-            await comes(scene, 0, lambda told: "a-braggart" in told["heard"])
-            instance = liar.instance
-            now_us = liar.transport.now_us()
-            for body in (b"", b"\xc1noise", words.encode([99]), words.encode(LeaseRequest(1, 1, 5, 0))[:-1]):
-                for name in list(instance.core.peers):
-                    liar.transport.perform(instance.note(name, words.TOPIC, body, now_us, wall_clock_us()))
-                    need = LeaseRequest(instance.core.dice.getrandbits(50), 1, TOTAL_PARTS, 0)
-                    liar.transport.perform(
-                        instance.note(name, words.TOPIC, words.encode(need), now_us, wall_clock_us())
-                    )
+            await wait_for_status(scene, 0, lambda status: LIAR in status["heard"])
+            await send_noise(liar)
             await scene.play()
-            # the one whose name sorts later says nothing of the budgets while another claims its number
-            told = await comes(scene, 1, lambda told: told["weight"] == 0)
-            assert told["counts"].get("asked", 0) > 0
-            line = [line for line in scene.sidecars[0].lines if "words not taken" in line]
-            assert line and "a-braggart" in line[0]
+            # the sidecar whose name sorts later spends nothing while another one claims its index
+            status = await wait_for_status(scene, 1, lambda status: status["weight"] == 0)
+            assert status["counts"].get("asked", 0) > 0
+            rejections = [line for line in scene.sidecars[0].lines if "messages rejected" in line]
+            assert rejections
+            assert LIAR in rejections[0]
         finally:
             liar.close()
-        await comes(scene, 1, lambda told: told["weight"] > 0)
+        await wait_for_status(scene, 1, lambda status: status["weight"] > 0)
 
     scene = on_rig(BUSY, test)
     assert not scene.verdict()
 
 
-def test_two_thirds_of_the_load_at_one_of_three_and_a_kill_in_the_midst_break_nothing() -> None:
-    from sidecar_proxy.testbed.fault_schedule import Fault
-
+def test_skewed_load_with_a_kill_and_a_partition_breaks_no_invariant() -> None:
+    """Two thirds of the load arrive at one sidecar of three, which is killed during an outage."""
     plan = replace(
         BUSY,
         skew=0.67,
@@ -106,8 +130,8 @@
         await scene.play()
 
     scene = on_rig(plan, test)
-    found = [one for one in scene.verdict() if "ms after its due time" not in one.text]
-    assert not found, found[:3]
+    breaches = [breach for breach in scene.verdict() if "ms after its due time" not in breach.text]
+    assert not breaches, breaches[:3]
 
 
 @pytest.mark.parametrize(
@@ -118,13 +142,14 @@
         ("[overload]\ntries_per_s = 0", "overload.tries_per_s: expected a number from 0.1 to 1e+06, got 0"),
     ],
 )
-def test_a_wrong_setting_is_one_line_and_the_end(text: str, line: str, tmp_path: Path) -> None:
+def test_invalid_setting_ends_the_start_with_one_line(text: str, line: str, tmp_path: Path) -> None:
     assert line in refused_start(text, "overload", tmp_path)
 
 
 def refused_start(text: str, table: str, folder: Path) -> str:
-    """The one line that a sidecar says of that table as it ends at its start."""
-    config, operator = folder / "s.json", folder / "s.toml"
+    """Starts a sidecar with an invalid operator file; returns the one line that it writes of that table."""
+    config = folder / "s.json"
+    operator = folder / "s.toml"
     operator.write_text(text)
     config.write_text(json.dumps({"discovery": "127.0.0.1:9", "seed": "1", "settings": settings(Plan(), 0)}))
     env = {
@@ -135,13 +160,14 @@
         "PROXY_DISCOVERY": "127.0.0.1:9",
         "SIDECAR_PROXY_OPERATOR": str(operator),
     }
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "sidecar_proxy.daemon"],
         env=env,
         capture_output=True,
         text=True,
         timeout=LONG_S,
     )
-    said = [one for one in done.stderr.splitlines() if table in one]
-    assert done.returncode == 2 and len(said) == 1, done.stderr
-    return said[0]
+    lines = [line for line in completed.stderr.splitlines() if table in line]
+    assert completed.returncode == 2, completed.stderr
+    assert len(lines) == 1, completed.stderr
+    return lines[0]
