--- a/sidecar_proxy/overload_control/retry_after.py
+++ b/sidecar_proxy/overload_control/retry_after.py
@@ -19,6 +19,8 @@
 class RetrySchedule:
     """The advised retry time of each rejected client, by the key of its request."""
 
+    __slots__ = ("due_us_by_key",)
+
     def __init__(self) -> None:
         self.due_us_by_key: OrderedDict[int, int] = OrderedDict()
 
