--- a/sidecar_proxy/overload_control/shedding_threshold.py
+++ b/sidecar_proxy/overload_control/shedding_threshold.py
@@ -121,6 +121,7 @@
     returning_us: dict[str, list[float]]
 
     def claim_us(self, name: str) -> float:
+        """Returns the demand of one sidecar."""
         return sum(self.first_us[name]) + sum(self.returning_us[name])
 
 
--- a/tests/overload_control/test_controller.py
+++ b/tests/overload_control/test_controller.py
@@ -6,7 +6,7 @@
 from sidecar_proxy.overload_control.controller import GENERATION_US, UPDATE_VALID_US, OverloadController
 from sidecar_proxy.overload_control.messages import TOTAL_PARTS, LeaseGrant, LeaseRequest
 from sidecar_proxy.overload_control.outputs import Broadcast, LogMessage, Output, SendMessage
-from tests.overload_control.conftest import (
+from tests.overload_control.controllers import (
     STEP_US,
     STEPS_PER_S,
     ControllerFactory,
--- a/tests/overload_control/test_status.py
+++ b/tests/overload_control/test_status.py
@@ -6,7 +6,7 @@
 
 from sidecar_proxy.overload_control.messages import LeaseRequest
 from sidecar_proxy.overload_control.status import controller_status
-from tests.overload_control.conftest import ControllerFactory
+from tests.overload_control.controllers import ControllerFactory
 from tests.overload_control.reports import make_report
 
 # The keys, in their order, of the version before the controller's attributes were renamed.
