--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -86,14 +86,22 @@
     "waiting": Form(permits.Waiting, "place facts"),
     "places": Form(permits.Places, "held line forced"),
     # overload
-    "loan": Form(overload.LeaseRecord, "to parts"),
-    "work": Form(overload.Work, "demand returns served busy_us"),
+    "loan": Form(overload.LeaseRecord, "to=borrower parts"),
+    "work": Form(
+        overload.ClassLoad,
+        "demand=demand_per_1000_s returns=returning_per_1000_s served=served_per_1000_s"
+        " busy_us=busy_us_per_s",
+    ),
     "report": Form(
-        overload.Report, "index number storm weight spare refused grows easy backlog classes loans"
+        overload.Report,
+        "index number=generation storm=has_retry_storm"
+        " weight=usable_parts spare=lendable_parts"
+        " refused=rejected_per_1000_s grows=capacity_permille"
+        " easy=is_unconstrained backlog classes loans=leases",
     ),
-    "need": Form(overload.LeaseRequest, "number asked_us parts renews"),
-    "lend": Form(overload.LeaseGrant, "number asked_us parts"),
-    "return": Form(overload.LeaseReturn, "number"),
+    "need": Form(overload.LeaseRequest, "number=lease_id asked_us=requested_us parts renews"),
+    "lend": Form(overload.LeaseGrant, "number=lease_id asked_us=requested_us parts"),
+    "return": Form(overload.LeaseReturn, "number=lease_id"),
     # what a process leaves to the next
     "remembered": Form(remembered.WarmStartRecord, "at_us answers_us=response_times_us total nodes"),
     "remembered_node": Form(remembered.Node, "name started_us window failing answer_us"),
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -139,7 +139,7 @@
     "gossip-packet": read_packet,
     "gossip-state": read_state,
     "gossip-statement": read_statement,
-    "overload-word": overload.read,
+    "overload-word": overload.decode,
 }
 WRITERS: dict[str, Callable[[Any], bytes]] = {
     "agreement-frame": frames.encode,
--- /dev/null
+++ b/tests/overload_control/conftest.py
@@ -0,0 +1,43 @@
+"""Fixtures of the overload control tests."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from sidecar_proxy.overload_control.controller import FleetBudgets, OverloadController
+from tests.overload_control.controllers import ControllerFactory, ControllerGroup, GroupFactory
+from tests.overload_control.reports import PRIORITY_WEIGHTS
+
+MAX_RETRY_AFTER_US = 2_000_000
+
+
+@pytest.fixture
+def new_controller() -> ControllerFactory:
+    """Makes a controller; the seed of its generator is the number in its name."""
+
+    def make(name: str, index: int, instances: int, slow_latency_us: int = 0) -> OverloadController:
+        return OverloadController(
+            name,
+            index,
+            instances,
+            PRIORITY_WEIGHTS,
+            MAX_RETRY_AFTER_US,
+            FleetBudgets(),
+            random.Random(int(name[1:])),
+            0,
+            slow_latency_us,
+        )
+
+    return make
+
+
+@pytest.fixture
+def new_group(new_controller: ControllerFactory) -> GroupFactory:
+    """Makes a group of so many controllers."""
+
+    def make(count: int) -> ControllerGroup:
+        return ControllerGroup([new_controller(f"s{index}", index, count) for index in range(count)])
+
+    return make
