--- a/sidecar_proxy/overload_control/controller.py
+++ b/sidecar_proxy/overload_control/controller.py
@@ -188,7 +188,7 @@
         self._update_threshold(now_us)
         outputs = self._update_storm(now_us)
         self._update_generation(now_us)
-        outputs += adjust_leases(self.escrow, self.wanted_parts, self.peers.by_name(), now_us)
+        outputs += adjust_leases(self.escrow, self.wanted_parts, self.peers.by_name, now_us)
         outputs += self._report_if_due(now_us)
         return self._update_balancer_if_changed(now_us) + outputs
 
@@ -201,7 +201,7 @@
         if now_us < self.next_threshold_us:
             return
         self.next_threshold_us = now_us + len(self.peers) * THRESHOLD_INTERVAL_US_PER_PEER
-        peer_reports = self.peers.by_name()
+        peer_reports = self.peers.by_name
         self.wanted_parts = needed_parts(
             self.load.demand_per_s, list(peer_reports.values()), self.instances, self.escrow.owned_parts
         )
--- a/sidecar_proxy/overload_control/peer_reports.py
+++ b/sidecar_proxy/overload_control/peer_reports.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 from sidecar_proxy.overload_control.messages import Report
 
 MIN_REPORT_INTERVAL_US = 1_000_000  # between two reports of one sidecar
@@ -17,60 +15,53 @@
     return max(MIN_REPORT_INTERVAL_US, instances * 1_000_000 // MAX_FLEET_REPORTS_PER_S)
 
 
-@dataclass(slots=True)
-class ReceivedReport:
-    """A peer's last report, and when it was received."""
-
-    report: Report
-    received_us: int
-
-
 class PeerReports:
-    """The last report of each peer, by name."""
+    """The last report of each peer."""
 
     def __init__(self, own_name: str, own_index: int) -> None:
         self.own_name = own_name
         self.own_index = own_index
-        self.received: dict[str, ReceivedReport] = {}
+        self.by_name: dict[str, Report] = {}
+        self.received_us: dict[str, int] = {}  # by name, as `by_name`
 
     def __len__(self) -> int:
-        return len(self.received)
+        return len(self.by_name)
 
     def add(self, author: str, report: Report, now_us: int) -> bool:
         """Records a report; returns False if it is an own one, or of one peer too many."""
         if author == self.own_name:
             return False
-        if author not in self.received and len(self.received) >= MAX_PEERS:
+        if author not in self.by_name and len(self.by_name) >= MAX_PEERS:
             return False
-        self.received[author] = ReceivedReport(report, now_us)
+        self.by_name[author] = report
+        self.received_us[author] = now_us
         return True
 
     def remove(self, author: str) -> None:
         """Forgets the peer's report."""
-        self.received.pop(author, None)
+        self.by_name.pop(author, None)
+        self.received_us.pop(author, None)
 
     def remove_older(self, max_age_us: int, now_us: int) -> None:
         """Forgets the reports that are older than `max_age_us`."""
-        expired = [name for name, entry in self.received.items() if now_us - entry.received_us > max_age_us]
+        expired = [
+            name for name, received_us in self.received_us.items() if now_us - received_us > max_age_us
+        ]
         for name in expired:
-            del self.received[name]
+            self.remove(name)
 
     def claims_own_index(self, author: str) -> bool:
         """Returns whether a peer reports this sidecar's index and takes precedence by its name."""
-        return self.received[author].report.index == self.own_index and author < self.own_name
+        return self.by_name[author].index == self.own_index and author < self.own_name
 
     def has_index_conflict(self) -> bool:
         """Returns whether any peer claims this sidecar's index with precedence."""
-        return any(self.claims_own_index(name) for name in self.received)
+        return any(self.claims_own_index(name) for name in self.by_name)
 
     def has_rejections(self) -> bool:
         """Returns whether any peer rejects requests."""
-        return any(entry.report.rejected_per_1000_s for entry in self.received.values())
-
-    def by_name(self) -> dict[str, Report]:
-        """Returns the reports by their authors' names."""
-        return {name: entry.report for name, entry in self.received.items()}
+        return any(report.rejected_per_1000_s for report in self.by_name.values())
 
     def ages_us(self, now_us: int) -> dict[str, int]:
         """Returns the age of each report, sorted by name."""
-        return {name: now_us - entry.received_us for name, entry in sorted(self.received.items())}
+        return {name: now_us - received_us for name, received_us in sorted(self.received_us.items())}
--- a/tests/overload_control/test_peer_reports.py
+++ b/tests/overload_control/test_peer_reports.py
@@ -22,7 +22,7 @@
 def test_later_report_replaces_the_earlier_one_of_its_author(peers: PeerReports) -> None:
     assert peers.add("s2", make_report(2, generation=4), 0)
     assert peers.add("s2", make_report(2, generation=5), 10)
-    assert peers.by_name()["s2"].generation == 5
+    assert peers.by_name["s2"].generation == 5
     assert peers.ages_us(30) == {"s2": 20}
 
 
@@ -40,14 +40,14 @@
     peers.add("s2", make_report(2), 0)
     peers.add("s3", make_report(3), 1)
     peers.remove_older(100, 101)
-    assert list(peers.by_name()) == ["s3"]
+    assert list(peers.by_name) == ["s3"]
 
 
 def test_removed_peer_has_no_report(peers: PeerReports) -> None:
     peers.add("s2", make_report(2), 0)
     peers.remove("s2")
     peers.remove("s2")
-    assert peers.by_name() == {}
+    assert peers.by_name == {}
 
 
 def test_index_conflict_goes_to_the_earlier_name(peers: PeerReports) -> None:
--- a/tests/overload_control/test_subsystem_wiring.py
+++ b/tests/overload_control/test_subsystem_wiring.py
@@ -163,9 +163,9 @@
 
 def test_report_is_recorded_and_forgotten_once_its_author_is_dead(wiring: Wiring) -> None:
     wiring.deliver("s1", messages.encode(make_report(1)), alone=False)
-    assert list(wiring.subsystem.controller.peers.by_name()) == ["s1"]
+    assert list(wiring.subsystem.controller.peers.by_name) == ["s1"]
     wiring.deliver("s1", b"", alone=False, left=True)
-    assert wiring.subsystem.controller.peers.by_name() == {}
+    assert wiring.subsystem.controller.peers.by_name == {}
 
 
 @pytest.mark.parametrize(
