--- a/sidecar_proxy/admin/__init__.py
+++ b/sidecar_proxy/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What people do to a running sidecar: the door for operators, figures, suspensions, drains, upgrades."""
+"""What operators do to a running sidecar: admin commands, suspensions, draining and hot restart."""
--- a/sidecar_proxy/admin/commands.py
+++ b/sidecar_proxy/admin/commands.py
@@ -1,57 +1,64 @@
-"""What operators' calls do: suspend and restore an upstream, drain the sidecar, tell state and figures."""
+"""The admin commands: status, metrics, suspending and restoring an upstream, draining the sidecar."""
 
 from __future__ import annotations
 
 import logging
 from typing import Protocol
 
-from sidecar_proxy.admin.endpoint_overrides import ALWAYS, EndpointOverrides
+from sidecar_proxy.admin.endpoint_overrides import ALWAYS, OPERATOR_SOURCE, EndpointOverrides
 from sidecar_proxy.admin.hot_restart import HotRestart
 from sidecar_proxy.admin.server import AdminCommand, AdminCommandError
-from sidecar_proxy.admin.suspensions import Suspensions, UnknownEndpointError
+from sidecar_proxy.admin.suspensions import SuspensionError, Suspensions
 from sidecar_proxy.admin.warm_start import WarmStart
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Engine
 
 log = logging.getLogger("sidecar_proxy")
 
-LOOK_S = 0.1  # at what another process of this sidecar has written
+POLL_INTERVAL_S = 0.1  # between two looks at what another process of this sidecar has written
 
+DONE = "done"
+DONE_NOT_STORED = "done, for this process alone"
 
-class Drained(Protocol):
-    """The application's side."""
 
-    def drain(self) -> None: ...
+class DrainableServer(Protocol):
+    """The downstream server, as far as the admin commands use it."""
 
-    def undrain(self) -> None: ...
+    def drain(self) -> None:
+        """Begin to drain: report not ready, and let clients go."""
 
-    def shrink(self, half: bool) -> None: ...
+    def undrain(self) -> None:
+        """End the drain."""
+
+    def shrink(self, half: bool) -> None:
+        """Use only half of the connection limit, or all of it again."""
 
 
 class AdminCommands:
-    """By hand: the calls and the state behind them."""
+    """The commands and the state behind them; it owns the poll timer and the hot-restart locks."""
 
     def __init__(
         self,
         engine: Engine,
         directory: EndpointDirectory,
-        server: Drained,
-        handover: HotRestart,
-        holding: EndpointOverrides,
+        server: DrainableServer,
+        hot_restart: HotRestart,
+        overrides: EndpointOverrides,
     ) -> None:
         self.engine = engine
-        self.holding = holding
+        self.overrides = overrides
         self.server = server
-        self.handover = handover
-        self.suspended = Suspensions()
-        self.serving = False  # clients are taken
-        holding.listed.append(self.suspended.listed)
-        self.apply(handover.read() or set())
-        self.memory = WarmStart(engine, directory, handover)
-        self.timer = engine.loop.call_later(LOOK_S, self.look)
-        self.share()
-
-    def calls(self) -> dict[str, AdminCommand]:
+        self.hot_restart = hot_restart
+        self.suspensions = Suspensions()
+        self.is_serving = False  # clients are accepted
+        overrides.name_listeners.append(self.suspensions.add_listed)
+        self.set_suspended_names(hot_restart.suspensions.read() or set())
+        self.warm_start = WarmStart(engine, directory, hot_restart.warm_start_file)
+        self.timer = engine.loop.call_later(POLL_INTERVAL_S, self.poll_other_process)
+        self.share_descriptors()
+
+    def by_name(self) -> dict[str, AdminCommand]:
+        """Return the commands by the names that operators use."""
         return {
             "STATUS": self.status,
             "METRICS": self.metrics,
@@ -61,68 +68,78 @@
             "RESUME": self.resume,
         }
 
-    # The calls
-
     def status(self, _: str) -> str:
-        if not self.serving:
+        """Answer whether this process accepts clients."""
+        if not self.is_serving:
             raise AdminCommandError("clients are not taken yet")
-        return "done"
+        return DONE
 
     def metrics(self, _: str) -> str:
+        """Answer with a line for each metric, and a last line `end`."""
         return "\n".join([*self.engine.figures.lines(*self.engine.members()), "end"])
 
     def suspend(self, name: str) -> str:
-        return self.hand(name, True)
+        """Send nothing new to the upstream of this name, until it is restored."""
+        self.check_name(name)
+        # Stored before it takes effect: a successor that starts just now must not miss it.
+        is_stored = self.hot_restart.suspensions.add(name)
+        self.set_suspended_names(self.suspensions.names | {name})
+        log.info("upstream %s is suspended by an operator", name)
+        return DONE if is_stored else DONE_NOT_STORED
 
     def restore(self, name: str) -> str:
-        return self.hand(name, False)
-
-    def hand(self, name: str, out: bool) -> str:
-        """Hold an upstream out, or no more."""
-        try:
-            self.suspended.check(name)
-        except UnknownEndpointError as error:
-            raise AdminCommandError(str(error)) from error
-        # hazard: kept before it is in force; a successor that starts now must not miss it
-        kept = self.handover.put(name) if out else self.handover.take(name)
-        self.apply(self.suspended.names | {name} if out else self.suspended.names - {name})
-        log.info("upstream %s is %s by hand", name, "suspended" if out else "restored")
-        return "done" if kept else "done, for this process alone"
+        """End the suspension of the upstream of this name."""
+        self.check_name(name)
+        is_stored = self.hot_restart.suspensions.remove(name)
+        self.set_suspended_names(self.suspensions.names - {name})
+        log.info("upstream %s is restored by an operator", name)
+        return DONE if is_stored else DONE_NOT_STORED
 
     def pause(self, _: str) -> str:
+        """Drain this sidecar."""
         self.server.drain()
-        return "done"
+        return DONE
 
     def resume(self, _: str) -> str:
+        """End the drain of this sidecar."""
         self.server.undrain()
-        return "done"
+        return DONE
 
-    # What is suspended
+    def check_name(self, name: str) -> None:
+        """Raise AdminCommandError if the upstream of this name cannot be suspended or restored."""
+        try:
+            self.suspensions.check(name)
+        except SuspensionError as error:
+            raise AdminCommandError(str(error)) from error
 
-    def apply(self, names: set[str]) -> None:
-        """From now on these are held out."""
-        self.suspended.replace(names)
-        self.holding.put("hand", dict.fromkeys(names, ALWAYS))
+    def set_suspended_names(self, names: set[str]) -> None:
+        """Put exactly these suspensions into effect."""
+        self.suspensions.replace(names)
+        self.overrides.put(OPERATOR_SOURCE, dict.fromkeys(names, ALWAYS))
 
-    def look(self) -> None:
-        """Another process of this sidecar may have been told more."""
-        self.timer = self.engine.loop.call_later(LOOK_S, self.look)
-        if self.handover.changed():
-            names = self.handover.read()
+    def poll_other_process(self) -> None:
+        """Take over suspensions that another process of this sidecar has stored, and look who serves."""
+        self.timer = self.engine.loop.call_later(POLL_INTERVAL_S, self.poll_other_process)
+        if self.hot_restart.suspensions.has_changed():
+            names = self.hot_restart.suspensions.read()
             if names is not None:
-                self.apply(names)
-        self.share()
-
-    def share(self) -> None:
-        """While there are two processes of this sidecar, each keeps to half of what both may hold."""
-        first = self.handover.alone()
-        succeeded = first and self.handover.succeeded()
-        alone = first and not succeeded
-        self.server.shrink(not alone)
-        self.engine.pool.shrink(not alone)
-        if succeeded and self.serving:
-            self.memory.leave()
+                self.set_suspended_names(names)
+        self.share_descriptors()
+
+    def share_descriptors(self) -> None:
+        """Keep to half of the descriptors while there are two processes of this sidecar.
+
+        The serving process also publishes its warm-start state then.
+        """
+        is_serving_process = self.hot_restart.locks.claim_serving()
+        has_successor = is_serving_process and self.hot_restart.locks.has_successor()
+        has_other_process = not is_serving_process or has_successor
+        self.server.shrink(has_other_process)
+        self.engine.pool.shrink(has_other_process)
+        if has_successor and self.is_serving:
+            self.warm_start.publish()
 
     def close(self) -> None:
+        """Stop polling and release the hot-restart locks."""
         self.timer.cancel()
-        self.handover.close()
+        self.hot_restart.close()
--- a/sidecar_proxy/admin/endpoint_overrides.py
+++ b/sidecar_proxy/admin/endpoint_overrides.py
@@ -1,5 +1,7 @@
-"""Upstreams to which nothing new is sent whatever the list says, by whoever has said so: an operator at this
-sidecar's door, or the fleet. What a list says passes through here on its way to the decisions.
+"""Endpoints that get no new requests whatever the endpoint list says.
+
+An override comes from a source: an operator of this sidecar, or the whole fleet. Everything that an endpoint
+list says passes through here on its way to the balancer.
 """
 
 from __future__ import annotations
@@ -12,42 +14,49 @@
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.engine.interfaces import Host
 
-ALWAYS = 1 << 62  # us: held whatever its start
+OPERATOR_SOURCE = "operator"
+ALWAYS = 1 << 62  # us: later than any start, so the override holds for every incarnation
 
 
 class EndpointOverrides:
-    """By source: the names that are held, each with the latest start (Unix us) that it is held for."""
+    """The overridden endpoint names of each source.
+
+    Each name has the latest start (Unix us) to which its override applies: an endpoint that has started later
+    is a new incarnation, to which it does not apply.
+    """
 
     def __init__(self, engine: Engine, directory: EndpointDirectory) -> None:
         self.engine = engine
         self.directory = directory
-        self.sources: dict[str, Mapping[str, int]] = {}
-        self.listed: list[Callable[[str], None]] = []  # who is told each name that a list has
-        engine.hold = self.hold
+        self.sources: dict[str, Mapping[str, int]] = {}  # latest starts by name, by source
+        self.name_listeners: list[Callable[[str], None]] = []  # called with each name that a list has
+        engine.hold = self.apply_to_list
 
-    def holds(self, name: str, started_us: int) -> bool:
-        return any(started_us <= told[name] for told in self.sources.values() if name in told)
+    def applies_to(self, name: str, started_us: int) -> bool:
+        """Whether any source overrides the endpoint of this name that started then."""
+        return any(started_us <= starts[name] for starts in self.sources.values() if name in starts)
 
     def put(self, source: str, names: Mapping[str, int]) -> None:
-        """All that this source holds from now on. The decisions are told where that has changed."""
-        before = self.sources.get(source, {})
+        """Replace all overrides of a source, and notify the balancer of the endpoints that this changes."""
+        previous_names = self.sources.get(source, {})
         self.sources[source] = names
-        known = self.engine.known()
-        hosts = []
-        for name in {name for name, _ in before.items() ^ names.items()}:
-            host = known.get(self.directory.numbers.get(name, -1))
+        known_hosts = self.engine.known()
+        changed_hosts = []
+        for name in {name for name, _ in previous_names.items() ^ names.items()}:
+            host = known_hosts.get(self.directory.numbers.get(name, -1))
             if host is not None and host.told is not None:
-                hosts.append(Host(host.told, host.dial, host.dial_grpc))
-        if hosts:
-            self.engine.list_changed(api.ListKind.HELD, hosts, 0)
+                changed_hosts.append(Host(host.told, host.dial, host.dial_grpc))
+        if changed_hosts:
+            self.engine.list_changed(api.ListKind.HELD, changed_hosts, 0)
 
-    def hold(self, hosts: list[Host]) -> None:
-        """What a list says, on its way to the decisions: what is held drains, whatever it says."""
+    def apply_to_list(self, hosts: list[Host]) -> None:
+        """Change the state of overridden endpoints to draining, in place."""
         for host in hosts:
             name = self.directory.names.get(host.entry.id, "")
             if not name:
                 continue
-            for told in self.listed:
-                told(name)
-            if host.entry.state is api.UpstreamState.READY and self.holds(name, host.entry.started_us):
+            for listener in self.name_listeners:
+                listener(name)
+            is_ready = host.entry.state is api.UpstreamState.READY
+            if is_ready and self.applies_to(name, host.entry.started_us):
                 host.entry = replace(host.entry, state=api.UpstreamState.DRAINING)
--- a/sidecar_proxy/admin/server.py
+++ b/sidecar_proxy/admin/server.py
@@ -1,7 +1,8 @@
-"""The door for operators: one line a connection, one answer, at once, or, for a call that the fleet has to
-agree to, within some seconds. A thin shell; the calls are `Hand`'s and those of subsystems.
+"""The admin server: a line protocol for operators, with one command and one answer per connection.
 
-A call's answer begins with `done` or `error`; METRICS tells the figures and then a line `end`.
+An answer begins with `done` or `error`; that of METRICS is the metrics and a last line `end`. Most commands
+answer at once. One that the fleet has to agree to answers within TIMEOUT_S. The server only reads and
+writes lines; the commands belong to `AdminCommands` and to the subsystems.
 """
 
 from __future__ import annotations
@@ -15,133 +16,146 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-MOST_LINE = 1024  # bytes
-MOST_CALLERS = 24  # together; the one that has been silent for longest makes room
-PATIENCE_S = 5.0  # some callers say nothing, or half a call, and stay
-AdminCommand = Callable[
-    [str], str | Awaitable[str]
-]  # the line's argument to the answer, without its line break
+MAX_LINE_BYTES = 1024
+MAX_CONNECTIONS = 24  # beyond this the oldest connection is closed
+TIMEOUT_S = 5.0  # for a client to send its command, and for a command to answer
+MAX_LOGGED_COMMAND_LENGTH = 20  # characters
+
+AdminCommand = Callable[[str], str | Awaitable[str]]  # from the line's argument to the answer
 
 
 class AdminCommandError(Exception):
-    """The call can't be done; one line."""
+    """A command cannot be carried out; the message is one line and becomes the answer."""
 
 
 class AdminServer:
-    """The listener and those who call."""
+    """The listener; it owns the connections of its clients."""
 
-    def __init__(self, calls: Mapping[str, AdminCommand]) -> None:
-        self.calls = dict(calls)  # subsystems add theirs
-        self.callers: dict[Caller, None] = {}  # the one that came first comes first
+    def __init__(self, commands: Mapping[str, AdminCommand]) -> None:
+        self.calls = dict(commands)  # subsystems add theirs
+        self.connections: dict[AdminConnection, None] = {}  # oldest first
         self.server: asyncio.Server | None = None
 
     async def open(self, address: Address) -> Address:
-        """Raises OSError where the address can't be listened on."""
+        """Listen, and return the bound address. Raises OSError if the address cannot be bound."""
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(lambda: Caller(self), address[0].strip("[]"), address[1])
+        host = address[0].strip("[]")
+        self.server = await loop.create_server(lambda: AdminConnection(self), host, address[1])
         bound: Address = self.server.sockets[0].getsockname()[:2]
         return bound
 
-    def enter(self, caller: Caller) -> None:
-        self.callers[caller] = None
-        if len(self.callers) > MOST_CALLERS:
-            next(iter(self.callers)).end()
-
-    def answer(self, line: bytes) -> bytes | Awaitable[bytes]:
-        """What a whole line is answered with; never raises, nor does what is awaited."""
-        word, _, argument = line.decode("utf-8", "replace").strip().partition(" ")
-        call = self.calls.get(word.upper())
-        if call is None:
+    def add_connection(self, connection: AdminConnection) -> None:
+        """Register a connection; the oldest one is closed if there are too many."""
+        self.connections[connection] = None
+        if len(self.connections) > MAX_CONNECTIONS:
+            next(iter(self.connections)).abort()
+
+    def execute(self, line: bytes) -> bytes | Awaitable[bytes]:
+        """Carry out a complete line and return its answer; neither the call nor the awaitable raises."""
+        name, _, argument = line.decode("utf-8", "replace").strip().partition(" ")
+        command = self.calls.get(name.upper())
+        if command is None:
             return b"error: expected one of %s\n" % ", ".join(self.calls).encode()
         try:
-            told = call(argument.strip())
-        except Exception as error:
-            return failed(word, error)
-        return told.encode() + b"\n" if isinstance(told, str) else self.later(word, told)
-
-    async def later(self, word: str, told: Awaitable[str]) -> bytes:
+            answer = command(argument.strip())
+        except Exception as error:  # a fault in one command must not end the sidecar
+            return encode_error(name, error)
+        if isinstance(answer, str):
+            return answer.encode() + b"\n"
+        return self.await_answer(name, answer)
+
+    async def await_answer(self, name: str, answer: Awaitable[str]) -> bytes:
+        """Return the answer of a command that takes a while, or an error after TIMEOUT_S."""
         try:
-            async with asyncio.timeout(PATIENCE_S):
-                return (await told).encode() + b"\n"
+            async with asyncio.timeout(TIMEOUT_S):
+                return (await answer).encode() + b"\n"
         except TimeoutError:
-            return b"error: no answer in %d s\n" % PATIENCE_S
-        except Exception as error:
-            return failed(word, error)
+            return b"error: no answer in %d s\n" % TIMEOUT_S
+        except Exception as error:  # a fault in one command must not leave the client without an answer
+            return encode_error(name, error)
 
     def close(self) -> None:
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
-        for caller in list(self.callers):
-            caller.end()
+        for connection in list(self.connections):
+            connection.abort()
 
 
-def failed(word: str, error: Exception) -> bytes:
-    """Hazard: a fault in one call must not cost the sidecar, nor leave the caller without an answer."""
+def encode_error(name: str, error: Exception) -> bytes:
+    """Return the answer for a command that has raised; an unexpected error is logged."""
     if isinstance(error, AdminCommandError):
         return b"error: %s\n" % str(error).encode()
-    log.error("the call %s failed", word[:20], exc_info=error)
+    log.error("admin command %s failed", name[:MAX_LOGGED_COMMAND_LENGTH], exc_info=error)
     return b"error: a fault of the sidecar's; its log has it\n"
 
 
-class Caller(asyncio.Protocol):
-    """One connection, one line."""
+class AdminConnection(asyncio.Protocol):
+    """A client's connection: one command, one answer. It owns the task of an answer that takes a while."""
 
-    def __init__(self, door: AdminServer) -> None:
-        self.door = door
-        self.text = b""
-        self.answered = False
+    def __init__(self, admin_server: AdminServer) -> None:
+        self.admin_server = admin_server
+        self.received = b""
+        self.has_command = False  # a complete command, or too long a line, was received
         self.transport: asyncio.Transport | None = None
-        self.patience: asyncio.TimerHandle | None = None
-        self.waiting: asyncio.Task[None] | None = None
+        self.command_timeout: asyncio.TimerHandle | None = None
+        self.answer_task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        self.patience = asyncio.get_running_loop().call_later(PATIENCE_S, self.end)
-        self.door.enter(self)
+        """Register with the server and start the timeout."""
+        # uvloop's transport has all methods of asyncio.Transport but does not derive from it
+        self.transport = cast(asyncio.Transport, transport)
+        self.command_timeout = asyncio.get_running_loop().call_later(TIMEOUT_S, self.abort)
+        self.admin_server.add_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.answered or self.transport is None:
+        """Carry out the command once its line is complete."""
+        if self.has_command or self.transport is None:
             return
-        self.text += data[: MOST_LINE + 1]
-        line, found, _ = self.text.partition(b"\n")
-        if found and len(line) <= MOST_LINE:
-            self.give(self.door.answer(line))
-        elif len(self.text) > MOST_LINE:
-            self.say(b"error: a line too long\n")
+        self.received += data[: MAX_LINE_BYTES + 1]
+        line, line_break, _ = self.received.partition(b"\n")
+        if line_break and len(line) <= MAX_LINE_BYTES:
+            self.respond(self.admin_server.execute(line))
+        elif len(self.received) > MAX_LINE_BYTES:
+            self.send(b"error: a line too long\n")
 
     def eof_received(self) -> bool:
-        """A caller may end its side in place of a line break."""
-        if not self.answered and self.text:
-            self.give(self.door.answer(self.text))
-        # a caller that has ended its side still waits for an answer that takes a while
-        return self.waiting is not None and not self.waiting.done()
+        """Take the end of input for the line break; return True to stay open for a pending answer."""
+        if not self.has_command and self.received:
+            self.respond(self.admin_server.execute(self.received))
+        return self.answer_task is not None and not self.answer_task.done()
 
-    def give(self, answer: bytes | Awaitable[bytes]) -> None:
+    def respond(self, answer: bytes | Awaitable[bytes]) -> None:
+        """Send the answer, at once or when it is there."""
         if isinstance(answer, bytes):
-            self.say(answer)
+            self.send(answer)
             return
-        self.answered = True
-        if self.patience is not None:
-            self.patience.cancel()
-        self.waiting = asyncio.get_running_loop().create_task(self.wait(answer))
+        self.has_command = True
+        if self.command_timeout is not None:
+            self.command_timeout.cancel()
+        self.answer_task = asyncio.get_running_loop().create_task(self.send_when_done(answer))
 
-    async def wait(self, answer: Awaitable[bytes]) -> None:
-        self.say(await answer)
+    async def send_when_done(self, answer: Awaitable[bytes]) -> None:
+        """Await the answer and send it."""
+        self.send(await answer)
 
-    def say(self, answer: bytes) -> None:
+    def send(self, answer: bytes) -> None:
+        """Send the answer and close the connection."""
         assert self.transport is not None
-        self.answered = True
+        self.has_command = True
         self.transport.write(answer)
         self.transport.close()
 
-    def end(self) -> None:
-        self.door.callers.pop(self, None)
+    def abort(self) -> None:
+        """Close the connection at once."""
+        self.admin_server.connections.pop(self, None)
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.door.callers.pop(self, None)
-        if self.patience is not None:
-            self.patience.cancel()
-        if self.waiting is not None:
-            self.waiting.cancel()
+        """Cancel the timeout and a pending answer."""
+        self.admin_server.connections.pop(self, None)
+        if self.command_timeout is not None:
+            self.command_timeout.cancel()
+        if self.answer_task is not None:
+            self.answer_task.cancel()
--- a/sidecar_proxy/admin/suspensions.py
+++ b/sidecar_proxy/admin/suspensions.py
@@ -1,44 +1,69 @@
-"""Upstreams that operators have taken out by hand. Pure.
+"""The endpoints that operators have suspended. Pure: no files and no clock.
 
-A suspension is the most careful word there is (rule 3): it holds whatever the list says, whoever lists the
-upstream anew, and over an upgrade of the process, until one call takes it back.
+A suspension holds whatever the endpoint list says, for every new incarnation of the endpoint, and across
+hot restarts, until an operator ends it. This is the platform's rule 3: of all that is said about an
+endpoint's membership, the most restrictive statement counts.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-MOST_SUSPENDED = 100_000
-MOST_NAME = 256  # characters
+MAX_SUSPENSIONS = 100_000
+MAX_NAME_LENGTH = 256  # characters
 
 
-class UnknownEndpointError(Exception):
-    """The call names an upstream that was never listed; one line."""
+class SuspensionError(Exception):
+    """A command names an endpoint that cannot be suspended or restored; the message is one line."""
+
+    def __init__(self, message: str, name: str) -> None:
+        super().__init__(message)
+        self.name = name
+
+
+class UnknownEndpointError(SuspensionError):
+    """No endpoint of this name was ever listed."""
+
+    def __init__(self, name: str) -> None:
+        super().__init__("no upstream of that name was ever listed", name)
+
+
+class TooManySuspensionsError(SuspensionError):
+    """MAX_SUSPENSIONS endpoints are suspended already."""
+
+    def __init__(self, name: str) -> None:
+        super().__init__("too many are suspended", name)
 
 
 class Suspensions:
-    """Names that were ever listed here, and those of them that are held out."""
+    """The names that were ever listed, and the names that are suspended."""
 
     def __init__(self) -> None:
-        self.names: set[str] = set()
-        self.seen: dict[str, None] = {}  # oldest first
+        self.names: set[str] = set()  # suspended
+        self.listed_names: dict[str, None] = {}  # oldest first
+
+    def add_listed(self, name: str) -> None:
+        """Remember that the endpoint list has this name.
 
-    def listed(self, name: str) -> None:
-        """The list has named it. Hazard: upstreams are replaced all day, so the oldest names go."""
-        if name not in self.seen:
-            self.seen[name] = None
-            if len(self.seen) > MOST_SUSPENDED:
-                del self.seen[next(iter(self.seen))]
+        Endpoints are replaced all the time, so the oldest names are dropped beyond MAX_SUSPENSIONS.
+        """
+        if name in self.listed_names:
+            return
+        self.listed_names[name] = None
+        if len(self.listed_names) > MAX_SUSPENSIONS:
+            del self.listed_names[next(iter(self.listed_names))]
 
     def check(self, name: str) -> None:
-        """Raises Unknown."""
-        if not name or len(name) > MOST_NAME or (name not in self.seen and name not in self.names):
-            raise UnknownEndpointError("no upstream of that name was ever listed")
-        if len(self.names) >= MOST_SUSPENDED and name not in self.names:
-            raise UnknownEndpointError("too many are suspended")
+        """Raise SuspensionError if a command may not suspend or restore this name."""
+        is_known = name in self.listed_names or name in self.names
+        if not name or len(name) > MAX_NAME_LENGTH or not is_known:
+            raise UnknownEndpointError(name)
+        if len(self.names) >= MAX_SUSPENSIONS and name not in self.names:
+            raise TooManySuspensionsError(name)
 
     def replace(self, names: Iterable[str]) -> set[str]:
-        """All that are held out now; returns those for which that has changed."""
-        new = set(names)
-        changed, self.names = new ^ self.names, new
-        return changed
+        """Set the suspended names; return those that are newly suspended or restored."""
+        new_names = set(names)
+        changed_names = new_names ^ self.names
+        self.names = new_names
+        return changed_names
--- a/sidecar_proxy/admin/warm_start.py
+++ b/sidecar_proxy/admin/warm_start.py
@@ -1,80 +1,97 @@
-"""Leaves what this process has learnt to its successor, and takes over what the one before has left."""
+"""Hands what this process has learnt of its upstreams to its successor, and takes over from the last one."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
 
-from sidecar_proxy.admin.hot_restart import HotRestart
+from sidecar_proxy.admin.warm_start_file import StoredState, WarmStartFile
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Engine
 
 log = logging.getLogger("sidecar_proxy")
 
-LEAVE_S = 0.4  # between two of this process's, while a successor is there
-FRESH_S = 1.0  # what a process that still serves has left is no older
-WAIT_S = 0.6  # for the other process to see us, and to leave it
-LOOK_S = 0.02
+PUBLISH_INTERVAL_S = 0.4  # between two writes of the state while there is a successor
+MAX_FRESH_AGE_S = 1.0  # a process that still serves has written its state no longer ago
+MAX_WAIT_S = 0.6  # for the serving process to notice this one and to write its state
+POLL_INTERVAL_S = 0.02
 
 
 class WarmStart:
-    def __init__(self, engine: Engine, directory: EndpointDirectory, handover: HotRestart) -> None:
+    """Both ends of the transfer of warm-start state between two processes of one sidecar."""
+
+    def __init__(self, engine: Engine, directory: EndpointDirectory, file: WarmStartFile) -> None:
         self.engine = engine
         self.directory = directory
-        self.handover = handover
-        self.next_at = 0.0
-        self.classes = [one.name for one in engine.settings.classes]
+        self.file = file
+        self.next_publish_at_s = 0.0  # by the loop's clock
+        self.class_names = [request_class.name for request_class in engine.settings.classes]
 
-    def started_us(self) -> dict[int, int]:
+    def started_us_by_upstream(self) -> dict[int, int]:
+        """Return the start (Unix us) of each listed upstream, by its number."""
         return {
-            ident: host.entry.started_us
-            for ident, host in self.engine.known().items()
+            upstream: host.entry.started_us
+            for upstream, host in self.engine.known().items()
             if host.entry.state is not api.UpstreamState.GONE
         }
 
-    def leave(self) -> None:
-        """A successor is there: leave what is known now, from time to time till it serves."""
-        now = self.engine.loop.time()
-        if now < self.next_at:
+    def publish(self) -> None:
+        """Write the state for the successor, unless PUBLISH_INTERVAL_S has not passed since the last time."""
+        now_s = self.engine.loop.time()
+        if now_s < self.next_publish_at_s:
             return
-        self.next_at = now + LEAVE_S
-        # hazard: the library takes memory, so it is imported at an upgrade alone
+        self.next_publish_at_s = now_s + PUBLISH_INTERVAL_S
+        # The codec's library takes memory, so it is imported only at a hot restart.
         from sidecar_proxy.admin.warm_start_codec import encode
 
-        self.handover.leave(
+        self.file.write(
             encode(
                 self.engine.balancer.learnt(),
                 self.engine.clock.now_us(),
-                self.classes,
+                self.class_names,
                 self.directory.names,
-                self.started_us(),
+                self.started_us_by_upstream(),
             )
         )
 
     async def take_over(self) -> None:
-        """Tell the decisions what the process that serves now has learnt, if it leaves it soon."""
-        from sidecar_proxy.admin.warm_start_codec import MOST_BYTES, UntrustedStateError, believe, decode
+        """Give the balancer the state of the serving process, if that writes it within MAX_WAIT_S."""
+        from sidecar_proxy.admin.warm_start_codec import (
+            MAX_STATE_BYTES,
+            UntrustedStateError,
+            decode,
+            restore,
+        )
 
-        end = self.engine.loop.time() + WAIT_S
-        found = self.handover.left(MOST_BYTES)
-        while self.engine.loop.time() < end and (
-            found is None or self.engine.clock.now_us() / 1e6 - found[1] > FRESH_S
-        ):
-            await asyncio.sleep(LOOK_S)
-            found = self.handover.left(MOST_BYTES)
-        if found is None:
-            return  # it is of an older version, or can't write
+        stored = await self.wait_for_fresh_state(MAX_STATE_BYTES)
+        if stored is None:
+            return  # the serving process is of an older version, or cannot write
         try:
-            learnt = believe(
-                decode(found[0]),
+            state = restore(
+                decode(stored.data),
                 self.engine.clock.now_us(),
-                self.classes,
+                self.class_names,
                 self.directory.numbers,
-                self.started_us(),
+                self.started_us_by_upstream(),
             )
         except UntrustedStateError as error:
-            log.warning("what the process before has left is not used: %s", error)
+            log.warning("warm-start state of the previous process is not used: %s", error)
             return
-        self.engine.tell(learnt)
-        log.info("takes over what was learnt of %d upstreams", len(learnt.upstreams))
+        self.engine.tell(state)
+        log.info("took over the warm-start state of %d upstreams", len(state.upstreams))
+
+    async def wait_for_fresh_state(self, max_bytes: int) -> StoredState | None:
+        """Return the stored state once it is fresh, or whatever there is after MAX_WAIT_S."""
+        deadline_s = self.engine.loop.time() + MAX_WAIT_S
+        stored = self.file.read(max_bytes)
+        while self.engine.loop.time() < deadline_s and not self.is_fresh(stored):
+            await asyncio.sleep(POLL_INTERVAL_S)
+            stored = self.file.read(max_bytes)
+        return stored
+
+    def is_fresh(self, stored: StoredState | None) -> bool:
+        """Whether a process that still serves has written this state."""
+        if stored is None:
+            return False
+        return self.engine.clock.now_us() / 1e6 - stored.written_at_s <= MAX_FRESH_AGE_S
--- a/sidecar_proxy/admin/warm_start_codec.py
+++ b/sidecar_proxy/admin/warm_start_codec.py
@@ -1,12 +1,12 @@
-"""What one process of a sidecar has learnt and leaves to the next: its form, and what of it may be believed.
+"""The stored form of warm-start state, and how much of it a successor may trust.
 
-Pure: bytes and times are handed in. The next process serves the same upstreams a moment later, so what was
-learnt is nearly true then; it is read with distrust all the same, as the file may be of another version,
-torn, old, or of upstreams that have started anew since. Nothing in it can open more than own experience
-could, and nothing in it speaks of membership: that comes from discovery and from operators' hands alone.
+Pure: bytes and times are arguments. The successor serves the same upstreams a moment later, so the state is
+still nearly true. It is read with distrust all the same: the file may be of another version, damaged, old,
+or about upstreams that have restarted since. No state opens a concurrency limit further than the successor's
+own experience could, and none says anything about membership, which comes from discovery and from operators.
 
-Requests under way, and the effects that they may have, are not in it: the process that sent them keeps them
-until their end.
+Requests in flight, and the effects that they may have, are not part of the state: the process that has sent
+them keeps them until they end.
 """
 
 from __future__ import annotations
@@ -19,106 +19,152 @@
 
 from sidecar_proxy.balancer import events as api
 
-MAGIC = b"wickspread-remembered 1 "  # the number is that of the form; another one is not read
-MOST_BYTES = 1 << 20
-MOST_UPSTREAMS = 5_000
-SURE_US = 2_000_000  # up to this age it is taken as it is
-WORTHLESS_US = 10_000_000  # from this age on it says nothing; between the two it counts ever less
-SKEW_US = 1_000_000  # a time ahead of ours by more is no time of this machine
+MAGIC = b"wickspread-remembered 1 "  # stored; the number is the version of the form
+MAX_STATE_BYTES = 1 << 20
+MAX_UPSTREAMS = 5_000
+DIGEST_BYTES = 16
+
+MAX_TRUSTED_AGE_US = 2_000_000  # up to this age the state counts in full
+MAX_AGE_US = 10_000_000  # from this age on it does not count; in between its weight falls linearly
+MAX_CLOCK_SKEW_US = 1_000_000  # a time further ahead is not of this machine's clock
 
 
 class UntrustedStateError(Exception):
-    """It can't be used; one line that says why."""
+    """The stored state cannot be used; the message is one line."""
+
+
+class UnsupportedVersionError(UntrustedStateError):
+    """The state does not begin with MAGIC."""
+
+    def __init__(self) -> None:
+        super().__init__("unsupported version")
+
+
+class DamagedStateError(UntrustedStateError):
+    """The state is too large, has a wrong checksum, or does not have the form of WarmStartRecord."""
+
+
+class StateAgeError(UntrustedStateError):
+    """The state is too old, or from the future."""
+
+    def __init__(self, message: str, age_us: int) -> None:
+        super().__init__(message)
+        self.age_us = age_us
 
 
-class Node(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+class UpstreamRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
+    """What was learnt of one upstream; stored as an array in the order of the fields."""
+
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=256)]  # discovery's `host`
-    started_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # as its list entry told it
-    window: Annotated[float, msgspec.Meta(ge=0, le=1e6)]  # open slots
-    failing: Annotated[float, msgspec.Meta(ge=0, le=1)]  # share of its last attempts
-    answer_us: Annotated[float, msgspec.Meta(ge=0, le=1e12)]  # its usual answer; 0 = none seen
+    started_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # Unix time, from its endpoint list entry
+    concurrency_limit: Annotated[float, msgspec.Meta(ge=0, le=1e6)]
+    failure_rate: Annotated[float, msgspec.Meta(ge=0, le=1)]  # of its last attempts
+    response_time_us: Annotated[float, msgspec.Meta(ge=0, le=1e12)]  # typical; 0: no response yet
 
 
 class WarmStartRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    at_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # Unix time
+    """The state of one process; stored as an array in the order of the fields."""
+
+    recorded_at_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # Unix time
     response_times_us: dict[
         Annotated[str, msgspec.Meta(max_length=256)], Annotated[float, msgspec.Meta(ge=0, le=1e12)]
-    ]  # by class
-    total: Annotated[float, msgspec.Meta(ge=0, le=1e6)]  # all slots, in first ones
-    nodes: Annotated[list[Node], msgspec.Meta(max_length=MOST_UPSTREAMS)]
+    ]  # by the name of the request class
+    total_limit_ratio: Annotated[float, msgspec.Meta(ge=0, le=1e6)]  # as in api.WarmStartState
+    upstreams: Annotated[list[UpstreamRecord], msgspec.Meta(max_length=MAX_UPSTREAMS)]
 
 
 def encode(
-    told: api.WarmStartState,
-    at_us: int,
-    classes: list[str],
-    names: Mapping[int, str],
-    started_us: Mapping[int, int],
+    state: api.WarmStartState,
+    now_us: int,
+    class_names: list[str],
+    names_by_upstream: Mapping[int, str],
+    started_us_by_upstream: Mapping[int, int],
 ) -> bytes:
-    """`names` and `started_us` are by number, as are the upstreams of `told`. Of more than MOST_UPSTREAMS
-    those go in that differ most from one that nothing is known of.
+    """Return the stored form of a state.
+
+    Of more than MAX_UPSTREAMS upstreams those with the highest failure rates and lowest limits are stored:
+    they differ most from an upstream of which nothing is known.
     """
-    known = [one for one in told.upstreams if one.upstream in names and one.upstream in started_us]
-    if len(known) > MOST_UPSTREAMS:
-        known.sort(key=lambda one: (-one.failure_rate, one.concurrency_limit))
-    nodes = [
-        Node(
-            names[one.upstream],
-            started_us[one.upstream],
-            one.concurrency_limit,
-            one.failure_rate,
-            one.response_time_us,
+    known_upstreams = [
+        learnt
+        for learnt in state.upstreams
+        if learnt.upstream in names_by_upstream and learnt.upstream in started_us_by_upstream
+    ]
+    if len(known_upstreams) > MAX_UPSTREAMS:
+        known_upstreams.sort(key=lambda learnt: (-learnt.failure_rate, learnt.concurrency_limit))
+    upstream_records = [
+        UpstreamRecord(
+            names_by_upstream[learnt.upstream],
+            started_us_by_upstream[learnt.upstream],
+            learnt.concurrency_limit,
+            learnt.failure_rate,
+            learnt.response_time_us,
         )
-        for one in known[:MOST_UPSTREAMS]
+        for learnt in known_upstreams[:MAX_UPSTREAMS]
     ]
-    answers = dict(zip(classes, told.response_times_us, strict=True))
-    body = msgspec.msgpack.encode(WarmStartRecord(at_us, answers, told.total_limit_ratio, nodes))
-    return MAGIC + hashlib.blake2b(body, digest_size=16).hexdigest().encode() + b"\n" + body
+    response_times_us = dict(zip(class_names, state.response_times_us, strict=True))
+    body = msgspec.msgpack.encode(
+        WarmStartRecord(now_us, response_times_us, state.total_limit_ratio, upstream_records)
+    )
+    return MAGIC + checksum(body) + b"\n" + body
 
 
 def decode(data: bytes) -> WarmStartRecord:
-    """Raises Distrusted."""
-    if len(data) > MOST_BYTES:
-        raise UntrustedStateError("too large")
+    """Return the record in the stored bytes. Raises UntrustedStateError."""
+    if len(data) > MAX_STATE_BYTES:
+        raise DamagedStateError("too large")
     head, _, body = data.partition(b"\n")
     if not head.startswith(MAGIC):
-        raise UntrustedStateError("of another version")
-    if head[len(MAGIC) :] != hashlib.blake2b(body, digest_size=16).hexdigest().encode():
-        raise UntrustedStateError("torn")
+        raise UnsupportedVersionError
+    if head[len(MAGIC) :] != checksum(body):
+        raise DamagedStateError("wrong checksum")
     try:
         return msgspec.msgpack.decode(body, type=WarmStartRecord)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise UntrustedStateError(f"malformed: {error}") from error
+        raise DamagedStateError(f"malformed: {error}") from error
 
 
-def belief(age_us: int) -> float:
-    """How much of what is so old counts, 0 to 1. Raises Distrusted."""
-    if age_us < -SKEW_US:
-        raise UntrustedStateError("from the future")
-    if age_us >= WORTHLESS_US:
-        raise UntrustedStateError(f"{age_us // 1_000_000} s old")
-    return min(1.0, (WORTHLESS_US - age_us) / (WORTHLESS_US - SURE_US))
+def checksum(body: bytes) -> bytes:
+    """Return the digest that is stored before the body, in hexadecimal."""
+    return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest().encode()
 
 
-def believe(
-    found: WarmStartRecord,
+def weight_at_age(age_us: int) -> float:
+    """Return how much a state of this age counts, from 0 to 1. Raises StateAgeError."""
+    if age_us < -MAX_CLOCK_SKEW_US:
+        raise StateAgeError("from the future", age_us)
+    if age_us >= MAX_AGE_US:
+        raise StateAgeError(f"{age_us // 1_000_000} s old", age_us)
+    return min(1.0, (MAX_AGE_US - age_us) / (MAX_AGE_US - MAX_TRUSTED_AGE_US))
+
+
+def restore(
+    record: WarmStartRecord,
     now_us: int,
-    classes: list[str],
-    numbers: Mapping[str, int],
-    started_us: Mapping[int, int],
+    class_names: list[str],
+    upstreams_by_name: Mapping[str, int],
+    started_us_by_upstream: Mapping[int, int],
 ) -> api.WarmStartState:
-    """What the decisions may be told of it. Upstreams that are not known here, or have started anew since,
-    are left out. Raises Distrusted.
+    """Return what the balancer may be given of a record, weighted by its age.
+
+    Upstreams that are not listed here, or have restarted since, are left out. Response times by class count
+    only in full. Raises StateAgeError.
     """
-    part = belief(now_us - found.at_us)
+    weight = weight_at_age(now_us - record.recorded_at_us)
     upstreams = []
-    for node in found.nodes:
-        number = numbers.get(node.name, -1)
-        if started_us.get(number, -1) == node.started_us:
-            upstreams.append(
-                api.WarmStartUpstream(
-                    number, 1.0 + (node.window - 1.0) * part, node.failing * part, node.answer_us
-                )
+    for upstream_record in record.upstreams:
+        upstream = upstreams_by_name.get(upstream_record.name, -1)
+        if started_us_by_upstream.get(upstream, -1) != upstream_record.started_us:
+            continue
+        upstreams.append(
+            api.WarmStartUpstream(
+                upstream,
+                1.0 + (upstream_record.concurrency_limit - 1.0) * weight,
+                upstream_record.failure_rate * weight,
+                upstream_record.response_time_us,
             )
-    answers = [found.response_times_us.get(name, 0.0) if part == 1.0 else 0.0 for name in classes]
-    return api.WarmStartState(answers, 1.0 + (found.total - 1.0) * part, upstreams)
+        )
+    response_times_us = [0.0] * len(class_names)
+    if weight == 1.0:
+        response_times_us = [record.response_times_us.get(name, 0.0) for name in class_names]
+    return api.WarmStartState(response_times_us, 1.0 + (record.total_limit_ratio - 1.0) * weight, upstreams)
--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -52,11 +52,11 @@
     version, _, known = directory.read(config.known)
     share = max(1, (config.sockets - OWN_DESCRIPTORS) // 2)
     operated = config.door is not None or config.accept_fd is not None
-    handover = HotRestart.of(os.environ) if operated else None
+    hot_restart = HotRestart.from_environment(os.environ) if operated else None
     settings = replace(
         settings,
         max_upstreams=share,  # of a fleet larger than that a part is used
-        is_successor=handover is not None and not handover.alone(),
+        is_successor=hot_restart is not None and not hot_restart.locks.claim_serving(),
     )
     pool = Pool(settings.connect_timeout_us / 1e6 or 1.0, settings.idle_us / 1e6, share)
     discovery = PlatformDiscoveryClient(
@@ -65,21 +65,21 @@
     engine = Engine(settings, config.seed, clock, pool, discovery)
     discovery.sink = engine
     server = Server(engine, share, Spool(spool_bytes(config.memory_mb)))
-    hand, door = None, None
-    holding = (
+    admin_commands, admin_server = None, None
+    overrides = (
         EndpointOverrides(engine, directory)
-        if handover is not None or (operator is not None and operator.agreement.folder)
+        if hot_restart is not None or (operator is not None and operator.agreement.folder)
         else None
     )
-    if handover is not None and holding is not None:
-        hand = AdminCommands(engine, directory, server, handover, holding)
-    if config.door is not None and hand is not None:
-        door = AdminServer(hand.calls())
-        await door.open(config.door)
+    if hot_restart is not None and overrides is not None:
+        admin_commands = AdminCommands(engine, directory, server, hot_restart, overrides)
+    if config.door is not None and admin_commands is not None:
+        admin_server = AdminServer(admin_commands.by_name())
+        await admin_server.open(config.door)
     running: list[Running] = []
     if operator is not None:
         running = await start_wanted(
-            Context(config, operator, engine, directory, server, discovery, door, holding)
+            Context(config, operator, engine, directory, server, discovery, admin_server, overrides)
         )
     log.info("runs %s", compiled.state)
     assert discovery.sink is not None
@@ -89,24 +89,24 @@
         engine.loop.add_signal_handler(number, stop.set)
     engine.loop.add_signal_handler(signal.SIGHUP, reload, discovery, engine)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    if hand is not None and settings.is_successor:
+    if admin_commands is not None and settings.is_successor:
         # hazard: what discovery tells binds soon after the first yes, and the list at hand may be old; the
         # process before this one serves meanwhile
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(engine.listed.wait(), LIST_S)
-        await hand.memory.take_over()
+        await admin_commands.warm_start.take_over()
     host, port = server.listen(config.listen, config.accept_fd)
-    if hand is not None:
-        hand.serving = True
+    if admin_commands is not None:
+        admin_commands.is_serving = True
     discovery.collector = GcController()
     log.info("%s listens on %s:%d", config.name, host, port)
     await stop.wait()
     await server.stop()
     discovery.close()
-    if door is not None:
-        door.close()
-    if hand is not None:
-        hand.close()
+    if admin_server is not None:
+        admin_server.close()
+    if admin_commands is not None:
+        admin_commands.close()
     close_all(running)
     pool.close()
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -1,46 +1,44 @@
-"""The door for operators on a real sidecar: every call's answer, and what it does to requests."""
+"""The admin server of a real sidecar: the answer of each command, and its effect on requests."""
 
 from __future__ import annotations
 
 import contextlib
 import socket
-import tempfile
 import threading
 
-from tests.admin.rig import Doored, call, doored
+import pytest
+
+from tests.admin.admin_sidecar import AdminSidecar, send_command
 from tests.sockets import LONG_S, Discovery, Message, Upstream, answer, eventually
 
 
-def test_status_and_whatever_is_no_call() -> None:
-    with Upstream() as upstream, doored(upstream) as sidecar:
-        assert sidecar.call("STATUS") == "done"
-        assert sidecar.call("status\r") == "done"
-        for bad in ("", "NOTHING", "\x00\xff", "SUSPEND", "SUSPEND nobody", "RESTORE nobody", "x" * 5000):
-            assert sidecar.call(bad).startswith("error"), bad
-        with socket.create_connection(sidecar.door, timeout=LONG_S) as one:
-            one.sendall(b"STATUS")  # no line break, but no more follows
-            one.shutdown(socket.SHUT_WR)
-            assert one.recv(100) == b"done\n"
+def test_status_is_done_and_an_unknown_command_is_an_error(sidecar: AdminSidecar) -> None:
+    assert sidecar.call("STATUS") == "done"
+    assert sidecar.call("status\r") == "done"
+    for line in ("", "NOTHING", "\x00\xff", "SUSPEND", "SUSPEND nobody", "RESTORE nobody", "x" * 5000):
+        assert sidecar.call(line).startswith("error"), line
+    with socket.create_connection(sidecar.admin_address, timeout=LONG_S) as connection:
+        connection.sendall(b"STATUS")  # the end of input stands for the line break
+        connection.shutdown(socket.SHUT_WR)
+        assert connection.recv(100) == b"done\n"
 
 
-def test_callers_that_say_nothing_or_half_a_call_keep_nobody_out() -> None:
-    with Upstream() as upstream, doored(upstream) as sidecar, contextlib.ExitStack() as stack:
+def test_silent_connections_keep_no_other_client_out(sidecar: AdminSidecar) -> None:
+    with contextlib.ExitStack() as stack:
         for number in range(100):
-            one = stack.enter_context(socket.create_connection(sidecar.door, timeout=LONG_S))
-            one.sendall(b"STAT" if number % 2 else b"")
+            connection = stack.enter_context(socket.create_connection(sidecar.admin_address, timeout=LONG_S))
+            connection.sendall(b"STAT" if number % 2 else b"")
         assert sidecar.call("STATUS") == "done"
         assert sidecar.request("GET", "/read/7").status == 200
 
 
-def test_figures_tell_what_clients_were_told() -> None:
-    held = threading.Event()
-
+def test_metrics_count_what_clients_received(shared_folder: str, release: threading.Event) -> None:
     def script(request: Message, client: socket.socket) -> bytes | None:
         if request.body == b"hold":
-            held.wait(LONG_S)
+            release.wait(LONG_S)
         return None if request.body == b"fail" else answer(b"ok")
 
-    with Upstream(script=script) as upstream, doored(upstream) as sidecar:
+    with Upstream(script=script) as upstream, AdminSidecar([upstream], shared_folder) as sidecar:
         for _ in range(3):
             assert sidecar.request("GET", "/read/7").status == 200
         assert sidecar.request("POST", "/pay/7", b"fail").status == 502
@@ -48,128 +46,132 @@
         client = sidecar.client()
         client.send("POST", "/pay/7", b"hold")
         eventually(lambda: len(upstream.requests) == 5)
-        found = sidecar.figures()
-        assert {name: value for name, value in found.items() if value} == {
+        assert {name: value for name, value in sidecar.metrics().items() if value} == {
             "app.completed.read": 3,
             "app.failed.pay": 1,
             "app.upstream_requests": 5,
             "app.pending": 1,
             "app.members": 1,
         }
-        held.set()
+        release.set()
         assert client.read() is not None
-        assert sidecar.figures()["app.pending"] == 0
+        assert sidecar.metrics()["app.pending"] == 0
         client.close()
 
 
-def test_a_suspended_upstream_gets_nothing_whatever_the_list_says_until_it_is_restored() -> None:
+def test_suspended_upstream_gets_no_request_whatever_the_list_says_until_it_is_restored(
+    first_upstream: Upstream, second_upstream: Upstream, shared_folder: str
+) -> None:
+    upstreams = [first_upstream, second_upstream]
     with (
-        Upstream(b"one") as one,
-        Upstream(b"two") as two,
-        Discovery([one.entry(), two.entry()]) as discovery,
-        doored(one, two, discovery=discovery) as s,
+        Discovery([upstream.entry() for upstream in upstreams]) as discovery,
+        AdminSidecar(upstreams, shared_folder, discovery=discovery) as sidecar,
     ):
-        while not (one.requests and two.requests):
-            assert s.request("GET", "/read/7").status == 200
-        assert s.call(f"SUSPEND {one.name}") == "done" == s.call(f"SUSPEND {one.name}")
-        before = len(one.requests)
-        # the list says it is well, says so of a new start, and lists it anew
-        for changed in ({}, {"born_ms": 5}, {"health": "terminated"}, {"health": "in_service"}):
-            discovery.tell(one.entry(**changed))
+        while not (first_upstream.requests and second_upstream.requests):
+            assert sidecar.request("GET", "/read/7").status == 200
+        for _ in range(2):
+            assert sidecar.call(f"SUSPEND {first_upstream.name}") == "done"
+        requests_before = len(first_upstream.requests)
+        # healthy, restarted, removed and listed again
+        for changes in ({}, {"born_ms": 5}, {"health": "terminated"}, {"health": "in_service"}):
+            discovery.tell(first_upstream.entry(**changes))
             for _ in range(10):
-                assert s.request("GET", "/read/7").body == b"two"
-        found = s.figures()
-        assert (found["app.members"], found["app.members_unavailable"]) == (2, 1)
-        assert len(one.requests) == before
-        assert s.call(f"RESTORE {one.name}") == "done"
-        eventually(lambda: s.request("GET", "/read/7").body == b"one")
-        assert s.figures()["app.members_unavailable"] == 0
-
-
-def test_a_draining_upstream_is_not_put_to_work_by_its_restore() -> None:
-    with (
-        Upstream(b"one") as one,
-        Upstream(b"two") as two,
-        Discovery([one.entry(), two.entry()]) as discovery,
-        doored(one, two, discovery=discovery) as s,
-    ):
-        s.call(f"SUSPEND {one.name}")
-        discovery.tell(one.entry(health="terminating"))
-        s.call(f"RESTORE {one.name}")
-        s.call("STATUS")
-        eventually(lambda: s.figures()["app.members_unavailable"] == 1)
-        assert {s.request("GET", "/read/7").body for _ in range(20)} == {b"two"}
-
-
-def test_a_suspension_holds_for_the_next_process_with_the_same_folder() -> None:
-    with Upstream(b"one") as one, Upstream(b"two") as two, tempfile.TemporaryDirectory() as folder:
-        with Doored([one, two], folder) as sidecar:
-            assert sidecar.call(f"SUSPEND {one.name}") == "done"
-        before = len(one.requests)
-        with Doored([one, two], folder) as sidecar:
-            for _ in range(20):
                 assert sidecar.request("GET", "/read/7").body == b"two"
-            assert len(one.requests) == before
-            assert sidecar.call(f"RESTORE {one.name}") == "done"
-            eventually(lambda: sidecar.request("GET", "/read/7").body == b"one")
-
-
-def test_two_processes_of_one_sidecar_hold_to_the_same_suspensions() -> None:
+        metrics = sidecar.metrics()
+        assert (metrics["app.members"], metrics["app.members_unavailable"]) == (2, 1)
+        assert len(first_upstream.requests) == requests_before
+        assert sidecar.call(f"RESTORE {first_upstream.name}") == "done"
+        eventually(lambda: sidecar.request("GET", "/read/7").body == b"one")
+        assert sidecar.metrics()["app.members_unavailable"] == 0
+
+
+def test_draining_upstream_gets_no_request_after_its_restore(
+    first_upstream: Upstream, second_upstream: Upstream, shared_folder: str
+) -> None:
+    upstreams = [first_upstream, second_upstream]
     with (
-        Upstream(b"one") as one,
-        Upstream(b"two") as two,
-        tempfile.TemporaryDirectory() as folder,
-        Doored([one, two], folder) as old,
-        Doored([one, two], folder) as new,
+        Discovery([upstream.entry() for upstream in upstreams]) as discovery,
+        AdminSidecar(upstreams, shared_folder, discovery=discovery) as sidecar,
     ):
-        assert old.call(f"SUSPEND {one.name}") == "done"
-        eventually(lambda: new.figures()["app.members_unavailable"] == 1)
+        sidecar.call(f"SUSPEND {first_upstream.name}")
+        discovery.tell(first_upstream.entry(health="terminating"))
+        sidecar.call(f"RESTORE {first_upstream.name}")
+        sidecar.call("STATUS")
+        eventually(lambda: sidecar.metrics()["app.members_unavailable"] == 1)
+        assert {sidecar.request("GET", "/read/7").body for _ in range(20)} == {b"two"}
+
+
+def test_suspension_holds_for_the_next_process_with_the_same_folder(
+    first_upstream: Upstream, second_upstream: Upstream, shared_folder: str
+) -> None:
+    upstreams = [first_upstream, second_upstream]
+    with AdminSidecar(upstreams, shared_folder) as sidecar:
+        assert sidecar.call(f"SUSPEND {first_upstream.name}") == "done"
+    requests_before = len(first_upstream.requests)
+    with AdminSidecar(upstreams, shared_folder) as sidecar:
+        for _ in range(20):
+            assert sidecar.request("GET", "/read/7").body == b"two"
+        assert len(first_upstream.requests) == requests_before
+        assert sidecar.call(f"RESTORE {first_upstream.name}") == "done"
+        eventually(lambda: sidecar.request("GET", "/read/7").body == b"one")
+
+
+def test_two_processes_of_one_sidecar_share_their_suspensions(
+    first_upstream: Upstream, second_upstream: Upstream, shared_folder: str
+) -> None:
+    upstreams = [first_upstream, second_upstream]
+    with AdminSidecar(upstreams, shared_folder) as old, AdminSidecar(upstreams, shared_folder) as new:
+        assert old.call(f"SUSPEND {first_upstream.name}") == "done"
+        eventually(lambda: new.metrics()["app.members_unavailable"] == 1)
         assert {new.request("GET", "/read/7").body for _ in range(20)} == {b"two"}
-        assert new.call(f"RESTORE {one.name}") == "done"
-        eventually(lambda: old.figures()["app.members_unavailable"] == 0)
+        assert new.call(f"RESTORE {first_upstream.name}") == "done"
+        eventually(lambda: old.metrics()["app.members_unavailable"] == 0)
 
 
-def test_a_paused_sidecar_lets_its_clients_go_and_answers_what_it_has_taken() -> None:
-    held = threading.Event()
-
+def test_paused_sidecar_closes_idle_connections_and_answers_requests_in_flight(
+    shared_folder: str, release: threading.Event
+) -> None:
     def script(request: Message, client: socket.socket) -> bytes:
         if request.body == b"hold":
-            held.wait(LONG_S)
+            release.wait(LONG_S)
         return answer(b"ok")
 
-    with Upstream(script=script) as upstream, doored(upstream) as sidecar:
+    with Upstream(script=script) as upstream, AdminSidecar([upstream], shared_folder) as sidecar:
         idle, busy, silent = sidecar.client(), sidecar.client(), sidecar.client()
         assert idle.request("GET", "/read/7").status == 200
         busy.send("POST", "/pay/7", b"hold")
         eventually(lambda: len(upstream.requests) == 2)
-        assert sidecar.call("PAUSE") == "done" == sidecar.call("PAUSE")
+        for _ in range(2):
+            assert sidecar.call("PAUSE") == "done"
         assert sidecar.request("GET", "/ready").status == 503
-        assert idle.read() is None and silent.read() is None
-        held.set()
-        found = busy.read()
-        assert found is not None and found.status == 200 and found.headers["connection"] == "close"
-        # who still comes is served, once
+        assert idle.read() is None
+        assert silent.read() is None
+        release.set()
+        response = busy.read()
+        assert response is not None
+        assert response.status == 200
+        assert response.headers["connection"] == "close"
+        # a client that still connects gets one answer
         late = sidecar.client()
         assert late.request("GET", "/read/7").headers["connection"] == "close"
         assert sidecar.call("STATUS") == "done"
-        assert sidecar.call("RESUME") == "done" == sidecar.call("RESUME")
+        for _ in range(2):
+            assert sidecar.call("RESUME") == "done"
         assert sidecar.request("GET", "/ready").status == 200
-        again = sidecar.client()
-        assert "connection" not in again.request("GET", "/read/7").headers
-        for client in (idle, busy, silent, late, again):
+        after_resume = sidecar.client()
+        assert "connection" not in after_resume.request("GET", "/read/7").headers
+        for client in (idle, busy, silent, late, after_resume):
             client.close()
 
 
-def test_a_sidecar_that_is_paused_ends_on_sigterm() -> None:
-    with Upstream() as upstream, doored(upstream) as sidecar:
-        sidecar.call("PAUSE")
-        assert sidecar.stop() == 0
+def test_paused_sidecar_ends_on_sigterm(sidecar: AdminSidecar) -> None:
+    sidecar.call("PAUSE")
+    assert sidecar.stop() == 0
 
 
-def test_without_the_setting_there_is_no_door() -> None:
-    with Upstream() as upstream, doored(upstream, env={"PROXY_MGMT": ""}) as sidecar:
-        try:
-            call(sidecar.door, "STATUS")
-        except ConnectionRefusedError:
-            return
-        raise AssertionError("something listens")
+def test_nothing_listens_without_the_admin_setting(upstream: Upstream, shared_folder: str) -> None:
+    with (
+        AdminSidecar([upstream], shared_folder, env={"PROXY_MGMT": ""}) as sidecar,
+        pytest.raises(ConnectionRefusedError),
+    ):
+        send_command(sidecar.admin_address, "STATUS")
--- /dev/null
+++ b/tests/admin/test_shared_folder.py
@@ -0,0 +1,107 @@
+"""The folder that two processes of one sidecar share: suspensions and process locks."""
+
+from __future__ import annotations
+
+import signal
+import subprocess
+import sys
+from collections.abc import Iterator
+from contextlib import contextmanager
+from pathlib import Path
+
+from sidecar_proxy.admin.hot_restart import HotRestart
+from sidecar_proxy.admin.process_locks import ProcessLocks
+from tests.sockets import LONG_S, ROOT
+
+
+def test_stored_names_are_those_of_the_earlier_version(tmp_path: Path) -> None:
+    old = HotRestart.from_environment({"TMPDIR": str(tmp_path)})
+    new = HotRestart.from_environment({"TMPDIR": str(tmp_path)})
+    assert old.locks.claim_serving()
+    assert not new.locks.claim_serving()
+    assert old.suspensions.add("s-1")
+    assert old.warm_start_file.write(b"state")
+    folder = tmp_path / "wickspread"
+    assert {str(path.relative_to(folder)) for path in folder.rglob("*")} == {
+        "next",
+        "remembered",
+        "serving",
+        "suspended",
+        "suspended/d8f869c69505c294cde2a4fffd0d696e",
+    }
+    new.close()
+    old.close()
+
+
+def test_suspension_of_one_process_is_read_by_another(tmp_path: Path) -> None:
+    old = HotRestart(tmp_path / "w").suspensions
+    new = HotRestart(tmp_path / "w").suspensions
+    assert new.read() == set()
+    assert not new.has_changed()
+    assert old.add("s/../1")
+    assert old.add("ü")
+    assert old.add("ü")
+    assert new.has_changed()
+    assert new.read() == {"s/../1", "ü"}
+    assert not new.has_changed()
+    assert new.remove("ü")
+    assert new.remove("ü")
+    assert old.read() == {"s/../1"}
+
+
+def test_partial_file_of_a_killed_process_is_no_suspension(tmp_path: Path) -> None:
+    (tmp_path / "w" / "suspended").mkdir(parents=True)
+    (tmp_path / "w" / "suspended" / "abc.7.part").write_bytes(b"s-")
+    hot_restart = HotRestart(tmp_path / "w")
+    hot_restart.suspensions.add("s-1")
+    assert hot_restart.suspensions.read() == {"s-1"}
+
+
+def test_unusable_folder_stores_nothing_and_the_process_serves_alone(tmp_path: Path) -> None:
+    (tmp_path / "file").write_bytes(b"")
+    hot_restart = HotRestart(tmp_path / "file" / "w")
+    assert not hot_restart.suspensions.add("s-1")
+    assert hot_restart.suspensions.read() is None
+    assert not hot_restart.suspensions.has_changed()
+    assert hot_restart.locks.claim_serving()
+    assert not hot_restart.locks.has_successor()
+    assert not HotRestart.from_environment({}).suspensions.add("s-1")
+
+
+@contextmanager
+def process_that_claims_serving(folder: Path, expected_result: bool) -> Iterator[subprocess.Popen[str]]:
+    """Run another process that claims to serve, and check with what result; it lives until it is killed."""
+    code = (
+        "import sys, pathlib; from sidecar_proxy.admin.process_locks import ProcessLocks\n"
+        "locks = ProcessLocks(pathlib.Path(sys.argv[1]))\n"
+        "print(locks.claim_serving(), flush=True); sys.stdin.read()"
+    )
+    with subprocess.Popen(
+        [sys.executable, "-c", code, str(folder)],
+        cwd=ROOT,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+    ) as process:
+        assert process.stdout is not None
+        assert process.stdout.readline() == f"{expected_result}\n"
+        yield process
+
+
+def test_process_locks_end_with_a_killed_process(tmp_path: Path) -> None:
+    locks = ProcessLocks(tmp_path)
+    with process_that_claims_serving(tmp_path, expected_result=True) as predecessor:
+        assert not locks.claim_serving()
+        assert not locks.has_successor()  # its own successor lock does not count
+        predecessor.send_signal(signal.SIGKILL)
+        predecessor.wait(LONG_S)
+        assert locks.claim_serving()
+        assert locks.claim_serving()
+        assert not locks.has_successor()
+    with process_that_claims_serving(tmp_path, expected_result=False) as successor:
+        assert locks.has_successor()
+        assert locks.claim_serving()
+        successor.send_signal(signal.SIGKILL)
+        successor.wait(LONG_S)
+        assert not locks.has_successor()
+    locks.close()
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -14,8 +14,7 @@
 
 import pytest
 
-from tests.admin.rig import Doored
-from tests.admin.test_hot_restart import platform
+from tests.admin.admin_sidecar import AdminSidecar, shared_by_processes
 from tests.sockets import Sidecar, Upstream, eventually
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -202,18 +201,22 @@
 
 
 def test_a_compiled_process_follows_one_from_sources_and_the_other_way_round() -> None:
-    with Upstream() as one, Upstream() as two, platform() as (listener, shared):
+    with Upstream() as one, Upstream() as two, shared_by_processes() as (listener, shared):
         for first, second in (("1", "0"), ("0", "1")):
-            with Doored([one, two], shared, listener=listener, env={"SIDECAR_PROXY_PURE": first}) as old:
+            with AdminSidecar(
+                [one, two], shared, listener=listener, env={"SIDECAR_PROXY_PURE": first}
+            ) as old:
                 for _ in range(20):
                     assert old.request("GET", "/read/7").status == 200
                 assert old.call(f"SUSPEND {one.name}") == "done"
-                with Doored([one, two], shared, listener=listener, env={"SIDECAR_PROXY_PURE": second}) as new:
+                with AdminSidecar(
+                    [one, two], shared, listener=listener, env={"SIDECAR_PROXY_PURE": second}
+                ) as new:
                     states = [next(line for line in each.lines if " runs " in line) for each in (old, new)]
                     assert sorted("compiled" in line for line in states) == [False, True]
                     eventually(
                         lambda new=new: [  # type: ignore[misc]
-                            line for line in new.lines if "takes over what was learnt" in line
+                            line for line in new.lines if "took over the warm-start state" in line
                         ]
                     )
                     assert old.stop() == 0
