--- a/tests/admin/test_shared_folder.py
+++ b/tests/admin/test_shared_folder.py
@@ -6,31 +6,34 @@
 import subprocess
 import sys
 from collections.abc import Iterator
-from contextlib import contextmanager
+from contextlib import closing, contextmanager
 from pathlib import Path
 
+import pytest
+
 from sidecar_proxy.admin.hot_restart import HotRestart
 from sidecar_proxy.admin.process_locks import ProcessLocks
 from tests.sockets import LONG_S, ROOT
 
 
 def test_stored_names_are_those_of_the_earlier_version(tmp_path: Path) -> None:
-    old = HotRestart.from_environment({"TMPDIR": str(tmp_path)})
-    new = HotRestart.from_environment({"TMPDIR": str(tmp_path)})
-    assert old.locks.claim_serving()
-    assert not new.locks.claim_serving()
-    assert old.suspensions.add("s-1")
-    assert old.warm_start_file.write(b"state")
-    folder = tmp_path / "wickspread"
-    assert {str(path.relative_to(folder)) for path in folder.rglob("*")} == {
-        "next",
-        "remembered",
-        "serving",
-        "suspended",
-        "suspended/d8f869c69505c294cde2a4fffd0d696e",
-    }
-    new.close()
-    old.close()
+    environment = {"TMPDIR": str(tmp_path)}
+    with (
+        closing(HotRestart.from_environment(environment)) as old,
+        closing(HotRestart.from_environment(environment)) as new,
+    ):
+        assert old.locks.claim_serving()
+        assert not new.locks.claim_serving()
+        assert old.suspensions.add("s-1")
+        assert old.warm_start_file.write(b"state")
+        folder = tmp_path / "wickspread"
+        assert {str(path.relative_to(folder)) for path in folder.rglob("*")} == {
+            "next",
+            "remembered",
+            "serving",
+            "suspended",
+            "suspended/d8f869c69505c294cde2a4fffd0d696e",
+        }
 
 
 def test_suspension_of_one_process_is_read_by_another(tmp_path: Path) -> None:
@@ -88,8 +91,13 @@
         yield process
 
 
-def test_process_locks_end_with_a_killed_process(tmp_path: Path) -> None:
-    locks = ProcessLocks(tmp_path)
+@pytest.fixture
+def locks(tmp_path: Path) -> Iterator[ProcessLocks]:
+    with closing(ProcessLocks(tmp_path)) as process_locks:
+        yield process_locks
+
+
+def test_process_locks_end_with_a_killed_process(tmp_path: Path, locks: ProcessLocks) -> None:
     with process_that_claims_serving(tmp_path, expected_result=True) as predecessor:
         assert not locks.claim_serving()
         assert not locks.has_successor()  # its own successor lock does not count
@@ -104,4 +112,3 @@
         successor.send_signal(signal.SIGKILL)
         successor.wait(LONG_S)
         assert not locks.has_successor()
-    locks.close()
