--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -103,8 +103,14 @@
     "lend": Form(overload.LeaseGrant, "number=lease_id asked_us=requested_us parts"),
     "return": Form(overload.LeaseReturn, "number=lease_id"),
     # what a process leaves to the next
-    "remembered": Form(remembered.WarmStartRecord, "at_us answers_us=response_times_us total nodes"),
-    "remembered_node": Form(remembered.Node, "name started_us window failing answer_us"),
+    "remembered": Form(
+        remembered.WarmStartRecord,
+        "at_us=recorded_at_us answers_us=response_times_us total=total_limit_ratio nodes=upstreams",
+    ),
+    "remembered_node": Form(
+        remembered.UpstreamRecord,
+        "name started_us window=concurrency_limit failing=failure_rate answer_us=response_time_us",
+    ),
     "learnt": Form(api.WarmStartState, "answers_us=response_times_us total=total_limit_ratio upstreams"),
     "learnt_upstream": Form(
         api.WarmStartUpstream,
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -498,7 +498,7 @@
 def memory(engine: NextProcess, told: dict[str, Any], handover: HotRestart) -> WarmStart:
     names = {int(number): name for number, name in told["names"].items()}
     directory = SimpleNamespace(names=names, numbers={name: number for number, name in names.items()})
-    return WarmStart(cast(Any, engine), cast(Any, directory), handover)
+    return WarmStart(cast(Any, engine), cast(Any, directory), handover.warm_start_file)
 
 
 def files_below(folder: Path) -> dict[str, bytes]:
@@ -520,11 +520,13 @@
 
 def test_a_process_leaves_the_golden_files_under_their_golden_names(tmp_path: Path) -> None:
     told = golden_json("tmpdir.json")
-    own, other = (HotRestart.of({"TMPDIR": str(tmp_path)}) for _ in range(2))
-    assert own.alone() and not other.alone() and own.succeeded()
+    own, other = (HotRestart.from_environment({"TMPDIR": str(tmp_path)}) for _ in range(2))
+    assert own.locks.claim_serving()
+    assert not other.locks.claim_serving()
+    assert own.locks.has_successor()
     for name in told["suspended"]:
-        assert own.put(name)
-    memory(NextProcess(told), told, own).leave()
+        assert own.suspensions.add(name)
+    memory(NextProcess(told), told, own).publish()
     own.close()
     other.close()
     assert files_below(tmp_path) == files_below(GOLDEN / "tmpdir")
@@ -533,10 +535,12 @@
 
 def test_what_was_learnt_reads_as_its_golden_values_and_is_written_as_the_same_bytes(tmpdir: Path) -> None:
     told = golden_json("tmpdir.json")
-    found = HotRestart.of({"TMPDIR": str(tmpdir)}).left(remembered.MOST_BYTES)
+    found = HotRestart.from_environment({"TMPDIR": str(tmpdir)}).warm_start_file.read(
+        remembered.MAX_STATE_BYTES
+    )
     assert found is not None
-    data, left_s = found
-    assert left_s == WALL_S
+    data = found.data
+    assert found.written_at_s == WALL_S
     assert_described(remembered.decode(data), told["remembered"])
     names = {int(number): name for number, name in told["names"].items()}
     started_us = {int(number): started for number, started in told["started_us"].items()}
@@ -546,25 +550,31 @@
 def test_the_next_process_takes_over_what_the_golden_folder_holds(tmpdir: Path) -> None:
     told = golden_json("tmpdir.json")
     engine = NextProcess(told)
-    asyncio.run(memory(engine, told, HotRestart.of({"TMPDIR": str(tmpdir)})).take_over())
+    asyncio.run(memory(engine, told, HotRestart.from_environment({"TMPDIR": str(tmpdir)})).take_over())
     assert text(describe(engine.told)) == text([told["learnt"]])
 
 
 def test_the_next_process_reads_the_suspensions_of_the_golden_folder(tmpdir: Path) -> None:
     told = golden_json("tmpdir.json")
-    own = HotRestart.of({"TMPDIR": str(tmpdir)})
-    assert own.read() == set(told["suspended"])
+    own = HotRestart.from_environment({"TMPDIR": str(tmpdir)})
+    assert own.suspensions.read() == set(told["suspended"])
     for name in told["suspended"]:
-        assert own.take(name)
-    assert own.read() == set() and not list((tmpdir / "wickspread" / "suspended").iterdir())
+        assert own.suspensions.remove(name)
+    assert own.suspensions.read() == set()
+    assert not list((tmpdir / "wickspread" / "suspended").iterdir())
 
 
 def test_who_serves_and_who_is_next_is_known_by_the_golden_locks(tmpdir: Path) -> None:
-    old, new = (HotRestart.of({"TMPDIR": str(tmpdir)}) for _ in range(2))
-    assert old.alone() and not old.succeeded() and sorted(old.locks) == ["serving"]
-    assert not new.alone() and old.succeeded() and sorted(new.locks) == ["next"]
+    old, new = (HotRestart.from_environment({"TMPDIR": str(tmpdir)}) for _ in range(2))
+    assert old.locks.claim_serving()
+    assert not old.locks.has_successor()
+    assert sorted(old.locks.descriptors) == ["serving"]
+    assert not new.locks.claim_serving()
+    assert old.locks.has_successor()
+    assert sorted(new.locks.descriptors) == ["next"]
     old.close()
-    assert new.alone() and sorted(new.locks) == ["serving"]
+    assert new.locks.claim_serving()
+    assert sorted(new.locks.descriptors) == ["serving"]
     new.close()
     assert sorted(files_below(tmpdir)) == golden_json("tmpdir.json")["files"]
 
