--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,7 +14,7 @@
 import uvloop
 
 from sidecar_proxy.balancer.settings import parse_settings
-from sidecar_proxy.config.platform_settings import options
+from sidecar_proxy.config.platform_settings import settings_lines
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient
 from sidecar_proxy.engine.engine import Clock, Engine
@@ -50,7 +50,7 @@
 
 async def hold(count: int) -> None:
     """The longest time between two turns of the loop while a list comes, and while all of it is replaced."""
-    told = parse_settings("\n".join(options(settings(Plan(instances=300), 0))))
+    told = parse_settings("\n".join(settings_lines(settings(Plan(instances=300), 0))))
     told.max_upstreams = 104
     pool = Pool(0.2, 5.0, 104)
     discovery = PlatformDiscoveryClient(("127.0.0.1", 1), EndpointDirectory(told), 0, pushed=False)
--- a/sidecar_proxy/cli/config.py
+++ b/sidecar_proxy/cli/config.py
@@ -1,4 +1,4 @@
-"""`python3 -m sidecar_proxy config …`: an operator file checked and shown, and the page of all its keys."""
+"""The `config` command: check an operator file, show it with all defaults, or print the reference page."""
 
 from __future__ import annotations
 
@@ -11,93 +11,126 @@
 import msgspec
 
 from sidecar_proxy.config.errors import OperatorError
-from sidecar_proxy.config.field_types import Kind, whole
+from sidecar_proxy.config.field_types import FieldType, operator_file_type
 from sidecar_proxy.config.reader import load_file
 from sidecar_proxy.config.schema import Operator
 
-ABOUT = """# The operator file
+EXIT_OK = 0
+EXIT_UNUSABLE_FILE = 2
 
-TOML, named by `SIDECAR_PROXY_OPERATOR`; without it all below is off. Unknown keys, wrong types and impossible
-values end the start with one line that names the key, and exit 2.
-`python3 -m sidecar_proxy config check FILE` says the same before.
-This page is what `python3 -m sidecar_proxy config reference` prints.
+REFERENCE_HEAD = """# The operator file
+
+A TOML file, named by `SIDECAR_PROXY_OPERATOR`; without it everything below is off. An unknown key, a wrong
+type or a value out of range ends the start with one line that names the key, and exit status 2.
+`python3 -m sidecar_proxy config check FILE` reports the same beforehand.
+This page is the output of `python3 -m sidecar_proxy config reference`.
 """
 
 
-def toml(value: object) -> str:
-    """A plain value as it stands in the file."""
-    text = json.dumps(list(value) if isinstance(value, tuple) else value, ensure_ascii=False)
-    return text.replace("\x7f", "\\u007f")  # allowed in JSON as it stands, not in TOML
+def format_toml(value: object) -> str:
+    """Return a scalar or a tuple of scalars as TOML."""
+    plain = list(value) if isinstance(value, tuple) else value
+    text = json.dumps(plain, ensure_ascii=False)
+    return text.replace("\x7f", "\\u007f")  # JSON allows this character unescaped, TOML does not
+
 
+def format_field(name: str, value: Any, default: Any) -> str:
+    """Return the TOML line of one key; a default value is marked."""
+    if isinstance(value, dict):
+        items = ", ".join(f"{format_toml(key)} = {format_toml(inner)}" for key, inner in value.items())
+        return f"{name} = {{{items}}}"
+    mark = "  # as without the file" if value == default else ""
+    return f"{name} = {format_toml(value)}{mark}"
 
-def lines(kind: Kind, value: Any, standard: Any, path: str = "") -> Iterator[str]:
-    """A table as TOML; what is as it is without the file is marked."""
+
+def table_lines(table: FieldType, values: Any, defaults: Any, path: str = "") -> Iterator[str]:
+    """Yield a table and those in it as lines of TOML."""
     if path:
         yield f"[{path}]"
-    tables = []
-    for name, key in kind.keys.items():
-        own, usual = getattr(value, name), getattr(standard, name)
-        inner = f"{path}.{name}" if path else name
-        if key.keys:
-            tables.append((key, own, usual, inner))
-        elif isinstance(own, dict):
-            yield f"{name} = {{{', '.join(f'{toml(one)} = {toml(text)}' for one, text in own.items())}}}"
-        else:
-            yield f"{name} = {toml(own)}" + ("  # as without the file" if own == usual else "")
+    for name, field_type in table.fields.items():
+        if not field_type.is_table:
+            yield format_field(name, getattr(values, name), getattr(defaults, name))
     if path:
         yield ""
-    for one in tables:
-        yield from lines(*one)
+    for name, field_type in table.fields.items():
+        if field_type.is_table:
+            inner_path = f"{path}.{name}" if path else name
+            yield from table_lines(field_type, getattr(values, name), getattr(defaults, name), inner_path)
 
 
 def show(operator: Operator) -> str:
-    return "\n".join(lines(whole(), operator, Operator())).rstrip() + "\n"
+    """Return a file with all its keys, defaults included, as TOML."""
+    return "\n".join(table_lines(operator_file_type(), operator, Operator())).rstrip() + "\n"
 
 
-def rows(kind: Kind, path: str = "") -> Iterator[str]:
-    """The reference page of a table and those in it."""
+def reference_lines(table: FieldType, path: str = "") -> Iterator[str]:
+    """Yield the lines of the reference page for a table and those in it."""
     if path:
-        yield f"\n## [{path}]\n\n{kind.description}\n\n| key | what may stand there | without it | meaning |"
+        yield f"\n## [{path}]\n\n{table.description}\n\n| key | value | default | meaning |"
         yield "| --- | --- | --- | --- |"
-        for name, key in kind.keys.items():
-            if not key.keys:
-                usual = "{}" if isinstance(key.default, dict) else toml(key.default)
-                yield f"| `{name}` | {key.expected()} | `{usual}` | {key.description} |"
-    for name, key in kind.keys.items():
-        if key.keys:
-            yield from rows(key, f"{path}.{name}" if path else name)
+        for name, field_type in table.fields.items():
+            if not field_type.is_table:
+                yield reference_row(name, field_type)
+    for name, field_type in table.fields.items():
+        if field_type.is_table:
+            yield from reference_lines(field_type, f"{path}.{name}" if path else name)
+
+
+def reference_row(name: str, field_type: FieldType) -> str:
+    """Return the row of one key in the reference page."""
+    default = "{}" if isinstance(field_type.default, dict) else format_toml(field_type.default)
+    return f"| `{name}` | {field_type.expected_value()} | `{default}` | {field_type.description} |"
 
 
 def reference() -> str:
-    return ABOUT + "\n".join(rows(whole())) + "\n"
+    """Return the reference page of all keys, in Markdown."""
+    return REFERENCE_HEAD + "\n".join(reference_lines(operator_file_type())) + "\n"
 
 
-def main(arguments: list[str]) -> int:
-    """0; 2 for a file that can't be used."""
+def parse_arguments(arguments: list[str]) -> argparse.Namespace:
+    """Parse the command line; exits with a usage message if it is wrong."""
     parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy config", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
-    for name, text in (
-        ("check", "say what is wrong with a file, if anything is"),
-        ("show", "every key as it holds with a file"),
+    for name, help_text in (
+        ("check", "report what is wrong with a file, if anything is"),
+        ("show", "print every key as it holds with a file"),
     ):
-        one = commands.add_parser(name, help=text)
-        one.add_argument("file")
-        one.add_argument("--json", action="store_true")
-    commands.add_parser("reference", help="the page of all keys")
-    told = parser.parse_args(arguments)
-    if told.command == "reference":
+        command = commands.add_parser(name, help=help_text)
+        command.add_argument("file")
+        command.add_argument("--json", action="store_true")
+    commands.add_parser("reference", help="print the reference page of all keys")
+    return parser.parse_args(arguments)
+
+
+def main(arguments: list[str]) -> int:
+    """Run the command and return its exit status."""
+    options = parse_arguments(arguments)
+    if options.command == "reference":
         print(reference(), end="")
-        return 0
+        return EXIT_OK
     try:
-        operator = load_file(told.file)
+        operator = load_file(options.file)
     except (OperatorError, OSError) as error:
-        if told.json:
-            print(json.dumps({"good": False, "error": str(error)}))
-        else:
-            print(f"sidecar_proxy: {error}", file=sys.stderr)
-        return 2
-    if told.command == "show":
-        print(msgspec.json.encode(operator).decode() if told.json else show(operator).rstrip("\n"))
+        report_unusable_file(error, options.json)
+        return EXIT_UNUSABLE_FILE
+    if options.command == "show":
+        print_file(operator, options.json)
+    else:
+        print(json.dumps({"good": True}) if options.json else f"{options.file}: good")
+    return EXIT_OK
+
+
+def report_unusable_file(error: Exception, as_json: bool) -> None:
+    """Print what is wrong: as JSON on standard output, or as a line on standard error."""
+    if as_json:
+        print(json.dumps({"good": False, "error": str(error)}))
+    else:
+        print(f"sidecar_proxy: {error}", file=sys.stderr)
+
+
+def print_file(operator: Operator, as_json: bool) -> None:
+    """Print a file with all its keys, as JSON or as TOML."""
+    if as_json:
+        print(msgspec.json.encode(operator).decode())
     else:
-        print(json.dumps({"good": True}) if told.json else f"{told.file}: good")
-    return 0
+        print(show(operator).rstrip("\n"))
--- a/sidecar_proxy/config/__init__.py
+++ b/sidecar_proxy/config/__init__.py
@@ -1,1 +1,1 @@
-"""What operators turn on: the operator file, one table a subsystem. All is off without it."""
+"""What configures a sidecar: the platform's settings, and the operator file with a table per subsystem."""
--- a/sidecar_proxy/config/field_types.py
+++ b/sidecar_proxy/config/field_types.py
@@ -1,4 +1,4 @@
-"""What a key of the operator file may be, and that in words, read off the schema."""
+"""The type, limits and description of each key of the operator file, read from the schema."""
 
 from __future__ import annotations
 
@@ -14,77 +14,93 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Kind:
-    """Of one key, or of a table."""
+class FieldType:
+    """The type of one key, or of a table."""
 
-    hint: Any  # its annotation
+    annotation: Any
     default: Any = None
-    keys: dict[str, Kind] = field(default_factory=dict)  # of a table
+    fields: dict[str, FieldType] = field(default_factory=dict)  # of a table; empty for a key
+
+    @property
+    def is_table(self) -> bool:
+        """Whether this is a table with fields of its own."""
+        return bool(self.fields)
+
+    @property
+    def is_string_table(self) -> bool:
+        """Whether this is a key whose value is a table of strings."""
+        return isinstance(self.type, inspect.DictType)
 
     @property
     def type(self) -> inspect.Type:
-        """Without what is said about it."""
-        found = inspect.type_info(self.hint)
+        """The type without its limits and description."""
+        found = inspect.type_info(self.annotation)
         while isinstance(found, inspect.Metadata):
             found = found.type
         return found
 
     @property
     def description(self) -> str:
-        """A sentence, or a table's docstring."""
-        if self.keys:
-            return " ".join((self.hint.__doc__ or "").split())
-        found = inspect.type_info(self.hint)
-        told = found.extra_json_schema if isinstance(found, inspect.Metadata) else None
-        return str((told or {}).get("description", ""))
-
-    def takes(self, value: object) -> bool:
+        """What a key means, or the docstring of a table, on one line."""
+        if self.is_table:
+            return " ".join((self.annotation.__doc__ or "").split())
+        found = inspect.type_info(self.annotation)
+        if not isinstance(found, inspect.Metadata):
+            return ""
+        return str((found.extra_json_schema or {}).get("description", ""))
+
+    def accepts(self, value: object) -> bool:
+        """Whether the key may have this value."""
         if isinstance(value, float) and not math.isfinite(value):
-            return False  # hazard: no limit holds against what is no number
+            return False  # comparisons with limits do not reject nan
         try:
-            msgspec.convert(value, self.hint)
+            msgspec.convert(value, self.annotation)
         except msgspec.ValidationError:
             return False
         return True
 
-    def of_texts(self) -> bool:
-        return isinstance(self.type, inspect.DictType)
-
-    def expected(self) -> str:
-        """What may stand there."""
+    def expected_value(self) -> str:
+        """Return the values that the key may have, as error messages and the reference page say it."""
+        expected = "a table"
         match self.type:
             case inspect.BoolType():
-                return "true or false"
-            case inspect.IntType() as found:
-                return f"a whole number from {found.ge} to {found.le}"
-            case inspect.FloatType() as found:
-                return f"a number from {found.ge:g} to {found.le:g}"
-            case inspect.LiteralType() as found:
-                return " or ".join(repr(one) for one in found.values)
-            case inspect.StrType() as found:
-                return f"a text of at most {found.max_length} characters"
-            case inspect.VarTupleType() as found:
-                return f"a list of at most {found.max_length} texts"
-            case inspect.DictType() as found:
-                return f"a table of at most {found.max_length} texts"
-        return "a table"
-
-
-def kind_of(one: structs.FieldInfo) -> Kind:
-    default = (
-        one.default
-        if one.default is not NODEFAULT
-        else (one.default_factory() if one.default_factory is not NODEFAULT else None)
-    )
-    is_table = isinstance(one.type, type) and issubclass(one.type, Struct)
-    return Kind(one.type, default, keys_of(one.type) if is_table else {})
-
-
-def keys_of(table: type[Struct]) -> dict[str, Kind]:
-    return {one.name: kind_of(one) for one in structs.fields(table)}
+                expected = "true or false"
+            case inspect.IntType() as integer:
+                expected = f"a whole number from {integer.ge} to {integer.le}"
+            case inspect.FloatType() as number:
+                expected = f"a number from {number.ge:g} to {number.le:g}"
+            case inspect.LiteralType() as literal:
+                expected = " or ".join(repr(value) for value in literal.values)
+            case inspect.StrType() as string:
+                expected = f"a text of at most {string.max_length} characters"
+            case inspect.VarTupleType() as array:
+                expected = f"a list of at most {array.max_length} texts"
+            case inspect.DictType() as table:
+                expected = f"a table of at most {table.max_length} texts"
+        return expected
+
+
+def field_type_of(info: structs.FieldInfo) -> FieldType:
+    """Return the type of one field of a Struct."""
+    is_table = isinstance(info.type, type) and issubclass(info.type, Struct)
+    return FieldType(info.type, default_of(info), fields_of(info.type) if is_table else {})
+
+
+def default_of(info: structs.FieldInfo) -> Any:
+    """Return the default of a field of a Struct, or None if it has none."""
+    if info.default is not NODEFAULT:
+        return info.default
+    if info.default_factory is not NODEFAULT:
+        return info.default_factory()
+    return None
+
+
+def fields_of(table: type[Struct]) -> dict[str, FieldType]:
+    """Return the types of all fields of a Struct, by name."""
+    return {info.name: field_type_of(info) for info in structs.fields(table)}
 
 
 @cache
-def whole() -> Kind:
-    """The file."""
-    return Kind(Operator, Operator(), keys_of(Operator))
+def operator_file_type() -> FieldType:
+    """Return the type of the whole operator file."""
+    return FieldType(Operator, Operator(), fields_of(Operator))
--- a/sidecar_proxy/config/operator_file.py
+++ b/sidecar_proxy/config/operator_file.py
@@ -1,4 +1,7 @@
-"""The operator file: TOML, named by SIDECAR_PROXY_OPERATOR. Its schema is imported where there is one."""
+"""Loads the operator file: TOML, named by SIDECAR_PROXY_OPERATOR.
+
+The schema is imported only if there is a file, because its library takes memory.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +17,12 @@
 VARIABLE = PREFIX + "OPERATOR"
 
 
-def load(env: Mapping[str, str]) -> Operator | None:
-    """The file that the environment names; None where it names none: all is off. Raises OperatorError."""
-    path = read_variable("OPERATOR", env)
+def load(environment: Mapping[str, str]) -> Operator | None:
+    """Return the content of the file that the environment names, or None if it names none.
+
+    Raises OperatorError.
+    """
+    path = read_variable("OPERATOR", environment)
     if not path:
         return None
     try:
--- a/sidecar_proxy/config/platform_settings.py
+++ b/sidecar_proxy/config/platform_settings.py
@@ -1,4 +1,7 @@
-"""What a sidecar is told at its start: PROXY_* and the JSON of PROXY_CONFIG, as typed values."""
+"""What the platform tells a sidecar at its start: PROXY_* variables and the JSON file of PROXY_CONFIG.
+
+The names of variables and JSON keys are the platform's; they are mapped to `PlatformConfig` here.
+"""
 
 from __future__ import annotations
 
@@ -12,85 +15,108 @@
 from sidecar_proxy.balancer.settings import SettingsError, parse_settings
 from sidecar_proxy.engine.address import Address, parse_address
 
+REQUIRED_VARIABLES = ("PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_CONFIG")
+DEFAULT_FILE_DESCRIPTORS = 1024
+DEFAULT_MEMORY_MB = 192
+MAX_DESCRIPTOR_DIGITS = 6
+
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text is one line."""
+    """The configuration cannot be used; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class PlatformConfig:
+    """The configuration of one sidecar process."""
+
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int  # file descriptors that this process may hold
+    max_file_descriptors: int  # of this process
     memory_mb: int  # of all processes of this sidecar together
     settings: api.Settings
-    known: dict[str, Any]  # the list as this sidecar last had it, in discovery's form
-    door: Address | None = None  # where operators call; None = nowhere
-    accept_fd: int | None = None  # the clients' listening socket, inherited; None = it is opened here
+    cached_endpoint_list: dict[str, Any]  # as this sidecar last had it, in discovery's form
+    admin_address: Address | None = None  # None: no admin server
+    accept_fd: int | None = None  # the clients' inherited listening socket; None: this process opens it
 
 
-def plain(value: object) -> str:
-    """A plain value as it stands in the simulator's text: without spaces and commas."""
-    if isinstance(value, bool):
-        return "true" if value else "false"
-    return str(value).replace(" ", "_").replace(",", "_").replace("\n", "_")
+def load(environment: Mapping[str, str]) -> PlatformConfig:
+    """Return the configuration that the environment and its file give. Raises ConfigError."""
+    for name in REQUIRED_VARIABLES:
+        if not environment.get(name):
+            raise ConfigError(f"{name} is not set")
+    accept_fd = parse_accept_fd(environment.get("PROXY_ACCEPT_FD", ""))
+    path = environment["PROXY_CONFIG"]
+    try:
+        return build_config(environment, read_json_object(path), accept_fd)
+    except KeyError as error:
+        raise ConfigError(f"{path}: {error} is missing") from error
+    except (OSError, ValueError, TypeError, AttributeError, SettingsError, ConfigError) as error:
+        message = " ".join(str(error).split())
+        raise ConfigError(message if path in message else f"{path}: {message}") from error
+
+
+def parse_accept_fd(text: str) -> int | None:
+    """Return the number of the inherited socket, or None if there is none. Raises ConfigError."""
+    if not text:
+        return None
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_DESCRIPTOR_DIGITS):
+        raise ConfigError(f"PROXY_ACCEPT_FD: expected a descriptor, got {text!r}")
+    return int(text)
+
 
+def read_json_object(path: str) -> dict[str, Any]:
+    """Return the object in a JSON file. Raises OSError, ValueError and ConfigError."""
+    with open(path, "rb") as file:
+        content = json.load(file)
+    if not isinstance(content, dict):
+        raise ConfigError("expected a JSON object")
+    return content
 
-def options(value: object, path: str = "") -> Iterator[str]:
-    """The settings' JSON as the path=value lines of the simulator, so that one parser reads both."""
+
+def build_config(
+    environment: Mapping[str, str], content: dict[str, Any], accept_fd: int | None
+) -> PlatformConfig:
+    """Return the configuration; the errors are those that `load` turns into ConfigError."""
+    limits = content.get("limits", {})
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    endpoint_list = content.get("known", {"seq": 0, "whole": True, "hosts": []})
+    if not isinstance(endpoint_list, dict) or not isinstance(content["settings"], dict):
+        raise ConfigError("expected objects in 'known' and 'settings'")
+    admin_address = environment.get("PROXY_MGMT") or content.get("mgmt")
+    return PlatformConfig(
+        name=environment["PROXY_NAME"],
+        listen=parse_address(environment["PROXY_LISTEN"]),
+        # the file's address comes first, because the file can be replaced while the process runs
+        discovery=parse_address(content.get("discovery", environment["PROXY_DISCOVERY"])),
+        seed=int(str(content["seed"]), 16),
+        max_file_descriptors=min(int(limits.get("sockets", DEFAULT_FILE_DESCRIPTORS)), soft_limit),
+        memory_mb=int(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
+        settings=parse_settings("\n".join(settings_lines(content["settings"]))),
+        cached_endpoint_list=endpoint_list,
+        admin_address=parse_address(admin_address) if admin_address else None,
+        accept_fd=accept_fd,
+    )
+
+
+def settings_lines(value: object, path: str = "") -> Iterator[str]:
+    """Yield the JSON settings as the path=value lines of the simulator, so that one parser reads both."""
     if isinstance(value, dict):
         for name, inner in value.items():
-            yield from options(inner, f"{path}.{name}" if path else name)
+            yield from settings_lines(inner, f"{path}.{name}" if path else name)
     elif isinstance(value, list) and any(isinstance(inner, dict) for inner in value):
         yield f"{path}.count={len(value)}"
         for number, inner in enumerate(value):
-            yield from options(inner, f"{path}.{number}")
+            yield from settings_lines(inner, f"{path}.{number}")
     elif isinstance(value, list):
-        yield f"{path}={','.join(map(plain, value))}"
+        yield f"{path}={','.join(map(format_scalar, value))}"
     else:
-        yield f"{path}={plain(value)}"
-
-
-def load(env: Mapping[str, str]) -> Config:
-    missing = [
-        name
-        for name in ("PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_CONFIG")
-        if not env.get(name)
-    ]
-    if missing:
-        raise ConfigError(f"{missing[0]} is not set")
-    path = env["PROXY_CONFIG"]
-    inherited = env.get("PROXY_ACCEPT_FD", "")
-    if inherited and not (inherited.isascii() and inherited.isdigit() and len(inherited) < 7):
-        raise ConfigError(f"PROXY_ACCEPT_FD: expected a descriptor, got {inherited!r}")
-    try:
-        with open(path, "rb") as file:
-            told = json.load(file)
-        if not isinstance(told, dict):
-            raise ConfigError("expected a JSON object")
-        limits = told.get("limits", {})
-        soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        known = told.get("known", {"seq": 0, "whole": True, "hosts": []})
-        if not isinstance(known, dict) or not isinstance(told["settings"], dict):
-            raise ConfigError("expected objects in 'known' and 'settings'")
-        door = env.get("PROXY_MGMT") or told.get("mgmt")
-        return Config(
-            name=env["PROXY_NAME"],
-            listen=parse_address(env["PROXY_LISTEN"]),
-            # the file's comes first: it is the one that can be replaced while we run
-            discovery=parse_address(told.get("discovery", env["PROXY_DISCOVERY"])),
-            seed=int(str(told["seed"]), 16),
-            sockets=min(int(limits.get("sockets", 1024)), soft),
-            memory_mb=int(limits.get("memory_mb", 192)),
-            settings=parse_settings("\n".join(options(told["settings"]))),
-            known=known,
-            door=parse_address(door) if door else None,
-            accept_fd=int(inherited) if inherited else None,
-        )
-    except KeyError as error:
-        raise ConfigError(f"{path}: {error} is missing") from error
-    except (OSError, ValueError, TypeError, AttributeError, SettingsError, ConfigError) as error:
-        text = " ".join(str(error).split())
-        raise ConfigError(text if path in text else f"{path}: {text}") from error
+        yield f"{path}={format_scalar(value)}"
+
+
+def format_scalar(value: object) -> str:
+    """Return a scalar as it stands in the simulator's text: without spaces and commas."""
+    if isinstance(value, bool):
+        return "true" if value else "false"
+    return str(value).replace(" ", "_").replace(",", "_").replace("\n", "_")
--- a/sidecar_proxy/config/reader.py
+++ b/sidecar_proxy/config/reader.py
@@ -1,6 +1,7 @@
-"""The operator file's text to typed values: one line that names the key for whatever is wrong with it.
+"""Turns the text of an operator file into typed values, or into one line that names the key that is wrong.
 
-The types and limits are the schema's; here are the line that says what is wrong, and what belongs together.
+Types and limits are the schema's. This module words the error messages and checks what depends on more than
+one key.
 """
 
 from __future__ import annotations
@@ -10,125 +11,150 @@
 
 import msgspec
 
-from sidecar_proxy.config.errors import OperatorError
-from sidecar_proxy.config.field_types import Kind, whole
+from sidecar_proxy.config.errors import OperatorError, OperatorValueError
+from sidecar_proxy.config.field_types import FieldType, operator_file_type
 from sidecar_proxy.config.schema import Etcd, Gossip, Grpc, Operator
 from sidecar_proxy.engine.address import AddressError, parse_address
 
-MOST_BYTES = 1024 * 1024
+MAX_FILE_BYTES = 1024 * 1024
+MAX_TOML_ERROR_LENGTH = 200  # characters, as the next
+MAX_SHOWN_VALUE_LENGTH = 60
+ELLIPSIS = "..."
+WILDCARD_ADDRESSES = ("0.0.0.0:", "[::]:")
+
+Path = tuple[str, ...]  # of a key: the names of its tables and its own
 
 
 def load_file(path: str) -> Operator:
-    """Raises OperatorError, and OSError where it can't be read."""
+    """Return the content of a file. Raises OperatorError, and OSError if it cannot be read."""
     with open(path, "rb") as file:
-        data = file.read(MOST_BYTES + 1)
-    if len(data) > MOST_BYTES:
-        raise OperatorError(f"{path}: over {MOST_BYTES} bytes")
+        data = file.read(MAX_FILE_BYTES + 1)
+    if len(data) > MAX_FILE_BYTES:
+        raise OperatorError(f"{path}: over {MAX_FILE_BYTES} bytes")
     try:
-        return read(data.decode("utf-8"))
+        return parse(data.decode("utf-8"))
     except (UnicodeDecodeError, OperatorError) as error:
         raise OperatorError(f"{path}: {error}") from error
 
 
-def read(text: str) -> Operator:
-    """The file's text. Raises OperatorError."""
+def parse(text: str) -> Operator:
+    """Return the content of a file's text. Raises OperatorError."""
     try:
-        told = tomllib.loads(text)
+        content = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
-        raise OperatorError(f"not TOML: {' '.join(str(error).split())[:200]}") from error
-    wrong = first_wrong(told, whole())
-    if wrong:
-        raise OperatorError(wrong)
-    operator = msgspec.convert(told, Operator)
+        message = " ".join(str(error).split())[:MAX_TOML_ERROR_LENGTH]
+        raise OperatorError(f"not TOML: {message}") from error
+    check_types(content, operator_file_type())
+    operator = msgspec.convert(content, Operator)
     check_methods(operator.grpc)
     check_etcd(operator.membership.etcd)
     check_gossip(operator.gossip)
     return operator
 
 
-def first_wrong(told: object, kind: Kind, path: tuple[str, ...] = ()) -> str:
-    """The line for the first key that is not as its kind says; "" if all are. Hazard: msgspec's own message
-    holds keys of the file as they stand, so that nothing can be read off it."""
-    if not kind.keys:
-        return "" if kind.takes(told) else line(told, kind, path)
-    if not isinstance(told, dict):
-        return line(told, kind, path)
-    for key, inner in told.items():
-        if key not in kind.keys:
-            return f"{name_of((*path, key))}: unknown; expected one of {', '.join(kind.keys)}"
-        wrong = first_wrong(inner, kind.keys[key], (*path, key))
-        if wrong:
-            return wrong
-    return ""
-
-
-def line(told: object, kind: Kind, path: tuple[str, ...]) -> str:
-    """What was expected there, and what was got."""
-    if isinstance(told, dict) and kind.of_texts():
-        for key, inner in told.items():
+def check_types(value: object, field_type: FieldType, path: Path = ()) -> None:
+    """Raise OperatorValueError for the first key that is unknown or not of its type.
+
+    The messages of msgspec are not used: they quote keys of the file without escaping them, so the key
+    could not be told from the text around it.
+    """
+    if not field_type.is_table:
+        if not field_type.accepts(value):
+            raise wrong_value(value, field_type, path)
+        return
+    if not isinstance(value, dict):
+        raise wrong_value(value, field_type, path)
+    for key, inner in value.items():
+        if key not in field_type.fields:
+            expected_keys = ", ".join(field_type.fields)
+            raise OperatorValueError(format_path((*path, key)), f"unknown; expected one of {expected_keys}")
+        check_types(inner, field_type.fields[key], (*path, key))
+
+
+def wrong_value(value: object, field_type: FieldType, path: Path) -> OperatorValueError:
+    """Return the error that says which value was expected and which one was found."""
+    if isinstance(value, dict) and field_type.is_string_table:
+        for key, inner in value.items():
             if not isinstance(inner, str):
-                return f"{name_of((*path, key))}: expected a text, got {shown(inner)}"
-    return f"{name_of(path)}: expected {kind.expected()}, got {shown(told)}"
+                return OperatorValueError(
+                    format_path((*path, key)), f"expected a text, got {format_value(inner)}"
+                )
+    problem = f"expected {field_type.expected_value()}, got {format_value(value)}"
+    return OperatorValueError(format_path(path), problem)
 
 
 def check_methods(grpc: Grpc) -> None:
-    """Full names of methods. That the classes exist is checked where the settings are known."""
+    """Check the form of method names; that their classes exist is checked where the settings are known."""
     for name in grpc.methods:
         parts = name.split("/")
         if len(parts) != 3 or parts[0] or not parts[1] or not parts[2] or not name.isascii():
-            raise OperatorError(
-                f"grpc.methods.{shown(name)}: expected /package.Service/Method or /package.Service/*"
+            raise OperatorValueError(
+                f"grpc.methods.{format_value(name)}",
+                "expected /package.Service/Method or /package.Service/*",
             )
 
 
 def check_etcd(etcd: Etcd) -> None:
-    """What belongs together, and the form of addresses."""
-    for number, one in enumerate(etcd.endpoints):
+    """Check the form of addresses, and keys that need another one."""
+    for number, endpoint in enumerate(etcd.endpoints, start=1):
         try:
-            parse_address(one)
+            parse_address(endpoint)
         except AddressError as error:
-            raise OperatorError(f"membership.etcd.endpoints: the entry {number + 1}: {error}") from error
+            raise OperatorValueError("membership.etcd.endpoints", f"the entry {number}: {error}") from error
     if not etcd.prefix:
-        raise OperatorError("membership.etcd.prefix: expected a prefix, got ''")
-    for key, needed in (
+        raise OperatorValueError("membership.etcd.prefix", "expected a prefix, got ''")
+    for key, needed_key in (
         ("username", "password_file"),
         ("password_file", "username"),
         ("tls_key", "tls_cert"),
     ):
-        if getattr(etcd, key) and not getattr(etcd, needed):
-            raise OperatorError(f"membership.etcd.{key}: needs {needed} as well")
+        if getattr(etcd, key) and not getattr(etcd, needed_key):
+            raise OperatorValueError(f"membership.etcd.{key}", f"needs {needed_key} as well")
 
 
 def check_gossip(gossip: Gossip) -> None:
-    """What belongs together, and the form of addresses."""
-    for key, one in (
-        ("bind", gossip.bind),
-        ("advertise", gossip.advertise),
-        *(("seeds", one) for one in gossip.seeds),
-    ):
-        if one or key == "seeds":
-            try:
-                parse_address(one)
-            except AddressError as error:
-                raise OperatorError(f"gossip.{key}: {error}") from error
-    reached = gossip.advertise or gossip.bind
-    literal = reached[:1].isdigit() or reached.startswith("[")
-    if reached and (not literal or reached.startswith(("0.0.0.0:", "[::]:"))):
-        key = "advertise" if gossip.advertise else "bind"
-        raise OperatorError(
-            f"gossip.{key}: expected an address that the others reach, as digits; got {shown(reached)}"
-        )
+    """Check the form of addresses, and keys that need another one."""
+    for key, address in (("bind", gossip.bind), ("advertise", gossip.advertise)):
+        if address:
+            check_gossip_address(key, address)
+    for address in gossip.seeds:
+        check_gossip_address("seeds", address)
+    check_reachable(gossip)
     for key in ("key_file", "certificate_file", "fleet_keys"):
         if gossip.bind and not getattr(gossip, key):
-            raise OperatorError(f"gossip.{key}: missing; gossip.bind needs it")
+            raise OperatorValueError(f"gossip.{key}", "missing; gossip.bind needs it")
+
+
+def check_gossip_address(key: str, address: str) -> None:
+    """Check that an address has the form HOST:PORT."""
+    try:
+        parse_address(address)
+    except AddressError as error:
+        raise OperatorValueError(f"gossip.{key}", str(error)) from error
+
+
+def check_reachable(gossip: Gossip) -> None:
+    """Check that the address given to other sidecars is numeric and not a wildcard."""
+    address = gossip.advertise or gossip.bind
+    if not address:
+        return
+    is_numeric = address[:1].isdigit() or address.startswith("[")
+    if not is_numeric or address.startswith(WILDCARD_ADDRESSES):
+        key = "advertise" if gossip.advertise else "bind"
+        raise OperatorValueError(
+            f"gossip.{key}",
+            f"expected an address that the others reach, as digits; got {format_value(address)}",
+        )
 
 
-def name_of(path: tuple[str, ...]) -> str:
-    """A key's path, parts quoted where they would not be one word."""
-    return ".".join(key if re.fullmatch(r"[A-Za-z0-9_-]{1,60}", key) else shown(key) for key in path)
+def format_path(path: Path) -> str:
+    """Return a key's path; a part that is not one plain word is quoted."""
+    return ".".join(key if re.fullmatch(r"[A-Za-z0-9_-]{1,60}", key) else format_value(key) for key in path)
 
 
-def shown(value: object) -> str:
-    """A value on one line, cut short."""
+def format_value(value: object) -> str:
+    """Return a value on one line, cut to MAX_SHOWN_VALUE_LENGTH characters."""
     text = " ".join(repr(value).split())
-    return text if len(text) <= 60 else text[:57] + "..."
+    if len(text) <= MAX_SHOWN_VALUE_LENGTH:
+        return text
+    return text[: MAX_SHOWN_VALUE_LENGTH - len(ELLIPSIS)] + ELLIPSIS
--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -46,12 +46,12 @@
     return max(1, (memory_mb - OWN_MB) // 4) * 1024 * 1024
 
 
-async def serve(config: configuration.Config, operator: Operator | None) -> None:
+async def serve(config: configuration.PlatformConfig, operator: Operator | None) -> None:
     settings, clock = config.settings, Clock()
     directory = EndpointDirectory(settings)
-    version, _, known = directory.read(config.known)
-    share = max(1, (config.sockets - OWN_DESCRIPTORS) // 2)
-    operated = config.door is not None or config.accept_fd is not None
+    version, _, known = directory.read(config.cached_endpoint_list)
+    share = max(1, (config.max_file_descriptors - OWN_DESCRIPTORS) // 2)
+    operated = config.admin_address is not None or config.accept_fd is not None
     hot_restart = HotRestart.from_environment(os.environ) if operated else None
     settings = replace(
         settings,
@@ -73,9 +73,9 @@
     )
     if hot_restart is not None and overrides is not None:
         admin_commands = AdminCommands(engine, directory, server, hot_restart, overrides)
-    if config.door is not None and admin_commands is not None:
+    if config.admin_address is not None and admin_commands is not None:
         admin_server = AdminServer(admin_commands.by_name())
-        await admin_server.open(config.door)
+        await admin_server.open(config.admin_address)
     running: list[Running] = []
     if operator is not None:
         running = await start_wanted(
--- a/sidecar_proxy/daemon/subsystems.py
+++ b/sidecar_proxy/daemon/subsystems.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from sidecar_proxy.config.errors import OperatorError
-from sidecar_proxy.config.platform_settings import Config
+from sidecar_proxy.config.platform_settings import PlatformConfig
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient
 from sidecar_proxy.engine.engine import Engine
@@ -28,7 +28,7 @@
 class Context:
     """A sidecar that is about to take requests."""
 
-    config: Config
+    config: PlatformConfig
     operator: Operator
     engine: Engine
     directory: EndpointDirectory
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator file: what it gives, and the one line for everything that is wrong with it."""
+"""The operator file: its content as typed values, and the one line for everything that is wrong with it."""
 
 from __future__ import annotations
 
@@ -12,25 +12,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sidecar_proxy.config.errors import OperatorError
+from sidecar_proxy.config.errors import OperatorError, OperatorValueError
 from sidecar_proxy.config.operator_file import load
-from sidecar_proxy.config.reader import read
+from sidecar_proxy.config.reader import parse
 from sidecar_proxy.config.schema import Grpc, Operator
 from sidecar_proxy.testbed.scenario import Plan, settings
 
 
-def test_without_a_file_all_is_off() -> None:
-    assert load({}) is None and load({"SIDECAR_PROXY_OPERATOR": ""}) is None
-    assert read("") == Operator() and not read("").grpc.enabled
+def test_everything_is_off_without_a_file() -> None:
+    assert load({}) is None
+    assert load({"SIDECAR_PROXY_OPERATOR": ""}) is None
+    assert parse("") == Operator()
+    assert not parse("").grpc.enabled
 
 
-def test_a_whole_table() -> None:
-    told = read(
+def test_table_is_read_with_its_defaults() -> None:
+    operator = parse(
         "[grpc]\nenabled = true\nstreams = 7\nidle_s = 3\n"
         '[grpc.methods]\n"/komiks.Purchase/BuyChapter" = "chapter-buy"\n'
         '"/komiks.Reader/*" = "read"\n'
     )
-    assert told.grpc == Grpc(
+    assert operator.grpc == Grpc(
         True,
         {"/komiks.Purchase/BuyChapter": "chapter-buy", "/komiks.Reader/*": "read"},
         streams=7,
@@ -39,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "line"),
+    ("text", "expected_start"),
     [
         ("grcp = 1", "grcp: unknown; expected one of grpc"),
         ("grpc = 1", "grpc: expected a table, got 1"),
@@ -58,40 +60,62 @@
         ("[grpc\n", "not TOML: "),
     ],
 )
-def test_one_line_names_the_key(text: str, line: str) -> None:
-    with pytest.raises(OperatorError) as found:
-        read(text)
-    assert str(found.value).startswith(line) and "\n" not in str(found.value)
+def test_error_is_one_line_that_names_the_key(text: str, expected_start: str) -> None:
+    with pytest.raises(OperatorError) as raised:
+        parse(text)
+    message = str(raised.value)
+    assert message.startswith(expected_start)
+    assert "\n" not in message
 
 
-def test_a_file_that_is_missing_too_large_or_no_text(tmp_path: Path) -> None:
-    for data, part in ((None, "No such file"), (b"#" * 1_100_000, "over 1048576 bytes"), (b"\xff", "utf-8")):
-        path = tmp_path / "operator.toml"
-        if data is not None:
-            path.write_bytes(data)
-        with pytest.raises(OperatorError) as found:
-            load({"SIDECAR_PROXY_OPERATOR": str(path)})
-        assert part in str(found.value) and str(path) in str(found.value) and "\n" not in str(found.value)
+def test_value_error_has_the_key_and_the_problem() -> None:
+    with pytest.raises(OperatorValueError) as raised:
+        parse("[grpc]\nenabled = 1")
+    assert raised.value.key == "grpc.enabled"
+    assert raised.value.problem == "expected true or false, got 1"
+
+
+@pytest.mark.parametrize(
+    ("data", "expected_part"),
+    [(None, "No such file"), (b"#" * 1_100_000, "over 1048576 bytes"), (b"\xff", "utf-8")],
+    ids=["missing", "too-large", "not-utf-8"],
+)
+def test_error_for_an_unreadable_file_is_one_line_that_names_it(
+    tmp_path: Path, data: bytes | None, expected_part: str
+) -> None:
+    path = tmp_path / "operator.toml"
+    if data is not None:
+        path.write_bytes(data)
+    with pytest.raises(OperatorError) as raised:
+        load({"SIDECAR_PROXY_OPERATOR": str(path)})
+    message = str(raised.value)
+    assert expected_part in message
+    assert str(path) in message
+    assert "\n" not in message
+
+
+def quote(text: str) -> str:
+    """Return a TOML string with each character escaped."""
+    return '"' + "".join(f"\\U{ord(character):08x}" for character in text) + '"'
+
+
+def format_value(value: object) -> str:
+    return quote(value) if isinstance(value, str) else str(value).lower()
 
 
 @given(st.dictionaries(st.text(max_size=8), st.one_of(st.integers(), st.booleans(), st.text(max_size=5))))
-def test_any_table_is_read_or_told_in_a_line(told: dict[str, object]) -> None:
-    lines = [
-        f"{quoted(key)} = {str(value).lower() if not isinstance(value, str) else quoted(value)}"
-        for key, value in told.items()
-    ]
+def test_any_table_is_read_or_is_an_error_of_one_line(table: dict[str, object]) -> None:
+    lines = [f"{quote(key)} = {format_value(value)}" for key, value in table.items()]
     try:
-        read("\n".join(["[grpc]", *lines]))
+        parse("\n".join(["[grpc]", *lines]))
     except OperatorError as error:
-        assert "\n" not in str(error) and str(error).startswith(("grpc", "not TOML"))
-
-
-def quoted(text: str) -> str:
-    return '"' + "".join(f"\\U{ord(one):08x}" for one in text) + '"'
+        message = str(error)
+        assert "\n" not in message
+        assert message.startswith(("grpc", "not TOML"))
 
 
 @pytest.mark.parametrize(
-    ("text", "gone", "line"),
+    ("text", "missing_module", "expected_line"),
     [
         ("[grpc]\nenabled = 1", "", "grpc.enabled: expected true or false, got 1"),
         (
@@ -102,31 +126,38 @@
         ("[grpc]\nenabled = true", "ngh2", "grpc.enabled: needs the `grpc` extra; no ngh2"),
     ],
 )
-def test_a_sidecar_ends_with_one_line_and_2(tmp_path: Path, text: str, gone: str, line: str) -> None:
-    operator, config = tmp_path / "operator.toml", tmp_path / "config.json"
-    operator.write_text(text)
-    config.write_text(json.dumps({"seed": "1", "settings": settings(Plan(), 0)}))
+def test_sidecar_with_an_unusable_file_prints_one_line_and_exits_with_2(
+    tmp_path: Path, text: str, missing_module: str, expected_line: str
+) -> None:
+    operator_path = tmp_path / "operator.toml"
+    operator_path.write_text(text)
+    config_path = tmp_path / "config.json"
+    config_path.write_text(json.dumps({"seed": "1", "settings": settings(Plan(), 0)}))
     code = (
-        f"import sys; sys.modules.update({{name: None for name in {gone!r}.split()}});"
+        f"import sys; sys.modules.update({{name: None for name in {missing_module!r}.split()}});"
         "from sidecar_proxy.daemon.__main__ import main; sys.exit(main())"
     )
-    env = os.environ | {
+    environment = os.environ | {
         "PROXY_NAME": "n",
         "PROXY_LISTEN": "127.0.0.1:0",
         "PROXY_DISCOVERY": "127.0.0.1:9",
-        "PROXY_CONFIG": str(config),
-        "SIDECAR_PROXY_OPERATOR": str(operator),
+        "PROXY_CONFIG": str(config_path),
+        "SIDECAR_PROXY_OPERATOR": str(operator_path),
     }
-    done = subprocess.run([sys.executable, "-c", code], env=env, capture_output=True, text=True, timeout=60)
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and line in done.stderr, done.stderr
+    result = subprocess.run(
+        [sys.executable, "-c", code], env=environment, capture_output=True, text=True, timeout=60
+    )
+    assert result.returncode == 2, result.stderr
+    assert len(result.stderr.splitlines()) == 1, result.stderr
+    assert expected_line in result.stderr
 
 
-def test_without_a_table_nothing_of_its_subsystem_is_imported(tmp_path: Path) -> None:
-    """The sidecar's wiring, with everything that it imports at its start."""
+def test_no_subsystem_or_its_library_is_imported_without_its_table() -> None:
+    """The modules that the daemon imports at its start, with everything that they import."""
     code = (
         "import sys, sidecar_proxy.daemon.__main__\nlibraries = ('ngh2', 'grpc', 'h2', 'nacl', 'msgspec'); "
         "print([name for name in sys.modules if name.split('.')[0] in libraries"
         " or name.startswith(('sidecar_proxy.grpc', 'sidecar_proxy.http2', 'sidecar_proxy.gossip'))])"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
+    assert result.stdout.strip() == "[]", result.stdout + result.stderr
--- a/tests/golden/make_recordings.py
+++ b/tests/golden/make_recordings.py
@@ -24,7 +24,7 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.balancer import Balancer
 from sidecar_proxy.balancer.settings import parse_settings
-from sidecar_proxy.config.platform_settings import options
+from sidecar_proxy.config.platform_settings import settings_lines
 from sidecar_proxy.emulator import scenarios as scenes
 from sidecar_proxy.emulator.fleet import EmulatedFleet, Plan, Sidecar, Try
 from sidecar_proxy.overload_control.controller import FleetBudgets
@@ -148,7 +148,7 @@
 def customer(name: str, large: bool) -> RecordedBalancer:
     """A customer's settings under all faults, with clients that leave and come again."""
     plan = replace(CUSTOMERS[name], machine=MACHINE, sidecars=2)
-    settings = parse_settings("\n".join(options(lab_settings(plan, 0))))
+    settings = parse_settings("\n".join(settings_lines(lab_settings(plan, 0))))
     upstreams, seconds = (18, 45.0) if large else (6, 8.0)
     told = Plan(
         settings,
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""The configuration: one parser with the simulator's, and one line for what can't be used."""
+"""The platform's configuration: the same parser as the simulator's, and one line for every error."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 import pytest
 
 from sidecar_proxy.balancer.settings import parse_settings
-from sidecar_proxy.config import platform_settings as config
+from sidecar_proxy.config import platform_settings
 from tests.options import OPTIONS
 from tests.sockets import DEPLOY, ROOT, settings
 
 GOOD: dict[str, Any] = {"seed": "8c1f", "limits": {"sockets": 512}, "settings": settings()}
 
 
-def environment(path: Path, **changes: str) -> dict[str, str]:
+def environment_for(path: Path, **changes: str) -> dict[str, str]:
     return {
         "PROXY_NAME": "n0",
         "PROXY_LISTEN": "127.0.0.1:0",
@@ -27,24 +27,27 @@
     } | changes
 
 
-def test_the_json_means_what_the_simulators_text_means() -> None:
+def test_json_settings_mean_the_same_as_the_simulators_text() -> None:
     nested: dict[str, Any] = {
         "accounts": [
             {"allowance-per-s": 215.0, "name": "north", "share": 0.34},
             {"allowance-per-s": 152.0, "name": "hill", "share": 0.24},
         ]
     }
-    told = settings(**{"areas": "a,b,c,d", "granularity": "4000"}) | nested
-    told["areas"] = ["a", "b", "c", "d"]
-    told["bounds"]["cancel"] = True
-    assert parse_settings("\n".join(config.options(told))) == parse_settings(OPTIONS)
+    json_settings = settings(**{"areas": "a,b,c,d", "granularity": "4000"}) | nested
+    json_settings["areas"] = ["a", "b", "c", "d"]
+    json_settings["bounds"]["cancel"] = True
+    text = "\n".join(platform_settings.settings_lines(json_settings))
+    assert parse_settings(text) == parse_settings(OPTIONS)
 
 
-def test_a_good_one_is_read(tmp_path: Path) -> None:
+def test_good_configuration_is_loaded(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(GOOD))
-    found = config.load(environment(path))
-    assert (found.seed, found.listen, found.sockets) == (0x8C1F, ("127.0.0.1", 0), 512)
+    config = platform_settings.load(environment_for(path))
+    assert config.seed == 0x8C1F
+    assert config.listen == ("127.0.0.1", 0)
+    assert config.max_file_descriptors == 512
 
 
 @pytest.mark.parametrize(
@@ -65,12 +68,20 @@
         ('{"seed": "1", "settings": "\\ud800"}', {}),
     ],
 )
-def test_a_bad_one_ends_with_one_line(tmp_path: Path, text: str, changes: dict[str, str]) -> None:
+def test_sidecar_with_an_unusable_configuration_prints_one_line_and_exits_with_2(
+    tmp_path: Path, text: str, changes: dict[str, str]
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
-    env = {k: v for k, v in os.environ.items() if not k.startswith("PYTHON")} | environment(path, **changes)
-    done = subprocess.run(
-        ["/bin/sh", "-c", DEPLOY["run"]], cwd=ROOT, env=env, capture_output=True, text=True, timeout=60
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("PYTHON")}
+    result = subprocess.run(
+        ["/bin/sh", "-c", DEPLOY["run"]],
+        cwd=ROOT,
+        env=inherited | environment_for(path, **changes),
+        capture_output=True,
+        text=True,
+        timeout=60,
     )
-    assert done.returncode == 2, done.stderr
-    assert len(done.stderr.splitlines()) == 1 and done.stderr.startswith("sidecar_proxy: ")
+    assert result.returncode == 2, result.stderr
+    assert len(result.stderr.splitlines()) == 1
+    assert result.stderr.startswith("sidecar_proxy: ")
