--- a/sidecar_proxy/cli/gossip.py
+++ b/sidecar_proxy/cli/gossip.py
@@ -1,4 +1,4 @@
-"""`python3 -m sidecar_proxy gossip …`: keys, certificates, who is turned off, and what a sidecar knows."""
+"""`python3 -m sidecar_proxy gossip …`: keys, certificates, revocation, and the peers that a sidecar knows."""
 
 from __future__ import annotations
 
@@ -8,108 +8,132 @@
 import socket
 import sys
 import time
+from typing import Any
 
 from nacl.signing import SigningKey
 
 from sidecar_proxy.gossip import codec, files
 from sidecar_proxy.gossip.keys import issue_certificate
 
-TIMEOUT_S = 10.0
+STATUS_TIMEOUT_S = 10.0
 DAY_S = 86_400
+SERIAL_LIMIT = 1 << 48  # of random serials
 
 
-def keygen(told: argparse.Namespace) -> int:
+def generate_key(arguments: argparse.Namespace) -> int:
+    """Write a new private key and its public key. Raises FileError."""
     key = SigningKey.generate()
-    files.put(told.file, key.encode().hex() + "\n", secret=True)
-    files.put(told.file + ".pub", key.verify_key.encode().hex() + "\n")
-    print(f"{told.file}: the private key; {told.file}.pub: the public one")
+    files.write_file(arguments.file, key.encode().hex() + "\n", secret=True)
+    files.write_file(arguments.file + ".pub", key.verify_key.encode().hex() + "\n")
+    print(f"{arguments.file}: the private key; {arguments.file}.pub: the public one")
     return 0
 
 
-def certify_key(told: argparse.Namespace) -> int:
-    fleet, key = files.private(told.fleet_key), files.public(told.public_key)
-    serial = told.serial or random.SystemRandom().randrange(1, 1 << 48)
-    one = issue_certificate(fleet, serial, told.name, told.site, key, int(time.time()) + told.days * DAY_S)
-    data = codec.encode(one)
-    codec.certificates.decode(data)  # a name that no peer would take is told now
-    files.put(told.out, data.hex() + "\n", replace=told.replace)
-    print(f"{told.out}: {told.name} of {told.site}, serial {serial}, for {told.days} days")
+def certify_key(arguments: argparse.Namespace) -> int:
+    """Write a certificate for an instance's key. Raises FileError, and ValueError for names out of range."""
+    fleet_key = files.read_private_key(arguments.fleet_key)
+    public_key = files.read_public_key(arguments.public_key)
+    serial = arguments.serial or random.SystemRandom().randrange(1, SERIAL_LIMIT)
+    until_s = int(time.time()) + arguments.days * DAY_S
+    certificate = issue_certificate(fleet_key, serial, arguments.name, arguments.site, public_key, until_s)
+    data = codec.encode(certificate)
+    codec.certificate_decoder.decode(data)  # rejects here a name that every peer would reject
+    files.write_file(arguments.out, data.hex() + "\n", replace=arguments.replace)
+    print(
+        f"{arguments.out}: {arguments.name} of {arguments.site}, serial {serial}, for {arguments.days} days"
+    )
     return 0
 
 
-def revoke(told: argparse.Namespace) -> int:
-    serial = told.serial or files.certificate(told.certificate).serial
-    if serial in files.revoked(told.list):
-        print(f"{told.list}: {serial} is there already")
+def revoke(arguments: argparse.Namespace) -> int:
+    """Add a certificate's serial to the revocation list. Raises FileError and OSError."""
+    serial = arguments.serial or files.read_certificate(arguments.certificate).serial
+    if serial in files.read_revoked(arguments.list):
+        print(f"{arguments.list}: {serial} is there already")
         return 0
-    with open(told.list, "a") as file:
+    with open(arguments.list, "a") as file:
         file.write(f"{serial}\n")
-    print(f"{told.list}: {serial} added; sidecars that name this file stop listening to it within a second")
+    print(
+        f"{arguments.list}: {serial} added; sidecars that name this file stop listening to it within a second"
+    )
     return 0
 
 
-def members(told: argparse.Namespace) -> int:
-    with socket.socket(socket.AF_UNIX) as one:
-        one.settimeout(TIMEOUT_S)
-        one.connect(told.socket)
-        with one.makefile("rb") as file:
-            found = json.loads(file.read())
-    if told.json:
-        print(json.dumps(found))
-        return 0
-    host, port = found["address"]
+def show_members(arguments: argparse.Namespace) -> int:
+    """Print what a running sidecar knows of its peers. Raises OSError."""
+    with socket.socket(socket.AF_UNIX) as connection:
+        connection.settimeout(STATUS_TIMEOUT_S)
+        connection.connect(arguments.socket)
+        with connection.makefile("rb") as file:
+            status = json.loads(file.read())
+    if arguments.json:
+        print(json.dumps(status))
+    else:
+        _print_status(status)
+    return 0
+
+
+def _print_status(status: dict[str, Any]) -> None:
+    host, port = status["address"]
     print(
-        f"{found['name']} of {found['site']} at {host}:{port}, incarnation {found['incarnation']}, local "
-        f"health {found['health']} (0 is well); {found['instances']} instances to the decisions"
+        f"{status['name']} of {status['site']} at {host}:{port}, incarnation {status['incarnation']}, local "
+        f"health {status['health']} (0 is well); {status['instances']} instances to the decisions"
     )
-    for peer in found["peers"]:
-        accused = f", accused by {', '.join(peer['accusers'])}" if peer["accusers"] else ""
+    for peer in status["peers"]:
+        suspecters = f", accused by {', '.join(peer['accusers'])}" if peer["accusers"] else ""
         print(
             f"{peer['name']}  {peer['life']}  {peer['site']}  {peer['address'][0]}:{peer['address'][1]}  "
-            f"serial {peer['serial']}{accused}"
+            f"serial {peer['serial']}{suspecters}"
         )
-    for node, told_of in found["nodes"].items():
-        by = ", ".join(
-            f"{author} ({one['site']}): run {one['run']}, well {one['well']}"
-            for author, one in told_of["by"].items()
+    for upstream, reported in status["nodes"].items():
+        reports = ", ".join(
+            f"{author} ({report['site']}): run {report['run']}, well {report['well']}"
+            for author, report in reported["by"].items()
         )
-        print(f"node {node}: weight {told_of['weight']}; {by}")
+        print(f"node {upstream}: weight {reported['weight']}; {reports}")
     for name in ("counts", "refused"):
-        shown = ", ".join(f"{value} {key}" for key, value in sorted(found[name].items()))
+        shown = ", ".join(f"{value} {key}" for key, value in sorted(status[name].items()))
         print(f"{name}: {shown or 'none'}")
-    return 0
 
 
-def main(arguments: list[str]) -> int:
+def _make_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy gossip", description=__doc__)
     commands = parser.add_subparsers(required=True)
-    one = commands.add_parser("keygen", help="a new key pair, for the fleet or an instance")
-    one.add_argument("file")
-    one.set_defaults(run=keygen)
-    one = commands.add_parser("certify", help="the fleet's word for an instance's key")
-    one.add_argument("fleet_key", help="the fleet's private key")
-    one.add_argument("public_key", help="the instance's FILE.pub")
-    one.add_argument("name")
-    one.add_argument("site")
-    one.add_argument("out")
-    one.add_argument("--days", type=int, default=90)
-    one.add_argument("--serial", type=int, default=0)
-    one.add_argument("--replace", action="store_true", help="in place of the certificate that is there")
-    one.set_defaults(run=certify_key)
-    one = commands.add_parser("revoke", help="stop listening to a certificate")
-    one.add_argument("list", help="the file that gossip.revoked_file names")
-    one.add_argument("certificate", nargs="?", help="its file")
-    one.add_argument("--serial", type=int, default=0)
-    one.set_defaults(run=revoke)
-    one = commands.add_parser("members", help="what a running sidecar knows of the others (gossip.socket)")
-    one.add_argument("socket")
-    one.add_argument("--json", action="store_true")
-    one.set_defaults(run=members)
-    told = parser.parse_args(arguments)
-    if told.run is revoke and not told.certificate and not told.serial:
+    keygen = commands.add_parser("keygen", help="a new key pair, for the fleet or an instance")
+    keygen.add_argument("file")
+    keygen.set_defaults(run=generate_key)
+    certify = commands.add_parser("certify", help="a certificate for an instance's key")
+    certify.add_argument("fleet_key", help="the fleet's private key")
+    certify.add_argument("public_key", help="the instance's FILE.pub")
+    certify.add_argument("name")
+    certify.add_argument("site")
+    certify.add_argument("out")
+    certify.add_argument("--days", type=int, default=90)
+    certify.add_argument("--serial", type=int, default=0)
+    certify.add_argument("--replace", action="store_true", help="in place of the certificate that is there")
+    certify.set_defaults(run=certify_key)
+    revocation = commands.add_parser("revoke", help="stop listening to a certificate")
+    revocation.add_argument("list", help="the file that gossip.revoked_file names")
+    revocation.add_argument("certificate", nargs="?", help="its file")
+    revocation.add_argument("--serial", type=int, default=0)
+    revocation.set_defaults(run=revoke)
+    members = commands.add_parser(
+        "members", help="what a running sidecar knows of the others (gossip.socket)"
+    )
+    members.add_argument("socket")
+    members.add_argument("--json", action="store_true")
+    members.set_defaults(run=show_members)
+    return parser
+
+
+def main(arguments: list[str]) -> int:
+    """Run the command line and return its exit status."""
+    parser = _make_parser()
+    parsed = parser.parse_args(arguments)
+    if parsed.run is revoke and not parsed.certificate and not parsed.serial:
         parser.error("revoke: expected a certificate's file or --serial")
     try:
-        return int(told.run(told))
+        return int(parsed.run(parsed))
     except (files.FileError, OSError, ValueError) as error:
         print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 1
--- a/sidecar_proxy/gossip/__init__.py
+++ b/sidecar_proxy/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""What sidecars tell one another: who is there, and what they have seen of nodes. docs/design/gossip.md."""
+"""Gossip between sidecars: SWIM membership and outlier reports on upstreams (docs/design/gossip.md)."""
--- a/sidecar_proxy/gossip/codec.py
+++ b/sidecar_proxy/gossip/codec.py
@@ -1,7 +1,10 @@
-"""The forms on the wire: MessagePack arrays, each length bounded, an envelope round them. Pure.
+"""The wire format: bounded MessagePack arrays in a signed envelope. Pure.
 
-A datagram or frame is `wg`, a version, a signature of 64 bytes, and a payload that the signature is over.
-What others pass on for its author (a Signed) has a signature of its own inside.
+A datagram or a state exchange is `wg`, a version byte, a 64-byte Ed25519 signature, and the payload that is
+signed. A statement that other instances relay for its author (`SignedStatement`) carries its own signature.
+
+The structs are encoded as arrays with integer tags: the order, the types, the limits and the tags are the
+wire format, the names of classes and fields are not.
 """
 
 from __future__ import annotations
@@ -14,16 +17,18 @@
 MAGIC = b"wg\x01"
 SIGNATURE_BYTES = 64
 HEADER_BYTES = len(MAGIC) + SIGNATURE_BYTES
-MOST_PACKET = 1300  # bytes of a datagram: no fragments on common links
-MOST_STATE = 512 * 1024  # of one side of an exchange
-MOST_RUMOURS = 8
-MOST_COUNTS = 8  # nodes of a bulletin
-MOST_WORD = 512  # bytes of another subsystem's word
-MOST_NAME = 64
-MOST_WHOLE = 2**53  # of any number: incarnations, times, counts
-
-Name = Annotated[str, Meta(min_length=1, max_length=MOST_NAME)]
-Whole = Annotated[int, Meta(ge=0, le=MOST_WHOLE)]
+MAX_PACKET_BYTES = 1300  # of a datagram, so that common links do not fragment it
+MAX_STATE_BYTES = 512 * 1024  # of one side of a state exchange
+MAX_BROADCASTS = 8  # of one packet
+MAX_REPORTED_UPSTREAMS = 8  # of one outlier report
+MAX_TOPIC_BODY_BYTES = 512
+MAX_NAME_LENGTH = 64
+MAX_INTEGER = 2**53  # of incarnations, times and counters
+MAX_STATEMENTS = 5000  # of one side of a state exchange
+MAX_ERROR_LENGTH = 100
+
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+Unsigned = Annotated[int, Meta(ge=0, le=MAX_INTEGER)]
 Port = Annotated[int, Meta(ge=1, le=65535)]
 Key = Annotated[bytes, Meta(min_length=32, max_length=32)]
 Signature = Annotated[bytes, Meta(min_length=SIGNATURE_BYTES, max_length=SIGNATURE_BYTES)]
@@ -31,160 +36,174 @@
 
 
 class Certificate(msgspec.Struct, array_like=True, frozen=True):
-    """The fleet's word that a key is that instance's."""
+    """The fleet key's confirmation that a public key belongs to an instance."""
 
-    serial: Whole
+    serial: Unsigned
     name: Name
     site: Name
     key: Key
-    until_s: Whole  # Unix time
-    signature: Signature  # by the fleet's key, over the rest
+    until_s: Unsigned  # end of validity, Unix time
+    signature: Signature  # by the fleet key, over the other fields
 
 
 class Alive(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Of oneself: where one is heard. A higher incarnation refutes what was said of a lower one."""
+    """An instance's statement about itself: its address. A higher incarnation refutes a suspicion."""
 
     host: Name
     port: Port
-    incarnation: Whole
+    incarnation: Unsigned
     certificate: Certificate
 
 
-class Suspicion(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Of another instance: it does not answer its author."""
+class Suspect(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """A statement about another instance: it does not answer the author's probes."""
 
     subject: Name
-    incarnation: Whole
+    incarnation: Unsigned
 
 
-class Count(msgspec.Struct, array_like=True, frozen=True):
-    """What one instance has seen of one node in the last seconds, of one start of it."""
+class UpstreamReport(msgspec.Struct, array_like=True, frozen=True):
+    """What one instance has observed of one upstream, since that upstream's start, within the window."""
 
-    node: Name
-    born_ms: Whole
-    attempts: Whole
-    timed_out: Whole
-    reset: Whole  # among them connections that could not be made
-    failed: Whole  # answered with an error
-    well: Whole
-    run: Whole  # failures since the last good answer
-    age_ms: Whole  # since the last attempt's end, when this was written
+    upstream: Name
+    started_ms: Unsigned  # the upstream's start, Unix time
+    attempts: Unsigned
+    timeouts: Unsigned
+    resets: Unsigned  # failed connections included
+    errors: Unsigned  # error responses
+    successes: Unsigned
+    consecutive_failures: Unsigned
+    age_ms: Unsigned  # between the end of the last attempt and the report
 
 
 class OutlierReport(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """In place of its author's last one."""
+    """An instance's observations of upstreams; replaces its author's previous report."""
 
-    counts: Annotated[list[Count], Meta(max_length=MOST_COUNTS)]
+    upstreams: Annotated[list[UpstreamReport], Meta(max_length=MAX_REPORTED_UPSTREAMS)]
 
 
 class TopicBroadcast(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """Of another subsystem, to all; in place of its author's last one on that topic."""
+    """Another subsystem's message to every instance; replaces its author's previous one on the topic."""
 
     topic: Name
-    body: Annotated[bytes, Meta(max_length=MOST_WORD)]
+    body: Annotated[bytes, Meta(max_length=MAX_TOPIC_BODY_BYTES)]
 
 
-Statement = Alive | Suspicion | OutlierReport | TopicBroadcast
+Statement = Alive | Suspect | OutlierReport | TopicBroadcast
 
 
-class Signed(msgspec.Struct, array_like=True, frozen=True):
-    """A statement as its author has signed it; `at_us` orders those of one author."""
+class SignedStatement(msgspec.Struct, array_like=True, frozen=True):
+    """An encoded statement with its author's signature; `at_us` orders the statements of one author."""
 
     author: Name
-    at_us: Whole  # Unix time
+    at_us: Unsigned  # Unix time
     body: Body
     signature: Signature
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    seq: Whole
-    target: Name  # whom it is for: another process may have its address by now
+    """A probe. The target is named, as another process may have its address by now."""
+
+    seq: Unsigned
+    target: Name
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    seq: Whole
+    """The answer to a ping."""
+
+    seq: Unsigned
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """To an Ask: no answer yet, but the asker is heard."""
+    """The answer to a ping-req whose target has not answered in time (Lifeguard)."""
 
-    seq: Whole
+    seq: Unsigned
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """Ping that one for me."""
+class PingReq(msgspec.Struct, array_like=True, frozen=True, tag=4):
+    """A request to probe the target on the sender's behalf (SWIM, section 3.1)."""
 
-    seq: Whole
+    seq: Unsigned
     target: Name
 
 
-class News(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """Rumours alone, to be passed on at once where they are new."""
+class UrgentBroadcasts(msgspec.Struct, array_like=True, frozen=True, tag=5):
+    """A packet that exists for its broadcasts alone; receivers relay at once those that are new."""
 
 
 class TopicMessage(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """Of another subsystem, to this one alone."""
+    """Another subsystem's message to the receiver alone."""
 
     topic: Name
-    body: Annotated[bytes, Meta(max_length=MOST_WORD)]
+    body: Annotated[bytes, Meta(max_length=MAX_TOPIC_BODY_BYTES)]
 
 
-Message = Ping | Ack | Nack | Ask | News | TopicMessage
+Message = Ping | Ack | Nack | PingReq | UrgentBroadcasts | TopicMessage
 
 
 class Packet(msgspec.Struct, array_like=True, frozen=True):
+    """The payload of a datagram: one message and the broadcasts that it carries."""
+
     certificate: Certificate
-    at_us: Whole
+    at_us: Unsigned
     message: Message
-    rumours: Annotated[list[Signed], Meta(max_length=MOST_RUMOURS)]
+    broadcasts: Annotated[list[SignedStatement], Meta(max_length=MAX_BROADCASTS)]
 
 
 class State(msgspec.Struct, array_like=True, frozen=True):
-    """One side of an exchange: all that it knows, as it was signed."""
+    """The payload of one side of a push-pull state exchange."""
 
     certificate: Certificate
-    at_us: Whole
-    statements: Annotated[list[Signed], Meta(max_length=5000)]
+    at_us: Unsigned
+    statements: Annotated[list[SignedStatement], Meta(max_length=MAX_STATEMENTS)]
 
 
 Form = TypeVar("Form")
 
 
 class CodecError(ValueError):
-    """Not of this form; one line."""
+    """The bytes do not have the expected form; the message is one line."""
 
 
 encode = msgspec.msgpack.Encoder().encode
-packets = msgspec.msgpack.Decoder(Packet)
-states = msgspec.msgpack.Decoder(State)
-statements: msgspec.msgpack.Decoder[Statement] = msgspec.msgpack.Decoder(Statement)
-certificates = msgspec.msgpack.Decoder(Certificate)
+packet_decoder = msgspec.msgpack.Decoder(Packet)
+state_decoder = msgspec.msgpack.Decoder(State)
+statement_decoder: msgspec.msgpack.Decoder[Statement] = msgspec.msgpack.Decoder(Statement)
+certificate_decoder = msgspec.msgpack.Decoder(Certificate)
 
 
-def opened(data: bytes, most: int) -> tuple[bytes, bytes]:
-    """Signature and payload of an envelope. Raises CodecError."""
-    if not HEADER_BYTES < len(data) <= most or not data.startswith(MAGIC):
+def split_envelope(data: bytes, max_bytes: int) -> tuple[bytes, bytes]:
+    """Return the signature and the payload of an envelope. Raises CodecError."""
+    if not HEADER_BYTES < len(data) <= max_bytes or not data.startswith(MAGIC):
         raise CodecError("no packet of this version")
     return data[len(MAGIC) : HEADER_BYTES], data[HEADER_BYTES:]
 
 
-def closed(signature: bytes, payload: bytes) -> bytes:
+def join_envelope(signature: bytes, payload: bytes) -> bytes:
+    """Return the envelope of a signature and a payload."""
     return MAGIC + signature + payload
 
 
 def read(decoder: msgspec.msgpack.Decoder[Form], data: bytes) -> Form:
-    """By one of the decoders above. Raises CodecError."""
+    """Decode with one of the decoders above. Raises CodecError."""
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise CodecError(" ".join(str(error).split())[:100]) from error
+        raise CodecError(" ".join(str(error).split())[:MAX_ERROR_LENGTH]) from error
 
 
-def of_certificate(one: Certificate) -> bytes:
-    """What the fleet's key signs."""
-    return b"wickspread certificate" + encode([one.serial, one.name, one.site, one.key, one.until_s])
+def certificate_signing_input(certificate: Certificate) -> bytes:
+    """Return the bytes that the fleet key signs."""
+    fields = [
+        certificate.serial,
+        certificate.name,
+        certificate.site,
+        certificate.key,
+        certificate.until_s,
+    ]
+    return b"wickspread certificate" + encode(fields)
 
 
-def of_statement(author: str, at_us: int, body: bytes) -> bytes:
-    """What an author signs."""
+def statement_signing_input(author: str, at_us: int, body: bytes) -> bytes:
+    """Return the bytes that the author of a statement signs."""
     return b"wickspread statement" + encode([author, at_us, body])
--- a/sidecar_proxy/gossip/credentials.py
+++ b/sidecar_proxy/gossip/credentials.py
@@ -1,6 +1,4 @@
-"""What the operator's files let an instance say and believe, read anew when they change, so that keys and
-certificates are changed without a restart.
-"""
+"""The credentials in the operator's files, loaded again when a file changes so that no restart is needed."""
 
 from __future__ import annotations
 
@@ -13,78 +11,84 @@
 from sidecar_proxy.gossip import files
 from sidecar_proxy.gossip.codec import Certificate
 
-SOON_S = 3 * 86_400  # a certificate that ends within it is spoken of
-AGAIN_S = 6 * 3600  # and then now and then
+EXPIRY_WARNING_S = 3 * 86_400  # before the end of a certificate warnings begin
+EXPIRY_WARNING_INTERVAL_S = 6 * 3600
 
 
 @dataclass(slots=True, frozen=True)
 class Credentials:
+    """What an instance signs with and whom it trusts."""
+
     key: SigningKey
     certificate: Certificate
     fleet: tuple[bytes, ...]  # public keys
-    revoked: frozenset[int]
+    revoked: frozenset[int]  # serials
 
 
-def load(told: Gossip) -> Credentials:
-    """Raises FileError, also for files that don't belong together."""
-    key, certificate = files.private(told.key_file), files.certificate(told.certificate_file)
+def load(config: Gossip) -> Credentials:
+    """Load the files that the configuration names. Raises FileError, also if they do not match each other."""
+    key = files.read_private_key(config.key_file)
+    certificate = files.read_certificate(config.certificate_file)
     if key.verify_key.encode() != certificate.key:
         raise files.FileError("gossip.certificate_file: it is not of the key in gossip.key_file")
-    fleet = tuple(dict.fromkeys(one for path in told.fleet_keys for one in files.publics(path)))
-    revoked = files.revoked(told.revoked_file) if told.revoked_file else []
+    public_keys = (public for path in config.fleet_keys for public in files.read_fleet_keys(path))
+    fleet = tuple(dict.fromkeys(public_keys))
+    revoked = files.read_revoked(config.revoked_file) if config.revoked_file else []
     return Credentials(key, certificate, fleet, frozenset(revoked))
 
 
-class Watch:
-    """The files, looked at now and then."""
+class CredentialsWatcher:
+    """Detects changes of the files."""
 
-    def __init__(self, told: Gossip) -> None:
-        """Raises FileError."""
-        self.told = told
-        paths = (told.key_file, told.certificate_file, *told.fleet_keys, told.revoked_file)
-        self.paths = [path for path in paths if path]
-        self.stamps = self.look()
-        self.now = load(told)
-        self.warned_s = 0.0
+    def __init__(self, config: Gossip) -> None:
+        """Load the files. Raises FileError."""
+        self._config = config
+        paths = (config.key_file, config.certificate_file, *config.fleet_keys, config.revoked_file)
+        self._paths = [path for path in paths if path]
+        self._file_versions = self._read_versions()
+        self._warned_s = 0.0
+        self.current = load(config)
 
-    def look(self) -> list[tuple[int, int, int]]:
-        return [stamp(path) for path in self.paths]
+    def reload(self) -> Credentials | None:
+        """Return the new credentials if they have changed.
 
-    def changed(self) -> Credentials | None:
-        """What holds from now on, if it is not what held before. Raises FileError, once for each change, for
-        files that can't be used: what held goes on holding.
+        Raises FileError, once for each change, for files that can't be used: the current credentials stay.
         """
-        stamps = self.look()
-        if stamps == self.stamps:
+        versions = self._read_versions()
+        if versions == self._file_versions:
             return None
-        self.stamps = stamps
-        found = load(self.told)
-        before = self.now.certificate
-        if (found.certificate.name, found.certificate.site) != (before.name, before.site):
+        self._file_versions = versions
+        loaded = load(self._config)
+        certificate, previous = loaded.certificate, self.current.certificate
+        if (certificate.name, certificate.site) != (previous.name, previous.site):
             raise files.FileError(
-                f"{self.told.certificate_file}: it is of {found.certificate.name} of "
-                f"{found.certificate.site}; a new name or site takes a restart"
+                f"{self._config.certificate_file}: it is of {certificate.name} of {certificate.site}; "
+                "a new name or site takes a restart"
             )
-        if found == self.now:
+        if loaded == self.current:
             return None
-        self.now, self.warned_s = found, 0.0
-        return found
-
-    def ends(self, wall_s: float) -> str:
-        """A line, now and then, once the certificate ends soon."""
-        left_s = self.now.certificate.until_s - wall_s
-        if left_s > SOON_S or wall_s - self.warned_s < AGAIN_S:
+        self.current = loaded
+        self._warned_s = 0.0
+        return loaded
+
+    def expiry_warning(self, wall_s: float) -> str:
+        """Return a warning now and then once the certificate ends soon, else an empty string."""
+        left_s = self.current.certificate.until_s - wall_s
+        if left_s > EXPIRY_WARNING_S or wall_s - self._warned_s < EXPIRY_WARNING_INTERVAL_S:
             return ""
-        self.warned_s = wall_s
+        self._warned_s = wall_s
         if left_s <= 0:
-            return "the certificate has ended; the others hear nothing of this sidecar"
-        return f"the certificate ends in {left_s / 3600:.0f} h"
+            return "the certificate has expired; peers reject this sidecar's packets"
+        return f"the certificate expires in {left_s / 3600:.0f} h"
+
+    def _read_versions(self) -> list[tuple[int, int, int]]:
+        return [file_version(path) for path in self._paths]
 
 
-def stamp(path: str) -> tuple[int, int, int]:
-    """Differs once the file does; a file put in another's place has an inode of its own."""
+def file_version(path: str) -> tuple[int, int, int]:
+    """Return a value that changes with the file; a file moved in its place has another inode."""
     try:
-        found = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return 0, 0, 0
-    return found.st_mtime_ns, found.st_size, found.st_ino
+    return status.st_mtime_ns, status.st_size, status.st_ino
--- a/sidecar_proxy/gossip/files.py
+++ b/sidecar_proxy/gossip/files.py
@@ -1,4 +1,4 @@
-"""Keys, certificates and the list of the revoked as files: hexadecimal digits, or a serial a line."""
+"""Keys, certificates and the revocation list as files: hexadecimal digits, or one serial a line."""
 
 from __future__ import annotations
 
@@ -12,100 +12,105 @@
 from sidecar_proxy.gossip import codec
 from sidecar_proxy.gossip.codec import Certificate
 
-MOST_BYTES = 1024 * 1024
-MOST_KEYS = 4  # of a fleet: each costs a verification for a certificate that is of none
+MAX_FILE_BYTES = 1024 * 1024
+KEY_BYTES = 32
+MAX_FLEET_KEYS = 4  # each costs a verification for a certificate that none of them has signed
 
 
 class FileError(Exception):
-    """A file can't be used; one line that names it."""
+    """A file can't be used; the message is one line that names it."""
 
 
-def text_of(path: str) -> str:
-    """Raises FileError."""
+def read_text(path: str) -> str:
+    """Read an ASCII file. Raises FileError."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST_BYTES + 1)
-        if len(data) > MOST_BYTES:
-            raise FileError(f"{path}: over {MOST_BYTES} bytes")
-        return data.decode("ascii")
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise FileError(f"{path}: {error.strerror or error}") from error
+    if len(data) > MAX_FILE_BYTES:
+        raise FileError(f"{path}: over {MAX_FILE_BYTES} bytes")
+    try:
+        return data.decode("ascii")
     except UnicodeDecodeError as error:
         raise FileError(f"{path}: expected hexadecimal digits") from error
 
 
-def bytes_of(path: str) -> bytes:
-    """Raises FileError."""
+def read_hex(path: str) -> bytes:
+    """Read a file of hexadecimal digits. Raises FileError."""
     try:
-        return bytes.fromhex(text_of(path).strip())
+        return bytes.fromhex(read_text(path).strip())
     except ValueError as error:
         raise FileError(f"{path}: expected hexadecimal digits") from error
 
 
-def private(path: str) -> SigningKey:
-    """Raises FileError."""
-    seed = bytes_of(path)
-    if len(seed) != 32:
+def read_private_key(path: str) -> SigningKey:
+    """Read a private key that only its owner may read. Raises FileError."""
+    seed = read_hex(path)
+    if len(seed) != KEY_BYTES:
         raise FileError(f"{path}: expected 64 hexadecimal digits of a private key")
     if os.stat(path).st_mode & 0o077:
         raise FileError(f"{path}: others may read this private key; chmod 600")
     return SigningKey(seed)
 
 
-def public(path: str) -> bytes:
-    """Raises FileError."""
-    key = bytes_of(path)
-    if len(key) != 32:
+def read_public_key(path: str) -> bytes:
+    """Read a public key. Raises FileError."""
+    key = read_hex(path)
+    if len(key) != KEY_BYTES:
         raise FileError(f"{path}: expected 64 hexadecimal digits of a public key")
     return key
 
 
-def publics(path: str) -> list[bytes]:
-    """Of a fleet, one a line: two while they are changed. Raises FileError."""
+def read_fleet_keys(path: str) -> list[bytes]:
+    """Read the fleet's public keys, one a line; there are two during a rotation. Raises FileError."""
     try:
-        keys = [bytes.fromhex(line) for line in text_of(path).split()]
+        keys = [bytes.fromhex(line) for line in read_text(path).split()]
     except ValueError as error:
         raise FileError(f"{path}: expected hexadecimal digits") from error
-    if not 1 <= len(keys) <= MOST_KEYS or any(len(key) != 32 for key in keys):
-        raise FileError(f"{path}: expected public keys, 64 hexadecimal digits a line, {MOST_KEYS} at most")
+    if not 1 <= len(keys) <= MAX_FLEET_KEYS or any(len(key) != KEY_BYTES for key in keys):
+        raise FileError(
+            f"{path}: expected public keys, 64 hexadecimal digits a line, {MAX_FLEET_KEYS} at most"
+        )
     return keys
 
 
-def certificate(path: str) -> Certificate:
-    """Raises FileError."""
+def read_certificate(path: str) -> Certificate:
+    """Read a certificate. Raises FileError."""
     try:
-        return codec.certificates.decode(bytes_of(path))
+        return codec.certificate_decoder.decode(read_hex(path))
     except msgspec.DecodeError as error:
         raise FileError(f"{path}: no certificate: {error}") from error
 
 
-def revoked(path: str) -> list[int]:
-    """The serials. A file that is not there revokes nobody. Raises FileError."""
+def read_revoked(path: str) -> list[int]:
+    """Read the revoked serials; a file that does not exist revokes none. Raises FileError."""
     if not os.path.exists(path):
         return []
-    lines = [line.partition("#")[0].strip() for line in text_of(path).splitlines()]
+    lines = [line.partition("#")[0].strip() for line in read_text(path).splitlines()]
     try:
         return [int(line) for line in lines if line]
     except ValueError as error:
         raise FileError(f"{path}: expected a serial a line: {error}") from error
 
 
-def put(path: str, text: str, secret: bool = False, replace: bool = False) -> None:
-    """A new file, whole or not at all; one that is there stays unless `replace` says so. Raises FileError."""
-    part = f"{path}.part"
+def write_file(path: str, text: str, secret: bool = False, replace: bool = False) -> None:
+    """Write a file atomically; one that exists stays unless `replace` is set. Raises FileError."""
+    partial_path = f"{path}.part"
     try:
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(part)
-        handle = os.open(part, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600 if secret else 0o644)
+            os.unlink(partial_path)
+        mode = 0o600 if secret else 0o644
+        handle = os.open(partial_path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, mode)
         with os.fdopen(handle, "w") as file:
             file.write(text)
         if replace:
-            os.replace(part, path)
+            os.replace(partial_path, path)
         else:
-            os.link(part, path)
-            os.unlink(part)
+            os.link(partial_path, path)
+            os.unlink(partial_path)
     except FileExistsError as error:
-        Path(part).unlink(missing_ok=True)
+        Path(partial_path).unlink(missing_ok=True)
         raise FileError(f"{path}: it is there already") from error
     except OSError as error:
         raise FileError(f"{path}: {error.strerror or error}") from error
--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -1,54 +1,72 @@
-"""One instance: keys, core and evidence put together. Pure: bytes and times in, bytes and suspicions out."""
+"""One gossip instance: keyring, SWIM core, observations and outlier reports together. Pure.
+
+Datagrams, outcomes of attempts and times come in; datagrams, outlier weights and the fleet's size go out.
+Times are microseconds: `now_us` of a monotonic clock, `wall_us` of the wall clock.
+"""
 
 from __future__ import annotations
 
 import random
-from collections import Counter, OrderedDict
+from collections import Counter
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
+from typing import assert_never
 
 from sidecar_proxy.balancer.events import Outcome
 from sidecar_proxy.gossip import codec
-from sidecar_proxy.gossip import core as swim
-from sidecar_proxy.gossip.codec import MOST_STATE, Alive, Message, Signed, Statement
-from sidecar_proxy.gossip.keys import Keyring, RejectedError
-from sidecar_proxy.gossip.outlier_reports import WINDOW_US, Combiner, Own
-
-GAP_US = 100_000  # between two bulletins of ours
-LOOK_US = 500_000  # between two looks at what fades
-STEP = 0.05  # a weight that has changed by less is not told again
-STRIKES = 20  # forgeries from one address, after which it is not heard for a while
-BARRED_US = 10_000_000
-MOST_ADDRESSES = 4096
-ENVELOPE = 2048  # bytes of an exchange beside its statements, at most
-HOLD_US = 300_000_000  # the live number falls only after so long below
-Address = tuple[str, int]
+from sidecar_proxy.gossip.blocklist import AddressBlocklist
+from sidecar_proxy.gossip.codec import MAX_STATE_BYTES, Alive, OutlierReport, SignedStatement, Statement
+from sidecar_proxy.gossip.core import SwimCore
+from sidecar_proxy.gossip.effects import (
+    Address,
+    Effect,
+    MemberDied,
+    ReportReceived,
+    SendPacket,
+    StartPushPull,
+    TopicReceived,
+)
+from sidecar_proxy.gossip.fleet_size import FleetSizeEstimator
+from sidecar_proxy.gossip.keys import Keyring, RejectedError, RejectionReason
+from sidecar_proxy.gossip.observations import LocalObservations
+from sidecar_proxy.gossip.outlier_reports import ReportAggregator
+
+REPORT_GAP_US = 100_000  # between two reports of this instance
+REVIEW_INTERVAL_US = 500_000  # between two reviews of what fades with time
+WEIGHT_STEP = 0.05  # a weight that has changed by less is not reported again
+STATE_ENVELOPE_BYTES = 2048  # of a state exchange beside its statements, at most
+# rejections that a well-behaved sender can cause: they do not count as forgeries
+INNOCENT_REJECTIONS = frozenset(
+    {RejectionReason.REPLAYED, RejectionReason.OVER_BUDGET, RejectionReason.CLOCK_SKEW}
+)
 
 
 @dataclass(slots=True, frozen=True)
 class Datagram:
+    """Send a datagram."""
+
     address: Address
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class StateExchange:
-    """Connect, say `state()`, and hand what comes back to `exchanged`."""
+    """Connect, send `local_state()`, and pass the answer to `open_remote_state`."""
 
     address: Address
 
 
 @dataclass(slots=True, frozen=True)
 class OutlierWeight:
-    """What all together have against a node, 0 to 1."""
+    """How surely an upstream fails according to the other instances, 0 to 1."""
 
-    node: str
+    upstream: str
     weight: float
 
 
 @dataclass(slots=True, frozen=True)
 class FleetSize:
-    """How many instances there are, with us, and our place among their names."""
+    """The estimated number of instances, this one included, and this one's place among their sorted names."""
 
     instances: int
     index: int
@@ -56,7 +74,10 @@
 
 @dataclass(slots=True, frozen=True)
 class SubsystemMessage:
-    """For another subsystem, of a peer: said to all, or to us alone; or that peer is held for dead."""
+    """A peer's message for another subsystem, or the notice that a peer is dead.
+
+    `alone`: the message is to this instance alone. `left`: the author is dead; topic and body are empty.
+    """
 
     author: str
     topic: str
@@ -68,243 +89,244 @@
 Output = Datagram | StateExchange | OutlierWeight | FleetSize | SubsystemMessage
 
 
-class Census:
-    """How many there are, for those who share by it: up at once, down only after a long while, and never
-    below the floor, as half of a partition would else take itself for the whole.
-    """
-
-    def __init__(self, floor: int) -> None:
-        self.floor = self.told = floor
-        self.below_us = 0  # since when fewer are there
-        self.most = 0  # that were there since
-
-    def count(self, live: int, now_us: int) -> int:
-        live = max(live, self.floor)
-        if live >= self.told:
-            self.told, self.below_us = live, 0
-        elif not self.below_us:
-            self.below_us, self.most = now_us, live
-        else:
-            self.most = max(self.most, live)
-            if now_us - self.below_us >= HOLD_US:
-                self.told, self.below_us = self.most, 0
-        return self.told
-
-
 class GossipInstance:
+    """One member of the gossiping fleet."""
+
     def __init__(
         self,
         keyring: Keyring,
         address: Address,
         seeds: list[Address],
-        dice: random.Random,
+        rng: random.Random,
         now_us: int,
         wall_us: int,
-        born: Callable[[str], int | None],
-        floor: int = 1,
+        started_ms: Callable[[str], int | None],
+        min_instances: int = 1,
     ) -> None:
+        """Make an instance; `started_ms` returns the start of an upstream in use here, in Unix ms."""
         self.keyring = keyring
         self.address = address
-        self.born = born  # the start of a node that is in use here, in Unix ms; None = there is none
         self.wall_us = wall_us
-        certificate = keyring.certificate
-        self.core = swim.Core(
-            certificate.name, certificate.site, seeds, dice, now_us, self.sign, self.alive, wall_us // 1000
-        )
-        self.own = Own()
-        self.combiner = Combiner(certificate.site)
-        self.weights: dict[str, float] = {}  # as they were told
-        self.unsaid = False  # there is more to say than our last bulletin
-        self.publish_us = now_us
-        self.look_us = now_us + LOOK_US
-        self.census = Census(floor)
-        self.sized = FleetSize(floor, 0)
-        self.strikes: OrderedDict[Address, tuple[int, int]] = OrderedDict()  # forgeries, since when
+        self.observations = LocalObservations()
+        self.aggregator = ReportAggregator(keyring.certificate.site)
+        self.weights: dict[str, float] = {}  # by upstream, as last reported
+        self.fleet_size = FleetSize(min_instances, 0)
+        self.blocklist = AddressBlocklist()
         self.counts: Counter[str] = Counter()
+        self._started_ms = started_ms
+        self._size_estimator = FleetSizeEstimator(min_instances)
+        self._has_unpublished = False  # there is more to report than the last report has
+        self._next_report_us = now_us
+        self._next_review_us = now_us + REVIEW_INTERVAL_US
+        self.core = SwimCore(
+            keyring.certificate.name,
+            keyring.certificate.site,
+            seeds,
+            rng,
+            now_us,
+            self.sign,
+            self._alive,
+            incarnation=wall_us // 1000,
+        )
 
-    def sign(self, statement: Statement) -> Signed:
-        return self.keyring.sign(statement, self.wall_us)
+    @property
+    def due_us(self) -> int:
+        """When `tick` has something to do."""
+        times = [self.core.due_us, self._next_review_us]
+        if self._has_unpublished:
+            times.append(self._next_report_us)
+        return min(times)
 
-    def alive(self, incarnation: int) -> Alive:
-        return Alive(*self.address, incarnation, self.keyring.certificate)
+    def sign(self, statement: Statement) -> SignedStatement:
+        """Sign a statement of this instance."""
+        return self.keyring.sign(statement, self.wall_us)
 
-    def move(self, address: Address) -> None:
-        """Where we are heard is known only once a socket is open, if the port was left to the system."""
+    def set_address(self, address: Address) -> None:
+        """Broadcast the address; a port that the system chooses is known only once the socket is open."""
         self.address = address
-        self.core.own = self.sign(self.alive(self.core.incarnation))
-        self.core.spread("alive", self.core.own)
+        self.core.update_local_statement()
 
-    def renewed(self, now_us: int, wall_us: int) -> list[Output]:
-        """Our certificate is another one: the others must have it before they can believe what we sign."""
+    def announce_certificate(self, now_us: int, wall_us: int) -> list[Output]:
+        """Broadcast a replaced certificate; without it the others reject what is signed from now on."""
         self.wall_us = wall_us
-        self.core.renewed()
-        self.unsaid, self.publish_us = bool(self.own.nodes), now_us
-        return self.publish(now_us, wall_us)
-
-    @property
-    def due_us(self) -> int:
-        times = [self.core.due_us, self.look_us]
-        if self.unsaid:
-            times.append(self.publish_us)
-        return min(times)
+        self.core.raise_incarnation()
+        self._has_unpublished = bool(self.observations.upstreams)
+        self._next_report_us = now_us
+        return self._publish_if_due(now_us, wall_us)
 
     # From the network
 
     def receive(self, data: bytes, address: Address, now_us: int, wall_us: int) -> list[Output]:
-        """A datagram."""
+        """Handle a datagram."""
         self.wall_us = wall_us
         self.counts["packets in"] += 1
         self.counts["bytes in"] += len(data)
-        struck, since_us = self.strikes.get(address, (0, 0))
-        if struck >= STRIKES and now_us - since_us < BARRED_US:
-            self.keyring.refused["of a barred address"] += 1
+        if self.blocklist.is_blocked(address, now_us):
+            self.keyring.rejections[RejectionReason.BLOCKED_ADDRESS.value] += 1
             return []
         try:
-            packet = self.keyring.packet(data, now_us, wall_us)
+            packet = self.keyring.open_packet(data, now_us, wall_us)
         except RejectedError as error:
-            self.refuse(str(error), address, now_us)
+            self.keyring.rejections[str(error)] += 1
+            if error.reason not in INNOCENT_REJECTIONS:
+                self.blocklist.record_forgery(address, now_us)
             return []
-        actions = self.hear(packet.rumours, now_us, wall_us)
-        actions += self.core.received(packet.certificate.name, address, packet.message, now_us)
-        return self.outputs(actions, now_us)
-
-    def refuse(self, why: str, address: Address, now_us: int) -> None:
-        self.keyring.refused[why] += 1
-        if why not in ("heard before", "over the budget", "another time"):
-            struck, since_us = self.strikes.pop(address, (0, now_us))
-            fresh = now_us - since_us < BARRED_US
-            self.strikes[address] = (struck + 1 if fresh else 1, since_us if fresh else now_us)
-            while len(self.strikes) > MOST_ADDRESSES:
-                self.strikes.popitem(last=False)
-
-    def hear(self, told: Iterable[Signed], now_us: int, wall_us: int) -> list[swim.Action]:
-        """What authors say, each verified if it is news."""
-        actions: list[swim.Action] = []
-        for one in told:
-            if not self.core.is_news(one):
-                continue
-            try:
-                statement = self.keyring.statement(one, self.core.certificate(one.author), now_us, wall_us)
-            except RejectedError as error:
-                self.keyring.refused[str(error)] += 1
-                continue
-            actions += self.core.heard(one, statement, now_us)
-        return actions
+        effects = self._apply_statements(packet.broadcasts, now_us, wall_us)
+        effects += self.core.on_message(packet.certificate.name, address, packet.message, now_us)
+        return self._outputs(effects, now_us)
 
-    def state(self, wall_us: int) -> bytes:
-        """Our side of an exchange."""
+    def local_state(self, wall_us: int) -> bytes:
+        """Return this instance's side of a state exchange."""
         self.wall_us = wall_us
-        return self.keyring.seal_state(self.core.statements(MOST_STATE - ENVELOPE), wall_us)
+        return self.keyring.seal_state(self.core.state(MAX_STATE_BYTES - STATE_ENVELOPE_BYTES), wall_us)
 
-    def opened(self, data: bytes, now_us: int, wall_us: int) -> list[Signed]:
-        """The other side of one: to be handed to `exchanged`, some at a time. Raises Refused."""
+    def open_remote_state(self, data: bytes, now_us: int, wall_us: int) -> list[SignedStatement]:
+        """Return the statements of the other side, for `merge_remote_state`. Raises RejectedError."""
         self.wall_us = wall_us
-        return self.keyring.state(data, now_us, wall_us).statements
+        return self.keyring.open_state(data, now_us, wall_us).statements
 
-    def exchanged(self, told: list[Signed], now_us: int, wall_us: int) -> list[Output]:
+    def merge_remote_state(
+        self, statements: list[SignedStatement], now_us: int, wall_us: int
+    ) -> list[Output]:
+        """Handle statements of the other side, some at a time as each may cost a verification."""
         self.wall_us = wall_us
-        return self.outputs(self.hear(told, now_us, wall_us), now_us)
+        return self._outputs(self._apply_statements(statements, now_us, wall_us), now_us)
 
     # From the engine
 
-    def attempt(self, node: str, born_ms: int, outcome: Outcome, now_us: int, wall_us: int) -> list[Output]:
-        """An attempt of our own has ended."""
-        if not self.own.note(node, born_ms, outcome, now_us):
+    def record_attempt(
+        self, upstream: str, started_ms: int, outcome: Outcome, now_us: int, wall_us: int
+    ) -> list[Output]:
+        """Record the outcome of an attempt of this sidecar."""
+        if not self.observations.record(upstream, started_ms, outcome, now_us):
             return []
-        self.unsaid = True
-        return self.publish(now_us, wall_us)
-
-    def publish(self, now_us: int, wall_us: int) -> list[Output]:
-        if not self.unsaid or now_us < self.publish_us:
-            return []
-        self.wall_us = wall_us
-        self.unsaid, self.publish_us = False, now_us + GAP_US
-        return self.outputs(self.core.publish(self.own.bulletin(now_us), True, now_us), now_us)
+        self._has_unpublished = True
+        return self._publish_if_due(now_us, wall_us)
 
     # From other subsystems
 
     def say(self, topic: str, body: bytes, wall_us: int) -> None:
-        """To all, with the pings."""
+        """Broadcast another subsystem's message; it travels with the probes."""
         self.wall_us = wall_us
-        self.core.say(codec.TopicBroadcast(topic, body))
+        self.core.broadcast_topic(codec.TopicBroadcast(topic, body))
 
     def note(self, name: str, topic: str, body: bytes, now_us: int, wall_us: int) -> list[Output]:
-        """To one, at once."""
+        """Send another subsystem's message to one peer, at once and at most once."""
         self.wall_us = wall_us
-        return self.outputs(self.core.note(name, codec.TopicMessage(topic, body)), now_us)
+        return self._outputs(self.core.send_topic_message(name, codec.TopicMessage(topic, body)), now_us)
+
+    def publish_report(self, report: OutlierReport, now_us: int) -> list[Output]:
+        """Broadcast a report, whatever this instance has observed."""
+        return self._outputs(self.core.publish_report(report, now_us), now_us)
 
     # Time
 
     def tick(self, now_us: int, wall_us: int) -> list[Output]:
+        """Do what is due."""
         self.wall_us = wall_us
-        found = self.outputs(self.core.tick(now_us), now_us)
-        if now_us >= self.look_us:
-            self.look_us = now_us + LOOK_US
-            self.combiner.forget(now_us)
-            found += self.weigh({*self.weights, *self.combiner.reports}, now_us)
-            self.own.wanted = {name: None for name in self.own.wanted if name in self.combiner.reports}
-            found += self.size(now_us)
-        return found + self.publish(now_us, wall_us)
-
-    def size(self, now_us: int) -> list[Output]:
+        outputs = self._outputs(self.core.tick(now_us), now_us)
+        if now_us >= self._next_review_us:
+            self._next_review_us = now_us + REVIEW_INTERVAL_US
+            outputs += self._review(now_us)
+        return outputs + self._publish_if_due(now_us, wall_us)
+
+    def _review(self, now_us: int) -> list[Output]:
+        self.aggregator.expire(now_us)
+        outputs = self._update_weights({*self.weights, *self.aggregator.by_upstream}, now_us)
+        self.observations.retain_contradicted(self.aggregator.by_upstream)
+        return outputs + self._update_fleet_size(now_us)
+
+    def _update_fleet_size(self, now_us: int) -> list[Output]:
         living = self.core.peers.living()
-        told = self.census.count(len(living) + 1, now_us)
-        if told == self.sized.instances:
+        instances = self._size_estimator.update(len(living) + 1, now_us)
+        if instances == self.fleet_size.instances:
             return []
-        self.sized = FleetSize(told, sum(one.name < self.core.name for one in living) % told)
-        return [self.sized]
-
-    # What comes of it
-
-    def outputs(self, actions: list[swim.Action], now_us: int) -> list[Output]:
-        found: list[Output] = []
-        for action in actions:
-            if isinstance(action, swim.Send):
-                found.append(self.datagram(action.address, action.message, list(action.rumours)))
-            elif isinstance(action, swim.Exchange):
-                found.append(StateExchange(action.address))
-            elif isinstance(action, swim.Left):
-                found += self.weigh(self.combiner.drop(action.name), now_us)
-                found.append(SubsystemMessage(action.name, "", b"", left=True))
-            elif isinstance(action, swim.Told):
-                found.append(SubsystemMessage(action.author, action.topic, action.body, action.alone))
-            else:
-                names = self.combiner.take(action.author, action.site, action.bulletin, now_us)
-                found += self.weigh(names, now_us)
-                self.contradict([one.node for one in action.bulletin.counts if one.run], now_us)
-        return found
-
-    def contradict(self, names: list[str], now_us: int) -> None:
-        """Others suspect them, and we have had answers."""
-        for name in names:
-            seen = self.own.nodes.get(name)
-            if (
-                seen is not None
-                and seen.run == 0
-                and seen.well
-                and now_us - seen.last_us < WINDOW_US
-                and name not in self.own.wanted
-            ):
-                self.own.wanted[name] = None
-                self.unsaid = True
-
-    def datagram(self, address: Address, message: Message, rumours: list[Signed]) -> Datagram:
-        data = self.keyring.seal(message, rumours, self.wall_us)
+        index = sum(peer.name < self.core.name for peer in living) % instances
+        self.fleet_size = FleetSize(instances, index)
+        return [self.fleet_size]
+
+    # Effects
+
+    def _alive(self, incarnation: int) -> Alive:
+        return Alive(*self.address, incarnation, self.keyring.certificate)
+
+    def _apply_statements(
+        self, statements: Iterable[SignedStatement], now_us: int, wall_us: int
+    ) -> list[Effect]:
+        """Verify the statements that are new and pass them to the core."""
+        effects: list[Effect] = []
+        for statement in statements:
+            if not self.core.is_new(statement):
+                continue
+            certificate = self.core.certificate(statement.author)
+            try:
+                content = self.keyring.open_statement(statement, certificate, now_us, wall_us)
+            except RejectedError as error:
+                self.keyring.rejections[str(error)] += 1
+                continue
+            effects += self.core.on_statement(statement, content, now_us)
+        return effects
+
+    def _publish_if_due(self, now_us: int, wall_us: int) -> list[Output]:
+        if not self._has_unpublished or now_us < self._next_report_us:
+            return []
+        self.wall_us = wall_us
+        self._has_unpublished = False
+        self._next_report_us = now_us + REPORT_GAP_US
+        return self.publish_report(self.observations.report(now_us), now_us)
+
+    def _outputs(self, effects: list[Effect], now_us: int) -> list[Output]:
+        outputs: list[Output] = []
+        for effect in effects:
+            match effect:
+                case SendPacket():
+                    outputs.append(self._datagram(effect))
+                case StartPushPull():
+                    outputs.append(StateExchange(effect.address))
+                case MemberDied():
+                    affected = self.aggregator.remove_author(effect.name)
+                    outputs += self._update_weights(affected, now_us)
+                    outputs.append(SubsystemMessage(effect.name, "", b"", left=True))
+                case TopicReceived():
+                    outputs.append(
+                        SubsystemMessage(effect.author, effect.topic, effect.body, effect.is_direct)
+                    )
+                case ReportReceived():
+                    outputs += self._merge_report(effect, now_us)
+                case _:
+                    assert_never(effect)
+        return outputs
+
+    def _datagram(self, packet: SendPacket) -> Datagram:
+        data = self.keyring.seal_packet(packet.message, list(packet.broadcasts), self.wall_us)
         self.counts["packets out"] += 1
         self.counts["bytes out"] += len(data)
-        return Datagram(address, data)
-
-    def weigh(self, names: Iterable[str], now_us: int) -> list[Output]:
-        found: list[Output] = []
+        return Datagram(packet.address, data)
+
+    def _merge_report(self, received: ReportReceived, now_us: int) -> list[Output]:
+        affected = self.aggregator.add(received.author, received.site, received.report, now_us)
+        outputs = self._update_weights(affected, now_us)
+        for upstream in received.report.upstreams:
+            if upstream.consecutive_failures and self.observations.contradict(upstream.upstream, now_us):
+                self._has_unpublished = True
+        return outputs
+
+    def _update_weights(self, upstreams: Iterable[str], now_us: int) -> list[Output]:
+        """Compute the weights of upstreams and return those that have changed enough to matter."""
+        outputs: list[Output] = []
         sites = self.core.peers.sites
-        for name in names:
-            born_ms = self.born(name)
-            weight = 0.0 if born_ms is None else self.combiner.weight(name, born_ms, sites, now_us)
-            was = self.weights.get(name, 0.0)
-            if abs(weight - was) < STEP and (weight > 0.0) == (was > 0.0):
+        for name in upstreams:
+            started_ms = self._started_ms(name)
+            weight = 0.0
+            if started_ms is not None:
+                weight = self.aggregator.weight(name, started_ms, sites, now_us)
+            previous = self.weights.get(name, 0.0)
+            is_same_verdict = (weight > 0.0) == (previous > 0.0)
+            if abs(weight - previous) < WEIGHT_STEP and is_same_verdict:
                 continue
-            self.weights[name] = weight
-            if weight <= 0.0:
-                del self.weights[name]
-            found.append(OutlierWeight(name, weight))
-        return found
+            if weight > 0.0:
+                self.weights[name] = weight
+            else:
+                self.weights.pop(name, None)
+            outputs.append(OutlierWeight(name, weight))
+        return outputs
--- a/sidecar_proxy/gossip/keys.py
+++ b/sidecar_proxy/gossip/keys.py
@@ -1,13 +1,14 @@
-"""Who may speak: certificates, signatures, replays, and what all of it may cost. Pure; times are handed in.
+"""Authentication: certificates, signatures (Ed25519 by PyNaCl) and replay protection. Pure.
 
-Cheap checks come first, and a budget bounds the dear ones: a flood of forgeries costs a bounded share of a
-core. Ed25519 by PyNaCl.
+Cheap checks come before signatures, and a budget bounds the verifications, so that a flood of forgeries costs
+a bounded share of a core.
 """
 
 from __future__ import annotations
 
+import enum
 import ipaddress
-from collections import Counter, OrderedDict, deque
+from collections import Counter, OrderedDict
 from collections.abc import Iterable
 from typing import TypeVar
 
@@ -16,57 +17,42 @@
 from nacl.signing import SigningKey, VerifyKey
 
 from sidecar_proxy.gossip import codec
-from sidecar_proxy.gossip.codec import Certificate, Packet, Signed, State, Statement
+from sidecar_proxy.gossip.codec import Certificate, Packet, SignedStatement, State, Statement
+from sidecar_proxy.gossip.verification import ReplayWindow, VerificationBudget
 
-Sealed = TypeVar("Sealed", Packet, State)
-SKEW_US = 60_000_000  # clocks are no further apart, trips among them
-REORDER_US = 2_000_000  # of one author's packets
-MOST_RECENT = 256  # sequences kept of one author
-MOST_KNOWN = 8192  # certificates that were verified, and authors that were heard
-VERIFIES_A_SECOND = 400.0
-BURST = 2000.0  # what joining a large fleet takes
+Envelope = TypeVar("Envelope", Packet, State)
+MAX_CLOCK_SKEW_US = 60_000_000  # between the clocks of two instances, transit included
+MAX_CACHED_AUTHORS = 8192  # verified certificates, and authors with a replay window
 
 
-class RejectedError(Exception):
-    """Not taken; the word is its reason, as it is counted."""
-
-
-class Budget:
-    """Verifications in a second, with a burst."""
-
-    def __init__(self, rate: float = VERIFIES_A_SECOND, burst: float = BURST) -> None:
-        self.rate = rate
-        self.burst = self.left = burst
-        self.at_us = 0
+class RejectionReason(enum.StrEnum):
+    """Why bytes were rejected; the values are counted under these names in the answers to operators."""
 
-    def take(self, now_us: int) -> bool:
-        self.left = min(self.burst, self.left + self.rate * max(0, now_us - self.at_us) / 1e6)
-        self.at_us = now_us
-        if self.left < 1.0:
-            return False
-        self.left -= 1.0
-        return True
+    WRONG_VERSION = "not of this version"
+    MALFORMED = "malformed"
+    OWN_PACKET = "our own"
+    CLOCK_SKEW = "another time"
+    REPLAYED = "heard before"
+    REVOKED = "revoked"
+    EXPIRED = "expired"
+    OVER_BUDGET = "over the budget"
+    UNTRUSTED = "not of this fleet"
+    FORGED = "forged"
+    UNKNOWN_AUTHOR = "of nobody known"
+    WRONG_NAME = "of another name"
+    BLOCKED_ADDRESS = "of a barred address"
 
 
-class Heard:
-    """The sequences of one author."""
-
-    __slots__ = ("highest", "recent")
-
-    def __init__(self) -> None:
-        self.highest = 0
-        self.recent: deque[int] = deque(maxlen=MOST_RECENT)
-
-    def is_new(self, at_us: int) -> bool:
-        return at_us > self.highest - REORDER_US and at_us not in self.recent
+class RejectedError(Exception):
+    """Bytes were rejected; the message is the reason as it is counted."""
 
-    def note(self, at_us: int) -> None:
-        self.highest = max(self.highest, at_us)
-        self.recent.append(at_us)
+    def __init__(self, reason: str) -> None:
+        super().__init__(str(reason))
+        self.reason = reason
 
 
 class Keyring:
-    """One instance's key and certificate, the fleet's keys, and who has been turned off."""
+    """One instance's key and certificate, the trusted fleet keys, and the revoked serials."""
 
     def __init__(
         self,
@@ -74,150 +60,162 @@
         certificate: Certificate,
         fleet: Iterable[bytes],
         revoked: Iterable[int] = (),
-        budget: Budget | None = None,
+        budget: VerificationBudget | None = None,
     ) -> None:
         self.key = key
         self.certificate = certificate
-        self.fleet = [VerifyKey(one) for one in fleet]
+        self.fleet_keys = [VerifyKey(public_key) for public_key in fleet]
         self.revoked = frozenset(revoked)
-        self.budget = budget or Budget()
-        self.good: OrderedDict[bytes, Certificate] = OrderedDict()  # by signature
-        self.heard: OrderedDict[str, Heard] = OrderedDict()
-        self.last_us = 0  # of what we have signed
-        self.refused: Counter[str] = Counter()
+        self.budget = budget or VerificationBudget()
+        self.rejections: Counter[str] = Counter()
+        self.replay_windows: OrderedDict[str, ReplayWindow] = OrderedDict()  # by author
+        self.last_sequence_us = 0  # of what this instance has signed
+        self._verified: OrderedDict[bytes, Certificate] = OrderedDict()  # certificates by signature
 
-    # What we say
+    def replace_credentials(
+        self, key: SigningKey, certificate: Certificate, fleet: Iterable[bytes], revoked: Iterable[int]
+    ) -> None:
+        """Use new credentials; certificates under the old fleet keys are verified again."""
+        self.key = key
+        self.certificate = certificate
+        self.revoked = frozenset(revoked)
+        self.fleet_keys = [VerifyKey(public_key) for public_key in fleet]
+        self._verified.clear()
 
-    def stamp(self, wall_us: int) -> int:
-        """A sequence: the time, and above the last one."""
-        self.last_us = max(self.last_us + 1, wall_us)
-        return self.last_us
+    # Signing
 
-    def sign(self, statement: Statement, wall_us: int) -> Signed:
-        body, name, at_us = codec.encode(statement), self.certificate.name, self.stamp(wall_us)
-        signature = self.key.sign(codec.of_statement(name, at_us, body)).signature
-        return Signed(name, at_us, body, signature)
+    def sign(self, statement: Statement, wall_us: int) -> SignedStatement:
+        """Sign a statement of this instance."""
+        body = codec.encode(statement)
+        name = self.certificate.name
+        sequence_us = self._next_sequence_us(wall_us)
+        signature = self.key.sign(codec.statement_signing_input(name, sequence_us, body)).signature
+        return SignedStatement(name, sequence_us, body, signature)
 
-    def seal(self, message: codec.Message, rumours: list[Signed], wall_us: int) -> bytes:
-        return self.sealed(Packet(self.certificate, self.stamp(wall_us), message, rumours))
+    def seal_packet(self, message: codec.Message, broadcasts: list[SignedStatement], wall_us: int) -> bytes:
+        """Return the datagram of a message and the broadcasts piggybacked on it."""
+        return self._seal(Packet(self.certificate, self._next_sequence_us(wall_us), message, broadcasts))
 
-    def seal_state(self, statements: list[Signed], wall_us: int) -> bytes:
-        return self.sealed(State(self.certificate, self.stamp(wall_us), statements))
+    def seal_state(self, statements: list[SignedStatement], wall_us: int) -> bytes:
+        """Return this instance's side of a state exchange."""
+        return self._seal(State(self.certificate, self._next_sequence_us(wall_us), statements))
 
-    def sealed(self, told: Packet | State) -> bytes:
-        payload = codec.encode(told)
-        return codec.closed(self.key.sign(payload).signature, payload)
+    def _next_sequence_us(self, wall_us: int) -> int:
+        """Return the time, or the number after the last sequence if that is higher."""
+        self.last_sequence_us = max(self.last_sequence_us + 1, wall_us)
+        return self.last_sequence_us
 
-    # What we hear. All raise Refused.
+    def _seal(self, content: Packet | State) -> bytes:
+        payload = codec.encode(content)
+        return codec.join_envelope(self.key.sign(payload).signature, payload)
 
-    def packet(self, data: bytes, now_us: int, wall_us: int) -> Packet:
-        return self.opened(codec.packets, data, codec.MOST_PACKET, now_us, wall_us)
+    # Verification
 
-    def state(self, data: bytes, now_us: int, wall_us: int) -> State:
-        return self.opened(codec.states, data, codec.MOST_STATE, now_us, wall_us)
+    def open_packet(self, data: bytes, now_us: int, wall_us: int) -> Packet:
+        """Verify and decode a datagram. Raises RejectedError."""
+        return self._open(codec.packet_decoder, data, codec.MAX_PACKET_BYTES, now_us, wall_us)
 
-    def opened(self, decoder: Decoder[Sealed], data: bytes, most: int, now_us: int, wall_us: int) -> Sealed:
-        try:
-            signature, payload = codec.opened(data, most)
-        except codec.CodecError as error:
-            raise RejectedError("not of this version") from error
-        found = decode_or_reject(decoder, payload)
-        self.admit(found.certificate, found.at_us, signature, payload, now_us, wall_us)
-        return found
+    def open_state(self, data: bytes, now_us: int, wall_us: int) -> State:
+        """Verify and decode the other side of a state exchange. Raises RejectedError."""
+        return self._open(codec.state_decoder, data, codec.MAX_STATE_BYTES, now_us, wall_us)
 
-    def admit(
-        self,
-        certificate: Certificate,
-        at_us: int,
-        signature: bytes,
-        payload: bytes,
-        now_us: int,
-        wall_us: int,
-    ) -> None:
-        if certificate.name == self.certificate.name and certificate.key == self.certificate.key:
-            raise RejectedError("our own")
-        if abs(at_us - wall_us) > SKEW_US:
-            raise RejectedError("another time")
-        heard = self.heard.get(certificate.name)
-        if heard is not None and not heard.is_new(at_us):
-            raise RejectedError("heard before")
+    def open_statement(
+        self, statement: SignedStatement, known: Certificate | None, now_us: int, wall_us: int
+    ) -> Statement:
+        """Verify and decode a statement, whoever relayed it. Raises RejectedError.
+
+        `known` is the author's certificate, if the author is known; an Alive statement brings its own.
+        """
+        if statement.at_us > wall_us + MAX_CLOCK_SKEW_US:
+            raise RejectedError(RejectionReason.CLOCK_SKEW)
+        content = decode_or_reject(codec.statement_decoder, statement.body)
+        certificate = known
+        if isinstance(content, codec.Alive):
+            if not is_ip_literal(content.host):  # senders would resolve a host name
+                raise RejectedError(RejectionReason.MALFORMED)
+            certificate = content.certificate
+        if certificate is None:
+            raise RejectedError(RejectionReason.UNKNOWN_AUTHOR)
+        if certificate.name != statement.author:
+            raise RejectedError(RejectionReason.WRONG_NAME)
         self.certified(certificate, now_us, wall_us)
-        self.verify(certificate.key, payload, signature, now_us)
-        if heard is None:
-            heard = self.heard[certificate.name] = Heard()
-            while len(self.heard) > MOST_KNOWN:
-                self.heard.popitem(last=False)
-        heard.note(at_us)
-
-    def certified(self, one: Certificate, now_us: int, wall_us: int) -> None:
-        """The fleet says so, it has not ended, and it is not revoked."""
-        if one.serial in self.revoked:
-            raise RejectedError("revoked")
-        if one.until_s * 1_000_000 < wall_us:
-            raise RejectedError("expired")
-        if self.good.get(one.signature) == one:
+        signed = codec.statement_signing_input(statement.author, statement.at_us, statement.body)
+        self.verify(certificate.key, signed, statement.signature, now_us)
+        return content
+
+    def certified(self, certificate: Certificate, now_us: int, wall_us: int) -> None:
+        """Check that a certificate is valid, not revoked and signed by a fleet key. Raises RejectedError."""
+        if certificate.serial in self.revoked:
+            raise RejectedError(RejectionReason.REVOKED)
+        if certificate.until_s * 1_000_000 < wall_us:
+            raise RejectedError(RejectionReason.EXPIRED)
+        if self._verified.get(certificate.signature) == certificate:
             return
-        message = codec.of_certificate(one)
-        for key in self.fleet:
+        signed = codec.certificate_signing_input(certificate)
+        for fleet_key in self.fleet_keys:
             if not self.budget.take(now_us):
-                raise RejectedError("over the budget")
+                raise RejectedError(RejectionReason.OVER_BUDGET)
             try:
-                key.verify(message, one.signature)
+                fleet_key.verify(signed, certificate.signature)
             except BadSignatureError:
                 continue
-            self.good[one.signature] = one
-            while len(self.good) > MOST_KNOWN:
-                self.good.popitem(last=False)
+            self._verified[certificate.signature] = certificate
+            while len(self._verified) > MAX_CACHED_AUTHORS:
+                self._verified.popitem(last=False)
             return
-        raise RejectedError("not of this fleet")
+        raise RejectedError(RejectionReason.UNTRUSTED)
 
     def verify(self, key: bytes, data: bytes, signature: bytes, now_us: int) -> None:
+        """Check a signature within the budget. Raises RejectedError."""
         if not self.budget.take(now_us):
-            raise RejectedError("over the budget")
+            raise RejectedError(RejectionReason.OVER_BUDGET)
         try:
             VerifyKey(key).verify(data, signature)
         except (BadSignatureError, ValueError) as error:
-            raise RejectedError("forged") from error
+            raise RejectedError(RejectionReason.FORGED) from error
 
-    def statement(self, told: Signed, known: Certificate | None, now_us: int, wall_us: int) -> Statement:
-        """What an author says, by whomever it was passed on; `known` is the author's certificate, if it was
-        heard of. Its own Alive brings one.
-        """
-        if told.at_us > wall_us + SKEW_US:
-            raise RejectedError("another time")
-        found = decode_or_reject(codec.statements, told.body)
-        if isinstance(found, codec.Alive) and not is_literal(found.host):
-            raise RejectedError("malformed")  # hazard: a name would be looked up by whoever sends to it
-        certificate = found.certificate if isinstance(found, codec.Alive) else known
-        if certificate is None:
-            raise RejectedError("of nobody known")
-        if certificate.name != told.author:
-            raise RejectedError("of another name")
-        self.certified(certificate, now_us, wall_us)
-        self.verify(
-            certificate.key, codec.of_statement(told.author, told.at_us, told.body), told.signature, now_us
-        )
-        return found
+    def _open(
+        self, decoder: Decoder[Envelope], data: bytes, max_bytes: int, now_us: int, wall_us: int
+    ) -> Envelope:
+        try:
+            signature, payload = codec.split_envelope(data, max_bytes)
+        except codec.CodecError as error:
+            raise RejectedError(RejectionReason.WRONG_VERSION) from error
+        content = decode_or_reject(decoder, payload)
+        self._authenticate(content, signature, payload, now_us, wall_us)
+        return content
 
-    def renew(
-        self, key: SigningKey, certificate: Certificate, fleet: Iterable[bytes], revoked: Iterable[int]
+    def _authenticate(
+        self, content: Packet | State, signature: bytes, payload: bytes, now_us: int, wall_us: int
     ) -> None:
-        """In place of what held so far. What the old fleet keys vouched for is looked at anew."""
-        self.key, self.certificate, self.revoked = key, certificate, frozenset(revoked)
-        self.fleet = [VerifyKey(one) for one in fleet]
-        self.good.clear()
+        """Check the sender, the time, the replay window, the certificate and the signature, in this order."""
+        certificate, sequence_us = content.certificate, content.at_us
+        if certificate.name == self.certificate.name and certificate.key == self.certificate.key:
+            raise RejectedError(RejectionReason.OWN_PACKET)
+        if abs(sequence_us - wall_us) > MAX_CLOCK_SKEW_US:
+            raise RejectedError(RejectionReason.CLOCK_SKEW)
+        window = self.replay_windows.get(certificate.name)
+        if window is not None and not window.is_new(sequence_us):
+            raise RejectedError(RejectionReason.REPLAYED)
+        self.certified(certificate, now_us, wall_us)
+        self.verify(certificate.key, payload, signature, now_us)
+        if window is None:
+            window = self.replay_windows[certificate.name] = ReplayWindow()
+            while len(self.replay_windows) > MAX_CACHED_AUTHORS:
+                self.replay_windows.popitem(last=False)
+        window.record(sequence_us)
 
 
 def decode_or_reject(decoder: Decoder[codec.Form], data: bytes) -> codec.Form:
-    """Raises Refused."""
+    """Decode, or raise RejectedError."""
     try:
         return codec.read(decoder, data)
     except codec.CodecError as error:
-        raise RejectedError("malformed") from error
+        raise RejectedError(RejectionReason.MALFORMED) from error
 
 
-def is_literal(host: str) -> bool:
-    """An address of its own, as digits."""
+def is_ip_literal(host: str) -> bool:
+    """Tell whether a host is an IP address that can be sent to, not a name."""
     try:
         return not ipaddress.ip_address(host).is_unspecified
     except ValueError:
@@ -227,6 +225,7 @@
 def issue_certificate(
     fleet: SigningKey, serial: int, name: str, site: str, key: bytes, until_s: int
 ) -> Certificate:
-    """The fleet's word for a key."""
-    bare = Certificate(serial, name, site, key, until_s, bytes(codec.SIGNATURE_BYTES))
-    return Certificate(serial, name, site, key, until_s, fleet.sign(codec.of_certificate(bare)).signature)
+    """Sign a certificate with the fleet key; `until_s` is the end of its validity in Unix time."""
+    unsigned = Certificate(serial, name, site, key, until_s, bytes(codec.SIGNATURE_BYTES))
+    signature = fleet.sign(codec.certificate_signing_input(unsigned)).signature
+    return Certificate(serial, name, site, key, until_s, signature)
--- a/sidecar_proxy/gossip/subsystem.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -1,15 +1,13 @@
-"""Turns gossip on in a sidecar, as the operator file says: what the engine sees goes out, what comes of it
-goes to the decisions as events.
-"""
+"""Gossip in a sidecar: wires the operator file, the engine, the balancer and other subsystems together."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import json
 import os
 import random
 from collections.abc import Callable
-from typing import Any
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.config.errors import OperatorError
@@ -18,209 +16,185 @@
 from sidecar_proxy.discovery.status_socket import listen
 from sidecar_proxy.engine.address import parse_address
 from sidecar_proxy.engine.engine import Engine
-from sidecar_proxy.gossip.credentials import Credentials, Watch
+from sidecar_proxy.gossip.credentials import Credentials, CredentialsWatcher
+from sidecar_proxy.gossip.effects import Address
 from sidecar_proxy.gossip.files import FileError
 from sidecar_proxy.gossip.instance import FleetSize, GossipInstance, OutlierWeight, SubsystemMessage
 from sidecar_proxy.gossip.keys import Keyring
+from sidecar_proxy.gossip.status import describe
 from sidecar_proxy.gossip.transport import GossipTransport, log, wall_clock_us
 
-LOOK_S = 1.0  # between looks at the files
-TIMEOUT_S = 5.0  # for a reader of the window
+FILE_CHECK_INTERVAL_S = 1.0
+STATUS_TIMEOUT_S = 5.0  # for a reader of the status socket
 
 
 class GossipSubsystem:
-    """A sidecar that takes part."""
-
-    def __init__(self, told: Gossip, engine: Engine, directory: EndpointDirectory, seed: int) -> None:
-        """Raises OperatorError for what the file names and can't be used."""
-        self.told = told
-        self.engine = engine
-        self.directory = directory
-        self.seed = seed
+    """The gossip of one sidecar."""
+
+    def __init__(self, config: Gossip, engine: Engine, directory: EndpointDirectory, seed: int) -> None:
+        """Load the credentials. Raises OperatorError for files that can't be used."""
+        self._config = config
+        self._engine = engine
+        self._directory = directory
+        self._seed = seed
         try:
-            self.files = Watch(told)
+            self._credentials = CredentialsWatcher(config)
         except FileError as error:
             raise OperatorError(f"gossip: {error}") from error
-        now = self.files.now
-        self.keyring = Keyring(now.key, now.certificate, now.fleet, now.revoked)
+        current = self._credentials.current
+        self.keyring = Keyring(current.key, current.certificate, current.fleet, current.revoked)
         self.transport: GossipTransport | None = None
-        self.window: asyncio.Server | None = None
-        self.watch: asyncio.TimerHandle | None = None
         self.listeners: dict[str, Callable[[SubsystemMessage], None]] = {}  # other subsystems, by topic
+        self._status_server: asyncio.Server | None = None
+        self._file_check: asyncio.TimerHandle | None = None
 
     @property
     def name(self) -> str:
+        """The instance's name, which is its certificate's."""
         return self.keyring.certificate.name
 
     def say(self, topic: str, body: bytes) -> None:
-        """To all sidecars, within some seconds."""
+        """Broadcast a message to all sidecars; it takes some seconds."""
         if self.transport is not None:
             self.transport.instance.say(topic, body, wall_clock_us())
 
     def note(self, name: str, topic: str, body: bytes) -> None:
-        """To one, if it comes through."""
+        """Send a message to one sidecar; it may be lost."""
         if self.transport is not None:
-            self.transport.perform(
-                self.transport.instance.note(name, topic, body, self.engine.clock.now_us(), wall_clock_us())
-            )
+            now_us = self._engine.clock.now_us()
+            outputs = self.transport.instance.note(name, topic, body, now_us, wall_clock_us())
+            self.transport.perform(outputs)
 
     async def start(self) -> None:
-        """Raises OperatorError where an address can't be listened on."""
-        told, engine = self.told, self.engine
-        bind = parse_address(told.bind)
-        seeds = [parse_address(one) for one in told.seeds]
-        dice = random.Random(f"{self.seed} {self.keyring.certificate.name}")
-        instance = GossipInstance(
-            self.keyring,
-            bind,
-            seeds,
-            dice,
-            engine.clock.now_us(),
-            wall_clock_us(),
-            self.born,
-            told.least_instances or engine.settings.instances,
-        )
-        self.transport = GossipTransport(instance, engine.clock.now_us, self.take)
+        """Open the sockets and join the fleet. Raises OperatorError for an address that can't be used."""
+        bind = parse_address(self._config.bind)
+        instance = self._make_instance(bind)
+        self.transport = GossipTransport(instance, self._engine.clock.now_us, self._on_output)
         try:
             address = await self.transport.open(bind)
         except OSError as error:
             raise OperatorError(f"gossip.bind: {error}") from error
-        instance.move(parse_address(told.advertise) if told.advertise else address)
+        advertised = parse_address(self._config.advertise) if self._config.advertise else address
+        instance.set_address(advertised)
         try:
-            if told.socket:
-                self.window = await listen(told.socket, self.show)
+            if self._config.socket:
+                self._status_server = await listen(self._config.socket, self._serve_status)
         except OSError as error:
             raise OperatorError(f"gossip.socket: {error}") from error
         log.info(
-            "gossip: %s of %s is heard at %s:%d", instance.core.name, instance.core.site, *instance.address
+            "gossip: %s of %s is reachable at %s:%d",
+            instance.core.name,
+            instance.core.site,
+            *instance.address,
         )
-        engine.observe = self.observe
+        self._engine.observe = self._observe
         self.transport.start()
-        self.look()
+        self._check_files()
 
-    def born(self, name: str) -> int | None:
-        number = self.directory.numbers.get(name)
-        entry = self.engine.balancer.entries.get(number) if number is not None else None
+    def close(self) -> None:
+        """Leave without notice and close the sockets."""
+        self._engine.observe = None
+        if self._file_check is not None:
+            self._file_check.cancel()
+        if self.transport is not None:
+            self.transport.close()
+        if self._status_server is not None:
+            self._status_server.close()
+            with contextlib.suppress(OSError):
+                os.unlink(self._config.socket)
+
+    def _make_instance(self, bind: Address) -> GossipInstance:
+        seeds = [parse_address(seed) for seed in self._config.seeds]
+        rng = random.Random(f"{self._seed} {self.keyring.certificate.name}")
+        return GossipInstance(
+            self.keyring,
+            bind,
+            seeds,
+            rng,
+            self._engine.clock.now_us(),
+            wall_clock_us(),
+            self._started_ms,
+            self._config.least_instances or self._engine.settings.instances,
+        )
+
+    def _started_ms(self, name: str) -> int | None:
+        """Return the start of an upstream in use, None if there is none of that name."""
+        number = self._directory.numbers.get(name)
+        if number is None:
+            return None
+        entry = self._engine.balancer.entries.get(number)
         return entry.started_us // 1000 if entry is not None else None
 
-    def observe(self, upstream: int, outcome: api.Outcome) -> None:
-        """An attempt has ended. Hazard: this is on the way of every request; a fault here costs the gossip,
-        never a request.
-        """
-        name = self.directory.names.get(upstream)
-        entry = self.engine.balancer.entries.get(upstream)
+    # Between the engine and the instance
+
+    def _observe(self, upstream: int, outcome: api.Outcome) -> None:
+        """Record the outcome of an attempt. Every request passes here."""
+        name = self._directory.names.get(upstream)
+        entry = self._engine.balancer.entries.get(upstream)
         if name is None or entry is None or self.transport is None:
             return
         try:
-            outputs = self.transport.instance.attempt(
-                name, entry.started_us // 1000, outcome, self.engine.clock.now_us(), wall_clock_us()
+            outputs = self.transport.instance.record_attempt(
+                name, entry.started_us // 1000, outcome, self._engine.clock.now_us(), wall_clock_us()
             )
             if outputs:
                 self.transport.perform(outputs)
-        except Exception:
-            self.engine.observe = None
-            log.exception("gossip: what this sidecar sees is told no more")
-
-    def take(self, one: OutlierWeight | FleetSize | SubsystemMessage) -> None:
-        if isinstance(one, SubsystemMessage):
-            for topic, listener in self.listeners.items():
-                if one.left or topic == one.topic:
-                    listener(one)
-            return
-        if isinstance(one, FleetSize):
-            self.engine.tell(api.FleetResized(one.instances, one.index))
-            return
-        number = self.directory.numbers.get(one.node)
-        if number is not None:
-            self.engine.tell(api.OutlierReported(number, one.weight))
-
-    def look(self) -> None:
-        """Keys, the certificate or the list of the revoked may have changed."""
+        except Exception:  # any fault here costs the reports of this sidecar, never a request
+            self._engine.observe = None
+            log.exception("gossip: recording of outcomes failed and is disabled")
+
+    def _on_output(self, output: OutlierWeight | FleetSize | SubsystemMessage) -> None:
+        match output:
+            case SubsystemMessage():
+                for topic, listener in self.listeners.items():
+                    if output.left or topic == output.topic:
+                        listener(output)
+            case FleetSize():
+                self._engine.tell(api.FleetResized(output.instances, output.index))
+            case OutlierWeight():
+                number = self._directory.numbers.get(output.upstream)
+                if number is not None:
+                    self._engine.tell(api.OutlierReported(number, output.weight))
+
+    # Credentials
+
+    def _check_files(self) -> None:
+        """Use the credentials that have changed, and check again later."""
         try:
-            found = self.files.changed()
-            if found is not None:
-                self.renew(found)
+            changed = self._credentials.reload()
+            if changed is not None:
+                self._use_credentials(changed)
         except FileError as error:
-            log.warning("gossip: what held goes on holding: %s", error)
-        line = self.files.ends(wall_clock_us() / 1e6)
-        if line:
-            log.warning("gossip: %s", line)
-        self.watch = self.engine.loop.call_later(LOOK_S, self.look)
+            log.warning("gossip: keeping the previous credentials: %s", error)
+        warning = self._credentials.expiry_warning(wall_clock_us() / 1e6)
+        if warning:
+            log.warning("gossip: %s", warning)
+        self._file_check = self._engine.loop.call_later(FILE_CHECK_INTERVAL_S, self._check_files)
 
-    def renew(self, found: Credentials) -> None:
+    def _use_credentials(self, credentials: Credentials) -> None:
         assert self.transport is not None
-        same = found.certificate == self.keyring.certificate
-        self.keyring.renew(found.key, found.certificate, found.fleet, found.revoked)
+        is_same_certificate = credentials.certificate == self.keyring.certificate
+        self.keyring.replace_credentials(
+            credentials.key, credentials.certificate, credentials.fleet, credentials.revoked
+        )
         log.info(
-            "gossip: certificate %d, %d fleet keys, %d revoked from now on",
-            found.certificate.serial,
-            len(found.fleet),
-            len(found.revoked),
+            "gossip: using certificate %d, %d fleet keys, %d revoked serials",
+            credentials.certificate.serial,
+            len(credentials.fleet),
+            len(credentials.revoked),
         )
-        if not same:
-            self.transport.perform(
-                self.transport.instance.renewed(self.engine.clock.now_us(), wall_clock_us())
-            )
+        if not is_same_certificate:
+            now_us = self._engine.clock.now_us()
+            self.transport.perform(self.transport.instance.announce_certificate(now_us, wall_clock_us()))
 
-    # For people
+    # Status socket
 
-    def described(self) -> dict[str, Any]:
+    async def _serve_status(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         assert self.transport is not None
-        instance = self.transport.instance
-        core = instance.core
-        return {
-            "name": core.name,
-            "site": core.site,
-            "address": list(instance.address),
-            "serial": self.keyring.certificate.serial,
-            "until_s": self.keyring.certificate.until_s,
-            "incarnation": core.incarnation,
-            "health": core.health,
-            "instances": instance.sized.instances,
-            "peers": [
-                {
-                    "name": one.name,
-                    "site": one.site,
-                    "address": list(one.address),
-                    "life": one.life.value,
-                    "accusers": sorted(one.accusers),
-                    "serial": one.certificate.serial,
-                    "until_s": one.certificate.until_s,
-                }
-                for one in sorted(core.peers.values(), key=lambda one: one.name)
-            ],
-            "nodes": {
-                name: {
-                    "weight": round(instance.weights.get(name, 0.0), 3),
-                    "by": {
-                        author: {"site": one.site, "run": one.count.run, "well": one.count.well}
-                        for author, one in reports.items()
-                    },
-                }
-                for name, reports in sorted(instance.combiner.reports.items())
-            },
-            "counts": {**instance.counts, **core.counts},
-            "refused": dict(self.keyring.refused),
-        }
-
-    async def show(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            async with asyncio.timeout(TIMEOUT_S):
-                writer.write(json.dumps(self.described()).encode() + b"\n")
+            async with asyncio.timeout(STATUS_TIMEOUT_S):
+                writer.write(json.dumps(describe(self.transport.instance)).encode() + b"\n")
                 await writer.drain()
             writer.close()
         except (OSError, TimeoutError):
             writer.transport.abort()
-
-    def close(self) -> None:
-        self.engine.observe = None
-        if self.watch is not None:
-            self.watch.cancel()
-        if self.transport is not None:
-            self.transport.close()
-        if self.window is not None:
-            self.window.close()
-            try:
-                os.unlink(self.told.socket)
-            except OSError:
-                return
--- /dev/null
+++ b/sidecar_proxy/gossip/suspicion.py
@@ -0,0 +1,146 @@
+"""Suspicion, local health and refutation. Pure.
+
+Section names are those of "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (Dadgar,
+Phillips, Currey, 2017); suspicion and incarnations are SWIM's (section 4.2).
+"""
+
+from __future__ import annotations
+
+import math
+from collections import Counter
+from collections.abc import Callable
+
+from sidecar_proxy.gossip.codec import MAX_INTEGER, Alive, SignedStatement, Statement, Suspect
+from sidecar_proxy.gossip.dissemination import BroadcastKind, Dissemination
+from sidecar_proxy.gossip.effects import MemberDied
+from sidecar_proxy.gossip.members import MemberList, MemberState, Peer
+
+PROBE_INTERVAL_US = 500_000
+MAX_AWARENESS = 8  # of the local health multiplier (LHA-Probe)
+SUSPICION_MULTIPLIER = 5.0  # the minimum timeout is this many probe intervals times log10 n (LHA-Suspicion)
+MAX_TIMEOUT_MULTIPLIER = 6.0  # the maximum timeout in minimum timeouts
+CONFIRMATIONS = 3  # independent suspecters after the first that shorten the timeout to its minimum
+MAX_SUSPECTERS = 16  # remembered of one suspicion
+
+
+class Awareness:
+    """The local health multiplier: it slows an instance that is itself slow (LHA-Probe)."""
+
+    def __init__(self) -> None:
+        self.score = 0  # 0 is healthy, MAX_AWARENESS is worst
+
+    def degrade(self, amount: int) -> None:
+        """Raise the score."""
+        self.score = min(MAX_AWARENESS, self.score + amount)
+
+    def improve(self) -> None:
+        """Lower the score by one."""
+        self.score = max(0, self.score - 1)
+
+    def scale_us(self, duration_us: int) -> int:
+        """Return a timeout or an interval lengthened by the score."""
+        return duration_us * (1 + self.score)
+
+
+class LocalMember:
+    """This instance's own incarnation and Alive statement."""
+
+    def __init__(
+        self,
+        incarnation: int,
+        sign: Callable[[Statement], SignedStatement],
+        alive: Callable[[int], Alive],
+    ) -> None:
+        self.incarnation = incarnation
+        self.sign = sign
+        self._alive = alive
+        self.alive_statement = sign(alive(incarnation))
+
+    def update_statement(self, dissemination: Dissemination) -> None:
+        """Sign the Alive statement again, as the address or the certificate has changed, and broadcast it."""
+        self.alive_statement = self.sign(self._alive(self.incarnation))
+        dissemination.enqueue(BroadcastKind.ALIVE, self.alive_statement)
+
+    def raise_incarnation(self, dissemination: Dissemination) -> None:
+        """Broadcast an Alive statement that supersedes the previous ones."""
+        self.incarnation = min(MAX_INTEGER, self.incarnation + 1)
+        self.update_statement(dissemination)
+
+
+class Suspicions:
+    """Marks peers as suspect, and as dead once a suspicion has not been refuted in time."""
+
+    def __init__(
+        self,
+        name: str,
+        local: LocalMember,
+        members: MemberList,
+        dissemination: Dissemination,
+        awareness: Awareness,
+        counts: Counter[str],
+    ) -> None:
+        self._name = name
+        self._local = local
+        self._members = members
+        self._dissemination = dissemination
+        self._awareness = awareness
+        self._counts = counts
+
+    def expiry_times_us(self) -> list[int]:
+        """Return when each suspicion expires."""
+        return [peer.since_us + self.timeout_us(peer) for peer in self._members.suspects()]
+
+    def timeout_us(self, peer: Peer) -> int:
+        """Return the suspicion timeout, which shrinks with each independent suspecter (LHA-Suspicion)."""
+        min_timeout_us = (
+            SUSPICION_MULTIPLIER * math.log10(max(10, len(self._members) + 1)) * PROBE_INTERVAL_US
+        )
+        max_timeout_us = min_timeout_us * MAX_TIMEOUT_MULTIPLIER
+        suspecters = min(len(peer.suspecters), CONFIRMATIONS + 1) or 1
+        progress = math.log(suspecters) / math.log(CONFIRMATIONS + 1)
+        return int(max_timeout_us - (max_timeout_us - min_timeout_us) * progress)
+
+    def expire(self, now_us: int) -> list[MemberDied]:
+        """Mark as dead the suspects whose timeout is over."""
+        expired = [
+            peer for peer in self._members.suspects() if now_us >= peer.since_us + self.timeout_us(peer)
+        ]
+        for peer in expired:
+            self._members.set_state(peer, MemberState.DEAD, now_us)
+            self._counts["deaths"] += 1
+        return [MemberDied(peer.name) for peer in expired]
+
+    def suspect(self, peer: Peer, now_us: int) -> None:
+        """Suspect a peer that this instance has probed in vain, and broadcast it."""
+        statement = self._local.sign(Suspect(peer.name, peer.incarnation))
+        self._add_suspecter(peer, self._name, now_us)
+        self._dissemination.enqueue(BroadcastKind.SUSPECT, statement, self._name, peer.name)
+
+    def on_suspect(self, statement: SignedStatement, suspect: Suspect, now_us: int) -> None:
+        """Apply a peer's suspicion: refute it if it is of this instance, else count and relay it.
+
+        A suspicion of another incarnation than the known one is ignored: one of an incarnation that does not
+        exist yet could otherwise outlive its refutation.
+        """
+        if suspect.subject == self._name:
+            self._refute(suspect)
+            return
+        peer = self._members.get(suspect.subject)
+        if peer is None or suspect.incarnation != peer.incarnation or statement.author in peer.suspecters:
+            return
+        if peer.state is not MemberState.DEAD and len(peer.suspecters) < MAX_SUSPECTERS:
+            self._add_suspecter(peer, statement.author, now_us)
+            self._dissemination.enqueue(BroadcastKind.SUSPECT, statement, statement.author, peer.name)
+
+    def _refute(self, suspect: Suspect) -> None:
+        if suspect.incarnation != self._local.incarnation or self._local.incarnation >= MAX_INTEGER:
+            return
+        self._awareness.degrade(1)  # the suspicion may be due to this instance's own slowness
+        self._counts["refutations"] += 1
+        self._local.raise_incarnation(self._dissemination)
+
+    def _add_suspecter(self, peer: Peer, author: str, now_us: int) -> None:
+        peer.suspecters.add(author)
+        if peer.state is MemberState.ALIVE:
+            self._members.set_state(peer, MemberState.SUSPECT, now_us)
+            self._counts["suspicions"] += 1
--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -1,4 +1,8 @@
-"""The sockets of gossip: datagrams, and exchanges over TCP on the same address. It decides nothing."""
+"""The sockets of gossip: UDP datagrams, and state exchanges over TCP on the same address.
+
+It carries out what the instance returns and makes no decisions. A TCP connection begins with four bytes: the
+length of a state, or the magic of another protocol that shares the address.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +13,10 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from sidecar_proxy.engine import wall_clock as wall
-from sidecar_proxy.gossip.codec import MOST_STATE
+from sidecar_proxy.engine import wall_clock
+from sidecar_proxy.gossip.codec import MAX_STATE_BYTES, SignedStatement
+from sidecar_proxy.gossip.effects import Address
 from sidecar_proxy.gossip.instance import (
-    Address,
     Datagram,
     FleetSize,
     GossipInstance,
@@ -25,12 +29,17 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-EXCHANGE_S = 2.0  # for one exchange, whatever its other side does
-HEADER_BYTES = 4  # bytes: a length, or whom it is for
-MOST_WAITING = 64  # connections that have said nothing yet
-MOST_EXCHANGES = 4  # at a time; more are turned away
-SLICE = 20  # statements that are verified in one go: a millisecond
-COMPLAIN_S = 1.0  # between two log lines
+EXCHANGE_TIMEOUT_S = 2.0  # for a complete state exchange
+HEADER_BYTES = 4  # a length, or the magic of another protocol
+MAX_PENDING_CONNECTIONS = 64  # accepted, but still without a header
+MAX_EXCHANGES = 4  # at a time; more are rejected
+STATEMENTS_PER_SLICE = 20  # verified without a break, about a millisecond
+REJECTION_LOG_INTERVAL_S = 1.0
+LOGGED_REASONS = 6  # the most frequent ones
+TIMER_SLACK_S = 0.001  # the timer fires after the due time, not just before it
+MAX_READ_BUFFER_BYTES = 1 << 16
+
+ProtocolHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class GossipTransport(asyncio.DatagramProtocol):
@@ -40,181 +49,204 @@
         self,
         instance: GossipInstance,
         now_us: Callable[[], int],
-        told: Callable[[OutlierWeight | FleetSize | SubsystemMessage], None],
+        on_output: Callable[[OutlierWeight | FleetSize | SubsystemMessage], None],
     ) -> None:
+        """Make a transport; `now_us` is the monotonic clock, `on_output` takes the other outputs."""
         self.instance = instance
+        self.exchanges = 0  # running state exchanges
+        self.doors: dict[bytes, ProtocolHandler] = {}  # other protocols on this address, by their magic
+        self.local: Address | None = None  # source of outgoing connections; None = the system's choice
         self.now_us = now_us
-        self.told = told  # who takes what comes of it
-        self.loop = asyncio.get_running_loop()
-        self.udp: asyncio.DatagramTransport | None = None
-        self.tcp: asyncio.Server | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.due_us = 0  # when the timer fires; 0 = it is not set
-        self.tasks: set[asyncio.Task[None]] = set()
-        self.exchanges = 0
-        self.waiting = 0
-        self.next_complaint = 0.0
-        self.refused = 0  # as last logged
-        self.closed = False
-        # others that are heard on the address, by a connection's first bytes
-        self.doors: dict[bytes, Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]] = {}
-        self.local: Address | None = None  # calls are made from there; None = the system's choice
+        self._on_output = on_output
+        self._loop = asyncio.get_running_loop()
+        self._udp: asyncio.DatagramTransport | None = None
+        self._tcp: asyncio.Server | None = None
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_due_us = 0  # 0 = the timer is not set
+        self._tasks: set[asyncio.Task[None]] = set()
+        self._pending_connections = 0
+        self._next_rejection_log_s = 0.0
+        self._logged_rejections = 0
+        self._is_closed = False
 
     async def open(self, bind: Address) -> Address:
-        """Listen by both. Raises OSError."""
-        self.tcp = await asyncio.start_server(self.serve, *bind, limit=1 << 16)
-        host, port = self.tcp.sockets[0].getsockname()[:2]
+        """Listen on TCP and UDP and return the address. Raises OSError."""
+        self._tcp = await asyncio.start_server(self._accept, *bind, limit=MAX_READ_BUFFER_BYTES)
+        host, port = self._tcp.sockets[0].getsockname()[:2]
         self.local = None if ipaddress.ip_address(host).is_unspecified else (host, 0)
         try:
-            self.udp, _ = await self.loop.create_datagram_endpoint(lambda: self, (host, port))
+            self._udp, _ = await self._loop.create_datagram_endpoint(lambda: self, (host, port))
         except OSError:
-            self.tcp.close()
+            self._tcp.close()
             raise
         return host, port
 
     def start(self) -> None:
-        self.arm()
+        """Start the instance's timer."""
+        self._arm_timer()
+
+    def close(self) -> None:
+        """Stop the timer, running exchanges and the sockets."""
+        self._is_closed = True
+        if self._timer is not None:
+            self._timer.cancel()
+        for task in list(self._tasks):
+            task.cancel()
+        if self._udp is not None:
+            self._udp.close()
+        if self._tcp is not None:
+            self._tcp.close()
+
+    def perform(self, outputs: list[Output]) -> None:
+        """Carry out what the instance has returned."""
+        if self._is_closed:
+            return
+        for output in outputs:
+            match output:
+                case Datagram():
+                    self._send_datagram(output)
+                case StateExchange():
+                    task = self._loop.create_task(self._connect_and_exchange(output.address))
+                    self._tasks.add(task)
+                    task.add_done_callback(self._tasks.discard)
+                case _:
+                    self._on_output(output)
+        self._arm_timer()
 
     # Datagrams
 
     def datagram_received(self, data: bytes, address: tuple[str | Any, int]) -> None:
-        self.perform(self.instance.receive(data, (address[0], address[1]), self.now_us(), wall_clock_us()))
-        self.complain()
+        """Pass a datagram to the instance."""
+        source = (address[0], address[1])
+        self.perform(self.instance.receive(data, source, self.now_us(), wall_clock_us()))
+        self._log_rejections()
 
     def error_received(self, error: Exception) -> None:
-        """A peer is not there: its silence says so."""
+        """Ignore that a peer is unreachable: the failure detector finds out."""
 
-    # Exchanges
+    def _send_datagram(self, datagram: Datagram) -> None:
+        if self._udp is not None:
+            with contextlib.suppress(OSError, ValueError):  # no route to the peer
+                self._udp.sendto(datagram.data, datagram.address)
 
-    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.waiting >= MOST_WAITING:
+    # State exchanges
+
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if self._pending_connections >= MAX_PENDING_CONNECTIONS:
             writer.transport.abort()
             return
-        self.waiting += 1
+        self._pending_connections += 1
         try:
-            async with asyncio.timeout(EXCHANGE_S):
-                head = await reader.readexactly(HEADER_BYTES)
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
+                header = await reader.readexactly(HEADER_BYTES)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             writer.transport.abort()
             return
         finally:
-            self.waiting -= 1
-        door = self.doors.get(head)
-        if door is not None:
-            await door(reader, writer)
+            self._pending_connections -= 1
+        handler = self.doors.get(header)
+        if handler is not None:
+            await handler(reader, writer)
         else:
-            await self.exchange(reader, writer, head)
+            await self._exchange(reader, writer, header)
 
-    async def call(self, address: Address) -> None:
+    async def _connect_and_exchange(self, address: Address) -> None:
         try:
-            async with asyncio.timeout(EXCHANGE_S):
-                # from the address where we are heard: who is called may go by it
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
+                # from the listening address, as the other side may judge by it
                 reader, writer = await asyncio.open_connection(*address, local_addr=self.local)
         except (OSError, TimeoutError):
             return
-        await self.exchange(reader, writer, b"")
+        await self._exchange(reader, writer, header=None)
 
-    async def exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, head: bytes) -> None:
-        """Each side says all that it knows. Who called speaks first, so that a stranger hears nothing.
-        `head`: the first bytes of one who has called; empty: we have.
+    async def _exchange(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, header: bytes | None
+    ) -> None:
+        """Exchange states; the caller sends first, so that a stranger learns nothing.
+
+        `header` is what has been read of the caller's state, None if this instance is the caller.
         """
-        first = not head
-        if self.exchanges >= MOST_EXCHANGES:
+        if self.exchanges >= MAX_EXCHANGES:
             writer.transport.abort()
             return
         self.exchanges += 1
         try:
-            async with asyncio.timeout(EXCHANGE_S):
-                if first:
-                    await send(writer, self.instance.state(wall_clock_us()))
-                data = await receive(reader, MOST_STATE, head)
-                self.instance.counts["bytes in"] += len(data)
-                told = self.instance.opened(data, self.now_us(), wall_clock_us())
-                if not first:
-                    await send(writer, self.instance.state(wall_clock_us()))
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
+                statements = await self._swap_states(reader, writer, header)
             writer.close()
-            for at in range(0, len(told), SLICE):
-                self.perform(self.instance.exchanged(told[at : at + SLICE], self.now_us(), wall_clock_us()))
+            for start in range(0, len(statements), STATEMENTS_PER_SLICE):
+                some = statements[start : start + STATEMENTS_PER_SLICE]
+                self.perform(self.instance.merge_remote_state(some, self.now_us(), wall_clock_us()))
                 await asyncio.sleep(0)
         except RejectedError as error:
-            self.instance.keyring.refused[str(error)] += 1
+            self.instance.keyring.rejections[str(error)] += 1
             writer.transport.abort()
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
             writer.transport.abort()
         finally:
             self.exchanges -= 1
 
-    # What comes of it
-
-    def perform(self, outputs: list[Output]) -> None:
-        if self.closed:
-            return
-        for one in outputs:
-            if isinstance(one, Datagram):
-                if self.udp is not None:
-                    with contextlib.suppress(OSError, ValueError):  # no way there
-                        self.udp.sendto(one.data, one.address)
-            elif isinstance(one, StateExchange):
-                task = self.loop.create_task(self.call(one.address))
-                self.tasks.add(task)
-                task.add_done_callback(self.tasks.discard)
-            else:
-                self.told(one)
-        self.arm()
-
-    def arm(self) -> None:
+    async def _swap_states(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, header: bytes | None
+    ) -> list[SignedStatement]:
+        is_caller = header is None
+        if is_caller:
+            await _send_frame(writer, self.instance.local_state(wall_clock_us()))
+        data = await receive(reader, MAX_STATE_BYTES, header or b"")
+        self.instance.counts["bytes in"] += len(data)
+        statements = self.instance.open_remote_state(data, self.now_us(), wall_clock_us())
+        if not is_caller:
+            await _send_frame(writer, self.instance.local_state(wall_clock_us()))
+        return statements
+
+    # Time
+
+    def _arm_timer(self) -> None:
         due_us = self.instance.due_us
-        if self.closed or (self.due_us and self.due_us <= due_us):
+        if self._is_closed or (self._timer_due_us and self._timer_due_us <= due_us):
             return
-        if self.timer is not None:
-            self.timer.cancel()
-        self.due_us = due_us
-        self.timer = self.loop.call_later(max(0, due_us - self.now_us()) / 1e6 + 0.001, self.tick)
-
-    def tick(self) -> None:
-        self.due_us = 0
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer_due_us = due_us
+        delay_s = max(0, due_us - self.now_us()) / 1e6 + TIMER_SLACK_S
+        self._timer = self._loop.call_later(delay_s, self._tick)
+
+    def _tick(self) -> None:
+        self._timer_due_us = 0
         self.perform(self.instance.tick(self.now_us(), wall_clock_us()))
 
-    def complain(self) -> None:
-        """One line a second at most, whatever comes."""
-        refused = self.instance.keyring.refused
-        total = refused.total()
-        if total > self.refused and self.loop.time() >= self.next_complaint:
-            self.next_complaint, self.refused = self.loop.time() + COMPLAIN_S, total
-            log.warning(
-                "gossip: refused so far: %s",
-                ", ".join(f"{count} {why}" for why, count in refused.most_common(6)),
-            )
-
-    def close(self) -> None:
-        self.closed = True
-        if self.timer is not None:
-            self.timer.cancel()
-        for task in list(self.tasks):
-            task.cancel()
-        if self.udp is not None:
-            self.udp.close()
-        if self.tcp is not None:
-            self.tcp.close()
+    def _log_rejections(self) -> None:
+        """Log the rejections, one line a second at most."""
+        rejections = self.instance.keyring.rejections
+        total = rejections.total()
+        if total <= self._logged_rejections or self._loop.time() < self._next_rejection_log_s:
+            return
+        self._next_rejection_log_s = self._loop.time() + REJECTION_LOG_INTERVAL_S
+        self._logged_rejections = total
+        most_common = rejections.most_common(LOGGED_REASONS)
+        log.warning(
+            "gossip: rejected so far: %s", ", ".join(f"{count} {reason}" for reason, count in most_common)
+        )
 
 
-async def send(writer: asyncio.StreamWriter, data: bytes) -> None:
+async def _send_frame(writer: asyncio.StreamWriter, data: bytes) -> None:
     writer.write(frame_message(data))
     await writer.drain()
 
 
 def frame_message(data: bytes) -> bytes:
-    """With its length before it."""
+    """Return the data with its length before it."""
     return len(data).to_bytes(HEADER_BYTES, "big") + data
 
 
-async def receive(reader: asyncio.StreamReader, most: int, head: bytes = b"") -> bytes:
-    """`most`: bytes. `head`: what was read of it. Raises ValueError for more than is allowed."""
-    size = int.from_bytes(head or await reader.readexactly(HEADER_BYTES), "big")
-    if size > most:
+async def receive(reader: asyncio.StreamReader, max_bytes: int, header: bytes = b"") -> bytes:
+    """Read one frame; `header` is its length if that has been read. Raises ValueError if it is too long."""
+    size = int.from_bytes(header or await reader.readexactly(HEADER_BYTES), "big")
+    if size > max_bytes:
         raise ValueError("too large")
     return await reader.readexactly(size)
 
 
 def wall_clock_us() -> int:
-    return wall.now_ns() // 1000
+    """Return the wall clock in microseconds."""
+    return wall_clock.now_ns() // 1000
--- a/sidecar_proxy/testbed/client_fleet.py
+++ b/sidecar_proxy/testbed/client_fleet.py
@@ -14,8 +14,8 @@
 from sidecar_proxy.balancer.balancer import BELIEVED
 from sidecar_proxy.balancer.events import Outcome
 from sidecar_proxy.gossip.codec import Certificate
+from sidecar_proxy.gossip.effects import Address
 from sidecar_proxy.gossip.instance import (
-    Address,
     Datagram,
     FleetSize,
     GossipInstance,
@@ -50,8 +50,8 @@
         super().__init__(SigningKey(bytes(32)), certificate, [])
         self.key = CheapKey()  # type: ignore[assignment]
 
-    def certified(self, one: Certificate, now_us: int, wall_us: int) -> None:
-        if one.serial in self.revoked:
+    def certified(self, certificate: Certificate, now_us: int, wall_us: int) -> None:
+        if certificate.serial in self.revoked:
             raise RejectedError("revoked")
 
     def verify(self, key: bytes, data: bytes, signature: bytes, now_us: int) -> None:
@@ -116,7 +116,7 @@
             self.now_us,
             self.wall_us(clock_us),
             self.born,
-            floor=1,
+            min_instances=1,
         )
         member = self.members[address] = Member(instance, clock_us)
         self.arm(member)
@@ -127,8 +127,9 @@
         old, key = member.instance.keyring.certificate, SigningKey(number.to_bytes(32, "big"))
         until_s = WALL_US // 1_000_000 + 86_400
         one = issue_certificate(vouched, number, old.name, old.site, key.verify_key.encode(), until_s)
-        member.instance.keyring.renew(key, one, [each.verify_key.encode() for each in trusted], [])
-        self.perform(member, member.instance.renewed(self.now_us, self.wall_us(member.clock_us)))
+        fleet = [each.verify_key.encode() for each in trusted]
+        member.instance.keyring.replace_credentials(key, one, fleet, [])
+        self.perform(member, member.instance.announce_certificate(self.now_us, self.wall_us(member.clock_us)))
 
     def wall_us(self, off_us: int = 0) -> int:
         return WALL_US + self.now_us + off_us
@@ -161,9 +162,9 @@
                 self.suspect(member, one)
 
     def suspect(self, member: Member, one: OutlierWeight) -> None:
-        member.weights[one.node] = one.weight
+        member.weights[one.upstream] = one.weight
         if one.weight >= BELIEVED:
-            member.heard_us.setdefault(one.node, self.now_us)
+            member.heard_us.setdefault(one.upstream, self.now_us)
 
     def post(self, source: Address, target: Address, data: bytes) -> None:
         if self.on_wire is not None:
@@ -194,14 +195,14 @@
         ):
             return
         for one, two in ((member, other), (other, member)):
-            data = one.instance.state(self.wall_us(one.clock_us))
+            data = one.instance.local_state(self.wall_us(one.clock_us))
             wall_us = self.wall_us(two.clock_us)
             try:
-                told = two.instance.opened(data, self.now_us, wall_us)
+                told = two.instance.open_remote_state(data, self.now_us, wall_us)
             except RejectedError as error:
-                two.instance.keyring.refused[str(error)] += 1
+                two.instance.keyring.rejections[str(error)] += 1
                 return
-            self.perform(two, two.instance.exchanged(told, self.now_us, wall_us))
+            self.perform(two, two.instance.merge_remote_state(told, self.now_us, wall_us))
 
     def arm(self, member: Member) -> None:
         self.later(member.instance.due_us - self.now_us + 1, lambda: self.tick(member))
@@ -227,7 +228,9 @@
     def attempt(self, member: Member, node: str, outcome: Outcome) -> None:
         self.perform(
             member,
-            member.instance.attempt(node, BORN_MS, outcome, self.now_us, self.wall_us(member.clock_us)),
+            member.instance.record_attempt(
+                node, BORN_MS, outcome, self.now_us, self.wall_us(member.clock_us)
+            ),
         )
 
     def counted(self, name: str) -> int:
--- a/sidecar_proxy/testbed/gossip.py
+++ b/sidecar_proxy/testbed/gossip.py
@@ -47,8 +47,8 @@
     ) -> str:
         """That instance's part of the operator file."""
         ring, path = self.keyring(name, site), self.folder / name
-        files.put(f"{path}.key", ring.key.encode().hex(), secret=True)
-        files.put(f"{path}.cert", codec.encode(ring.certificate).hex())
+        files.write_file(f"{path}.key", ring.key.encode().hex(), secret=True)
+        files.write_file(f"{path}.cert", codec.encode(ring.certificate).hex())
         told = f'advertise = "{advertise[0]}:{advertise[1]}"\n' if advertise else ""
         return (
             f'[gossip]\nbind = "{bind[0]}:{bind[1]}"\n{told}seeds = {json.dumps(seeds)}\n'
@@ -59,8 +59,8 @@
 
     def revoke(self, name: str) -> None:
         """That instance's certificate: nobody listens to it from now on."""
-        serial = files.certificate(f"{self.folder / name}.cert").serial
-        files.put(str(self.folder / "revoked"), f"{serial}\n", replace=True)
+        serial = files.read_certificate(f"{self.folder / name}.cert").serial
+        files.write_file(str(self.folder / "revoked"), f"{serial}\n", replace=True)
 
 
 class Liar:
@@ -83,7 +83,7 @@
         """Behind a relay of its own, where the others are."""
         host = "127.0.0.1" if links is None else host_of(0, number)
         address = await self.transport.open((host, 0))
-        self.instance.move(address if links is None else await links.join(number, address))
+        self.instance.set_address(address if links is None else await links.join(number, address))
         self.transport.start()
         self.task = asyncio.get_running_loop().create_task(self.lie())
 
@@ -91,14 +91,13 @@
         while True:
             await asyncio.sleep(LIE_S)
             counts = []
-            for _ in range(min(codec.MOST_COUNTS, len(self.nodes))):
+            for _ in range(min(codec.MAX_REPORTED_UPSTREAMS, len(self.nodes))):
                 name = self.nodes[self.said % len(self.nodes)]
                 self.said += 1
                 bad = 0 if self.well else 1000
-                counts.append(codec.Count(name, self.born_ms, 1000, bad, 0, 0, 1000 - bad, bad, 0))
+                counts.append(codec.UpstreamReport(name, self.born_ms, 1000, bad, 0, 0, 1000 - bad, bad, 0))
             self.instance.wall_us = wall_clock_us()
-            actions = self.instance.core.publish(codec.OutlierReport(counts), True, now_us())
-            self.transport.perform(self.instance.outputs(actions, now_us()))
+            self.transport.perform(self.instance.publish_report(codec.OutlierReport(counts), now_us()))
 
     def close(self) -> None:
         if self.task is not None:
--- a/sidecar_proxy/testbed/scenario.py
+++ b/sidecar_proxy/testbed/scenario.py
@@ -245,7 +245,7 @@
             one.operator += self.keys.table(one.name, self.site(index), seeds)
             if index == 0:
                 await one.start()
-                seeds = [line.split()[-1] for line in one.lines if " is heard at " in line]
+                seeds = [line.split()[-1] for line in one.lines if " is reachable at " in line]
                 host, _, port = seeds[0].partition(":")
                 self.gossip = host, int(port)
         await asyncio.gather(*[one.start() for one in self.sidecars[1:]])
--- /dev/null
+++ b/tests/gossip/fleets.py
@@ -0,0 +1,25 @@
+"""Fleets in virtual time, as several test modules need them."""
+
+from __future__ import annotations
+
+from sidecar_proxy.gossip.members import MemberState
+from sidecar_proxy.testbed.client_fleet import Fleet
+
+
+def joined_fleet(count: int, sites: int = 2, seed: int = 1) -> Fleet:
+    """Return a fleet whose instances all know each other, within 30 s of virtual time."""
+    fleet = Fleet(count, sites, seed)
+    for _ in range(60):
+        fleet.run(0.5)
+        if fleet.knows_all():
+            return fleet
+    raise AssertionError("some instances do not know each other")
+
+
+def states_of(fleet: Fleet, name: str) -> set[MemberState]:
+    """Return the states in which the running instances see a peer."""
+    return {
+        member.instance.core.peers[name].state
+        for member in fleet.all()
+        if not member.stopped and name in member.instance.core.peers
+    }
--- a/tests/gossip/test_keys.py
+++ b/tests/gossip/test_keys.py
@@ -1,4 +1,4 @@
-"""Who is listened to, and what hostile bytes cost: signatures, replays, floods, fuzzed packets."""
+"""Authentication, and what hostile bytes cost: signatures, replays, floods, fuzzed packets."""
 
 from __future__ import annotations
 
@@ -11,169 +11,189 @@
 
 from benchmarks.gossip_fuzz import feed, play
 from sidecar_proxy.gossip import codec
-from sidecar_proxy.gossip.codec import Count, News, OutlierReport, Ping
-from sidecar_proxy.gossip.instance import STRIKES, Datagram
-from sidecar_proxy.gossip.keys import BURST, SKEW_US, Keyring, RejectedError, issue_certificate
+from sidecar_proxy.gossip.blocklist import MAX_FORGERIES
+from sidecar_proxy.gossip.codec import OutlierReport, Ping, UpstreamReport, UrgentBroadcasts
+from sidecar_proxy.gossip.instance import Datagram
+from sidecar_proxy.gossip.keys import MAX_CLOCK_SKEW_US, Keyring, RejectedError, issue_certificate
+from sidecar_proxy.gossip.verification import VERIFICATION_BURST
 from sidecar_proxy.testbed.client_fleet import WALL_US, Fleet
 from tests.sockets import ROOT
 
+WALL_S = WALL_US // 1_000_000
 FLEET = Fleet(3, 1)
-ONE, TWO = FLEET.keyring(1, "s0"), FLEET.keyring(2, "s0")
-PACKET = ONE.seal(
-    Ping(5, "i2"), [ONE.sign(OutlierReport([Count("n", 1, 2, 2, 0, 0, 0, 2, 0)]), WALL_US)], WALL_US
-)
+SENDER, OTHER = FLEET.keyring(1, "s0"), FLEET.keyring(2, "s0")
+REPORT = OutlierReport([UpstreamReport("n", 1, 2, 2, 0, 0, 0, 2, 0)])
+PACKET = SENDER.seal_packet(Ping(5, "i2"), [SENDER.sign(REPORT, WALL_US)], WALL_US)
 
 
-def ring(number: int = 2) -> Keyring:
-    return FLEET.keyring(number, "s0")
+def make_receiver() -> Keyring:
+    return FLEET.keyring(2, "s0")
 
 
-def refusal(data: bytes, wall_us: int = WALL_US, of: Keyring | None = None) -> str:
+def rejection(data: bytes, wall_us: int = WALL_US, receiver: Keyring | None = None) -> str:
+    """Return the reason for which a packet is rejected."""
     with pytest.raises(RejectedError) as caught:
-        (of or ring()).packet(data, 0, wall_us)
+        (receiver or make_receiver()).open_packet(data, 0, wall_us)
     return str(caught.value)
 
 
-def test_a_packet_is_read_once() -> None:
-    own = ring()
-    found = own.packet(PACKET, 0, WALL_US)
-    assert found.certificate.name == "i1" and isinstance(found.message, Ping) and len(found.rumours) == 1
-    assert refusal(PACKET, of=own) == "heard before"
-    later = ONE.seal(News(), [], WALL_US + 10_000_000)
-    own.packet(later, 0, WALL_US)
-    assert refusal(PACKET, of=ONE) == "our own"
+def empty_packet(certificate: codec.Certificate, key: SigningKey) -> bytes:
+    return Keyring(key, certificate, []).seal_packet(UrgentBroadcasts(), [], WALL_US)
 
 
-@pytest.mark.parametrize("off_us", [-30_000_000, 30_000_000])
-def test_clocks_may_be_thirty_seconds_apart(off_us: int) -> None:
-    assert ring().packet(PACKET, 0, WALL_US + off_us)
+def unsigned_packet(number: int) -> bytes:
+    content = codec.Packet(SENDER.certificate, WALL_US + number, UrgentBroadcasts(), [])
+    return codec.join_envelope(bytes(64), codec.encode(content))
 
 
-@pytest.mark.parametrize("off_us", [-SKEW_US - 1_000_000, SKEW_US + 1_000_000])
-def test_what_is_of_another_time_is_not_listened_to(off_us: int) -> None:
-    assert refusal(PACKET, WALL_US + off_us) == "another time"
+def test_packet_is_accepted_once() -> None:
+    receiver = make_receiver()
+    packet = receiver.open_packet(PACKET, 0, WALL_US)
+    assert packet.certificate.name == "i1"
+    assert isinstance(packet.message, Ping)
+    assert len(packet.broadcasts) == 1
+    assert rejection(PACKET, receiver=receiver) == "heard before"
+    later = SENDER.seal_packet(UrgentBroadcasts(), [], WALL_US + 10_000_000)
+    receiver.open_packet(later, 0, WALL_US)
 
 
-def test_doubled_and_reordered_packets_are_each_heard_once() -> None:
-    own, sender = ring(), ring(1)
-    sent = [sender.seal(News(), [], WALL_US + 1000 * number) for number in range(20)]
+def test_own_packet_is_rejected() -> None:
+    assert rejection(PACKET, receiver=SENDER) == "our own"
+
+
+@pytest.mark.parametrize("skew_us", [-30_000_000, 30_000_000])
+def test_clock_skew_of_thirty_seconds_is_accepted(skew_us: int) -> None:
+    assert make_receiver().open_packet(PACKET, 0, WALL_US + skew_us)
+
+
+@pytest.mark.parametrize("skew_us", [-MAX_CLOCK_SKEW_US - 1_000_000, MAX_CLOCK_SKEW_US + 1_000_000])
+def test_clock_skew_over_the_limit_is_rejected(skew_us: int) -> None:
+    assert rejection(PACKET, WALL_US + skew_us) == "another time"
+
+
+def test_duplicated_and_reordered_packets_are_each_accepted_once() -> None:
+    receiver, sender = make_receiver(), FLEET.keyring(1, "s0")
+    sent = [sender.seal_packet(UrgentBroadcasts(), [], WALL_US + 1000 * number) for number in range(20)]
     random.Random(3).shuffle(sent)
-    heard = 0
+    accepted = 0
+    reasons = set[str]()
     for data in sent + sent:
         try:
-            own.packet(data, 0, WALL_US)
-            heard += 1
+            receiver.open_packet(data, 0, WALL_US)
+            accepted += 1
         except RejectedError as error:
-            assert str(error) == "heard before"
-    assert heard == 20
-    old = ring(1).seal(News(), [], WALL_US - 5_000_000)
-    assert refusal(old, of=own) == "heard before"  # one that was caught and kept for later
-
-
-def test_strangers_the_expired_the_revoked_and_those_under_another_name() -> None:
-    stranger = SigningKey(bytes([9]) * 32)
-    key = SigningKey((1).to_bytes(32, "big"))
-    public, until_s = key.verify_key.encode(), WALL_US // 1_000_000 + 100
-    fleet = FLEET.fleet_key
-
-    def sealed(certificate: codec.Certificate, by: SigningKey = key) -> bytes:
-        return Keyring(by, certificate, []).seal(News(), [], WALL_US)
-
-    assert refusal(sealed(issue_certificate(stranger, 2, "i1", "s0", public, until_s))) == "not of this fleet"
-    assert (
-        refusal(sealed(issue_certificate(fleet, 2, "i1", "s0", public, WALL_US // 1_000_000 - 1)))
-        == "expired"
-    )
-    good = issue_certificate(fleet, 2, "i1", "s0", public, until_s)
-    assert refusal(sealed(good, by=stranger)) == "forged"
-    renamed = codec.Certificate(good.serial, "i7", good.site, good.key, good.until_s, good.signature)
-    assert refusal(sealed(renamed)) == "not of this fleet"
-    own = ring()
+            reasons.add(error.reason)
+    assert accepted == 20
+    assert reasons == {"heard before"}
+    delayed = FLEET.keyring(1, "s0").seal_packet(UrgentBroadcasts(), [], WALL_US - 5_000_000)
+    assert rejection(delayed, receiver=receiver) == "heard before"
+
+
+def test_certificates_that_do_not_hold_are_rejected_by_their_reason() -> None:
+    stranger, key, fleet = SigningKey(bytes([9]) * 32), SigningKey((1).to_bytes(32, "big")), FLEET.fleet_key
+    public, until_s = key.verify_key.encode(), WALL_S + 100
+    untrusted = issue_certificate(stranger, 2, "i1", "s0", public, until_s)
+    assert rejection(empty_packet(untrusted, key)) == "not of this fleet"
+    expired = issue_certificate(fleet, 2, "i1", "s0", public, WALL_S - 1)
+    assert rejection(empty_packet(expired, key)) == "expired"
+    valid = issue_certificate(fleet, 2, "i1", "s0", public, until_s)
+    assert rejection(empty_packet(valid, stranger)) == "forged"
+    renamed = codec.Certificate(valid.serial, "i7", valid.site, valid.key, valid.until_s, valid.signature)
+    assert rejection(empty_packet(renamed, key)) == "not of this fleet"
+
+
+def test_revoked_certificate_is_rejected_until_it_is_off_the_list() -> None:
+    key, fleet = SigningKey((1).to_bytes(32, "big")), FLEET.fleet_key
+    certificate = issue_certificate(fleet, 2, "i1", "s0", key.verify_key.encode(), WALL_S + 100)
+    receiver = make_receiver()
     trusted = [fleet.verify_key.encode()]
-    own.renew(own.key, own.certificate, trusted, [2])
-    assert refusal(sealed(good), of=own) == "revoked"
-    own.renew(own.key, own.certificate, trusted, [])
-    assert own.packet(sealed(good), 0, WALL_US)
-
-
-def test_nobody_speaks_for_another() -> None:
-    own = ring()
-    told = ONE.sign(OutlierReport([Count("n", 1, 9, 9, 0, 0, 0, 9, 0)]), WALL_US)
-    assert own.statement(told, ONE.certificate, 0, WALL_US)
+    receiver.replace_credentials(receiver.key, receiver.certificate, trusted, [2])
+    assert rejection(empty_packet(certificate, key), receiver=receiver) == "revoked"
+    receiver.replace_credentials(receiver.key, receiver.certificate, trusted, [])
+    assert receiver.open_packet(empty_packet(certificate, key), 0, WALL_US)
+
+
+def test_statement_is_accepted_only_as_its_author_signed_it() -> None:
+    receiver = make_receiver()
+    report = OutlierReport([UpstreamReport("n", 1, 9, 9, 0, 0, 0, 9, 0)])
+    statement = SENDER.sign(report, WALL_US)
+    assert receiver.open_statement(statement, SENDER.certificate, 0, WALL_US)
+    body, signature = statement.body, statement.signature
     for forged in (
-        codec.Signed("i0", told.at_us, told.body, told.signature),
-        codec.Signed("i1", told.at_us + 1, told.body, told.signature),
-        codec.Signed("i1", told.at_us, told.body[:-1] + b"\x08", told.signature),
+        codec.SignedStatement("i0", statement.at_us, body, signature),
+        codec.SignedStatement("i1", statement.at_us + 1, body, signature),
+        codec.SignedStatement("i1", statement.at_us, body[:-1] + b"\x08", signature),
     ):
         with pytest.raises(RejectedError):
-            own.statement(forged, ONE.certificate, 0, WALL_US)
+            receiver.open_statement(forged, SENDER.certificate, 0, WALL_US)
     with pytest.raises(RejectedError, match="of nobody known"):
-        own.statement(told, None, 0, WALL_US)
-    alive = ONE.sign(codec.Alive("10.0.0.1", 1, 1, TWO.certificate), WALL_US)  # one key, another's name
+        receiver.open_statement(statement, None, 0, WALL_US)
+    alive = SENDER.sign(codec.Alive("10.0.0.1", 1, 1, OTHER.certificate), WALL_US)
     with pytest.raises(RejectedError, match="of another name"):
-        own.statement(alive, None, 0, WALL_US)
+        receiver.open_statement(alive, None, 0, WALL_US)
 
 
-def test_a_flood_of_forgeries_is_dropped_unverified_and_leaves_room_for_peers() -> None:
+def test_flood_of_forgeries_is_dropped_unverified_and_does_not_disturb_peers() -> None:
     fleet = Fleet(3, 1)
     fleet.run(10.0)
-    own, sender = fleet.at(2).instance, fleet.keyring(1, "s0")
-    data = bytearray(sender.seal(News(), [], fleet.wall_us()))
-    left = own.keyring.budget.left
-    for number in range(3 * STRIKES):
+    receiver, sender = fleet.at(2).instance, fleet.keyring(1, "s0")
+    data = bytearray(sender.seal_packet(UrgentBroadcasts(), [], fleet.wall_us()))
+    tokens = receiver.keyring.budget.tokens
+    for number in range(3 * MAX_FORGERIES):
         data[10] = number  # its signature
-        own.receive(bytes(data), ("10.9.9.9", 1), fleet.now_us, fleet.wall_us())
-    assert left - own.keyring.budget.left <= STRIKES
-    assert own.keyring.refused["of a barred address"] == 2 * STRIKES
-    seen = own.core.counts.copy(), own.counts["packets out"]
+        receiver.receive(bytes(data), ("10.9.9.9", 1), fleet.now_us, fleet.wall_us())
+    assert tokens - receiver.keyring.budget.tokens <= MAX_FORGERIES
+    assert receiver.keyring.rejections["of a barred address"] == 2 * MAX_FORGERIES
+    packets_out = receiver.counts["packets out"]
     fleet.run(3.0)
-    assert own.counts["packets out"] > seen[1] and fleet.knows_all()
+    assert receiver.counts["packets out"] > packets_out
+    assert fleet.knows_all()
 
 
-def test_verifications_are_bounded_in_a_second() -> None:
-    own = ring()
-    for number in range(int(BURST) - 1):  # one goes for the certificate
-        with pytest.raises(RejectedError, match="forged|not of this fleet"):
-            own.packet(sealed_by_a_stranger(number), 0, WALL_US)
+def test_verifications_per_second_are_bounded() -> None:
+    receiver = make_receiver()
+    for number in range(int(VERIFICATION_BURST) - 1):  # one is spent on the certificate
+        with pytest.raises(RejectedError, match=r"forged|not of this fleet"):
+            receiver.open_packet(unsigned_packet(number), 0, WALL_US)
     with pytest.raises(RejectedError, match="over the budget"):
-        own.packet(sealed_by_a_stranger(-1), 0, WALL_US)
-    assert own.packet(ONE.seal(News(), [], WALL_US), 1_000_000, WALL_US)
-
-
-def sealed_by_a_stranger(number: int) -> bytes:
-    payload = codec.encode(codec.Packet(ONE.certificate, WALL_US + number, News(), []))
-    return codec.closed(bytes(64), payload)
+        receiver.open_packet(unsigned_packet(-1), 0, WALL_US)
+    assert receiver.open_packet(SENDER.seal_packet(UrgentBroadcasts(), [], WALL_US), 1_000_000, WALL_US)
 
 
-def test_a_list_of_statements_that_is_too_long_is_not_read() -> None:
-    told = [ONE.sign(OutlierReport([]), WALL_US)] * (codec.MOST_RUMOURS + 1)
-    assert refusal(ONE.seal(News(), told, WALL_US)) == "malformed"
-    counts = [Count("n", 1, 1, 1, 0, 0, 0, 1, 0)] * (codec.MOST_COUNTS + 1)
+def test_lists_over_their_limit_are_rejected() -> None:
+    statements = [SENDER.sign(OutlierReport([]), WALL_US)] * (codec.MAX_BROADCASTS + 1)
+    assert rejection(SENDER.seal_packet(UrgentBroadcasts(), statements, WALL_US)) == "malformed"
+    upstreams = [UpstreamReport("n", 1, 1, 1, 0, 0, 0, 1, 0)] * (codec.MAX_REPORTED_UPSTREAMS + 1)
+    statement = SENDER.sign(OutlierReport(upstreams), WALL_US)
     with pytest.raises(RejectedError, match="malformed"):
-        ring().statement(ONE.sign(OutlierReport(counts), WALL_US), ONE.certificate, 0, WALL_US)
+        make_receiver().open_statement(statement, SENDER.certificate, 0, WALL_US)
 
 
 @pytest.mark.parametrize("host", ["a.example", "10.0.0.1\n", "", "0.0.0.0", "x" * 64])
-def test_an_address_that_would_be_looked_up_or_reaches_nobody_is_not_taken(host: str) -> None:
-    told = ONE.sign(codec.Alive(host, 7, 1, ONE.certificate), WALL_US)
+def test_host_that_is_no_usable_ip_address_is_rejected(host: str) -> None:
+    statement = SENDER.sign(codec.Alive(host, 7, 1, SENDER.certificate), WALL_US)
     with pytest.raises(RejectedError, match="malformed"):
-        ring().statement(told, None, 0, WALL_US)
+        make_receiver().open_statement(statement, None, 0, WALL_US)
 
 
-def test_the_fuzzer_s_inputs_and_what_it_once_found() -> None:
+def test_fuzzed_inputs_do_not_fail() -> None:
     failing: list[bytes] = []
-    assert play(1, 300, failing) == 300 and not failing
+    assert play(1, 300, failing) == 300
+    assert not failing
+
+
+def test_inputs_that_the_fuzzer_once_found_do_not_fail() -> None:
     corpus = ROOT / "tests" / "gossip" / "corpus.txt"
     fleet = Fleet(4, 2)
     fleet.run(3.0)
     for line in corpus.read_text().split():
-        for state in (False, True):
-            feed(fleet, fleet.at(2), bytes.fromhex(line), state)
+        for is_state in (False, True):
+            feed(fleet, fleet.at(2), bytes.fromhex(line), is_state)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.binary(max_size=200), st.integers(0, len(PACKET)), st.integers(0, 8 * len(PACKET) - 1))
-def test_bytes_of_any_kind_are_refused_and_nothing_else(noise: bytes, cut: int, flip: int) -> None:
+def test_arbitrary_bytes_raise_rejected_error_and_nothing_else(noise: bytes, cut: int, flip: int) -> None:
     flipped = bytearray(PACKET)
     flipped[flip // 8] ^= 1 << flip % 8
     for data in (
@@ -181,27 +201,27 @@
         codec.MAGIC + noise,
         PACKET[:cut] + noise,
         bytes(flipped),
-        codec.closed(bytes(64), noise),
+        codec.join_envelope(bytes(64), noise),
     ):
         if data != PACKET:
             with pytest.raises(RejectedError):
-                ring().packet(data, 0, WALL_US)
+                make_receiver().open_packet(data, 0, WALL_US)
         with pytest.raises(RejectedError):
-            ring().state(data, 0, WALL_US)
+            make_receiver().open_state(data, 0, WALL_US)
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.binary(max_size=300), max_size=5), st.integers(0, 9))
-def test_a_member_of_the_fleet_that_says_nonsense_harms_nobody(bodies: list[bytes], at: int) -> None:
-    """Well signed, and not to be read."""
-    own = Fleet(3, 1)
-    own.run(1.0)
-    liar, target = own.at(1).instance, own.at(2).instance
-    told = []
+def test_signed_nonsense_of_a_member_does_no_harm(bodies: list[bytes], offset_us: int) -> None:
+    fleet = Fleet(3, 1)
+    fleet.run(1.0)
+    liar, target = fleet.at(1).instance, fleet.at(2).instance
+    at_us = fleet.wall_us() + offset_us
+    statements = []
     for body in bodies:
-        signature = liar.keyring.key.sign(codec.of_statement("i1", own.wall_us() + at, body)).signature
-        told.append(codec.Signed("i1", own.wall_us() + at, body, signature))
-    data = liar.keyring.seal(News(), told[: codec.MOST_RUMOURS], own.wall_us())
-    found = target.receive(data, ("10.0.0.1", 1001), own.now_us, own.wall_us())
-    assert all(isinstance(one, Datagram) for one in found)
-    own.run(1.0)
+        signature = liar.keyring.key.sign(codec.statement_signing_input("i1", at_us, body)).signature
+        statements.append(codec.SignedStatement("i1", at_us, body, signature))
+    data = liar.keyring.seal_packet(UrgentBroadcasts(), statements[: codec.MAX_BROADCASTS], fleet.wall_us())
+    outputs = target.receive(data, ("10.0.0.1", 1001), fleet.now_us, fleet.wall_us())
+    assert all(isinstance(output, Datagram) for output in outputs)
+    fleet.run(1.0)
--- a/tests/gossip/test_outlier_reports.py
+++ b/tests/gossip/test_outlier_reports.py
@@ -1,4 +1,4 @@
-"""What votes come to: liars up to the bound raise nothing, sites speak for themselves, reports age."""
+"""Observations, outlier reports and the weights made of them: liars within the bound raise no weight."""
 
 from __future__ import annotations
 
@@ -7,33 +7,39 @@
 
 from sidecar_proxy.balancer.balancer import BELIEVED
 from sidecar_proxy.balancer.events import Outcome
-from sidecar_proxy.gossip.broadcasts import ROOM, size_of
+from sidecar_proxy.gossip.broadcasts import MAX_PIGGYBACKED_BYTES, encoded_size
 from sidecar_proxy.gossip.codec import (
-    MOST_COUNTS,
-    MOST_NAME,
-    MOST_WHOLE,
-    Count,
+    MAX_INTEGER,
+    MAX_NAME_LENGTH,
+    MAX_REPORTED_UPSTREAMS,
     OutlierReport,
-    Signed,
+    SignedStatement,
+    UpstreamReport,
     encode,
 )
-from sidecar_proxy.gossip.outlier_reports import WINDOW_US, Combiner, Own, tolerated, trimmed
+from sidecar_proxy.gossip.observations import WINDOW_US, LocalObservations
+from sidecar_proxy.gossip.outlier_reports import ReportAggregator, Vote, tolerated_liars, trimmed_mean
 from sidecar_proxy.testbed.client_fleet import BORN_MS, Fleet
 
 NOW_US = 100_000_000
 
 
-def count(run: int, well: int = 0, node: str = "n", born_ms: int = BORN_MS, age_ms: int = 0) -> Count:
-    return Count(node, born_ms, run + well, run, 0, 0, well, run, age_ms)
+def report_on(
+    failures: int, successes: int = 0, upstream: str = "n", started_ms: int = BORN_MS, age_ms: int = 0
+) -> UpstreamReport:
+    """Return a report of a run of time-outs after some successes."""
+    return UpstreamReport(
+        upstream, started_ms, failures + successes, failures, 0, 0, successes, failures, age_ms
+    )
 
 
-def combined(votes: dict[str, list[Count]], site: str = "here", size: int = 10) -> float:
-    """By site the votes of its instances."""
-    one = Combiner(site)
-    for other, counts in votes.items():
-        for number, told in enumerate(counts):
-            one.take(f"{other}-{number}", other, OutlierReport([told]), NOW_US)
-    return one.weight("n", BORN_MS, dict.fromkeys([*votes, site], size), NOW_US)
+def weight_of(votes: dict[str, list[UpstreamReport]], site: str = "here", site_size: int = 10) -> float:
+    """Return the weight that the reports of some sites' instances give upstream `n`."""
+    aggregator = ReportAggregator(site)
+    for voting_site, reports in votes.items():
+        for number, report in enumerate(reports):
+            aggregator.add(f"{voting_site}-{number}", voting_site, OutlierReport([report]), NOW_US)
+    return aggregator.weight("n", BORN_MS, dict.fromkeys([*votes, site], site_size), NOW_US)
 
 
 @given(
@@ -41,138 +47,155 @@
     honest=st.lists(st.integers(0, 9), max_size=40),
     lies=st.lists(st.tuples(st.integers(0, 1000), st.integers(0, 9999)), max_size=12),
 )
-def test_as_many_liars_as_are_tolerated_raise_nothing(
+def test_tolerated_number_of_liars_raises_no_weight(
     voters: int, honest: list[int], lies: list[tuple[int, int]]
 ) -> None:
-    """Whatever they say, and however loud, of a node that answers the honest ones, or that they don't use."""
-    votes = [(0.0, min(1.0, well / 10)) for well in honest]
-    votes += [(min(1.0, run), strength / 9999) for run, strength in lies[: tolerated(voters)]]
-    assert trimmed(votes, voters) == 0.0
+    """Whatever they report of an upstream that answers the honest instances or that those do not use."""
+    votes = [Vote(0.0, min(1.0, successes / 10)) for successes in honest]
+    votes += [Vote(min(1.0, run), strength / 9999) for run, strength in lies[: tolerated_liars(voters)]]
+    assert trimmed_mean(votes, voters) == 0.0
 
 
-@given(st.lists(st.tuples(st.floats(0, 1), st.floats(0, 1)), max_size=30), st.integers(1, 60))
-def test_a_weight_is_a_share_and_more_votes_against_never_lower_it(
-    votes: list[tuple[float, float]], voters: int
-) -> None:
-    weight = trimmed(votes, voters)
+@given(
+    st.lists(st.builds(Vote, st.floats(0, 1), st.floats(0, 1)), max_size=30),
+    st.integers(1, 60),
+)
+def test_weight_is_within_0_and_1_and_a_failing_vote_never_lowers_it(votes: list[Vote], voters: int) -> None:
+    weight = trimmed_mean(votes, voters)
     assert 0.0 <= weight <= 1.0
-    assert trimmed([*votes, (1.0, 1.0)], voters) >= weight - 1e-9
+    assert trimmed_mean([*votes, Vote(1.0, 1.0)], voters) >= weight - 1e-9
+
+
+def test_several_instances_of_the_own_site_are_believed_and_one_alone_is_not() -> None:
+    assert weight_of({"here": [report_on(5)]}) == 0.0
+    assert weight_of({"here": [report_on(5), report_on(9)]}) == 0.0
+    assert weight_of({"here": [report_on(5)] * 5}) > 0.5
 
 
-def test_several_of_the_own_site_are_believed_and_one_alone_is_not() -> None:
-    assert combined({"here": [count(5)]}) == combined({"here": [count(5), count(9)]}) == 0.0
-    assert combined({"here": [count(5)] * 5}) > 0.5
+def test_few_attempts_weigh_little() -> None:
+    well_known, little_known = [report_on(0, 9)] * 3, [report_on(0, 1)] * 3
+    once, thrice = [report_on(1)] * 5, [report_on(3)] * 5
+    assert weight_of({"here": once + well_known}) < weight_of({"here": thrice + well_known})
+    assert weight_of({"here": thrice + well_known}) < weight_of({"here": thrice + little_known})
 
 
-def test_little_traffic_weighs_little() -> None:
-    many_well, few_well = [count(0, 9)] * 3, [count(0, 1)] * 3
-    assert combined({"here": [count(1)] * 5 + many_well}) < combined({"here": [count(3)] * 5 + many_well})
-    assert combined({"here": [count(3)] * 5 + many_well}) < combined({"here": [count(3)] * 5 + few_well})
+def test_three_liars_of_the_own_site_are_outweighed_by_one_success() -> None:
+    assert weight_of({"here": [report_on(1000)] * 3 + [report_on(0, 3)]}) < BELIEVED
 
 
-def test_three_liars_of_one_site_are_outweighed_by_one_that_had_an_answer() -> None:
-    assert combined({"here": [count(1000)] * 3 + [count(0, 3)]}) < BELIEVED
-    assert combined({"there": [count(1000)] * 3}) == 0.0  # and weigh nothing at another site
+def test_three_liars_of_one_other_site_weigh_nothing() -> None:
+    assert weight_of({"there": [report_on(1000)] * 3}) == 0.0
 
 
-def test_a_node_that_is_silent_for_other_sites_is_not_shunned_here() -> None:
-    silent = [count(5)] * 8
-    well = [count(0, 5), count(0, 2)]
-    assert combined({"one": silent, "two": silent, "three": silent, "here": well}) == 0.0
-    assert combined({"one": silent, "two": silent, "three": silent}) > 0.5  # nobody here knows
+def test_successes_in_the_own_site_silence_other_sites() -> None:
+    failing = [report_on(5)] * 8
+    healthy = [report_on(0, 5), report_on(0, 2)]
+    assert weight_of({"one": failing, "two": failing, "three": failing, "here": healthy}) == 0.0
+    assert weight_of({"one": failing, "two": failing, "three": failing}) > 0.5
 
 
-def test_reports_fade_and_die_with_the_start_that_they_are_of() -> None:
-    one = Combiner("here")
+def test_reports_fade_with_age_and_end_with_the_upstream_s_start() -> None:
+    aggregator = ReportAggregator("here")
     for number in range(6):
-        one.take(f"i{number}", "here", OutlierReport([count(5)]), NOW_US)
+        aggregator.add(f"i{number}", "here", OutlierReport([report_on(5)]), NOW_US)
     sites = {"here": 10}
-    fresh = one.weight("n", BORN_MS, sites, NOW_US)
-    assert one.weight("n", BORN_MS + 1, sites, NOW_US) == 0.0
-    assert 0.0 < one.weight("n", BORN_MS, sites, NOW_US + WINDOW_US // 2) < fresh
-    one.forget(NOW_US + WINDOW_US)
-    assert not one.reports
-    assert one.take("i1", "here", OutlierReport([count(5, age_ms=WINDOW_US)]), NOW_US) == ["n"]
-    assert not one.reports  # as old as that it never counts
-
-
-def test_a_bulletin_replaces_its_author_s_last_one() -> None:
-    one = Combiner("here")
-    one.take("i1", "here", OutlierReport([count(5), count(5, node="m")]), NOW_US)
-    assert one.take("i1", "here", OutlierReport([count(0, 1, node="m")]), NOW_US) == ["n", "m"]
-    assert list(one.reports) == ["m"]
-    assert one.drop("i1") == ["m"] and not one.reports
-
-
-def test_what_is_told_first_are_the_failing_and_never_more_than_fit() -> None:
-    own = Own()
-    assert own.note("good", 1, Outcome.OK, 1) is False  # nothing new
-    assert own.note("bad", 1, Outcome.TIMEOUT, 2) is True
-    assert own.note("bad", 1, Outcome.FULL, 3) is False and own.note("bad", 1, Outcome.NOT_SENT, 3) is False
-    assert [one.node for one in own.bulletin(4).counts] == ["bad"]
-    own.wanted["good"] = None
-    assert [one.node for one in own.bulletin(4).counts] == ["bad", "good"]
-    assert own.note("bad", 1, Outcome.OK, 5) is True and own.bulletin(6).counts[0].node == "good"
+    fresh = aggregator.weight("n", BORN_MS, sites, NOW_US)
+    assert aggregator.weight("n", BORN_MS + 1, sites, NOW_US) == 0.0
+    assert 0.0 < aggregator.weight("n", BORN_MS, sites, NOW_US + WINDOW_US // 2) < fresh
+    aggregator.expire(NOW_US + WINDOW_US)
+    assert not aggregator.by_upstream
+    too_old = OutlierReport([report_on(5, age_ms=WINDOW_US)])
+    assert aggregator.add("i1", "here", too_old, NOW_US) == ["n"]
+    assert not aggregator.by_upstream
+
+
+def test_report_replaces_its_author_s_previous_one() -> None:
+    aggregator = ReportAggregator("here")
+    aggregator.add("i1", "here", OutlierReport([report_on(5), report_on(5, upstream="m")]), NOW_US)
+    second = OutlierReport([report_on(0, 1, upstream="m")])
+    assert aggregator.add("i1", "here", second, NOW_US) == ["n", "m"]
+    assert list(aggregator.by_upstream) == ["m"]
+    assert aggregator.remove_author("i1") == ["m"]
+    assert not aggregator.by_upstream
+
+
+def reported_names(observations: LocalObservations, now_us: int) -> list[str]:
+    return [upstream.upstream for upstream in observations.report(now_us).upstreams]
+
+
+def test_report_has_failing_upstreams_first_and_never_more_than_fit() -> None:
+    observations = LocalObservations()
+    assert observations.record("good", 1, Outcome.OK, 1) is False  # nothing new to the others
+    assert observations.record("bad", 1, Outcome.TIMEOUT, 2) is True
+    assert observations.record("bad", 1, Outcome.FULL, 3) is False
+    assert observations.record("bad", 1, Outcome.NOT_SENT, 3) is False
+    assert reported_names(observations, 4) == ["bad"]
+    observations.contradicted["good"] = None
+    assert reported_names(observations, 4) == ["bad", "good"]
+    assert observations.record("bad", 1, Outcome.OK, 5) is True
+    assert reported_names(observations, 6)[0] == "good"
     for number in range(50):
-        own.note(f"n{number}", 1, Outcome.RESET, 10 + number)
-    told = own.bulletin(100).counts
-    assert len(told) == MOST_COUNTS and "good" in [one.node for one in told]
-    assert own.note("bad", 2, Outcome.ERROR, 20) is True  # another start
-    assert not own.bulletin(WINDOW_US + 200).counts
-
-
-def test_a_bulletin_of_the_longest_names_still_goes_out_on_one_packet() -> None:
-    own = Own()
-    for number in range(MOST_COUNTS):
-        name = str(number) * MOST_NAME
-        own.note(name, MOST_WHOLE, Outcome.RESET, number)
-    assert not own.note("x" * (MOST_NAME + 1), 1, Outcome.RESET, 99)  # others would refuse the whole bulletin
-    told = own.bulletin(100)
-    assert len(told.counts) >= 4
-    assert size_of(Signed("a" * MOST_NAME, MOST_WHOLE, encode(told), bytes(64))) <= ROOM
-
-
-def settled(count: int, sites: int) -> Fleet:
+        observations.record(f"n{number}", 1, Outcome.RESET, 10 + number)
+    names = reported_names(observations, 100)
+    assert len(names) == MAX_REPORTED_UPSTREAMS
+    assert "good" in names
+    assert observations.record("bad", 2, Outcome.ERROR, 20) is True  # the upstream has restarted
+    assert not reported_names(observations, WINDOW_US + 200)
+
+
+def test_report_of_the_longest_names_fits_on_a_packet() -> None:
+    observations = LocalObservations()
+    for number in range(MAX_REPORTED_UPSTREAMS):
+        name = str(number) * MAX_NAME_LENGTH
+        observations.record(name, MAX_INTEGER, Outcome.RESET, number)
+    # a longer name would make the others reject the whole report
+    assert not observations.record("x" * (MAX_NAME_LENGTH + 1), 1, Outcome.RESET, 99)
+    report = observations.report(100)
+    assert len(report.upstreams) >= 4
+    statement = SignedStatement("a" * MAX_NAME_LENGTH, MAX_INTEGER, encode(report), bytes(64))
+    assert encoded_size(statement) <= MAX_PIGGYBACKED_BYTES
+
+
+def fleet_after_15_s(count: int, sites: int) -> Fleet:
     fleet = Fleet(count, sites)
     fleet.run(15.0)
     assert fleet.knows_all()
     return fleet
 
 
-def test_a_silent_node_is_known_to_all_within_two_seconds_of_a_few_failures() -> None:
-    fleet = settled(40, 2)
+def test_failing_upstream_is_known_to_all_within_seconds_and_so_is_its_recovery() -> None:
+    fleet = fleet_after_15_s(40, 2)
     begin_us = fleet.now_us
     for number in range(16):
         fleet.attempt(fleet.at(number), "n1", Outcome.TIMEOUT)
         fleet.run(0.02)
         fleet.attempt(fleet.at(number), "n1", Outcome.TIMEOUT)
     fleet.run(2.0)
-    assert all(one.weights.get("n1", 0.0) >= BELIEVED for one in fleet.all())
-    assert max(one.heard_us["n1"] for one in fleet.all()) - begin_us < 3_000_000
+    assert all(member.weights.get("n1", 0.0) >= BELIEVED for member in fleet.all())
+    assert max(member.heard_us["n1"] for member in fleet.all()) - begin_us < 3_000_000
     for number in range(16):
         fleet.attempt(fleet.at(number), "n1", Outcome.OK)
     fleet.run(2.0)
-    assert all(one.weights.get("n1", 0.0) == 0.0 for one in fleet.all())
+    assert all(member.weights.get("n1", 0.0) == 0.0 for member in fleet.all())
 
 
-def test_a_liar_of_fifty_moves_no_weight_though_nobody_else_has_a_word() -> None:
-    fleet = settled(50, 5)
-    liar = fleet.at(11).instance
+def test_one_liar_of_fifty_moves_no_weight_though_nobody_else_reports() -> None:
+    fleet = fleet_after_15_s(50, 5)
+    liar = fleet.at(11)
     for turn in range(20):
-        bulletin = OutlierReport([count(1000 + turn, node=name) for name in fleet.nodes])
-        actions = liar.core.publish(bulletin, True, fleet.now_us)
-        fleet.perform(fleet.at(11), liar.outputs(actions, fleet.now_us))
+        report = OutlierReport([report_on(1000 + turn, upstream=name) for name in fleet.nodes])
+        fleet.perform(liar, liar.instance.publish_report(report, fleet.now_us))
         fleet.run(0.3)
-    assert not any(weight for one in fleet.all() for weight in one.weights.values())
-    assert any("n1" in one.instance.combiner.reports for one in fleet.all())  # it was heard
+    assert not any(weight for member in fleet.all() for weight in member.weights.values())
+    assert any("n1" in member.instance.aggregator.by_upstream for member in fleet.all())
 
 
-def test_who_knows_better_says_so() -> None:
-    fleet = settled(12, 1)
+def test_instance_with_a_success_contradicts_the_reports_of_others() -> None:
+    fleet = fleet_after_15_s(12, 1)
     fleet.attempt(fleet.at(0), "n1", Outcome.OK)
     for number in (3, 4, 5, 6):
         fleet.attempt(fleet.at(number), "n1", Outcome.TIMEOUT)
         fleet.attempt(fleet.at(number), "n1", Outcome.TIMEOUT)
     fleet.run(2.0)
-    word = fleet.at(9).instance.combiner.reports["n1"]["i0"].count
-    assert (word.run, word.well) == (0, 1)
+    report = fleet.at(9).instance.aggregator.by_upstream["n1"]["i0"].upstream
+    assert (report.consecutive_failures, report.successes) == (0, 1)
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -40,10 +40,10 @@
         now_us(),
         wall_clock_us(),
         lambda node: 5,
-        floor=1,
+        min_instances=1,
     )
     one = GossipTransport(instance, now_us, lambda told: None)
-    instance.move(await one.open(("127.0.0.1", 0)))
+    instance.set_address(await one.open(("127.0.0.1", 0)))
     one.start()
     return one
 
@@ -75,7 +75,7 @@
 def test_a_peer_that_stalls_in_an_exchange_is_left_and_costs_the_others_nothing(
     manner: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(sockets, "EXCHANGE_S", 0.4)
+    monkeypatch.setattr(sockets, "EXCHANGE_TIMEOUT_S", 0.4)
 
     async def test(one: GossipTransport, two: GossipTransport) -> None:
         ends: list[int] = []
@@ -103,10 +103,10 @@
                 pass
             ends.append(1)
 
-        for _ in range(sockets.MOST_EXCHANGES):
+        for _ in range(sockets.MAX_EXCHANGES):
             opened = await asyncio.open_connection(*one.instance.address)
             tasks.append(asyncio.get_running_loop().create_task(stall(*opened)))
-        await until(lambda: len(ends) == sockets.MOST_EXCHANGES)
+        await until(lambda: len(ends) == sockets.MAX_EXCHANGES)
         await until(lambda: knows(one, 1) and knows(two, 1))
         assert one.exchanges == 0
 
@@ -116,10 +116,10 @@
 def test_more_exchanges_than_are_allowed_are_turned_away(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(one: GossipTransport, two: GossipTransport) -> None:
         await until(lambda: knows(one, 1) and knows(two, 1) and not one.exchanges)
-        held = [await asyncio.open_connection(*one.instance.address) for _ in range(sockets.MOST_EXCHANGES)]
+        held = [await asyncio.open_connection(*one.instance.address) for _ in range(sockets.MAX_EXCHANGES)]
         for _, writer in held:
             writer.write((100).to_bytes(sockets.HEADER_BYTES, "big"))
-        await until(lambda: one.exchanges == sockets.MOST_EXCHANGES)
+        await until(lambda: one.exchanges == sockets.MAX_EXCHANGES)
         reader, more = await asyncio.open_connection(*one.instance.address)
         more.write((100).to_bytes(sockets.HEADER_BYTES, "big"))
         with pytest.raises(ConnectionError):
@@ -141,7 +141,7 @@
         dice = random.Random(4)
         for size in (0, 1, 60, 500, 1300, 9000):
             udp.sendto(dice.randbytes(size))
-        await until(lambda: one.instance.keyring.refused.total() >= 5)
+        await until(lambda: one.instance.keyring.rejections.total() >= 5)
         udp.close()
         assert knows(one, 1)
 
@@ -173,7 +173,7 @@
     with tempfile.TemporaryDirectory() as folder, Upstream(script=silent) as bad:
         keys = Keys(folder)
         with gossiping([bad], keys, "one", []) as one:
-            seed = eventually(lambda: [line.split()[-1] for line in one.lines if " is heard at " in line])
+            seed = eventually(lambda: [line.split()[-1] for line in one.lines if " is reachable at " in line])
             with gossiping([bad], keys, "two", seed) as two:
                 eventually(lambda: "two  alive" in members(keys, "one"))
                 for _ in range(3):
@@ -196,14 +196,14 @@
         keys, old, new = Keys(folder), f"{folder}/fleet.pub", f"{folder}/new"
         main(["keygen", new])
         with gossiping([good], keys, "one", []) as one:
-            seed = eventually(lambda: [line.split()[-1] for line in one.lines if " is heard at " in line])
+            seed = eventually(lambda: [line.split()[-1] for line in one.lines if " is reachable at " in line])
             with gossiping([good], keys, "two", seed) as two:
                 eventually(lambda: "two  alive" in members(keys, "one"))
                 both = Path(old).read_text().strip() + "\n" + Path(new + ".pub").read_text()
-                files.put(old, both, replace=True)
+                files.write_file(old, both, replace=True)
                 eventually(lambda: trusts(one, 2) and trusts(two, 2))
-                files.put(f"{folder}/one.cert", "00", replace=True)
-                eventually(lambda: any("goes on holding" in line for line in one.lines))
+                files.write_file(f"{folder}/one.cert", "00", replace=True)
+                eventually(lambda: any("keeping the previous credentials" in line for line in one.lines))
                 for number, name in enumerate(("one", "two")):
                     assert main(["keygen", f"{folder}/{name}2"]) == 0
                     os.replace(f"{folder}/{name}2", f"{folder}/{name}.key")  # before its certificate
@@ -226,7 +226,7 @@
                     assert [side.request("POST", "/pay/7", b"x").status for side in (one, two)] == [200, 200]
                 eventually(lambda: "serial 101" in members(keys, "one"))
                 eventually(lambda: "serial 100" in members(keys, "two"))
-                files.put(old, Path(new + ".pub").read_text(), replace=True)
+                files.write_file(old, Path(new + ".pub").read_text(), replace=True)
                 eventually(lambda: trusts(one, 1) and trusts(two, 1))
                 assert "two  alive" in members(keys, "one")
 
@@ -302,7 +302,7 @@
     code = (
         "import sys; from sidecar_proxy.gossip.instance import GossipInstance\n"
         "def fault(*_): raise RuntimeError('a fault')\n"
-        "GossipInstance.attempt = fault\n"
+        "GossipInstance.record_attempt = fault\n"
         "from sidecar_proxy.daemon.__main__ import main; sys.exit(main())"
     )
     with tempfile.TemporaryDirectory() as folder, Upstream(b"ok") as good:
@@ -315,6 +315,8 @@
             sidecar.env["CODE"] = code
             with sidecar:
                 assert [sidecar.request("POST", "/pay/7", b"x").status for _ in range(5)] == [200] * 5
-                said = [line for line in sidecar.lines if "is told no more" in line]
+                said = [
+                    line for line in sidecar.lines if "recording of outcomes failed and is disabled" in line
+                ]
                 assert len(said) == 1
                 sidecar.lines.clear()  # the traceback is the one that was asked for
