--- a/sidecar_proxy/gossip/core.py
+++ b/sidecar_proxy/gossip/core.py
@@ -108,11 +108,11 @@
         remaining_bytes = max_bytes - sum(map(encoded_size, statements))
         living = self.peers.living()
         for peer in self.dice.sample(living, len(living)):
-            of_peer = self._statements_of(peer.name, peer.alive_statement)
-            remaining_bytes -= sum(map(encoded_size, of_peer))
+            peer_statements = self._statements_of(peer.name, peer.alive_statement)
+            remaining_bytes -= sum(map(encoded_size, peer_statements))
             if remaining_bytes < 0:
                 break
-            statements += of_peer
+            statements += peer_statements
         return statements
 
     def is_new(self, statement: SignedStatement) -> bool:
@@ -267,7 +267,7 @@
         return [TopicReceived(author, topic, broadcast.body, is_direct=False)]
 
     def _topics_of(self, author: str) -> int:
-        return sum(of_author == author for of_author, _ in self._topic_times_us)
+        return sum(topic_author == author for topic_author, _ in self._topic_times_us)
 
     def _forget_dead(self, now_us: int) -> None:
         forgotten = [peer for peer in self.peers.dead() if now_us >= peer.since_us + DEAD_RETENTION_US]
--- a/sidecar_proxy/gossip/outlier_reports.py
+++ b/sidecar_proxy/gossip/outlier_reports.py
@@ -15,7 +15,7 @@
 
 FULL_STRENGTH_ATTEMPTS = 4  # more attempts make no vote stronger
 MIN_HEALTHY_VOTES = 2  # successes seen by so many instances of the own site silence the other sites
-LIAR_SHARE = 5  # one in so many voters may lie
+VOTERS_PER_BYZANTINE = 5  # one in so many voters may report falsely
 
 
 class Vote(NamedTuple):
@@ -106,14 +106,14 @@
         return max(own_weight, trimmed_mean(site_votes, len(sites)))
 
 
-def tolerated_liars(voters: int) -> int:
-    """Return how many lying voters can't raise a weight."""
-    return max(1, voters // LIAR_SHARE)
+def max_byzantine_voters(voters: int) -> int:
+    """Return how many Byzantine voters can't raise a weight."""
+    return max(1, voters // VOTERS_PER_BYZANTINE)
 
 
 def trimmed_mean(votes: Iterable[Vote], voters: int) -> float:
     """Return the weighted mean of the votes without the highest few; `voters` could have voted."""
-    return weighted_mean(sorted(votes, reverse=True)[tolerated_liars(voters) :])
+    return weighted_mean(sorted(votes, reverse=True)[max_byzantine_voters(voters) :])
 
 
 def weighted_mean(votes: Collection[Vote]) -> float:
--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -175,8 +175,8 @@
                 statements = await self._swap_states(reader, writer, header)
             writer.close()
             for start in range(0, len(statements), STATEMENTS_PER_SLICE):
-                some = statements[start : start + STATEMENTS_PER_SLICE]
-                self.perform(self.instance.merge_remote_state(some, self.now_us(), wall_clock_us()))
+                chunk = statements[start : start + STATEMENTS_PER_SLICE]
+                self.perform(self.instance.merge_remote_state(chunk, self.now_us(), wall_clock_us()))
                 await asyncio.sleep(0)
         except RejectedError as error:
             self.instance.keyring.rejections[str(error)] += 1
--- a/tests/gossip/test_outlier_reports.py
+++ b/tests/gossip/test_outlier_reports.py
@@ -18,7 +18,7 @@
     encode,
 )
 from sidecar_proxy.gossip.observations import WINDOW_US, LocalObservations
-from sidecar_proxy.gossip.outlier_reports import ReportAggregator, Vote, tolerated_liars, trimmed_mean
+from sidecar_proxy.gossip.outlier_reports import ReportAggregator, Vote, max_byzantine_voters, trimmed_mean
 from sidecar_proxy.testbed.client_fleet import BORN_MS, Fleet
 
 NOW_US = 100_000_000
@@ -52,7 +52,7 @@
 ) -> None:
     """Whatever they report of an upstream that answers the honest instances or that those do not use."""
     votes = [Vote(0.0, min(1.0, successes / 10)) for successes in honest]
-    votes += [Vote(min(1.0, run), strength / 9999) for run, strength in lies[: tolerated_liars(voters)]]
+    votes += [Vote(min(1.0, run), strength / 9999) for run, strength in lies[: max_byzantine_voters(voters)]]
     assert trimmed_mean(votes, voters) == 0.0
 
 
