--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -39,7 +39,7 @@
 from sidecar_proxy.consensus.messages import Entry
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.gossip import codec, credentials, files
-from sidecar_proxy.gossip.instance import Address
+from sidecar_proxy.gossip.effects import Address
 from sidecar_proxy.gossip.keys import Keyring, RejectedError
 from sidecar_proxy.gossip.transport import frame_message
 from sidecar_proxy.overload_control import messages as overload
@@ -111,15 +111,15 @@
 
 
 def read_packet(data: bytes) -> codec.Packet:
-    return codec.read(codec.packets, codec.opened(data, codec.MOST_PACKET)[1])
+    return codec.read(codec.packet_decoder, codec.split_envelope(data, codec.MAX_PACKET_BYTES)[1])
 
 
 def read_state(data: bytes) -> codec.State:
-    return codec.read(codec.states, codec.opened(data, codec.MOST_STATE)[1])
+    return codec.read(codec.state_decoder, codec.split_envelope(data, codec.MAX_STATE_BYTES)[1])
 
 
 def read_statement(data: bytes) -> codec.Statement:
-    return codec.read(codec.statements, data)
+    return codec.read(codec.statement_decoder, data)
 
 
 def read_frame(data: bytes) -> frames.Frame:
@@ -128,7 +128,7 @@
 
 def write_sealed(told: Any) -> bytes:
     """A packet or a state, signed anew by its author's key."""
-    return east_keyring().sealed(told)
+    return east_keyring()._seal(told)
 
 
 READERS: dict[str, Callable[[bytes], Any]] = {
@@ -185,18 +185,18 @@
 @pytest.mark.parametrize("kind", FRAMES["gossip-packet"])
 def test_a_gossip_packet_is_taken_and_its_rumours_are_believed(kind: str) -> None:
     data, own = golden_hex(f"frames/gossip-packet/{kind}.hex"), west_keyring()
-    found = own.packet(data, 0, WALL_US)
-    for rumour in found.rumours:
-        own.statement(rumour, found.certificate, 0, WALL_US)
+    found = own.open_packet(data, 0, WALL_US)
+    for rumour in found.broadcasts:
+        own.open_statement(rumour, found.certificate, 0, WALL_US)
     changed = data[:-1] + bytes([data[-1] ^ 1])
     with pytest.raises(RejectedError):
-        west_keyring().packet(changed, 0, WALL_US)
+        west_keyring().open_packet(changed, 0, WALL_US)
 
 
 def test_a_gossip_exchange_is_taken_and_holds_each_kind_of_statement() -> None:
     own = west_keyring()
-    found = own.state(golden_hex("frames/gossip-state/state.hex"), 0, WALL_US)
-    told = [own.statement(one, found.certificate, 0, WALL_US) for one in found.statements]
+    found = own.open_state(golden_hex("frames/gossip-state/state.hex"), 0, WALL_US)
+    told = [own.open_statement(one, found.certificate, 0, WALL_US) for one in found.statements]
     expected = [
         golden_json(f"frames/gossip-statement/{kind}.json")
         for kind in ("alive", "accusation", "bulletin", "word")
@@ -206,9 +206,9 @@
 
 def test_what_is_signed_of_a_certificate_and_of_a_statement() -> None:
     found = read_packet(golden_hex("frames/gossip-packet/ping.hex"))
-    assert codec.of_certificate(found.certificate) == golden_hex("signing/certificate.hex")
-    alive = found.rumours[0]
-    signed = codec.of_statement(alive.author, alive.at_us, alive.body)
+    assert codec.certificate_signing_input(found.certificate) == golden_hex("signing/certificate.hex")
+    alive = found.broadcasts[0]
+    signed = codec.statement_signing_input(alive.author, alive.at_us, alive.body)
     assert signed == golden_hex("signing/statement.hex")
 
 
@@ -311,15 +311,15 @@
 def test_keys_read_as_their_golden_values(keys: Path) -> None:
     told = golden_json("keys/keys.json")
     for name in ("fleet", "east", "west"):
-        key = files.private(str(keys / f"{name}.key"))
+        key = files.read_private_key(str(keys / f"{name}.key"))
         assert key.encode().hex() == told[f"{name}_private"]
-        assert key.verify_key.encode() == files.public(str(keys / f"{name}.key.pub"))
-    assert [one.hex() for one in files.publics(str(keys / "fleet.key.pub"))] == [told["fleet_public"]]
+        assert key.verify_key.encode() == files.read_public_key(str(keys / f"{name}.key.pub"))
+    assert [one.hex() for one in files.read_fleet_keys(str(keys / "fleet.key.pub"))] == [told["fleet_public"]]
 
 
 @pytest.mark.parametrize("name", ["east", "west"])
 def test_a_certificate_reads_as_its_golden_values(keys: Path, name: str) -> None:
-    found = files.certificate(str(keys / f"{name}.certificate"))
+    found = files.read_certificate(str(keys / f"{name}.certificate"))
     assert_described(found, golden_json("keys/keys.json")[f"{name}_certificate"])
     assert codec.encode(found).hex() + "\n" == (keys / f"{name}.certificate").read_text()
 
@@ -371,7 +371,7 @@
 
 
 def test_revoke_writes_the_golden_list(keys: Path) -> None:
-    assert files.revoked(str(keys / "revoked")) == golden_json("keys/keys.json")["revoked"]
+    assert files.read_revoked(str(keys / "revoked")) == golden_json("keys/keys.json")["revoked"]
     again = keys / "revoked-again"
     assert command.main(["revoke", str(again), str(keys / "west.certificate")]) == 0
     assert command.main(["revoke", str(again), "--serial", "77"]) == 0
