--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -76,7 +76,8 @@
 class SubsystemMessage:
     """A peer's message for another subsystem, or the notice that a peer is dead.
 
-    `alone`: the message is to this instance alone. `left`: the author is dead; topic and body are empty.
+    `alone`: the message is to this instance alone.
+    `left`: the author is dead; topic and body are empty.
     """
 
     author: str
--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -54,8 +54,8 @@
         """Make a transport; `now_us` is the monotonic clock, `on_output` takes the other outputs."""
         self.instance = instance
         self.exchanges = 0  # running state exchanges
-        self.doors: dict[bytes, ProtocolHandler] = {}  # other protocols on this address, by their magic
-        self.local: Address | None = None  # source of outgoing connections; None = the system's choice
+        self.doors: dict[bytes, ProtocolHandler] = {}  # other protocols, by their magic
+        self.local: Address | None = None  # source of connections; None = the system's choice
         self.now_us = now_us
         self._on_output = on_output
         self._loop = asyncio.get_running_loop()
