--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,9 +1,10 @@
-"""The first 5 s of a process that replaces another: with what that one has learnt, and without.
+"""The first 5 s of a process that replaces another one, with its warm-start state and without.
 
     python -m benchmarks.takeover [--seeds 20] [--rate 150] [--instances 2]
 
-The decisions alone, in virtual time: 15 upstreams, of which 3 fail nine of ten at once, 2 answer too late and
-the others answer in some 20 ms. The old process serves for 20 s before. Means over the seeds.
+The balancer alone, in virtual time: of 15 upstreams 3 fail nine of ten requests at once, 2 answer too late,
+and the others answer in about 20 ms. The old process serves for 20 s before. The figures are means over the
+seeds.
 """
 
 from __future__ import annotations
@@ -16,14 +17,28 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.balancer import Balancer
 
-NODES, ILL, SLOW = range(15), (0, 1, 2), (3, 4)
-AIM_US, DEADLINE_US = 300_000, 1_200_000
-
-
-def settings(instances: int) -> api.Settings:
+UPSTREAMS = range(15)
+FAILING_UPSTREAMS = (0, 1, 2)
+SLOW_UPSTREAMS = (3, 4)
+FAILURE_RATE = 0.9
+FAILURE_US = 3_000
+SLOW_RESPONSE_US = 900_000
+LATENCY_OBJECTIVE_US = 300_000
+DEADLINE_US = 1_200_000
+OLD_PROCESS_S = 20.0
+MEASURED_S = (1.0, 5.0)
+OLD_START_US = 1_000_000_000
+NEW_SEED_OFFSET = 1000
+
+
+def create_settings(instances: int) -> api.Settings:
     classes = [
-        api.RequestClass("pay", latency_objective_us=AIM_US, deadline_us=DEADLINE_US, effect="at_most_once"),
-        api.RequestClass("read", latency_objective_us=AIM_US, deadline_us=DEADLINE_US, effect="idempotent"),
+        api.RequestClass(
+            "pay", latency_objective_us=LATENCY_OBJECTIVE_US, deadline_us=DEADLINE_US, effect="at_most_once"
+        ),
+        api.RequestClass(
+            "read", latency_objective_us=LATENCY_OBJECTIVE_US, deadline_us=DEADLINE_US, effect="idempotent"
+        ),
     ]
     return api.Settings(
         classes,
@@ -37,72 +52,126 @@
     )
 
 
+@dataclass
+class SentRequest:
+    """When a request arrived, and how many attempts were sent."""
+
+    arrived_us: int
+    attempt_count: int = 0
+
+
 @dataclass
 class Process:
-    """One process's decisions and what came of its requests."""
+    """The balancer of one process, and the outcomes of its requests."""
 
     balancer: Balancer
-    dice: random.Random
+    rng: random.Random
     now_us: int
-    due: list[tuple[int, int, api.Event]] = field(default_factory=list)  # a heap: when, a number, what
-    number: int = 0
-    sent: dict[int, list[int]] = field(default_factory=dict)  # request: arrival, attempts
-    served: int = 0
-    refused: int = 0
-    failed: int = 0
-    wasted: int = 0  # attempts at upstreams that fail or are late
-
-    def later(self, at_us: int, event: api.Event) -> None:
-        self.number += 1
-        heapq.heappush(self.due, (at_us, self.number, event))
-
-    def tell(self, event: api.Event) -> None:
+    scheduled: list[tuple[int, int, api.Event]] = field(default_factory=list)  # a heap: time, order, event
+    scheduled_count: int = 0
+    requests: dict[int, SentRequest] = field(default_factory=dict)
+    in_time_count: int = 0
+    rejected_count: int = 0
+    failed_count: int = 0
+    wasted_attempt_count: int = 0  # at upstreams that fail or are slow
+
+    def schedule(self, at_us: int, event: api.Event) -> None:
+        self.scheduled_count += 1
+        heapq.heappush(self.scheduled, (at_us, self.scheduled_count, event))
+
+    def handle(self, event: api.Event) -> None:
         for action in self.balancer.handle(self.now_us, event):
             if isinstance(action, api.Send):
                 self.send(action)
             elif isinstance(action, api.SetTimer):
-                self.later(action.at_us, api.TimerFired(action.token))
+                self.schedule(action.at_us, api.TimerFired(action.token))
             elif isinstance(action, api.Refuse):
-                self.refused += 1
+                self.rejected_count += 1
             elif isinstance(action, api.Fail):
-                self.failed += 1
+                self.failed_count += 1
 
     def send(self, action: api.Send) -> None:
-        known = self.sent[action.request]
-        attempt, known[1] = known[1], known[1] + 1
-        node, outcome, takes_us = action.upstream, api.Outcome.OK, int(self.dice.lognormvariate(9.9, 0.3))
-        self.wasted += node in ILL or node in SLOW
-        if node in ILL and self.dice.random() < 0.9:
-            outcome, takes_us = api.Outcome.ERROR, 3_000
-        elif node in SLOW:
-            takes_us = 900_000
-        if takes_us > action.timeout_us > 0:
-            outcome, takes_us = api.Outcome.TIMEOUT, action.timeout_us
-        self.later(
-            self.now_us + takes_us,
-            api.AttemptEnded(action.request, attempt, node, outcome, takes_us, outcome is api.Outcome.OK),
+        request = self.requests[action.request]
+        attempt = request.attempt_count
+        request.attempt_count += 1
+        upstream = action.upstream
+        outcome = api.Outcome.OK
+        elapsed_us = int(self.rng.lognormvariate(9.9, 0.3))
+        is_failing = upstream in FAILING_UPSTREAMS
+        self.wasted_attempt_count += is_failing or upstream in SLOW_UPSTREAMS
+        if is_failing and self.rng.random() < FAILURE_RATE:
+            outcome, elapsed_us = api.Outcome.ERROR, FAILURE_US
+        elif upstream in SLOW_UPSTREAMS:
+            elapsed_us = SLOW_RESPONSE_US
+        if elapsed_us > action.timeout_us > 0:
+            outcome, elapsed_us = api.Outcome.TIMEOUT, action.timeout_us
+        is_ok = outcome is api.Outcome.OK
+        self.schedule(
+            self.now_us + elapsed_us,
+            api.AttemptEnded(action.request, attempt, upstream, outcome, elapsed_us, is_ok),
         )
 
     def run(self, seconds: float, rate: float) -> None:
-        end_us, at_us = self.now_us + int(seconds * 1e6), self.now_us
-        while (at_us := at_us + int(self.dice.expovariate(rate) * 1e6)) < end_us:
-            ident = len(self.sent) + 1
-            self.sent[ident] = [at_us, 0]
-            self.later(at_us, api.RequestArrived(ident, at_us + DEADLINE_US, self.dice.randrange(2)))
-        while self.due and self.due[0][0] < end_us:
-            self.now_us, _, event = heapq.heappop(self.due)
+        end_us = self.now_us + int(seconds * 1e6)
+        arrival_us = self.now_us
+        while (arrival_us := arrival_us + int(self.rng.expovariate(rate) * 1e6)) < end_us:
+            request = len(self.requests) + 1
+            self.requests[request] = SentRequest(arrival_us)
+            deadline_us = arrival_us + DEADLINE_US
+            self.schedule(arrival_us, api.RequestArrived(request, deadline_us, self.rng.randrange(2)))
+        while self.scheduled and self.scheduled[0][0] < end_us:
+            self.now_us, _, event = heapq.heappop(self.scheduled)
             if isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.OK:
-                self.served += self.now_us - self.sent[event.request][0] <= AIM_US
-            self.tell(event)
+                latency_us = self.now_us - self.requests[event.request].arrived_us
+                self.in_time_count += latency_us <= LATENCY_OBJECTIVE_US
+            self.handle(event)
         self.now_us = end_us
 
 
-def start(seed: int, instances: int, now_us: int, told: api.WarmStartState | None) -> Process:
-    one = Process(Balancer(settings(instances), seed, now_us), random.Random(seed), now_us)
-    one.tell(api.UpstreamsUpdated(api.ListKind.FULL, [api.Upstream(node) for node in NODES]))
-    if told is not None:
-        one.tell(told)
-    return one
+@dataclass(frozen=True)
+class Result:
+    """The outcomes of one process."""
+
+    in_time_percent: float
+    rejected_percent: float
+    wasted_attempts: float
+
+
+def start_process(seed: int, instances: int, now_us: int, state: api.WarmStartState | None) -> Process:
+    process = Process(Balancer(create_settings(instances), seed, now_us), random.Random(seed), now_us)
+    upstreams = [api.Upstream(number) for number in UPSTREAMS]
+    process.handle(api.UpstreamsUpdated(api.ListKind.FULL, upstreams))
+    if state is not None:
+        process.handle(state)
+    return process
+
+
+def measure(old: Process, seed: int, options: argparse.Namespace, seconds: float, is_warm: bool) -> Result:
+    """Run a process that replaces `old`, with its state or without."""
+    state = old.balancer.learnt() if is_warm else None
+    process = start_process(seed, options.instances, old.now_us, state)
+    process.run(seconds, options.rate)
+    count = max(1, len(process.requests))
+    return Result(
+        100 * process.in_time_count / count,
+        100 * process.rejected_count / count,
+        float(process.wasted_attempt_count),
+    )
+
+
+def format_pair(cold: list[float], warm: list[float]) -> str:
+    return f"{sum(cold) / len(cold):>10.1f}{sum(warm) / len(warm):>10.1f}"
+
+
+def format_row(cold: list[Result], warm: list[Result]) -> str:
+    pairs = (
+        format_pair([result.in_time_percent for result in cold], [result.in_time_percent for result in warm]),
+        format_pair(
+            [result.rejected_percent for result in cold], [result.rejected_percent for result in warm]
+        ),
+        format_pair([result.wasted_attempts for result in cold], [result.wasted_attempts for result in warm]),
+    )
+    return " ".join(pairs)
 
 
 def main() -> None:
@@ -110,23 +179,18 @@
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--rate", type=float, default=150.0, help="requests a second")
     parser.add_argument("--instances", type=int, default=2)
-    found = parser.parse_args()
-    print(f"{'first':>8} {'in time %':>20} {'refused %':>20} {'wasted attempts':>20}   (without, with)")
-    rows: dict[float, list[list[tuple[float, float, float]]]] = {1.0: [[], []], 5.0: [[], []]}
-    for seed in range(found.seeds):
-        old = start(seed, found.instances, 1_000_000_000, None)
-        old.run(20.0, found.rate)
-        for seconds, columns in rows.items():
-            for column, told in zip(columns, (None, old.balancer.learnt()), strict=True):
-                new = start(seed + 1000, found.instances, old.now_us, told)
-                new.run(seconds, found.rate)
-                count = max(1, len(new.sent))
-                column.append((100 * new.served / count, 100 * new.refused / count, float(new.wasted)))
-    for seconds, columns in rows.items():
-        pairs = [
-            [sum(one[index] for one in column) / len(column) for column in columns] for index in range(3)
-        ]
-        print(f"{seconds:>6.0f} s " + " ".join(f"{a:>10.1f}{b:>10.1f}" for a, b in pairs))
+    options = parser.parse_args()
+    cold: dict[float, list[Result]] = {seconds: [] for seconds in MEASURED_S}
+    warm: dict[float, list[Result]] = {seconds: [] for seconds in MEASURED_S}
+    for seed in range(options.seeds):
+        old = start_process(seed, options.instances, OLD_START_US, None)
+        old.run(OLD_PROCESS_S, options.rate)
+        for seconds in MEASURED_S:
+            cold[seconds].append(measure(old, seed + NEW_SEED_OFFSET, options, seconds, False))
+            warm[seconds].append(measure(old, seed + NEW_SEED_OFFSET, options, seconds, True))
+    print(f"{'first':>8} {'in time %':>20} {'rejected %':>20} {'wasted attempts':>20}   (without, with)")
+    for seconds in MEASURED_S:
+        print(f"{seconds:>6.0f} s {format_row(cold[seconds], warm[seconds])}")
 
 
 if __name__ == "__main__":
--- a/sidecar_proxy/cli/fleet.py
+++ b/sidecar_proxy/cli/fleet.py
@@ -1,8 +1,7 @@
-"""`python3 -m sidecar_proxy fleet …`: the fleet is begun, told words that hold for all, and looked at, by the
-door of any of its sidecars.
+"""`python3 -m sidecar_proxy fleet …`: commands for the whole fleet, sent to the admin server of any sidecar.
 
-Exit: 0 done; 1 an error; 2 a wrong call; 3 unknown (say it again with the same --id); 4 no quorum, nothing
-was changed.
+Exit status: 0 done; 1 an error; 2 a wrong call; 3 unknown (repeat it with the same --id); 4 no quorum,
+nothing was changed.
 """
 
 from __future__ import annotations
@@ -13,179 +12,230 @@
 import socket
 import sys
 import time
+from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 TIMEOUT_S = 10.0
-MOST_ANSWER = 16 << 20
-EXITS = {"done": 0, "error": 1, "unknown": 3, "no quorum": 4}
-
-
-def call(door: str, line: str) -> str:
-    """One line at a door, and its answer. Raises OSError, ValueError."""
-    host, _, port = door.rpartition(":")
+MAX_ANSWER_BYTES = 16 << 20
+RECEIVE_BYTES = 65536
+ID_BYTES = 4
+MAX_SHOWN_SIDECARS = 5
+END_LINE = "end"  # after an answer of several values
+EXIT_ERROR = 1
+EXIT_STATUS_BY_ANSWER = {"done": 0, "error": EXIT_ERROR, "unknown": 3, "no quorum": 4}
+
+
+def call(address: str, line: str) -> str:
+    """Send one FLEET command to an admin server and return the answer. Raises OSError and ValueError."""
+    host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
-        raise ValueError(f"{door}: expected HOST:PORT")
-    with socket.create_connection((host.strip("[]"), int(port)), timeout=TIMEOUT_S) as one:
-        one.sendall(f"FLEET {line}\n".encode())
-        parts, size = [], 0
-        while data := one.recv(65536):
+        raise ValueError(f"{address}: expected HOST:PORT")
+    parts = []
+    size = 0
+    with socket.create_connection((host.strip("[]"), int(port)), timeout=TIMEOUT_S) as connection:
+        connection.sendall(f"FLEET {line}\n".encode())
+        while data := connection.recv(RECEIVE_BYTES):
             parts.append(data)
             size += len(data)
-            if size > MOST_ANSWER:
+            if size > MAX_ANSWER_BYTES:
                 raise ValueError("an answer without end")
     return b"".join(parts).decode("utf-8", "replace").rstrip("\n")
 
 
-def record(door: str, line: str) -> dict[str, Any]:
-    """Raises OSError, ValueError."""
-    answer = call(door, line)
+def call_for_object(address: str, line: str) -> dict[str, Any]:
+    """Send one FLEET command whose answer is a JSON object. Raises OSError and ValueError."""
+    answer = call(address, line)
     text, _, end = answer.rpartition("\n")
-    if end != "end":
+    if end != END_LINE:
         raise ValueError(answer or "no answer")
-    found: dict[str, Any] = json.loads(text)
-    return found
+    decoded: dict[str, Any] = json.loads(text)
+    return decoded
 
 
-def ago(seconds: float | None) -> str:
+def format_age(seconds: float | None) -> str:
+    """Return an age as text."""
     return "never" if seconds is None else f"{seconds:.1f} s ago"
 
 
-def at(ms: int | None) -> str:
-    return "?" if ms is None else time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(ms / 1000))
+def format_time(unix_ms: int | None) -> str:
+    """Return a time in UTC as text."""
+    return "?" if unix_ms is None else time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(unix_ms / 1000))
 
 
-def status(found: dict[str, Any]) -> list[str]:
-    if not found["fleet"]:
-        return [f"{found['name']}: no fleet was begun, as far as it knows"]
-    leads = (
-        f"{found['leader']} leads since {found['leader_since_s']:.1f} s"
-        if found["leader"]
-        else f"nobody leads, as far as it knows, since {found['leaderless_s']:.1f} s"
-    )
+def format_status(status: dict[str, Any]) -> list[str]:
+    """Return the lines of `fleet status`."""
+    if not status["fleet"]:
+        return [f"{status['name']}: no fleet was begun, as far as it knows"]
+    if status["leader"]:
+        leader = f"{status['leader']} leads since {status['leader_since_s']:.1f} s"
+    else:
+        leader = f"nobody leads, as far as it knows, since {status['leaderless_s']:.1f} s"
+    slow_disk = ", its disk is slow" if status["writing"] else ""
     lines = [
-        f"fleet {found['fleet']}, term {found['term']}: {leads}",
-        f"told by {found['name']}, {found['role']}; up to date {ago(found['age_s'])}; committed "
-        f"{found['commit']}, in effect {found['applied']}{', its disk is slow' * found['writing']}",
+        f"fleet {status['fleet']}, term {status['term']}: {leader}",
+        f"told by {status['name']}, {status['role']}; up to date {format_age(status['age_s'])}; committed "
+        f"{status['commit']}, in effect {status['applied']}{slow_disk}",
     ]
-    for one in found["sidecars"]:
-        lines.append(
-            f"  {one['name']}{' votes,' if one['votes'] else ''} word {one['applied']}"
-            f"{', ' + str(one['behind']) + ' behind' if one['behind'] else ''}"
-        )
-    return lines + [f"  {node}: votes, and is not there" for node in found["lost"]]
+    for sidecar in status["sidecars"]:
+        votes = " votes," if sidecar["votes"] else ""
+        behind = f", {sidecar['behind']} behind" if sidecar["behind"] else ""
+        lines.append(f"  {sidecar['name']}{votes} word {sidecar['applied']}{behind}")
+    return lines + [f"  {node}: votes, and is not there" for node in status["lost"]]
+
+
+def format_voters(status: dict[str, Any]) -> list[str]:
+    """Return the lines of `fleet members`."""
+    present = {sidecar["node"] for sidecar in status["sidecars"]}
+    lines = []
+    for node in status["voters"]:
+        presence = "there" if node in present else "not there"
+        leads = "  leads" if node == status["leader"] else ""
+        lines.append(f"{node}  {presence}{leads}")
+    return lines
 
 
-def members(found: dict[str, Any]) -> list[str]:
-    there = {one["node"]: one for one in found["sidecars"]}
-    return [
-        f"{node}  {'there' if node in there else 'not there'}{'  leads' if node == found['leader'] else ''}"
-        for node in found["voters"]
-    ]
+def format_log(answer: dict[str, Any]) -> list[str]:
+    """Return the lines of `fleet log`."""
+    lines = [f"up to date {format_age(answer['age_s'])}"]
+    for command in answer["words"]:
+        value = f" = {command['value']}" if command["value"] else ""
+        lines.append(
+            f"{command['index']}  {format_time(command['at_ms'])}  {command['kind']} {command['name']}"
+            f"{value}  id {command['id']}, by {command['by']}; {format_effect(command['in_effect_ms'])}"
+        )
+    return lines
 
 
-def log(found: dict[str, Any]) -> list[str]:
-    lines = [f"up to date {ago(found['age_s'])}"]
-    for one in found["words"]:
-        missing = [name for name, ms in one["in_effect_ms"].items() if ms is None]
-        last = max((ms for ms in one["in_effect_ms"].values() if ms is not None), default=None)
-        value = f" = {one['value']}" if one["value"] else ""
-        state = f"not yet at {', '.join(missing[:5])}" if missing else f"in effect at all by {at(last)}"
+def format_effect(effect_ms_by_sidecar: dict[str, int | None]) -> str:
+    """Return where a command is in effect, and since when."""
+    missing = [name for name, effect_ms in effect_ms_by_sidecar.items() if effect_ms is None]
+    if missing:
+        return f"not yet at {', '.join(missing[:MAX_SHOWN_SIDECARS])}"
+    known = [effect_ms for effect_ms in effect_ms_by_sidecar.values() if effect_ms is not None]
+    return f"in effect at all by {format_time(max(known, default=None))}"
+
+
+def format_state(state: dict[str, Any]) -> list[str]:
+    """Return the lines of `fleet words`."""
+    fleet = state["fleet"] or "(none)"
+    lines = [f"fleet {fleet}, up to word {state['index']}; up to date {format_age(state['age_s'])}"]
+    for name, upstream in state["held"].items():
+        lines.append(f"{upstream['kind']} {name}  since word {upstream['index']}")
+    for name, setting in state["settings"].items():
+        lines.append(f"{name} = {setting['value']}  since word {setting['index']}")
+    for permit in state["places"]:
+        forced = f", forced: {permit['forced']}" if permit["forced"] else ""
         lines.append(
-            f"{one['index']}  {at(one['at_ms'])}  {one['kind']} {one['name']}{value}  "
-            f"id {one['id']}, by {one['by']}; {state}"
+            f"{permit['what']} {permit['name']} holds a place since word {permit['index']}, "
+            f"by {permit['by']}{forced}"
         )
+    lines += [f"{name} waits for a place" for name in state["line"]]
+    lines += [f"word {index} is of a kind that this version does not know" for index in state["unread"]]
     return lines
 
 
-def words(found: dict[str, Any]) -> list[str]:
-    lines = [
-        f"fleet {found['fleet'] or '(none)'}, up to word {found['index']}; up to date {ago(found['age_s'])}"
-    ]
-    lines += [f"{one['kind']} {name}  since word {one['index']}" for name, one in found["held"].items()]
-    lines += [
-        f"{name} = {one['value']}  since word {one['index']}" for name, one in found["settings"].items()
-    ]
-    lines += [
-        f"{one['what']} {one['name']} holds a place since word {one['index']}, by {one['by']}"
-        f"{', forced: ' + one['forced'] if one['forced'] else ''}"
-        for one in found["places"]
-    ]
-    lines += [f"{name} waits for a place" for name in found["line"]]
-    return lines + [f"word {index} is of a kind that this version does not know" for index in found["unread"]]
+@dataclass(slots=True, frozen=True)
+class Query:
+    """A subcommand that shows something."""
 
+    line: str  # sent to the admin server
+    format: Callable[[dict[str, Any]], list[str]]
+    help: str
 
-SHOWS = {
-    "status": ("STATUS", status, "who leads since when, who is behind and by how much"),
-    "members": ("STATUS", members, "who votes"),
-    "log": ("LOG", log, "the latest words: by whom, when, and where they are in effect"),
-    "words": ("WORDS", words, "what holds, as this sidecar knows it"),
+
+QUERIES = {
+    "status": Query("STATUS", format_status, "who leads since when, who is behind and by how much"),
+    "members": Query("STATUS", format_voters, "who votes"),
+    "log": Query("LOG", format_log, "the latest commands: by whom, when, and where they are in effect"),
+    "words": Query("WORDS", format_state, "what holds, as this sidecar knows it"),
 }
-SAYS = {
-    "suspend": "nothing new is sent to an upstream until it is resumed",
-    "drain": "nothing new is sent to an upstream until its next start",
-    "resume": "an upstream may be sent to again",
-    "permit": "take a place to be out, of node:NAME or sidecar:NAME",
-    "return": "it is free again",
-    "set": "a setting for all",
-    "unset": "none any more",
+COMMAND_HELP = {
+    "suspend": "send nothing new to an upstream until it is resumed",
+    "drain": "send nothing new to an upstream until its next start",
+    "resume": "send to an upstream again",
+    "permit": "take a permit to be out, for node:NAME or sidecar:NAME",
+    "return": "return a permit",
+    "set": "set a setting of the fleet",
+    "unset": "remove a setting of the fleet",
 }
+COMMANDS_WITH_PERMIT = ("suspend", "drain", "permit")
 
 
-def show(told: argparse.Namespace) -> int:
-    line, shown, _ = SHOWS[told.command]
-    found = record(told.door, line)
-    print(json.dumps(found) if told.json else "\n".join(shown(found)))
+def run_query(options: argparse.Namespace) -> int:
+    """Run a subcommand of QUERIES. Raises OSError and ValueError."""
+    query = QUERIES[options.command]
+    answer = call_for_object(options.address, query.line)
+    print(json.dumps(answer) if options.json else "\n".join(query.format(answer)))
     return 0
 
 
-def say(told: argparse.Namespace) -> int:
-    ident = told.id or secrets.token_hex(4)
-    parts = {"begin": ["BEGIN"], "read": ["READ", told.name]}.get(
-        told.command, [told.command.upper(), ident, told.name]
-    )
-    if told.value:
-        parts.append(told.value)
-    if any(not part.isprintable() for part in parts):
+def run_command(options: argparse.Namespace) -> int:
+    """Run a subcommand that the leader has to handle. Raises OSError and ValueError."""
+    command_id = options.id or secrets.token_hex(ID_BYTES)
+    words = command_words(options, command_id)
+    if any(not word.isprintable() for word in words):
         raise ValueError("expected printable characters")
-    answer = call(told.door, " ".join(parts))
-    what = next((one for one in EXITS if answer.startswith(one)), "error")
-    if told.json:
-        print(json.dumps({"answer": what, "text": answer, "id": ident}))
+    answer = call(options.address, " ".join(words))
+    status = next((known for known in EXIT_STATUS_BY_ANSWER if answer.startswith(known)), "error")
+    if options.json:
+        print(json.dumps({"answer": status, "text": answer, "id": command_id}))
     else:
-        print(f"{answer}{f' (--id {ident})' if what == 'unknown' else ''}")
-    return EXITS[what]
+        hint = f" (--id {command_id})" if status == "unknown" else ""
+        print(f"{answer}{hint}")
+    return EXIT_STATUS_BY_ANSWER[status]
 
 
-def main(arguments: list[str]) -> int:
+def command_words(options: argparse.Namespace, command_id: str) -> list[str]:
+    """Return the words of the FLEET command for a subcommand."""
+    if options.command == "begin":
+        words = ["BEGIN"]
+    elif options.command == "read":
+        words = ["READ", options.name]
+    else:
+        words = [options.command.upper(), command_id, options.name]
+    if options.value:
+        words.append(options.value)
+    return words
+
+
+def create_parser() -> argparse.ArgumentParser:
+    """Return the parser of the `fleet` command."""
     parser = argparse.ArgumentParser(
         prog="python3 -m sidecar_proxy fleet",
         description=__doc__,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    commands = parser.add_subparsers(dest="command", required=True)
-
-    def command(name: str, text: str, run: Any) -> argparse.ArgumentParser:
-        one = commands.add_parser(name, help=text)
-        one.add_argument("door", metavar="HOST:PORT", help="a sidecar's door")
-        one.add_argument("--json", action="store_true")
-        one.set_defaults(run=run, id="", name="", value="")
-        return one
-
-    command("begin", "make a fleet of the sidecars that know one another; once, by one of them", say)
-    for name, (_, _, text) in SHOWS.items():
-        command(name, text, show)
-    command("read", "what holds of an upstream or setting, by the leader's word", say).add_argument("name")
-    for name, text in SAYS.items():
-        one = command(name, text, say)
-        one.add_argument("name")
+    subparsers = parser.add_subparsers(dest="command", required=True)
+
+    def add(name: str, help_text: str, run: Callable[[argparse.Namespace], int]) -> argparse.ArgumentParser:
+        subparser = subparsers.add_parser(name, help=help_text)
+        subparser.add_argument("address", metavar="HOST:PORT", help="a sidecar's admin server")
+        subparser.add_argument("--json", action="store_true")
+        subparser.set_defaults(run=run, id="", name="", value="")
+        return subparser
+
+    add("begin", "create a fleet of the sidecars that know one another; once, at one of them", run_command)
+    for name, query in QUERIES.items():
+        add(name, query.help, run_query)
+    read = add("read", "what holds of an upstream or setting, as the leader knows it", run_command)
+    read.add_argument("name")
+    for name, help_text in COMMAND_HELP.items():
+        subparser = add(name, help_text, run_command)
+        subparser.add_argument("name")
         if name == "set":
-            one.add_argument("value")
-        elif name in ("suspend", "drain", "permit"):
-            one.add_argument("value", nargs="?", choices=["force", "wait"], default="")
-        one.add_argument("--id", default="", help="of this word; the same one says it again")
-    told = parser.parse_args(arguments)
+            subparser.add_argument("value")
+        elif name in COMMANDS_WITH_PERMIT:
+            subparser.add_argument("value", nargs="?", choices=["force", "wait"], default="")
+        subparser.add_argument("--id", default="", help="of this command; the same id repeats it")
+    return parser
+
+
+def main(arguments: list[str]) -> int:
+    """Run the `fleet` command and return its exit status."""
+    options = create_parser().parse_args(arguments)
     try:
-        return int(told.run(told))
+        return int(options.run(options))
     except (OSError, ValueError) as error:
         print(f"sidecar_proxy: {error}", file=sys.stderr)
-        return 1
+        return EXIT_ERROR
--- a/sidecar_proxy/consensus/disruption_budgets.py
+++ b/sidecar_proxy/consensus/disruption_budgets.py
@@ -1,185 +1,266 @@
-"""Places to be out: who holds one, whether one more may be given, and who is next. Pure: part of the state
-that the agreed words come to, so it goes by the words alone.
+"""Disruption budgets: who holds a permit to be out, whether one more may be granted, and who is next.
+
+A permit is held for an upstream that is drained, suspended or restarted, or for a sidecar that is paused.
+The budgets are settings of the replicated state. Everything here is part of that state, so it depends on
+the committed commands alone, and texts that are stored in it must not change.
 """
 
 from __future__ import annotations
 
+import enum
 from collections.abc import Iterable, Mapping
 from typing import Annotated
 
 import msgspec
 from msgspec import Meta
 
-MOST_PLACES = 500
-MOST_LINE = 100  # who waits
-MOST_TOLD = 8  # of what is out by itself, by name; the rest is a number
-WHAT = ("node", "sidecar")
-SCOPES = ("", "site", "class", "cell")
-BUDGET = "out."  # settings: out.node, out.node.site, out.sidecar, ...
+MAX_PERMITS = 500
+MAX_QUEUED_PERMITS = 100
+MAX_NAMED_UNAVAILABLE = 8  # the others are only counted
+MAX_REASON_CHARS = 200
+MAX_REASON_NAMES = 5
+MAX_SETTING_DIGITS = 9
+SETTING_PREFIX = "out."  # the settings are out.node, out.node.site, out.sidecar, ...
 
 Text = Annotated[str, Meta(max_length=128)]
-Whole = Annotated[int, Meta(ge=0, le=1 << 53)]
+UnsignedInt = Annotated[int, Meta(ge=0, le=1 << 53)]
+
+
+class TargetKind(enum.StrEnum):
+    """What a permit is for. The values are those of the commands and settings."""
+
+    UPSTREAM = "node"
+    SIDECAR = "sidecar"
+
+
+class Scope(enum.StrEnum):
+    """What a budget counts. The values are the last part of a setting's name."""
+
+    ALL = ""
+    SITE = "site"
+    CLASS = "class"
+    CELL = "cell"
 
 
-class Member(msgspec.Struct, array_like=True, frozen=True):
-    """A node or sidecar, with what it counts under."""
+class Target(msgspec.Struct, array_like=True, frozen=True):
+    """An upstream or a sidecar, with the groups in which it counts."""
 
     name: Annotated[str, Meta(max_length=256)]
     site: Text = ""
-    kind: Text = ""
-    cell: Text = ""
+    upstream_class: Text = ""
+    cell: Text = ""  # of a sidecar: its process id
 
-    def under(self, scope: str) -> str:
-        return {"": "", "site": self.site, "class": self.kind, "cell": self.cell}[scope]
+    def group(self, scope: str) -> str:
+        """Return the group in which the target counts for budgets of a scope."""
+        groups = {
+            Scope.ALL: "",
+            Scope.SITE: self.site,
+            Scope.CLASS: self.upstream_class,
+            Scope.CELL: self.cell,
+        }
+        return groups[Scope(scope)]
 
+    def shares_group(self, other: Target, scope: str) -> bool:
+        """Tell whether both count for the same budget of a scope."""
+        return self.group(scope) == other.group(scope)
 
-class Facts(msgspec.Struct, array_like=True, frozen=True):
-    """What the leader knows as it proposes: of whom it is about, of how many there are under each scope, and
-    of those that are out without a place.
-    """
 
-    what: Annotated[str, Meta(max_length=8)]
-    about: Member
-    total: tuple[Whole, Whole, Whole, Whole]  # by SCOPES, where `about` is
-    down: Annotated[tuple[Member, ...], Meta(max_length=MOST_TOLD)] = ()
-    more: Whole = 0  # that are down too
+class DisruptionFacts(msgspec.Struct, array_like=True, frozen=True):
+    """What the leader knows when it proposes a command that needs or returns a permit."""
+
+    target_kind: Annotated[str, Meta(max_length=8)]
+    target: Target
+    totals: tuple[UnsignedInt, UnsignedInt, UnsignedInt, UnsignedInt]  # in the target's groups, by Scope
+    unavailable: Annotated[tuple[Target, ...], Meta(max_length=MAX_NAMED_UNAVAILABLE)] = ()  # without permit
+    unnamed_unavailable_count: UnsignedInt = 0
+
 
+class Permit(msgspec.Struct, array_like=True, frozen=True):
+    """The permission to be out."""
 
-class Place(msgspec.Struct, array_like=True, frozen=True):
-    index: Whole  # since that word
-    what: str
-    member: Member
-    by: str  # the sidecar at whose door it was asked for
-    id: str
-    born_ms: Whole  # of the start that goes out; 0 = long ago
-    at_ms: Whole  # for people
-    forced: str = ""  # what it broke
+    index: UnsignedInt  # of the command that granted it
+    target_kind: str
+    target: Target
+    requested_by: str  # the sidecar whose admin server was asked
+    id: str  # of the command that asked for it
+    started_ms: UnsignedInt  # the start of the target's process; 0 = long ago
+    requested_at_ms: UnsignedInt  # only shown
+    exceeded_budget: str = ""  # the reason that was overridden by force
 
 
-class Waiting(msgspec.Struct, array_like=True, frozen=True):
-    place: Place
-    facts: Facts
+class QueuedPermit(msgspec.Struct, array_like=True, frozen=True):
+    """A permit that waits until the budgets allow it."""
 
+    permit: Permit
+    facts: DisruptionFacts
 
-class Places(msgspec.Struct, array_like=True):
-    """By kind and name."""
 
-    held: dict[str, Place] = {}
-    line: list[Waiting] = []
-    forced: int = 0  # ever
+class PermitState(msgspec.Struct, array_like=True):
+    """All permits; a part of the replicated state."""
 
+    granted: dict[str, Permit] = {}  # by `permit_key`
+    queue: list[QueuedPermit] = []
+    forced_count: int = 0  # ever
 
-def key_of(what: str, name: str) -> str:
-    return f"{what}:{name}"
 
+def permit_key(target_kind: str, name: str) -> str:
+    """Return the key of a target's permit."""
+    return f"{target_kind}:{name}"
 
-def limit(setting: str, total: int) -> int | None:
-    """Of a budget's setting, where there are so many; None: it can't be read."""
-    text, percent = setting.strip().removesuffix("%"), setting.strip().endswith("%")
-    if not text.isascii() or not text.isdigit() or len(text) > 9:
+
+def parse_limit(setting: str, total: int) -> int | None:
+    """Return how many of `total` may be out by a budget's setting, or None if it is not valid."""
+    stripped = setting.strip()
+    number = stripped.removesuffix("%")
+    if not number.isascii() or not number.isdigit() or len(number) > MAX_SETTING_DIGITS:
         return None
-    return max(1, total * int(text) // 100) if percent and int(text) else int(text)
+    if stripped.endswith("%") and int(number):
+        return max(1, total * int(number) // 100)
+    return int(number)
 
 
-def check_budget(key: str, value: str) -> str:
-    """What is wrong with a setting that is a budget; "" = nothing, or it is none."""
-    if not key.startswith(BUDGET):
+def check_budget_setting(name: str, value: str) -> str:
+    """Return what is wrong with a setting if it is a budget; "" = nothing."""
+    if not name.startswith(SETTING_PREFIX):
         return ""
-    what, _, scope = key.removeprefix(BUDGET).partition(".")
-    if what not in WHAT or scope not in SCOPES or key.endswith("."):
+    target_kind, _, scope = name.removeprefix(SETTING_PREFIX).partition(".")
+    if target_kind not in list(TargetKind) or scope not in list(Scope) or name.endswith("."):
         return "expected out.node or out.sidecar, and .site, .class or .cell or nothing"
-    return "" if limit(value, 100) is not None else "expected a count or a share, as 2 or 10%"
+    if parse_limit(value, 100) is None:
+        return "expected a count or a share, as 2 or 10%"
+    return ""
 
 
-def budgets(settings: Mapping[str, str], what: str) -> dict[str, str]:
-    """By scope."""
-    base = BUDGET + what
-    found = {scope: settings.get(f"{base}.{scope}" if scope else base, "") for scope in SCOPES}
-    return {scope: value for scope, value in found.items() if value}
+def budgets(settings: Mapping[str, str], target_kind: str) -> dict[Scope, str]:
+    """Return the settings of the budgets for a kind of target."""
+    base = SETTING_PREFIX + target_kind
+    by_scope = {scope: settings.get(f"{base}.{scope}" if scope else base, "") for scope in Scope}
+    return {scope: setting for scope, setting in by_scope.items() if setting}
 
 
-def over(places: Places, settings: Mapping[str, str], facts: Facts, out: Iterable[str] = ()) -> str:
-    """Which budget one more would break, and who is out; "" = none. `out`: names held out without a place, of
-    whom nothing more is known: they count everywhere.
+def exceeded_budget(
+    state: PermitState, settings: Mapping[str, str], facts: DisruptionFacts, excluded: Iterable[str] = ()
+) -> str:
+    """Return which budget one more target would exceed, and who is out; "" = none.
+
+    `excluded` names the upstreams that are excluded without a permit. Nothing else is known of them, so they
+    count in every group.
     """
-    about, what = facts.about, facts.what
-    others = {one.member.name: one.member for one in places.held.values() if one.what == what}
-    others |= {one.name: one for one in facts.down if one.name not in others}
-    unknown = {name for name in out if name not in others} if what == "node" else set()
-    others.pop(about.name, None)
-    unknown.discard(about.name)
-    for number, (scope, setting) in enumerate(
-        (scope, budgets(settings, what).get(scope, "")) for scope in SCOPES
-    ):
-        if not setting:
+    target = facts.target
+    others = {
+        permit.target.name: permit.target
+        for permit in state.granted.values()
+        if permit.target_kind == facts.target_kind
+    }
+    others |= {other.name: other for other in facts.unavailable if other.name not in others}
+    ungrouped: set[str] = set()
+    if facts.target_kind == TargetKind.UPSTREAM:
+        ungrouped = {name for name in excluded if name not in others}
+    others.pop(target.name, None)
+    ungrouped.discard(target.name)
+    configured = budgets(settings, facts.target_kind)
+    for scope, total in zip(Scope, facts.totals, strict=True):
+        if scope not in configured:
             continue
-        most = limit(setting, facts.total[number]) or 0
-        there = [name for name, one in others.items() if one.under(scope) == about.under(scope)]
-        count = len(there) + len(unknown) + facts.more
-        if count + 1 > most:
-            place = f" of {scope} {about.under(scope)}" if scope else ""
-            names = ", ".join(sorted([*there, *unknown])[:5])
-            return f"{count} {what}s{place} are out ({names}), {most} may be"[:200]
+        max_out = parse_limit(configured[scope], total) or 0
+        names = [name for name, other in others.items() if other.shares_group(target, scope)]
+        names += ungrouped
+        out_count = len(names) + facts.unnamed_unavailable_count
+        if out_count + 1 > max_out:
+            group = f" of {scope} {target.group(scope)}" if scope else ""
+            listed = ", ".join(sorted(names)[:MAX_REASON_NAMES])
+            reason = f"{out_count} {facts.target_kind}s{group} are out ({listed}), {max_out} may be"
+            return reason[:MAX_REASON_CHARS]
     return ""
 
 
-def ask(
-    places: Places,
+class PermitOutcome(msgspec.Struct, frozen=True):
+    """The answer to a request for a permit: granted, queued or rejected."""
+
+    rejection: str = ""
+    queued: str = ""  # what it waits for
+
+
+def request_permit(
+    state: PermitState,
     settings: Mapping[str, str],
-    place: Place,
-    facts: Facts | None,
-    out: Iterable[str],
+    permit: Permit,
+    facts: DisruptionFacts | None,
+    excluded: Iterable[str],
     force: bool = False,
     wait: bool = False,
-) -> str:
-    """One more is to be out. "" = it has its place; "queued…" = it waits for one; else why not."""
-    key = key_of(place.what, place.member.name)
-    held = places.held.get(key)
-    if held is not None:
-        return f"{held.member.name} is out already: {held.id} by {held.by}"
-    if len(places.held) >= MOST_PLACES:
+) -> PermitOutcome:
+    """Grant a permit, queue it if `wait` is set, or reject it.
+
+    `force` grants it beyond the budgets and before those that wait.
+    """
+    rejection = _check_permit_request(state, permit, facts)
+    if rejection or facts is None:
+        return PermitOutcome(rejection)
+    reason = exceeded_budget(state, settings, facts, excluded)
+    ahead_count = sum(queued.permit.target_kind == permit.target_kind for queued in state.queue)
+    if force or not (reason or ahead_count):
+        state.forced_count += bool(reason)
+        key = permit_key(permit.target_kind, permit.target.name)
+        state.granted[key] = msgspec.structs.replace(permit, target=facts.target, exceeded_budget=reason)
+        return PermitOutcome()
+    if not wait:
+        return PermitOutcome(rejection=reason or f"{ahead_count} wait for a place before it")
+    if len(state.queue) >= MAX_QUEUED_PERMITS:
+        return PermitOutcome(rejection="too many are waiting")
+    state.queue.append(QueuedPermit(msgspec.structs.replace(permit, target=facts.target), facts))
+    return PermitOutcome(queued=f"queued, {ahead_count} before it: {reason or 'others wait'}")
+
+
+def _check_permit_request(state: PermitState, permit: Permit, facts: DisruptionFacts | None) -> str:
+    granted = state.granted.get(permit_key(permit.target_kind, permit.target.name))
+    if granted is not None:
+        return f"{granted.target.name} is out already: {granted.id} by {granted.requested_by}"
+    if len(state.granted) >= MAX_PERMITS:
         return "too many places are held"
-    if facts is None or facts.about.name != place.member.name or facts.what != place.what:
+    if facts is None or facts.target.name != permit.target.name or facts.target_kind != permit.target_kind:
         return "nobody has said what is out now"
-    why = over(places, settings, facts, out)
-    ahead = [one for one in places.line if one.place.what == place.what]
-    if force or not (why or ahead):
-        places.forced += bool(why)
-        places.held[key] = msgspec.structs.replace(place, member=facts.about, forced=why)
-        return ""
-    if not wait:
-        return why or f"{len(ahead)} wait for a place before it"
-    if len(places.line) >= MOST_LINE:
-        return "too many are waiting"
-    places.line.append(Waiting(msgspec.structs.replace(place, member=facts.about), facts))
-    return f"queued, {len(ahead)} before it: {why or 'others wait'}"
+    return ""
 
 
-def give_back(
-    places: Places,
+def return_permit(
+    state: PermitState,
     settings: Mapping[str, str],
-    what: str,
+    target_kind: str,
     name: str,
-    facts: Facts | None,
-    out: Iterable[str],
+    facts: DisruptionFacts | None,
+    excluded: Iterable[str],
     index: int,
-) -> list[Place]:
-    """A place is free, or one no longer waits; returns those who get theirs now, in the line's order: who
-    does not fit holds up those behind it, so that nobody waits for ever.
+) -> list[Permit]:
+    """Remove a target's permit or its place in the queue, and return the permits that are granted now.
+
+    The queue is served in order: a request that does not fit holds up those behind it, so that none waits
+    for ever.
     """
-    places.held.pop(key_of(what, name), None)
-    places.line = [one for one in places.line if (one.place.what, one.place.member.name) != (what, name)]
-    given = []
-    while facts is not None and facts.what == what:
-        first = next((one for one in places.line if one.place.what == what), None)
+    state.granted.pop(permit_key(target_kind, name), None)
+    state.queue = [
+        queued
+        for queued in state.queue
+        if queued.permit.target_kind != target_kind or queued.permit.target.name != name
+    ]
+    newly_granted: list[Permit] = []
+    if facts is None or facts.target_kind != target_kind:
+        return newly_granted
+    while True:
+        first = next((queued for queued in state.queue if queued.permit.target_kind == target_kind), None)
         if first is None:
-            break
-        # what is out now, as told with this word; of how many there are, as told with the first one's own
-        now = Facts(what, first.place.member, first.facts.total, facts.down, facts.more)
-        if over(places, settings, now, out):
-            break
-        places.line.remove(first)
-        place = msgspec.structs.replace(first.place, index=index)
-        places.held[key_of(what, place.member.name)] = place
-        given.append(place)
-    return given
+            return newly_granted
+        # What is out now comes with this command, the size of the groups with the queued one.
+        current_facts = DisruptionFacts(
+            target_kind,
+            first.permit.target,
+            first.facts.totals,
+            facts.unavailable,
+            facts.unnamed_unavailable_count,
+        )
+        if exceeded_budget(state, settings, current_facts, excluded):
+            return newly_granted
+        state.queue.remove(first)
+        permit = msgspec.structs.replace(first.permit, index=index)
+        state.granted[permit_key(target_kind, permit.target.name)] = permit
+        newly_granted.append(permit)
--- /dev/null
+++ b/sidecar_proxy/consensus/fleet_commands.py
@@ -0,0 +1,231 @@
+"""The admin commands of consensus: `FLEET …`, and permits for `PAUSE` and `RESUME` of this sidecar."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import secrets
+from collections.abc import Awaitable, Callable
+from functools import partial
+from typing import Any, Protocol
+
+from sidecar_proxy.admin.server import AdminCommand, AdminCommandError, AdminServer
+from sidecar_proxy.consensus import disruption_budgets, replicated_commands
+from sidecar_proxy.consensus.disruption_budgets import TargetKind, permit_key
+from sidecar_proxy.consensus.outputs import Output
+from sidecar_proxy.consensus.proposals import ProposalResult, ProposalStatus
+from sidecar_proxy.consensus.raft import ProposalRejectedError
+from sidecar_proxy.consensus.replica import Replica
+from sidecar_proxy.consensus.replicated_commands import (
+    FORCE,
+    WAIT,
+    CommandError,
+    CommandKind,
+    ReplicatedCommand,
+)
+from sidecar_proxy.consensus.witness import DisruptionWitness
+from sidecar_proxy.engine import wall_clock
+
+COMMAND_KINDS: dict[str, str] = {kind.value.upper(): kind for kind in CommandKind}
+UPSTREAM_PREFIX = permit_key(TargetKind.UPSTREAM, "")
+DONE_ANSWER = "done"
+
+
+class CommandHost(Protocol):
+    """The subsystem that the commands belong to."""
+
+    replica: Replica
+    witness: DisruptionWitness
+    is_closed: bool
+
+    def perform(self, outputs: list[Output]) -> None:
+        """Perform the effects of the replica."""
+
+    def now_us(self) -> int:
+        """Return the engine's time."""
+
+    def frame_counts(self) -> dict[str, int]:
+        """Return the transport's counts."""
+
+
+class FleetCommands:
+    """Handles the admin commands, and the requests that wait for their result."""
+
+    def __init__(self, host: CommandHost, loop: asyncio.AbstractEventLoop) -> None:
+        self.host = host
+        self.loop = loop
+        self.futures: dict[int, asyncio.Future[ProposalResult]] = {}  # by context
+        self.last_context = 0  # contexts begin at 1; 0 is a request that nobody waits for
+
+    def register(self, server: AdminServer) -> None:
+        """Add the commands to the admin server."""
+        server.calls["FLEET"] = self.handle_fleet
+        for name, handler in (("PAUSE", self.handle_pause), ("RESUME", self.handle_resume)):
+            if name in server.calls:
+                server.calls[name] = partial(handler, server.calls[name])
+
+    def on_result(self, result: ProposalResult) -> None:
+        """Pass a result on to the command that waits for it."""
+        future = self.futures.pop(result.context, None)
+        if future is not None and not future.done():
+            future.set_result(result)
+
+    async def handle_fleet(self, line: str) -> str:
+        """Handle `FLEET …`. Raises AdminCommandError."""
+        verb, _, rest = line.partition(" ")
+        verb = verb.upper()
+        now_us = self.host.now_us()
+        replica = self.host.replica
+        if self.host.is_closed:
+            raise AdminCommandError("this sidecar takes no part any more; its log has why")
+        if verb in ("STATUS", "LOG", "WORDS"):
+            return self._describe(verb, now_us)
+        if verb == "BEGIN":
+            return self._create_fleet(now_us)
+        if verb == "READ" and rest:
+            name = rest[: replicated_commands.MAX_NAME_CHARS]
+            return await self._submit(lambda context: replica.submit_read(context, name, now_us))
+        if verb not in COMMAND_KINDS:
+            raise AdminCommandError(
+                "expected FLEET and one of BEGIN, STATUS, LOG, WORDS, READ NAME, "
+                f"{', '.join(COMMAND_KINDS)} ID NAME"
+            )
+        command = self._parse_command(verb, rest)
+        return await self._submit(lambda context: replica.submit_command(context, command, now_us))
+
+    def _describe(self, verb: str, now_us: int) -> str:
+        replica = self.host.replica
+        reporter = replica.reporter
+        if verb == "STATUS":
+            is_writing = replica.driver.unpersisted is not None
+            status = reporter.describe(now_us, is_writing)
+            return encode_answer({**status, "counts": self.host.frame_counts()})
+        age_s = reporter.age_s(now_us)
+        if verb == "LOG":
+            return encode_answer({"age_s": age_s, "words": reporter.describe_recent_commands()})
+        return encode_answer({"age_s": age_s, **replicated_commands.describe_state(replica.state)})
+
+    def _create_fleet(self, now_us: int) -> str:
+        try:
+            self.host.perform(self.host.replica.create_fleet(now_us))
+        except ProposalRejectedError as error:
+            raise AdminCommandError(str(error)) from error
+        return DONE_ANSWER
+
+    def _parse_command(self, verb: str, arguments: str) -> ReplicatedCommand:
+        command_id, _, name = arguments.partition(" ")
+        value = ""
+        started_ms = 0
+        if verb == "SET":
+            name, _, value = name.partition(" ")
+        elif name.rpartition(" ")[2] in (FORCE, WAIT):
+            name, _, value = name.rpartition(" ")
+        if verb in ("SUSPEND", "DRAIN"):
+            started_ms = self._started_ms(name)
+        elif verb == "PERMIT" and name.startswith(UPSTREAM_PREFIX):
+            started_ms = self._started_ms(name.removeprefix(UPSTREAM_PREFIX))
+        return ReplicatedCommand(
+            COMMAND_KINDS[verb],
+            command_id,
+            self.host.replica.name,
+            wall_ms(),
+            name,
+            started_ms,
+            value,
+        )
+
+    def _started_ms(self, name: str) -> int:
+        """Return the start of an upstream in Unix milliseconds, 0 = long ago. Raises AdminCommandError."""
+        upstream = self.host.witness.upstream(name)
+        if upstream is None:
+            raise AdminCommandError("no upstream of that name is listed")
+        return upstream.entry.started_us // 1000
+
+    # PAUSE and RESUME
+
+    def handle_pause(self, pause: AdminCommand, argument: str) -> str | Awaitable[str]:
+        """Take a permit before this sidecar is paused, if sidecars have a budget.
+
+        With the argument `force` it is paused in any case.
+        """
+        if not self._needs_permit():
+            return pause("")
+        return self._pause_with_permit(pause, argument)
+
+    def handle_resume(self, resume: AdminCommand, _argument: str) -> str | Awaitable[str]:
+        """Return the permit after this sidecar is resumed, if sidecars have a budget."""
+        if not self._needs_permit():
+            return resume("")
+        return self._resume_with_permit(resume)
+
+    def _needs_permit(self) -> bool:
+        if self.host.is_closed:
+            return False
+        settings = replicated_commands.settings_of(self.host.replica.state)
+        return bool(disruption_budgets.budgets(settings, TargetKind.SIDECAR))
+
+    async def _pause_with_permit(self, pause: AdminCommand, argument: str) -> str:
+        value = FORCE if argument == FORCE else ""
+        permit_answer = await self._submit_permit(CommandKind.PERMIT, value)
+        has_permit = permit_answer.startswith(DONE_ANSWER)
+        if not has_permit and argument != FORCE:
+            raise AdminCommandError(f"not paused: {permit_answer}")
+        answer = pause("")
+        assert isinstance(answer, str)
+        return answer if has_permit else f"{answer}, by force; {permit_answer}"
+
+    async def _resume_with_permit(self, resume: AdminCommand) -> str:
+        answer = resume("")
+        assert isinstance(answer, str)
+        permit_answer = await self._submit_permit(CommandKind.RETURN, "")
+        if permit_answer.startswith(DONE_ANSWER):
+            return answer
+        return f"{answer}; its place: {permit_answer}"
+
+    async def _submit_permit(self, kind: CommandKind, value: str) -> str:
+        """Take or return the permit of this sidecar, and return the answer, whatever it is."""
+        replica = self.host.replica
+        command = ReplicatedCommand(
+            kind,
+            f"{kind}-{secrets.token_hex(6)}",
+            replica.name,
+            wall_ms(),
+            permit_key(TargetKind.SIDECAR, replica.name),
+            0,
+            value,
+        )
+        try:
+            return await self._submit(
+                lambda context: replica.submit_command(context, command, self.host.now_us())
+            )
+        except AdminCommandError as error:
+            return str(error)
+
+    async def _submit(self, submit: Callable[[int], list[Output]]) -> str:
+        """Submit a request and return the answer to its result. Raises AdminCommandError."""
+        self.last_context += 1
+        context = self.last_context
+        future = self.loop.create_future()
+        self.futures[context] = future
+        try:
+            self.host.perform(submit(context))
+            result = await future
+        except CommandError as error:
+            raise AdminCommandError(str(error)) from error
+        finally:
+            self.futures.pop(context, None)
+        if result.status is ProposalStatus.ERROR:
+            raise AdminCommandError(result.text)
+        index = f" {result.index}" if result.index else ""
+        text = f": {result.text}" if result.text else ""
+        return f"{result.status}{index}{text}"
+
+
+def wall_ms() -> int:
+    """Return the wall clock in Unix milliseconds."""
+    return wall_clock.now_ns() // 1_000_000
+
+
+def encode_answer(answer: dict[str, Any]) -> str:
+    """Return an answer of several values: JSON, and a line that marks its end."""
+    return json.dumps(answer, ensure_ascii=False) + "\nend"
--- a/sidecar_proxy/consensus/frames.py
+++ b/sidecar_proxy/consensus/frames.py
@@ -1,5 +1,7 @@
-"""What sidecars say to one another about the agreed state, beside the messages of Raft itself. Records that
-are their own forms on the wire; all limits are checked where one is read.
+"""Frames between sidecars: the messages of Raft, state transfer, and requests to the leader.
+
+The records are encoded as MessagePack arrays on the wire; field names are not part of the format. All
+limits are checked when a frame is decoded.
 """
 
 from __future__ import annotations
@@ -10,144 +12,163 @@
 from msgspec import Meta
 
 from sidecar_proxy.consensus.messages import (
-    MOST_DATA,
-    MOST_ENTRIES,
-    MOST_SNAPSHOT,
+    MAX_ENTRY_DATA_BYTES,
+    MAX_MESSAGE_ENTRIES,
+    MAX_SNAPSHOT_BYTES,
     Append,
     AppendReply,
     Entry,
     Message,
-    Node,
+    NodeId,
     TimeoutNow,
+    UnsignedInt,
     VoteReply,
     VoteRequest,
     Voters,
-    Whole,
 )
 from sidecar_proxy.gossip import codec
 
-MOST_FRAME = 128 * 1024  # bytes
-MOST_PIECE = 16 * 1024
-MOST_TEXT = 512
-Fleet = Annotated[str, Meta(max_length=32)]
+MAX_FRAME_BYTES = 128 * 1024
+MAX_CHUNK_BYTES = 16 * 1024
+MIN_BATCH_BYTES = 256
+MAX_TEXT_CHARS = 512
+FleetId = Annotated[str, Meta(max_length=32)]
 Digest = Annotated[bytes, Meta(min_length=16, max_length=16)]
 
 
-class Offer(msgspec.Struct, array_like=True, frozen=True, tag=10):
-    """In place of a snapshot that is to be installed: fetch it, then say that it is there."""
+class SnapshotOffer(msgspec.Struct, array_like=True, frozen=True, tag=10):
+    """The leader's snapshot is newer than the target's log: the target fetches it, then confirms it.
+
+    It stands for `InstallSnapshot`, whose data would be too long for a frame.
+    """
+
+    source: NodeId
+    target: NodeId
+    term: UnsignedInt
+    index: UnsignedInt
+    round: UnsignedInt
 
-    source: Node
-    target: Node
-    term: Whole
-    index: Whole
-    round: Whole
 
+class FetchRequest(msgspec.Struct, array_like=True, frozen=True, tag=11):
+    """Asks for what is committed after an index.
 
-class Want(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """What is committed after that index. Of the snapshot at `index` there are `offset` bytes already."""
+    The sender already has `snapshot_offset` bytes of the snapshot at `snapshot_index`.
+    """
 
-    number: Whole
-    after: Whole
-    index: Whole
-    offset: Whole
-    most: Annotated[int, Meta(ge=256, le=MOST_PIECE)]  # bytes
+    number: UnsignedInt
+    after: UnsignedInt
+    snapshot_index: UnsignedInt
+    snapshot_offset: UnsignedInt
+    max_bytes: Annotated[int, Meta(ge=MIN_BATCH_BYTES, le=MAX_CHUNK_BYTES)]
 
 
-class Batch(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """Committed entries that follow, as far as they go."""
+class EntryBatch(msgspec.Struct, array_like=True, frozen=True, tag=12):
+    """The committed entries that follow the requested index, as many as fit."""
 
-    number: Whole
-    fleet: Fleet
-    commit: Whole
-    entries: Annotated[tuple[Entry, ...], Meta(max_length=MOST_ENTRIES)]
+    number: UnsignedInt
+    fleet_id: FleetId
+    commit_index: UnsignedInt
+    entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_MESSAGE_ENTRIES)]
 
 
-class Piece(msgspec.Struct, array_like=True, frozen=True, tag=13):
-    """Of a snapshot: those entries are no more there one by one."""
+class SnapshotChunk(msgspec.Struct, array_like=True, frozen=True, tag=13):
+    """A part of a snapshot that has replaced the requested entries."""
 
-    number: Whole
-    fleet: Fleet
-    commit: Whole
-    index: Whole
-    term: Whole
+    number: UnsignedInt
+    fleet_id: FleetId
+    commit_index: UnsignedInt
+    index: UnsignedInt
+    term: UnsignedInt
     voters: Voters
-    size: Annotated[int, Meta(ge=0, le=MOST_SNAPSHOT)]
+    size: Annotated[int, Meta(ge=0, le=MAX_SNAPSHOT_BYTES)]
     digest: Digest
-    offset: Whole
-    data: Annotated[bytes, Meta(max_length=MOST_PIECE)]
+    offset: UnsignedInt
+    data: Annotated[bytes, Meta(max_length=MAX_CHUNK_BYTES)]
+
 
+class FetchLater(msgspec.Struct, array_like=True, frozen=True, tag=14):
+    """The budget for state transfer is used up; the request may be repeated after a wait."""
 
-class Later(msgspec.Struct, array_like=True, frozen=True, tag=14):
-    number: Whole
+    number: UnsignedInt
     wait_ms: Annotated[int, Meta(ge=0, le=60_000)]
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=15):
-    """Of the leader: let this word be committed, or, without one, what holds of `name` now."""
+class LeaderRequest(msgspec.Struct, array_like=True, frozen=True, tag=15):
+    """Asks the leader to commit a command or, if that is empty, to read the current state of `name`."""
 
-    number: Whole
-    word: Annotated[bytes, Meta(max_length=MOST_DATA)]
+    number: UnsignedInt
+    command: Annotated[bytes, Meta(max_length=MAX_ENTRY_DATA_BYTES)]
     name: Annotated[str, Meta(max_length=256)] = ""
 
 
-class Answer(msgspec.Struct, array_like=True, frozen=True, tag=16):
-    """`what`: done, error, unknown (it may be committed yet), elsewhere (nothing was done; `leader` may
-    know).
+class LeaderReply(msgspec.Struct, array_like=True, frozen=True, tag=16):
+    """The answer to a `LeaderRequest`.
+
+    `status` is one of the values of `proposals.ProposalStatus` that are sent between sidecars; `leader` is
+    the leader as far as the sender knows.
     """
 
-    number: Whole
-    what: Annotated[str, Meta(max_length=16)]
-    index: Whole
-    text: Annotated[str, Meta(max_length=MOST_TEXT)]
-    leader: Node
+    number: UnsignedInt
+    status: Annotated[str, Meta(max_length=16)]
+    index: UnsignedInt
+    text: Annotated[str, Meta(max_length=MAX_TEXT_CHARS)]
+    leader: NodeId
 
 
 class ReplicaStatus(msgspec.Struct, array_like=True, frozen=True):
-    """By gossip to all: what this sidecar is and has."""
+    """A sidecar's state, broadcast by gossip."""
 
     incarnation: Annotated[str, Meta(max_length=16)]
-    fleet: Fleet
-    term: Whole
-    leader: Node
-    since_ms: Whole  # how long that one has led
-    votes: bool
-    commit: Whole
-    applied: Whole
-    at_ms: Whole  # when that took effect here, by its wall clock
-    life: Annotated[str, Meta(max_length=16)] = ""  # of this process; another one has another
-    able: bool = True  # it may be taken in as a voter
-
-
-Raft = VoteRequest | VoteReply | Append | AppendReply | TimeoutNow
-Frame = Raft | Offer | Want | Batch | Piece | Later | Ask | Answer
+    fleet_id: FleetId
+    term: UnsignedInt
+    leader: NodeId
+    leader_since_ms: UnsignedInt  # for how long it has led
+    is_voter: bool
+    commit_index: UnsignedInt
+    applied_index: UnsignedInt
+    applied_at_ms: UnsignedInt  # when `applied_index` was applied, by the sender's wall clock
+    process_id: Annotated[str, Meta(max_length=16)] = ""  # random for each process
+    can_vote: bool = True  # it may become a voter
+
+
+RaftMessage = VoteRequest | VoteReply | Append | AppendReply | TimeoutNow
+Frame = (
+    RaftMessage
+    | SnapshotOffer
+    | FetchRequest
+    | EntryBatch
+    | SnapshotChunk
+    | FetchLater
+    | LeaderRequest
+    | LeaderReply
+)
 encode = msgspec.msgpack.Encoder().encode
 frame_decoder: msgspec.msgpack.Decoder[Frame] = msgspec.msgpack.Decoder(Frame)
-here_decoder = msgspec.msgpack.Decoder(ReplicaStatus)
+status_decoder = msgspec.msgpack.Decoder(ReplicaStatus)
 
 
 class FrameError(ValueError):
-    """Not of this form; one line."""
+    """Received bytes are not a valid frame; the message is one line."""
 
 
-def read(data: bytes, source: Node, target: Node) -> Frame:
-    """One that came from `source`, who has shown to be that one. Raises FrameError."""
-    frame = decoded(frame_decoder, data)
-    if isinstance(frame, Message | Offer) and (frame.source != source or frame.target != target):
+def decode_frame(data: bytes, source: NodeId, target: NodeId) -> Frame:
+    """Decode a frame that `source`, as its session has proved, sent to `target`. Raises FrameError."""
+    frame = _decode(frame_decoder, data)
+    if isinstance(frame, Message | SnapshotOffer) and (frame.source != source or frame.target != target):
         raise FrameError("in another's name, or to another")
-    if isinstance(frame, Append) and any(
-        one.index != frame.prev_index + 1 + n or one.term > frame.term for n, one in enumerate(frame.entries)
-    ):
-        raise FrameError("entries with gaps")
+    if isinstance(frame, Append):
+        for position, entry in enumerate(frame.entries):
+            if entry.index != frame.prev_index + 1 + position or entry.term > frame.term:
+                raise FrameError("entries with gaps")
     return frame
 
 
-def read_here(data: bytes) -> ReplicaStatus:
-    """Raises FrameError."""
-    return decoded(here_decoder, data)
+def decode_status(data: bytes) -> ReplicaStatus:
+    """Decode a status broadcast. Raises FrameError."""
+    return _decode(status_decoder, data)
 
 
-def decoded(decoder: msgspec.msgpack.Decoder[codec.Form], data: bytes) -> codec.Form:
-    """Raises FrameError."""
+def _decode(decoder: msgspec.msgpack.Decoder[codec.Form], data: bytes) -> codec.Form:
     try:
         return codec.read(decoder, data)
     except codec.CodecError as error:
--- a/sidecar_proxy/consensus/log.py
+++ b/sidecar_proxy/consensus/log.py
@@ -1,108 +1,122 @@
-"""A node's log: a snapshot and the entries after it. Pure."""
+"""The log of one node: a snapshot and the entries after it. It does no I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from sidecar_proxy.consensus.messages import Entry, HardState, Node, Snapshot
+from sidecar_proxy.consensus.messages import Entry, HardState, NodeId, Snapshot
 
 
-class Compacted(Exception):
-    """That part of the log is in the snapshot."""
+class CompactedError(LookupError):
+    """The entry was replaced by the snapshot."""
+
+    def __init__(self, index: int) -> None:
+        super().__init__(f"entry {index} is part of the snapshot")
+        self.index = index
 
 
 @dataclass(slots=True)
 class RaftLog:
+    """A snapshot and the entries that follow it without gaps."""
+
     snapshot: Snapshot = field(default_factory=Snapshot)
-    entries: list[Entry] = field(default_factory=list)  # without gaps, from the snapshot's next one on
+    entries: list[Entry] = field(default_factory=list)
 
     @property
     def last_index(self) -> int:
+        """The index of the last entry, or of the snapshot if no entry follows it."""
         return self.snapshot.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
+        """The term of the last entry, or of the snapshot if no entry follows it."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """None: there is no such entry. Raises Compacted."""
+        """Return the term of an entry, or None if the log ends before it. Raises CompactedError."""
         if index < self.snapshot.index:
-            raise Compacted(str(index))
+            raise CompactedError(index)
         if index == self.snapshot.index:
             return self.snapshot.term
-        at = index - self.snapshot.index - 1
-        return self.entries[at].term if at < len(self.entries) else None
+        position = index - self.snapshot.index - 1
+        return self.entries[position].term if position < len(self.entries) else None
 
-    def after(self, index: int, most: int) -> tuple[Entry, ...]:
-        """So many entries behind that one. Raises Compacted."""
+    def entries_after(self, index: int, max_count: int) -> tuple[Entry, ...]:
+        """Return at most `max_count` entries that follow `index`. Raises CompactedError."""
         if index < self.snapshot.index:
-            raise Compacted(str(index))
-        at = index - self.snapshot.index
-        return tuple(self.entries[at : at + most])
+            raise CompactedError(index)
+        position = index - self.snapshot.index
+        return tuple(self.entries[position : position + max_count])
 
-    def between(self, first: int, last: int) -> list[Entry]:
-        """From `first` to `last`, both among them."""
+    def entries_between(self, first: int, last: int) -> list[Entry]:
+        """Return the entries from `first` to `last`, both included."""
         base = self.snapshot.index + 1
         return self.entries[max(0, first - base) : max(0, last - base + 1)]
 
-    def add(self, entries: Sequence[Entry]) -> int | None:
-        """After a check of what stands before them: a conflict cuts the log, what is there stays. The index
-        of the first entry that is new; None: all were there. Hazard: an old message with fewer entries must
-        not cut.
+    def append(self, entries: Sequence[Entry]) -> int | None:
+        """Add entries whose predecessor was found to match.
+
+        An entry that conflicts replaces the rest of the log. Entries that are already there stay, and so does
+        what follows them: a delayed message with fewer entries must not truncate the log. Returns the index
+        of the first entry that is new, or None if there is none.
         """
-        for number, one in enumerate(entries):
-            if one.index <= self.snapshot.index:
+        for position, entry in enumerate(entries):
+            if entry.index <= self.snapshot.index:
                 continue
-            if self.term_at(one.index) == one.term:
+            if self.term_at(entry.index) == entry.term:
                 continue
-            del self.entries[one.index - self.snapshot.index - 1 :]
-            self.entries += entries[number:]
-            return one.index
+            del self.entries[entry.index - self.snapshot.index - 1 :]
+            self.entries += entries[position:]
+            return entry.index
         return None
 
-    def voters(self) -> tuple[Node, ...]:
-        """The latest in the log, committed or not (thesis, 4.1)."""
-        for one in reversed(self.entries):
-            if one.voters is not None:
-                return one.voters
+    def voters(self) -> tuple[NodeId, ...]:
+        """Return the latest voters in the log, committed or not (4.1)."""
+        for entry in reversed(self.entries):
+            if entry.voters is not None:
+                return entry.voters
         return self.snapshot.voters
 
     def voters_index(self) -> int:
-        """Of the entry that has them; the snapshot's if none has."""
-        for one in reversed(self.entries):
-            if one.voters is not None:
-                return one.index
+        """Return the index of the entry that holds the latest voters, or that of the snapshot."""
+        for entry in reversed(self.entries):
+            if entry.voters is not None:
+                return entry.index
         return self.snapshot.index
 
-    def is_fresh(self, last_index: int, last_term: int) -> bool:
-        """Whether a log that ends so is at least as complete as ours (5.4.1)."""
+    def is_up_to_date(self, last_index: int, last_term: int) -> bool:
+        """Tell whether a log with this last entry is at least as up to date as this one (5.4.1)."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
 
     def compact(self, index: int, data: bytes) -> Snapshot:
-        """Up to there a snapshot takes the entries' place; `index` has been applied."""
+        """Replace the entries up to `index`, which has been applied, by a snapshot with this data."""
         term = self.term_at(index)
-        assert term is not None and index >= self.snapshot.index
+        assert term is not None
+        assert index >= self.snapshot.index
         voters = self.snapshot.voters
-        for one in self.between(self.snapshot.index + 1, index):
-            voters = one.voters if one.voters is not None else voters
-        left = self.entries[index - self.snapshot.index :]
-        self.snapshot, self.entries = Snapshot(index, term, voters, data), left
+        for entry in self.entries_between(self.snapshot.index + 1, index):
+            if entry.voters is not None:
+                voters = entry.voters
+        remaining = self.entries[index - self.snapshot.index :]
+        self.snapshot = Snapshot(index, term, voters, data)
+        self.entries = remaining
         return self.snapshot
 
     def install(self, snapshot: Snapshot) -> None:
-        """What stands behind it and agrees is kept (thesis, figure 5.3)."""
-        agrees = snapshot.index <= self.last_index and self.term_at(snapshot.index) == snapshot.term
-        left = self.entries[snapshot.index - self.snapshot.index :] if agrees else []
-        self.snapshot, self.entries = snapshot, left
+        """Replace the snapshot; entries that follow the new one stay if the log matches it (figure 5.3)."""
+        matches = snapshot.index <= self.last_index and self.term_at(snapshot.index) == snapshot.term
+        remaining = self.entries[snapshot.index - self.snapshot.index :] if matches else []
+        self.snapshot = snapshot
+        self.entries = remaining
 
 
 @dataclass(slots=True)
 class PersistedState:
-    """What a folder holds of one incarnation of a node."""
+    """The content of a folder: the state of one incarnation of a node."""
 
     incarnation: str
-    hard: HardState = field(default_factory=HardState)
-    commit: int = 0
+    hard_state: HardState = field(default_factory=HardState)
+    commit_index: int = 0
     log: RaftLog = field(default_factory=RaftLog)
-    torn: int = 0  # bytes at the file's end that a crash had left and that were cut
+    torn_bytes: int = 0  # bytes of an incomplete record that a crash left at the end of the file
--- a/sidecar_proxy/consensus/messages.py
+++ b/sidecar_proxy/consensus/messages.py
@@ -1,6 +1,8 @@
-"""What voters and learners say to one another, and what is in the log. Pure records, which are their own
-forms on the wire and on disk (MessagePack arrays; limits are checked where one is read). Terms as in Raft
-(Ongaro, "Consensus: Bridging Theory and Practice", 2014).
+"""Messages between voters and learners, and the entries of the replicated log.
+
+The terms are those of Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014). The records are
+encoded as MessagePack arrays on the wire and on disk, so the order of the fields is part of the format and
+their names are not. All limits are checked when a record is decoded.
 """
 
 from __future__ import annotations
@@ -10,86 +12,100 @@
 import msgspec
 from msgspec import Meta
 
-MOST_NODE = 96  # characters
-MOST_DATA = 1024  # bytes of an entry
-MOST_VOTERS = 9
-MOST_ENTRIES = 64  # in one message
-MOST_SNAPSHOT = 4 << 20  # bytes
+MAX_NODE_ID_CHARS = 96
+MAX_ENTRY_DATA_BYTES = 1024
+MAX_VOTERS = 9
+MAX_MESSAGE_ENTRIES = 64
+MAX_SNAPSHOT_BYTES = 4 << 20
 
-Node = Annotated[str, Meta(max_length=MOST_NODE)]  # a name and an incarnation: an emptied folder is another
-Whole = Annotated[int, Meta(ge=0, le=1 << 53)]
-Voters = Annotated[tuple[Node, ...], Meta(max_length=MOST_VOTERS)]
+# A sidecar's name and its incarnation: a sidecar whose folder was emptied is another node.
+NodeId = Annotated[str, Meta(max_length=MAX_NODE_ID_CHARS)]
+UnsignedInt = Annotated[int, Meta(ge=0, le=1 << 53)]
+Voters = Annotated[tuple[NodeId, ...], Meta(max_length=MAX_VOTERS)]
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One of the log. `voters` in place of data: they are the voters from this entry on, committed or not."""
+    """An entry of the log: a command, or a new set of voters.
+
+    The voters of an entry hold from that entry on, whether it is committed or not (4.1).
+    """
 
-    term: Whole
-    index: Whole  # from 1
-    data: Annotated[bytes, Meta(max_length=MOST_DATA)] = b""
+    term: UnsignedInt
+    index: UnsignedInt  # from 1
+    data: Annotated[bytes, Meta(max_length=MAX_ENTRY_DATA_BYTES)] = b""
     voters: Voters | None = None
 
 
 class HardState(msgspec.Struct, array_like=True, frozen=True):
-    """What is written and synced before anything is said that rests on it."""
+    """The state that is synced to disk before any message that depends on it is sent."""
 
-    term: Whole = 0
-    vote: Node = ""  # in this term
+    term: UnsignedInt = 0
+    vote: NodeId = ""  # in this term
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """All that was applied up to an index."""
+    """The state after all entries up to an index were applied."""
 
-    index: Whole = 0
-    term: Whole = 0
+    index: UnsignedInt = 0
+    term: UnsignedInt = 0
     voters: Voters = ()
-    data: Annotated[bytes, Meta(max_length=MOST_SNAPSHOT)] = b""
+    data: Annotated[bytes, Meta(max_length=MAX_SNAPSHOT_BYTES)] = b""
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True):
-    source: Node
-    target: Node
-    term: Whole
+    """The fields that all Raft messages begin with."""
+
+    source: NodeId
+    target: NodeId
+    term: UnsignedInt
 
 
 class VoteRequest(Message, array_like=True, frozen=True, tag=1):
-    """`pre`: whether there would be a vote; nothing is promised (thesis, 9.6)."""
+    """A candidate asks for a vote; a pre-vote only asks whether it would be granted (9.6)."""
 
-    last_index: Whole
-    last_term: Whole
-    pre: bool = False
-    transfer: bool = False  # the leader has asked for it: not held back for its sake
+    last_index: UnsignedInt
+    last_term: UnsignedInt
+    pre_vote: bool = False
+    transfer: bool = False  # the leader asked for this election, so a live leader is no reason to ignore it
 
 
 class VoteReply(Message, array_like=True, frozen=True, tag=2):
+    """The answer to a `VoteRequest`."""
+
     granted: bool
-    pre: bool = False
+    pre_vote: bool = False
 
 
 class Append(Message, array_like=True, frozen=True, tag=3):
-    """Entries after `prev_index`, or none: a heartbeat. `round` is told back, for reads and check-quorum."""
+    """AppendEntries: the entries after `prev_index`; without entries it is a heartbeat.
+
+    The reply repeats `round`, which read index (6.4) and check quorum (6.2) count.
+    """
 
-    prev_index: Whole
-    prev_term: Whole
-    entries: Annotated[tuple[Entry, ...], Meta(max_length=MOST_ENTRIES)]
-    commit: Whole
-    round: Whole = 0
+    prev_index: UnsignedInt
+    prev_term: UnsignedInt
+    entries: Annotated[tuple[Entry, ...], Meta(max_length=MAX_MESSAGE_ENTRIES)]
+    commit: UnsignedInt
+    round: UnsignedInt = 0
 
 
 class AppendReply(Message, array_like=True, frozen=True, tag=4):
-    """`match`: the log agrees up to there. Refused: `match` is where it may agree, at most."""
+    """The answer to an `Append`.
+
+    With `ok` the logs match up to `match`; without it `match` is the highest index at which they may match.
+    """
 
     ok: bool
-    match: Whole
-    round: Whole = 0
+    match: UnsignedInt
+    round: UnsignedInt = 0
 
 
-class Install(Message, array_like=True, frozen=True, tag=5):
-    """A snapshot, whole. Between processes it is fetched in pieces (member.py)."""
+class InstallSnapshot(Message, array_like=True, frozen=True, tag=5):
+    """A complete snapshot. Between processes it is fetched in chunks instead (state_transfer.py)."""
 
     snapshot: Snapshot
-    round: Whole = 0
+    round: UnsignedInt = 0
 
 
 class TimeoutNow(Message, array_like=True, frozen=True, tag=6):
-    """Stand for election at once: the leader hands over (thesis, 3.10)."""
+    """The leader transfers its leadership: the target starts an election at once (3.10)."""
--- /dev/null
+++ b/sidecar_proxy/consensus/peers.py
@@ -0,0 +1,102 @@
+"""The other sidecars of the fleet, as their status broadcasts describe them."""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+
+from sidecar_proxy.consensus.frames import ReplicaStatus
+from sidecar_proxy.consensus.messages import NodeId
+from sidecar_proxy.consensus.voters import node_id_of
+
+MAX_PEERS = 5000
+MAX_APPLIED_TIMES = 64
+
+
+@dataclass(slots=True, frozen=True)
+class AppliedTime:
+    """When a peer had applied the entries up to an index, by its wall clock."""
+
+    index: int
+    at_ms: int
+
+
+@dataclass(slots=True)
+class Peer:
+    """Another sidecar."""
+
+    name: str
+    status: ReplicaStatus
+    site: str
+    received_us: int
+    applied_times: deque[AppliedTime] = field(default_factory=lambda: deque(maxlen=MAX_APPLIED_TIMES))
+
+    @property
+    def node(self) -> NodeId:
+        """The peer's node id."""
+        return node_id_of(self.name, self.status.incarnation)
+
+    def update(self, status: ReplicaStatus, site: str, now_us: int) -> None:
+        """Record a status broadcast."""
+        self.status = status
+        self.site = site
+        self.received_us = now_us
+        if not self.applied_times or self.applied_times[-1].index < status.applied_index:
+            self.applied_times.append(AppliedTime(status.applied_index, status.applied_at_ms))
+
+    def applied_at_ms(self, index: int) -> int | None:
+        """Return when the peer had applied an entry, or None if that is not known."""
+        return next((applied.at_ms for applied in self.applied_times if applied.index >= index), None)
+
+
+class PeerTable:
+    """All sidecars that have broadcast a status and are not considered dead."""
+
+    def __init__(self) -> None:
+        self.peers: dict[str, Peer] = {}
+        self.voting: dict[str, Peer] = {}  # those that say that they are voters
+        self.reported_foreign: set[str] = set()  # sidecars of another fleet that were logged
+
+    def update(self, name: str, site: str, status: ReplicaStatus, now_us: int) -> Peer | None:
+        """Record a status broadcast. Returns None if there are too many sidecars."""
+        peer = self.peers.get(name)
+        if peer is None:
+            if len(self.peers) >= MAX_PEERS:
+                return None
+            peer = Peer(name, status, site, now_us)
+            self.peers[name] = peer
+        peer.update(status, site, now_us)
+        if status.is_voter:
+            self.voting[name] = peer
+        else:
+            self.voting.pop(name, None)
+        return peer
+
+    def remove(self, name: str) -> None:
+        """Forget a sidecar that gossip considers dead."""
+        self.peers.pop(name, None)
+        self.voting.pop(name, None)
+
+    def mark_foreign(self, name: str) -> bool:
+        """Record a sidecar of another fleet and tell whether that is news."""
+        if name in self.reported_foreign or len(self.reported_foreign) >= MAX_PEERS:
+            return False
+        self.reported_foreign.add(name)
+        return True
+
+    def voter_nodes(self) -> list[NodeId]:
+        """Return the nodes that say that they are voters."""
+        return [peer.node for peer in self.voting.values()]
+
+    def reported_leader(self) -> NodeId:
+        """Return the leader that the voters report: that of the latest term, its own report first."""
+        reports = (
+            (peer.status.term, peer.status.leader == peer.node, peer.status.leader)
+            for peer in self.voting.values()
+            if peer.status.leader
+        )
+        return max(reports, default=(0, False, ""))[2]
+
+    def reported_fleet_id(self) -> str:
+        """Return the fleet that the first peer with one belongs to, or "" if none knows one."""
+        return next((peer.status.fleet_id for peer in self.peers.values() if peer.status.fleet_id), "")
--- a/sidecar_proxy/consensus/proposals.py
+++ b/sidecar_proxy/consensus/proposals.py
@@ -1,104 +1,127 @@
-"""Words that were said at this sidecar's door, on their way to be agreed upon. Pure.
+"""Commands and reads that were submitted at this sidecar and wait for the leader's answer.
 
-What may be said of one: it was sent to somebody who may have proposed it (then only a committed entry makes
-it known), or surely not. A word has an id, so it may be sent again to the next leader.
+A request is forwarded to the leader, and to the next one if that fails: commands carry an id, so a repeat
+is harmless. If nobody answers, the result depends on whether any leader may have proposed the command: then
+only a committed entry could tell, and the result is "unknown". This module does no I/O.
 """
 
 from __future__ import annotations
 
+import enum
 from dataclasses import dataclass
 
-from sidecar_proxy.consensus.frames import Answer, Ask
-from sidecar_proxy.consensus.messages import Node
+from sidecar_proxy.consensus.frames import LeaderReply, LeaderRequest
+from sidecar_proxy.consensus.messages import NodeId
 
-PATIENCE_US = 3_500_000  # of who asks; the door's is a little longer
-LOST_US = 2_500_000  # without a leader, after which it is known that there is no quorum, here
-MOST_ASKS = 64  # at a time
-AGAIN_US = 200_000  # after one that was not the leader
+REQUEST_TIMEOUT_US = 3_500_000  # a little less than the timeout of the admin server's clients
+NO_LEADER_TIMEOUT_US = 2_500_000  # without a leader for this long there is no quorum, as seen from here
+MAX_PENDING_PROPOSALS = 64
+RETRY_US = 200_000  # after a node that was not the leader
 
-DONE, ERROR, UNKNOWN, ELSEWHERE, NO_QUORUM = "done", "error", "unknown", "elsewhere", "no quorum"
+
+class ProposalStatus(enum.StrEnum):
+    """The result of a request. The values are those of the wire and of the admin server's answers."""
+
+    DONE = "done"  # committed and applied by the leader
+    ERROR = "error"  # rejected; nothing was changed
+    UNKNOWN = "unknown"  # it may be committed, now or later
+    NOT_LEADER = "elsewhere"  # nothing was done; only between sidecars
+    NO_QUORUM = "no quorum"  # no leader had it; nothing was changed
 
 
 @dataclass(slots=True)
 class PendingProposal:
-    """One word, or one question for what holds."""
+    """A command, or a read of the current state of `name` if the command is empty."""
 
-    context: int  # the shell's
-    word: bytes
+    context: int  # of the caller
+    command: bytes
     name: str
-    until_us: int
-    sent_to: Node = ""  # whose answer is awaited
-    maybe: int = 0  # times sent to somebody of whom it is not known that they did nothing
-    again_us: int = 0
+    deadline_us: int
+    sent_to: NodeId = ""  # whose answer is awaited
+    uncertain_count: int = 0  # times that it was sent to a node that may have proposed it
+    retry_at_us: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class ProposalResult:
-    """To who asked, at last. `what`: DONE, ERROR, UNKNOWN or NO_QUORUM."""
+    """The final answer to the caller with this context; never NOT_LEADER."""
 
     context: int
-    what: str
+    status: ProposalStatus
     index: int = 0
     text: str = ""
 
 
 class PendingProposals:
-    """All that were said here and are not answered yet."""
+    """The requests that were submitted here and are not answered yet."""
 
     def __init__(self) -> None:
-        self.open: dict[int, PendingProposal] = {}
-        self.last = 0
-
-    def add(self, context: int, word: bytes, name: str, now_us: int) -> ProposalResult | None:
-        """None: it will be answered by one of the methods below."""
-        if len(self.open) >= MOST_ASKS:
-            return ProposalResult(context, ERROR, text="too many are asked here at a time")
-        self.last += 1
-        self.open[self.last] = PendingProposal(context, word, name, now_us + PATIENCE_US)
+        self.pending: dict[int, PendingProposal] = {}  # by number
+        self.last_number = 0
+
+    def add(self, context: int, command: bytes, name: str, now_us: int) -> ProposalResult | None:
+        """Add a request. Returns a result if it is rejected at once."""
+        if len(self.pending) >= MAX_PENDING_PROPOSALS:
+            return ProposalResult(context, ProposalStatus.ERROR, text="too many are asked here at a time")
+        self.last_number += 1
+        proposal = PendingProposal(context, command, name, now_us + REQUEST_TIMEOUT_US)
+        self.pending[self.last_number] = proposal
         return None
 
-    def to_send(self, leader: Node, now_us: int) -> list[tuple[Node, Ask]]:
-        """Those that wait for a leader."""
-        found = []
-        for number, one in self.open.items():
-            if leader and not one.sent_to and now_us >= one.again_us:
-                one.sent_to, one.maybe = leader, one.maybe + 1
-                found.append((leader, Ask(number, one.word, one.name)))
-        return found
-
-    def unsent(self, number: int, now_us: int) -> None:
-        """It never left."""
-        one = self.open.get(number)
-        if one is not None and one.sent_to:
-            one.sent_to, one.maybe, one.again_us = "", one.maybe - 1, now_us + AGAIN_US
-
-    def lost(self, node: Node, now_us: int) -> None:
-        """The link broke after it may have left."""
-        for one in self.open.values():
-            if one.sent_to == node:
-                one.sent_to, one.again_us = "", now_us + AGAIN_US
-
-    def answered(self, node: Node, told: Answer, now_us: int) -> ProposalResult | None:
-        one = self.open.get(told.number)
-        if one is None or one.sent_to != node:
-            return None  # hazard: of an earlier sending; it may say of itself what is not true of all
-        if told.what in (DONE, ERROR):
-            return self.end(told.number, told.what, told.index, told.text)
-        if told.what == ELSEWHERE:
-            one.maybe -= 1
-        one.sent_to, one.again_us = "", now_us + AGAIN_US
+    def take_requests(self, leader: NodeId, now_us: int) -> list[LeaderRequest]:
+        """Return the requests to send to the leader now."""
+        requests = []
+        for number, proposal in self.pending.items():
+            if leader and not proposal.sent_to and now_us >= proposal.retry_at_us:
+                proposal.sent_to = leader
+                proposal.uncertain_count += 1
+                requests.append(LeaderRequest(number, proposal.command, proposal.name))
+        return requests
+
+    def on_unsent(self, number: int, now_us: int) -> None:
+        """Retry a request that never left this sidecar."""
+        proposal = self.pending.get(number)
+        if proposal is not None and proposal.sent_to:
+            proposal.sent_to = ""
+            proposal.uncertain_count -= 1
+            proposal.retry_at_us = now_us + RETRY_US
+
+    def on_link_broken(self, node: NodeId, now_us: int) -> None:
+        """Retry the requests that a node may or may not have received."""
+        for proposal in self.pending.values():
+            if proposal.sent_to == node:
+                proposal.sent_to = ""
+                proposal.retry_at_us = now_us + RETRY_US
+
+    def on_reply(self, node: NodeId, reply: LeaderReply, now_us: int) -> ProposalResult | None:
+        """Handle a reply. Returns the result if it is final."""
+        proposal = self.pending.get(reply.number)
+        if proposal is None or proposal.sent_to != node:
+            return None  # the answer to an earlier attempt says nothing about the current one
+        if reply.status in (ProposalStatus.DONE, ProposalStatus.ERROR):
+            return self._complete(reply.number, ProposalStatus(reply.status), reply.index, reply.text)
+        if reply.status == ProposalStatus.NOT_LEADER:
+            proposal.uncertain_count -= 1
+        proposal.sent_to = ""
+        proposal.retry_at_us = now_us + RETRY_US
         return None
 
-    def late(self, now_us: int, leaderless_us: int) -> list[ProposalResult]:
-        """What can't be waited for any longer."""
-        found = []
-        for number, one in list(self.open.items()):
-            if now_us >= one.until_us or (not one.sent_to and leaderless_us >= LOST_US):
-                if one.maybe:
-                    found.append(self.end(number, UNKNOWN, text="ask again with the same id"))
-                else:
-                    found.append(self.end(number, NO_QUORUM, text="nothing was changed"))
-        return found
-
-    def end(self, number: int, what: str, index: int = 0, text: str = "") -> ProposalResult:
-        return ProposalResult(self.open.pop(number).context, what, index, text)
+    def expire(self, now_us: int, leaderless_us: int) -> list[ProposalResult]:
+        """Return the results of the requests that can't wait any longer."""
+        results = []
+        for number, proposal in list(self.pending.items()):
+            has_no_leader = not proposal.sent_to and leaderless_us >= NO_LEADER_TIMEOUT_US
+            if now_us < proposal.deadline_us and not has_no_leader:
+                continue
+            if proposal.uncertain_count:
+                text = "ask again with the same id"
+                results.append(self._complete(number, ProposalStatus.UNKNOWN, text=text))
+            else:
+                text = "nothing was changed"
+                results.append(self._complete(number, ProposalStatus.NO_QUORUM, text=text))
+        return results
+
+    def _complete(
+        self, number: int, status: ProposalStatus, index: int = 0, text: str = ""
+    ) -> ProposalResult:
+        return ProposalResult(self.pending.pop(number).context, status, index, text)
--- a/sidecar_proxy/consensus/raft.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -1,8 +1,9 @@
-"""Consensus: one node's part in a replicated log, after Raft. Pure: messages and ticks in, a Ready out.
+"""The Raft core: one node's part in a replicated log, without I/O, clock or threads.
 
-Sections named are those of Ongaro, "Consensus: Bridging Theory and Practice" (2014). The caller takes a
-Ready, writes and syncs what is to be written, then sends the messages, then applies what is committed, then
-takes the next one. It calls `tick` evenly; an election's time is `Timing.election` ticks.
+Messages and ticks come in, a `Ready` goes out. The caller takes a Ready, writes and syncs what has to be
+persisted, then sends the messages, then applies the committed entries, and only then takes the next one. It
+calls `tick` at even intervals; times are counted in ticks. Section numbers are those of Ongaro, "Consensus:
+Bridging Theory and Practice" (2014).
 """
 
 from __future__ import annotations
@@ -12,38 +13,40 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from sidecar_proxy.consensus.log import Compacted, RaftLog
+from sidecar_proxy.consensus.log import CompactedError, RaftLog
 from sidecar_proxy.consensus.messages import (
-    MOST_ENTRIES,
+    MAX_MESSAGE_ENTRIES,
     Append,
     AppendReply,
     Entry,
     HardState,
-    Install,
+    InstallSnapshot,
     Message,
-    Node,
+    NodeId,
     Snapshot,
     TimeoutNow,
     VoteReply,
     VoteRequest,
 )
 
-MOST_FED = MOST_ENTRIES  # of them in one message
-MOST_AHEAD = 1024  # entries that are not committed; more proposals are refused
+MAX_APPEND_ENTRIES = MAX_MESSAGE_ENTRIES
+MAX_UNCOMMITTED_ENTRIES = 1024  # beyond these, proposals are rejected
 
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """In ticks."""
+    """Intervals in ticks, and the optional parts of elections."""
 
-    election: int = 10  # and up to twice as long, by chance
+    election: int = 10  # the election timeout is drawn from this to twice this
     heartbeat: int = 2
-    again: int = 3  # between two questions whether there would be votes
+    pre_vote_retry: int = 3  # between two pre-vote requests of one candidacy
     pre_vote: bool = True
     check_quorum: bool = True
 
 
 class Role(enum.Enum):
+    """The role of a node in its current term."""
+
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
     LEADER = "leader"
@@ -51,513 +54,572 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What the leader knows of one node's log."""
+    """What the leader knows of the log of another node."""
 
-    next: int
-    match: int = 0
-    heard: bool = True  # since the last look at the quorum
-    round: int = 0  # the last one that it has replied to
-    installing: int = 0  # the snapshot that is on its way to it; 0 = none
+    next_index: int
+    match_index: int = 0
+    is_active: bool = True  # it has replied since the last quorum check
+    acked_round: int = 0  # the latest round that it has replied to
+    pending_snapshot_index: int = 0  # the snapshot that was sent to it; 0 = none
 
 
 @dataclass(slots=True)
-class Read:
-    """A read waits for a round of replies of a majority (6.4)."""
+class PendingRead:
+    """A read that waits until a majority has replied to a round of heartbeats (6.4)."""
 
     context: int
-    index: int
+    read_index: int
     round: int
 
 
 @dataclass(slots=True)
 class Ready:
-    """In this order: write and sync; send; apply."""
+    """Work for the caller, in this order: write and sync, send, apply."""
 
-    hard: HardState | None = None
-    snapshot: Snapshot | None = None  # in place of all that was before
-    entries: list[Entry] = field(default_factory=list)  # what stands from the first one's index on is cut
+    hard_state: HardState | None = None
+    snapshot: Snapshot | None = None  # replaces all entries before it
+    entries: list[Entry] = field(default_factory=list)  # replace the log from the first one's index on
     messages: list[Message] = field(default_factory=list)
     committed: list[Entry] = field(default_factory=list)
-    reads: list[tuple[int, int]] = field(default_factory=list)  # context, and once what is applied
-    refused_reads: list[int] = field(default_factory=list)  # the office was lost: ask another
+    reads: list[tuple[int, int]] = field(default_factory=list)  # context, and the read index to apply first
+    rejected_reads: list[int] = field(default_factory=list)  # contexts; the leadership was lost
 
 
-class ProposalRejected(Exception):
-    """Not now, or not here; one line."""
+class ProposalRejectedError(Exception):
+    """A proposal, read or change of voters can't be taken now, or not by this node."""
 
 
 class RaftCore:
-    """A voter, or a learner while no one has taken it in."""
+    """A voter, or a learner as long as it is not among the voters."""
 
     def __init__(
         self,
-        me: Node,
+        node_id: NodeId,
         log: RaftLog,
-        hard: HardState,
-        dice: random.Random,
+        hard_state: HardState,
+        rng: random.Random,
         timing: Timing = Timing(),
-        commit: int = 0,
-        early: bool = False,
+        commit_index: int = 0,
+        send_before_persist: bool = False,
     ) -> None:
-        """`commit`: what was known to be committed when it ended; the caller has applied all up to there.
-        `early`: the caller sends a Ready's Appends before it has written, and says `wrote` once it has
-        (10.2.1): so a commit takes one sync and not two in a row.
+        """Start from persisted state.
+
+        `commit_index` is what was known to be committed before the restart; the caller has applied everything
+        up to there. With `send_before_persist` the caller sends the Appends of a Ready before it has written
+        them and calls `mark_persisted` afterwards (10.2.1): a commit then takes one sync, not two in a row.
         """
-        self.me = me
+        self.node_id = node_id
         self.log = log
-        self.term, self.vote = hard.term, hard.vote
-        self.dice = dice
+        self.term = hard_state.term
+        self.vote = hard_state.vote
+        self.rng = rng
         self.timing = timing
         self.role = Role.FOLLOWER
-        self.leader: Node = ""  # of this term, as far as it is known
-        self.commit = self.applied = max(log.snapshot.index, min(commit, log.last_index))
-        self.elapsed = 0  # ticks since the leader was heard, or the last heartbeat
-        self.patience = 0  # ticks of this election's time
-        self.votes: dict[Node, bool] = {}
-        self.pre = False  # the candidacy is only asked about
-        self.peers: dict[Node, Progress] = {}  # of a leader: voters and learners but itself
-        self.learners: dict[Node, None] = {}
+        self.leader: NodeId = ""  # of this term; "" = not known
+        self.commit_index = max(log.snapshot.index, min(commit_index, log.last_index))
+        self.applied_index = self.commit_index
+        self.elapsed_ticks = 0  # since the leader was heard, or since this leader's last heartbeat
+        self.election_timeout_ticks = 0
+        self.votes: dict[NodeId, bool] = {}
+        self.is_pre_candidate = False
+        self.progress: dict[NodeId, Progress] = {}  # of a leader: the other voters, and learners
+        self.learners: dict[NodeId, None] = {}
         self.round = 0
-        self.quorum_elapsed = 0
-        self.reads: list[Read] = []
-        self.transfer_to: Node = ""
-        self.transfer_elapsed = 0
-        self.told = HardState(self.term, self.vote)  # as last written
-        self.early = early
-        self.stable = log.last_index  # entries up to there are written; of use where `early`
-        self.out = Ready()
-        self.be_patient()
-
-    # Questions
+        self.quorum_elapsed_ticks = 0
+        self.pending_reads: list[PendingRead] = []
+        self.transfer_target: NodeId = ""
+        self.transfer_elapsed_ticks = 0
+        self.persisted_hard_state = HardState(self.term, self.vote)
+        self.send_before_persist = send_before_persist
+        self.persisted_index = log.last_index  # only meaningful with `send_before_persist`
+        self.next_ready = Ready()
+        self.reset_election_timer()
+
+    # State
 
     @property
-    def voters(self) -> tuple[Node, ...]:
+    def voters(self) -> tuple[NodeId, ...]:
+        """The latest voters in the log, committed or not."""
         return self.log.voters()
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
+        """Whether this node leads in its term."""
         return self.role is Role.LEADER
 
-    def majority(self) -> int:
+    def quorum_size(self) -> int:
+        """Return the size of a majority of the voters."""
         return len(self.voters) // 2 + 1
 
     def has_ready(self) -> bool:
-        out = self.out
+        """Tell whether `ready` would return work."""
+        ready = self.next_ready
         return bool(
-            self.told != HardState(self.term, self.vote)
-            or out.snapshot
-            or out.entries
-            or out.messages
-            or out.reads
-            or out.refused_reads
-            or self.applied < self.commit
+            self.persisted_hard_state != HardState(self.term, self.vote)
+            or ready.snapshot
+            or ready.entries
+            or ready.messages
+            or ready.reads
+            or ready.rejected_reads
+            or self.applied_index < self.commit_index
         )
 
     def ready(self) -> Ready:
-        """What is to be done now. Hazard: what it holds counts as written from here on."""
-        out, self.out = self.out, Ready()
-        if not self.early:
-            self.stable = self.log.last_index
-        hard = HardState(self.term, self.vote)
-        if hard != self.told:
-            out.hard = self.told = hard
-        if self.applied < self.commit:
-            out.committed = self.log.between(self.applied + 1, self.commit)
-            self.applied = self.commit
-        return out
-
-    def wrote(self, entries: Sequence[Entry]) -> None:
-        """Those of a Ready. Hazard: what has come in their place since is not among them."""
-        if entries:
-            waiting = self.out.entries
-            self.stable = min(entries[-1].index, waiting[0].index - 1 if waiting else self.log.last_index)
-            self.advance()
+        """Return the work that is due. Its content counts as persisted and applied from here on."""
+        ready = self.next_ready
+        self.next_ready = Ready()
+        if not self.send_before_persist:
+            self.persisted_index = self.log.last_index
+        hard_state = HardState(self.term, self.vote)
+        if hard_state != self.persisted_hard_state:
+            ready.hard_state = hard_state
+            self.persisted_hard_state = hard_state
+        if self.applied_index < self.commit_index:
+            ready.committed = self.log.entries_between(self.applied_index + 1, self.commit_index)
+            self.applied_index = self.commit_index
+        return ready
+
+    def mark_persisted(self, entries: Sequence[Entry]) -> None:
+        """Record that the entries of a Ready are on disk; those replaced in the meantime do not count."""
+        if not entries:
+            return
+        unwritten = self.next_ready.entries
+        last_valid_index = unwritten[0].index - 1 if unwritten else self.log.last_index
+        self.persisted_index = min(entries[-1].index, last_valid_index)
+        self.advance_commit_index()
 
     # Time
 
-    def rest(self) -> int:
-        """Ticks until one has something to do, at least one."""
+    def ticks_until_due(self) -> int:
+        """Return the number of ticks until this node has something to do, at least one."""
         if self.role is Role.LEADER:
-            return max(1, self.timing.heartbeat - self.elapsed)
+            return max(1, self.timing.heartbeat - self.elapsed_ticks)
         if self.role is Role.CANDIDATE:
             return 1
-        return max(1, self.patience - self.elapsed)
+        return max(1, self.election_timeout_ticks - self.elapsed_ticks)
 
     def tick(self) -> None:
-        self.elapsed += 1
+        """Advance the time by one tick."""
+        self.elapsed_ticks += 1
         if self.role is Role.LEADER:
-            self.tick_leader()
-        elif self.elapsed >= self.patience and self.me in self.voters:
+            self._tick_leader()
+        elif self.elapsed_ticks >= self.election_timeout_ticks and self.node_id in self.voters:
             self.campaign()
-        elif self.role is Role.CANDIDATE and self.pre and self.elapsed % self.timing.again == 0:
-            # who has heard the leader a moment longer has passed over it, and would not be asked for long
-            self.ask_for_votes(pre=True)
-
-    def tick_leader(self) -> None:
-        self.quorum_elapsed += 1
-        if self.quorum_elapsed >= self.timing.election:
-            self.quorum_elapsed = 0
-            heard = sum(one.heard for node, one in self.peers.items() if node in self.voters)
-            if self.timing.check_quorum and heard + (self.me in self.voters) < self.majority():
-                self.follow(self.term, "")  # 6.2: others may have a leader that we do not hear of
+        elif (
+            self.role is Role.CANDIDATE
+            and self.is_pre_candidate
+            and self.elapsed_ticks % self.timing.pre_vote_retry == 0
+        ):
+            # A voter that heard the leader a moment later than we did has ignored the first request.
+            self._request_votes(pre_vote=True)
+
+    def _tick_leader(self) -> None:
+        self.quorum_elapsed_ticks += 1
+        if self.quorum_elapsed_ticks >= self.timing.election:
+            self.quorum_elapsed_ticks = 0
+            if self.timing.check_quorum and not self._has_active_quorum():
+                self.become_follower(self.term, "")  # 6.2: the others may have a leader of a later term
                 return
-            for one in self.peers.values():
-                one.heard, one.installing = False, 0
-        if self.transfer_to:
-            self.transfer_elapsed += 1
-            if self.transfer_elapsed >= self.timing.election:
-                self.transfer_to = ""  # it did not come to it: proposals are taken again
-        if self.elapsed >= self.timing.heartbeat:
-            self.elapsed = 0
-            self.broadcast()
-
-    def be_patient(self) -> None:
-        self.elapsed = 0
-        self.patience = self.timing.election + self.dice.randrange(self.timing.election)
+            for progress in self.progress.values():
+                progress.is_active = False
+                progress.pending_snapshot_index = 0
+        if self.transfer_target:
+            self.transfer_elapsed_ticks += 1
+            if self.transfer_elapsed_ticks >= self.timing.election:
+                self.transfer_target = ""  # the transfer has failed; proposals are taken again
+        if self.elapsed_ticks >= self.timing.heartbeat:
+            self.elapsed_ticks = 0
+            self._broadcast_append()
+
+    def _has_active_quorum(self) -> bool:
+        active_count = sum(
+            progress.is_active for node, progress in self.progress.items() if node in self.voters
+        )
+        return active_count + (self.node_id in self.voters) >= self.quorum_size()
+
+    def reset_election_timer(self) -> None:
+        """Restart the election timer with a random timeout (3.4)."""
+        self.elapsed_ticks = 0
+        self.election_timeout_ticks = self.timing.election + self.rng.randrange(self.timing.election)
 
     # Elections
 
-    def follow(self, term: int, leader: Node) -> None:
+    def become_follower(self, term: int, leader: NodeId) -> None:
+        """Follow `leader` ("" = not known) in a term that is not earlier than the current one."""
         if term > self.term:
-            self.term, self.vote = term, ""
+            self.term = term
+            self.vote = ""
         if self.role is Role.LEADER:
-            self.out.refused_reads += [one.context for one in self.reads]
-        self.role, self.leader = Role.FOLLOWER, leader
-        self.votes, self.peers, self.reads, self.transfer_to = {}, {}, [], ""
-        self.be_patient()
+            self.next_ready.rejected_reads += [read.context for read in self.pending_reads]
+        self.role = Role.FOLLOWER
+        self.leader = leader
+        self.votes = {}
+        self.progress = {}
+        self.pending_reads = []
+        self.transfer_target = ""
+        self.reset_election_timer()
 
     def campaign(self, transfer: bool = False) -> None:
-        """Stand for election; first it is asked whether that would help (9.6)."""
-        if self.me not in self.voters:
+        """Start an election, with a pre-vote first unless the leader asked for it (9.6)."""
+        if self.node_id not in self.voters:
             return
-        self.role, self.leader = Role.CANDIDATE, ""
-        self.be_patient()
-        self.stand(self.timing.pre_vote and not transfer, transfer)
-
-    def stand(self, pre: bool, transfer: bool = False) -> None:
-        """Ask for votes; `pre`: only whether there would be any."""
-        self.pre = pre
-        if not pre:
-            self.term, self.vote = self.term + 1, self.me
-        self.votes = {self.me: True}
-        if self.won():
-            self.elected()
+        self.role = Role.CANDIDATE
+        self.leader = ""
+        self.reset_election_timer()
+        self._start_vote(self.timing.pre_vote and not transfer, transfer)
+
+    def _start_vote(self, pre_vote: bool, transfer: bool = False) -> None:
+        self.is_pre_candidate = pre_vote
+        if not pre_vote:
+            self.term += 1
+            self.vote = self.node_id
+        self.votes = {self.node_id: True}
+        if self._has_won_vote():
+            self._on_vote_won()
             return
-        self.ask_for_votes(pre, transfer)
+        self._request_votes(pre_vote, transfer)
 
-    def ask_for_votes(self, pre: bool, transfer: bool = False) -> None:
-        asked = self.term + 1 if pre else self.term
+    def _request_votes(self, pre_vote: bool, transfer: bool = False) -> None:
+        term = self.term + 1 if pre_vote else self.term
         for node in self.voters:
-            if node != self.me:
-                self.send(
-                    VoteRequest(self.me, node, asked, self.log.last_index, self.log.last_term, pre, transfer)
-                )
+            if node == self.node_id:
+                continue
+            last_index, last_term = self.log.last_index, self.log.last_term
+            self.send(VoteRequest(self.node_id, node, term, last_index, last_term, pre_vote, transfer))
 
-    def won(self) -> bool:
-        return sum(self.votes.get(node, False) for node in self.voters) >= self.majority()
+    def _has_won_vote(self) -> bool:
+        return sum(self.votes.get(node, False) for node in self.voters) >= self.quorum_size()
 
-    def elected(self) -> None:
-        if self.pre:
-            self.stand(pre=False)
+    def _on_vote_won(self) -> None:
+        if self.is_pre_candidate:
+            self._start_vote(pre_vote=False)
+        else:
+            self._become_leader()
+
+    def _become_leader(self) -> None:
+        self.role = Role.LEADER
+        self.leader = self.node_id
+        self.elapsed_ticks = 0
+        self.quorum_elapsed_ticks = 0
+        self.pending_reads = []
+        self.transfer_target = ""
+        last_index = self.log.last_index
+        nodes = dict.fromkeys([*self.voters, *self.learners])
+        self.progress = {node: Progress(last_index + 1) for node in nodes if node != self.node_id}
+        # 5.4.2: entries of earlier terms are committed along with an entry of this term.
+        self._append_own([Entry(self.term, last_index + 1)])
+        self._broadcast_append()
+
+    def _hears_leader(self) -> bool:
+        """Tell whether a live leader is a reason to ignore vote requests (4.2.3)."""
+        return bool(self.leader and self.elapsed_ticks < self.timing.election and self.timing.check_quorum)
+
+    def _on_vote_request(self, request: VoteRequest) -> None:
+        if not request.transfer and self._hears_leader():
             return
-        self.role, self.leader, self.elapsed, self.quorum_elapsed = Role.LEADER, self.me, 0, 0
-        self.reads, self.transfer_to = [], ""
-        last = self.log.last_index
-        others = dict.fromkeys([*self.voters, *self.learners])
-        self.peers = {node: Progress(last + 1) for node in others if node != self.me}
-        # 5.4.2: entries of earlier terms are committed along with one of this term
-        self.add([Entry(self.term, last + 1)])
-        self.broadcast()
-
-    def on_vote_request(self, asked: VoteRequest) -> None:
-        content = (
-            not asked.transfer
-            and self.leader
-            and self.elapsed < self.timing.election
-            and (self.timing.check_quorum)
-        )
-        if content:
-            return  # 4.2.3: the leader is heard; who was cut off does not unseat it
-        fresh = self.log.is_fresh(asked.last_index, asked.last_term)
-        if asked.pre:
-            granted = asked.term > self.term and fresh
-            # a reply to a pre-vote has the term that was asked about, or ours where that is higher
-            self.send(VoteReply(self.me, asked.source, asked.term if granted else self.term, granted, True))
+        is_up_to_date = self.log.is_up_to_date(request.last_index, request.last_term)
+        if request.pre_vote:
+            granted = request.term > self.term and is_up_to_date
+            # A granted pre-vote repeats the term of the request; a rejected one tells ours.
+            term = request.term if granted else self.term
+            self.send(VoteReply(self.node_id, request.source, term, granted, True))
             return
-        if asked.term > self.term:
-            self.follow(asked.term, "")
-        granted = asked.term == self.term and self.vote in ("", asked.source) and fresh
+        if request.term > self.term:
+            self.become_follower(request.term, "")
+        granted = request.term == self.term and self.vote in ("", request.source) and is_up_to_date
         if granted:
-            self.vote = asked.source
-            self.be_patient()
-        self.send(VoteReply(self.me, asked.source, self.term, granted))
+            self.vote = request.source
+            self.reset_election_timer()
+        self.send(VoteReply(self.node_id, request.source, self.term, granted))
 
-    def on_vote_reply(self, reply: VoteReply) -> None:
-        if reply.term > self.term and not (reply.pre and reply.granted):
-            self.follow(reply.term, "")
+    def _on_vote_reply(self, reply: VoteReply) -> None:
+        if reply.term > self.term and not (reply.pre_vote and reply.granted):
+            self.become_follower(reply.term, "")
             return
-        if (
-            self.role is not Role.CANDIDATE
-            or reply.pre is not self.pre
-            or (reply.term != (self.term + 1 if self.pre else self.term))
-        ):
+        if self.role is not Role.CANDIDATE or reply.pre_vote is not self.is_pre_candidate:
+            return
+        if reply.term != (self.term + 1 if self.is_pre_candidate else self.term):
             return
         if reply.source in self.voters:
             self.votes[reply.source] = reply.granted
-            if self.won():
-                self.elected()
+            if self._has_won_vote():
+                self._on_vote_won()
 
     # Messages
 
     def step(self, message: Message) -> None:
-        """One has come. Of whatever kind, from whomever, in any order."""
-        if message.target != self.me or message.source == self.me:
+        """Handle a message of any kind, from any node, in any order."""
+        if message.target != self.node_id or message.source == self.node_id:
             return
         if isinstance(message, VoteRequest):
-            self.on_vote_request(message)
+            self._on_vote_request(message)
         elif isinstance(message, VoteReply):
-            self.on_vote_reply(message)
+            self._on_vote_reply(message)
         elif message.term < self.term:
-            if isinstance(message, Append | Install):  # it learns that its time is over
-                self.send(AppendReply(self.me, message.source, self.term, False, 0, message.round))
+            if isinstance(message, Append | InstallSnapshot):  # tells a former leader the later term
+                self.send(AppendReply(self.node_id, message.source, self.term, False, 0, message.round))
         elif isinstance(message, AppendReply):
-            if message.term > self.term:
-                self.follow(message.term, "")
-            elif self.leads:
-                self.on_append_reply(message)
-        elif isinstance(message, Append | Install):
-            if self.leads and message.term == self.term:
-                return  # it can't be: one leader a term
-            self.follow(message.term, message.source)
-            if isinstance(message, Append):
-                self.on_append(message)
-            else:
-                self.on_install(message)
+            self._on_append_reply(message)
+        elif isinstance(message, Append | InstallSnapshot):
+            self._on_leader_message(message)
         elif isinstance(message, TimeoutNow) and message.term == self.term and message.source == self.leader:
             self.campaign(transfer=True)
 
     def send(self, message: Message) -> None:
-        self.out.messages.append(message)
+        """Add a message to the next Ready."""
+        self.next_ready.messages.append(message)
 
     # Followers
 
-    def on_append(self, told: Append) -> None:
+    def _on_leader_message(self, message: Append | InstallSnapshot) -> None:
+        if self.is_leader and message.term == self.term:
+            return  # impossible from a correct node: a term has one leader
+        self.become_follower(message.term, message.source)
+        if isinstance(message, Append):
+            self._on_append(message)
+        else:
+            self._on_install_snapshot(message)
+
+    def _on_append(self, append: Append) -> None:
         try:
-            agrees = self.log.term_at(told.prev_index) == told.prev_term
-        except Compacted:
-            # all that the snapshot has is committed, so it agrees
-            self.reply(told, True, self.log.snapshot.index)
+            matches = self.log.term_at(append.prev_index) == append.prev_term
+        except CompactedError:
+            # The snapshot only holds committed entries, so it matches the log of the leader.
+            self._reply_to_append(append, True, self.log.snapshot.index)
             return
-        if not agrees:
-            self.reply(told, False, min(told.prev_index - 1, self.log.last_index))
+        if not matches:
+            self._reply_to_append(append, False, min(append.prev_index - 1, self.log.last_index))
             return
-        first = self.log.add(told.entries)
-        if first is not None:
-            assert first > self.commit, "a committed entry would be cut"
-            self.note(self.log.between(first, self.log.last_index))
-        last = told.prev_index + len(told.entries)
-        self.commit = max(self.commit, min(told.commit, last))
-        self.reply(told, True, last)
+        first_new = self.log.append(append.entries)
+        if first_new is not None:
+            assert first_new > self.commit_index, "a committed entry would be cut"
+            self._stage_entries(self.log.entries_between(first_new, self.log.last_index))
+        match_index = append.prev_index + len(append.entries)
+        self.commit_index = max(self.commit_index, min(append.commit, match_index))
+        self._reply_to_append(append, True, match_index)
 
-    def reply(self, told: Append | Install, ok: bool, match: int) -> None:
-        self.send(AppendReply(self.me, told.source, self.term, ok, match, told.round))
+    def _reply_to_append(self, request: Append | InstallSnapshot, ok: bool, match: int) -> None:
+        self.send(AppendReply(self.node_id, request.source, self.term, ok, match, request.round))
 
-    def on_install(self, told: Install) -> None:
-        self.restore(told.snapshot)
-        self.reply(told, True, max(told.snapshot.index, self.commit))
+    def _on_install_snapshot(self, install: InstallSnapshot) -> None:
+        self.restore(install.snapshot)
+        self._reply_to_append(install, True, max(install.snapshot.index, self.commit_index))
 
     def restore(self, snapshot: Snapshot) -> None:
-        """All up to there is committed, whoever tells it."""
-        if snapshot.index > self.commit:
-            self.reach(snapshot.term)
+        """Take over a snapshot of any node if it is newer: all that it holds is committed."""
+        if snapshot.index > self.commit_index:
+            self._raise_term(snapshot.term)
             self.log.install(snapshot)
-            self.commit = self.applied = snapshot.index
-            # hazard: entries that are kept behind it have to be written again behind it
-            self.out.snapshot, self.out.entries = snapshot, list(self.log.entries)
+            self.commit_index = snapshot.index
+            self.applied_index = snapshot.index
+            # The entries that stay are written again, as the file begins anew with the snapshot.
+            self.next_ready.snapshot = snapshot
+            self.next_ready.entries = list(self.log.entries)
 
-    def learned(self, entries: Sequence[Entry]) -> None:
-        """Committed ones, without gaps, from a voter: as a learner fetches them. Those that do not follow on
-        what is committed here are passed over. Raises Refused for what can't be.
+    def append_committed(self, entries: Sequence[Entry]) -> None:
+        """Add committed entries that were fetched from a voter.
+
+        Entries that do not follow the commit index are ignored. Raises ProposalRejectedError if they have
+        gaps.
         """
-        new = [one for one in entries if one.index > self.commit]
-        if not new or new[0].index != self.commit + 1 or self.leads:
+        new = [entry for entry in entries if entry.index > self.commit_index]
+        if not new or new[0].index != self.commit_index + 1 or self.is_leader:
             return
-        if any(one.index != new[0].index + n for n, one in enumerate(new)):
-            raise ProposalRejected("entries with gaps")
-        self.reach(new[-1].term)
-        first = self.log.add(new)
-        if first is not None:
-            self.note(self.log.between(first, self.log.last_index))
-        self.commit = max(self.commit, new[-1].index)
-
-    def reach(self, term: int) -> None:
-        """Hazard: a log never ends in a later term than the node's own, or a leader whose time is over could
-        cut what is committed.
+        if any(entry.index != new[0].index + position for position, entry in enumerate(new)):
+            raise ProposalRejectedError("entries with gaps")
+        self._raise_term(new[-1].term)
+        first_new = self.log.append(new)
+        if first_new is not None:
+            self._stage_entries(self.log.entries_between(first_new, self.log.last_index))
+        self.commit_index = max(self.commit_index, new[-1].index)
+
+    def _raise_term(self, term: int) -> None:
+        """Keep the node's term at or above that of its last entry.
+
+        Otherwise a former leader of an earlier term could cut entries that are committed.
         """
         if term > self.term:
-            self.follow(term, "")
+            self.become_follower(term, "")
 
-    # The leader
+    # Leaders
 
-    def add(self, entries: list[Entry]) -> None:
-        self.log.add(entries)
-        self.note(entries)
-        self.advance()
+    def _append_own(self, entries: list[Entry]) -> None:
+        self.log.append(entries)
+        self._stage_entries(entries)
+        self.advance_commit_index()
 
-    def note(self, entries: Iterable[Entry]) -> None:
-        """They are to be written: in place of what the Ready has from the first one's index on."""
+    def _stage_entries(self, entries: Iterable[Entry]) -> None:
+        """Add entries to the next Ready in place of those from the first one's index on."""
         added = list(entries)
-        self.stable = min(self.stable, added[0].index - 1)
-        self.out.entries = [one for one in self.out.entries if one.index < added[0].index] + added
+        first_index = added[0].index
+        self.persisted_index = min(self.persisted_index, first_index - 1)
+        remaining = [entry for entry in self.next_ready.entries if entry.index < first_index]
+        self.next_ready.entries = remaining + added
 
     def propose(self, data: bytes) -> int:
-        """The index at which it may come to stand. Raises Refused."""
-        if not self.leads:
-            raise ProposalRejected("not the leader")
-        if self.transfer_to:
-            raise ProposalRejected("the office is being handed over")
-        if self.log.last_index - self.commit >= MOST_AHEAD:
-            raise ProposalRejected("too many are not committed yet")
+        """Append an entry and return its index. Raises ProposalRejectedError."""
+        if not self.is_leader:
+            raise ProposalRejectedError("not the leader")
+        if self.transfer_target:
+            raise ProposalRejectedError("the leadership is being transferred")
+        if self.log.last_index - self.commit_index >= MAX_UNCOMMITTED_ENTRIES:
+            raise ProposalRejectedError("too many entries are not committed yet")
         entry = Entry(self.term, self.log.last_index + 1, data)
-        self.add([entry])
-        self.broadcast()
+        self._append_own([entry])
+        self._broadcast_append()
         return entry.index
 
-    def change(self, voters: tuple[Node, ...]) -> int:
-        """Take one voter in or one out (4.1); its index. Raises Refused."""
-        if not self.leads or self.transfer_to:
-            raise ProposalRejected("not the leader" if not self.leads else "the office is being handed over")
-        if len(set(voters) ^ set(self.voters)) != 1 or len(set(voters)) != len(voters) or not voters:
-            raise ProposalRejected("one voter at a time")
-        if self.log.voters_index() > self.commit:
-            raise ProposalRejected("the last change is not committed yet")
-        # the mend of 2015: else two changes of two terms need not share a majority
-        if self.log.term_at(self.commit) != self.term:
-            raise ProposalRejected("nothing of this term is committed yet")
+    def propose_voters(self, voters: tuple[NodeId, ...]) -> int:
+        """Add or remove one voter (4.1) and return the entry's index. Raises ProposalRejectedError."""
+        self._check_voters_proposal(voters)
         entry = Entry(self.term, self.log.last_index + 1, voters=tuple(sorted(voters)))
         for node in voters:
-            if node != self.me:
-                self.peers.setdefault(node, Progress(self.log.last_index + 1))
-        self.add([entry])
-        self.broadcast()
+            if node != self.node_id:
+                self.progress.setdefault(node, Progress(self.log.last_index + 1))
+        self._append_own([entry])
+        self._broadcast_append()
         return entry.index
 
-    def learn(self, node: Node) -> None:
-        """It has said hello: it gets the log from whoever leads."""
-        if node != self.me:
+    def _check_voters_proposal(self, voters: tuple[NodeId, ...]) -> None:
+        if not self.is_leader:
+            raise ProposalRejectedError("not the leader")
+        if self.transfer_target:
+            raise ProposalRejectedError("the leadership is being transferred")
+        changed_count = len(set(voters) ^ set(self.voters))
+        if changed_count != 1 or len(set(voters)) != len(voters) or not voters:
+            raise ProposalRejectedError("one voter at a time")
+        if self.log.voters_index() > self.commit_index:
+            raise ProposalRejectedError("the last change is not committed yet")
+        # The correction of 2015: else two changes in two terms need not share a majority.
+        if self.log.term_at(self.commit_index) != self.term:
+            raise ProposalRejectedError("nothing of this term is committed yet")
+
+    def add_learner(self, node: NodeId) -> None:
+        """Replicate the log to a node that does not vote."""
+        if node != self.node_id:
             self.learners[node] = None
-            if self.leads and node not in self.peers:
-                self.peers[node] = Progress(self.log.last_index + 1)
+            if self.is_leader and node not in self.progress:
+                self.progress[node] = Progress(self.log.last_index + 1)
 
-    def forget(self, node: Node) -> None:
-        """A learner is gone."""
+    def remove_learner(self, node: NodeId) -> None:
+        """Stop replicating to a learner."""
         self.learners.pop(node, None)
         if node not in self.voters:
-            self.peers.pop(node, None)
-
-    def read(self, context: int) -> None:
-        """Answered in a Ready once it is sure that nobody has taken the office. Raises Refused."""
-        if not self.leads:
-            raise ProposalRejected("not the leader")
-        if self.log.term_at(self.commit) != self.term:
-            raise ProposalRejected("nothing of this term is committed yet")
+            self.progress.pop(node, None)
+
+    def request_read(self, context: int) -> None:
+        """Start a linearizable read (6.4): a Ready holds its context once the leadership is confirmed.
+
+        Raises ProposalRejectedError.
+        """
+        if not self.is_leader:
+            raise ProposalRejectedError("not the leader")
+        if self.log.term_at(self.commit_index) != self.term:
+            raise ProposalRejectedError("nothing of this term is committed yet")
         self.round += 1
-        self.reads.append(Read(context, self.commit, self.round))
-        self.broadcast()
-        self.finish_reads()
-
-    def transfer(self, node: Node) -> None:
-        """Hand the office over (3.10). Raises Refused."""
-        if not self.leads or node not in self.voters or node == self.me:
-            raise ProposalRejected("not the leader" if not self.leads else "not one of the other voters")
-        self.transfer_to, self.transfer_elapsed = node, 0
-        if self.peers[node].match == self.log.last_index:
-            self.send(TimeoutNow(self.me, node, self.term))
+        self.pending_reads.append(PendingRead(context, self.commit_index, self.round))
+        self._broadcast_append()
+        self._complete_reads()
+
+    def transfer_leadership(self, node: NodeId) -> None:
+        """Let another voter start an election as soon as its log is complete (3.10).
+
+        Raises ProposalRejectedError.
+        """
+        if not self.is_leader:
+            raise ProposalRejectedError("not the leader")
+        if node not in self.voters or node == self.node_id:
+            raise ProposalRejectedError("not one of the other voters")
+        self.transfer_target = node
+        self.transfer_elapsed_ticks = 0
+        if self.progress[node].match_index == self.log.last_index:
+            self.send(TimeoutNow(self.node_id, node, self.term))
         else:
-            self.feed(node)
+            self._send_append(node)
 
-    def broadcast(self) -> None:
-        for node in list(self.peers):
-            self.feed(node)
+    def _broadcast_append(self) -> None:
+        for node in list(self.progress):
+            self._send_append(node)
 
-    def feed(self, node: Node) -> None:
-        """Its next entries, or the snapshot where those are in it."""
-        one = self.peers[node]
+    def _send_append(self, node: NodeId) -> None:
+        """Send a node its next entries, or the snapshot if that has replaced them."""
+        progress = self.progress[node]
+        prev_index = progress.next_index - 1
         try:
-            prev_term = self.log.term_at(one.next - 1)
-            entries = self.log.after(one.next - 1, MOST_FED)
-        except Compacted:
-            if one.installing != self.log.snapshot.index:
-                one.installing = self.log.snapshot.index
-                self.send(Install(self.me, node, self.term, self.log.snapshot, self.round))
+            prev_term = self.log.term_at(prev_index)
+            entries = self.log.entries_after(prev_index, MAX_APPEND_ENTRIES)
+        except CompactedError:
+            snapshot = self.log.snapshot
+            if progress.pending_snapshot_index != snapshot.index:
+                progress.pending_snapshot_index = snapshot.index
+                self.send(InstallSnapshot(self.node_id, node, self.term, snapshot, self.round))
             return
         assert prev_term is not None
-        self.send(
-            Append(
-                self.me,
-                node,
-                self.term,
-                one.next - 1,
-                prev_term,
-                entries,
-                min(self.commit, one.next - 1 + len(entries)),
-                self.round,
-            )
-        )
+        commit = min(self.commit_index, prev_index + len(entries))
+        self.send(Append(self.node_id, node, self.term, prev_index, prev_term, entries, commit, self.round))
 
-    def on_append_reply(self, reply: AppendReply) -> None:
-        one = self.peers.get(reply.source)
-        if one is None:
+    def _on_append_reply(self, reply: AppendReply) -> None:
+        if reply.term > self.term:
+            self.become_follower(reply.term, "")
+            return
+        progress = self.progress.get(reply.source)
+        if not self.is_leader or progress is None:
             return
-        one.heard, one.round = True, max(one.round, reply.round)
+        progress.is_active = True
+        progress.acked_round = max(progress.acked_round, reply.round)
         if reply.ok:
-            # hazard: one that is late says less than is known
-            one.match = max(one.match, min(reply.match, self.log.last_index))
-            behind = one.next <= one.match
-            one.next = max(one.next, one.match + 1)
-            if one.installing and one.match >= one.installing:
-                one.installing = 0
-            self.advance()
-            if not self.leads:
-                return  # it has taken itself out, and that is committed now
-            if reply.source == self.transfer_to and one.match == self.log.last_index:
-                self.send(TimeoutNow(self.me, reply.source, self.term))
-            elif behind and one.next <= self.log.last_index:
-                self.feed(reply.source)
-        elif reply.match < one.next - 1 and reply.match >= one.match:
-            one.next = max(one.match, reply.match) + 1
-            self.feed(reply.source)
-        self.finish_reads()
-
-    def advance(self) -> None:
-        """What a majority has is committed, if it is of this term (5.4.2)."""
-        if not self.leads:
+            self._on_append_accepted(reply, progress)
+            if not self.is_leader:
+                return  # it has removed itself from the voters, and that is committed now
+        elif progress.match_index <= reply.match < progress.next_index - 1:
+            progress.next_index = max(progress.match_index, reply.match) + 1
+            self._send_append(reply.source)
+        self._complete_reads()
+
+    def _on_append_accepted(self, reply: AppendReply, progress: Progress) -> None:
+        # A delayed reply may confirm less than is known already.
+        progress.match_index = max(progress.match_index, min(reply.match, self.log.last_index))
+        is_behind = progress.next_index <= progress.match_index
+        progress.next_index = max(progress.next_index, progress.match_index + 1)
+        if progress.pending_snapshot_index and progress.match_index >= progress.pending_snapshot_index:
+            progress.pending_snapshot_index = 0
+        self.advance_commit_index()
+        if not self.is_leader:
+            return
+        if reply.source == self.transfer_target and progress.match_index == self.log.last_index:
+            self.send(TimeoutNow(self.node_id, reply.source, self.term))
+        elif is_behind and progress.next_index <= self.log.last_index:
+            self._send_append(reply.source)
+
+    def _match_index(self, node: NodeId) -> int:
+        if node == self.node_id:
+            return self.persisted_index if self.send_before_persist else self.log.last_index
+        progress = self.progress.get(node)
+        return progress.match_index if progress is not None else 0
+
+    def advance_commit_index(self) -> None:
+        """Commit what a majority holds, if the last entry of it is of this term (5.4.2)."""
+        if not self.is_leader:
             return
         voters = self.voters
-        own = self.stable if self.early else self.log.last_index
-        has = sorted(
-            (
-                own if node == self.me else self.peers[node].match if node in self.peers else 0
-                for node in voters
-            ),
-            reverse=True,
-        )
-        index = has[self.majority() - 1]
-        if index > self.commit and self.log.term_at(index) == self.term:
-            self.commit = index
-            self.broadcast()
-            if self.me not in voters and self.log.voters_index() <= index:
-                self.follow(self.term, "")  # it has taken itself out (4.2.2)
-
-    def finish_reads(self) -> None:
+        match_indexes = sorted(map(self._match_index, voters), reverse=True)
+        index = match_indexes[self.quorum_size() - 1]
+        if index > self.commit_index and self.log.term_at(index) == self.term:
+            self.commit_index = index
+            self._broadcast_append()
+            if self.node_id not in voters and self.log.voters_index() <= index:
+                self.become_follower(self.term, "")  # it has removed itself (4.2.2)
+
+    def _complete_reads(self) -> None:
         voters = self.voters
-        while self.reads:
-            first = self.reads[0]
-            there = sum(
-                node == self.me or (node in self.peers and self.peers[node].round >= first.round)
+        while self.pending_reads:
+            read = self.pending_reads[0]
+            acked_count = sum(
+                node == self.node_id
+                or (node in self.progress and self.progress[node].acked_round >= read.round)
                 for node in voters
             )
-            if there < self.majority():
+            if acked_count < self.quorum_size():
                 return
-            self.reads.pop(0)
-            self.out.reads.append((first.context, first.index))
+            self.pending_reads.pop(0)
+            self.next_ready.reads.append((read.context, read.read_index))
--- a/sidecar_proxy/consensus/replicated_commands.py
+++ b/sidecar_proxy/consensus/replicated_commands.py
@@ -1,163 +1,216 @@
-"""The words that are one for the fleet, and the state that they come to. Pure: each sidecar applies the same
-entries in the same order and comes to the same state (state machine, thesis 2.1).
+"""The commands that hold for the whole fleet, and the replicated state that they produce.
 
-A word carries an id of the operator's, so that a repeat is one word. A kind of word that this version does
-not know is kept as it came, in its place, for a version that does; so is one that can't be read at all: it
-was committed, and no sidecar may come to another state for it.
+Every sidecar applies the same entries in the same order and arrives at the same state (the state machine of
+Ongaro's thesis, 2.1). A command carries an id that the operator chose, so a repeat is recognized. A command
+of a kind that this version does not know, or that can't be decoded at all, is stored as it came, for a
+version that knows it: it was committed, and no sidecar may arrive at another state because of it. For the
+same reason the texts of results, which are stored in the state, must not change.
 """
 
 from __future__ import annotations
 
+import enum
 import hashlib
 from typing import Annotated, Any
 
 import msgspec
 from msgspec import Meta
 
-from sidecar_proxy.consensus import disruption_budgets as permits
-from sidecar_proxy.consensus.messages import MOST_DATA, MOST_SNAPSHOT, Entry
+from sidecar_proxy.consensus import disruption_budgets
+from sidecar_proxy.consensus.disruption_budgets import (
+    DisruptionFacts,
+    Permit,
+    PermitState,
+    Target,
+    TargetKind,
+)
+from sidecar_proxy.consensus.messages import MAX_ENTRY_DATA_BYTES, MAX_SNAPSHOT_BYTES, Entry
 from sidecar_proxy.gossip import codec
 
-SUSPEND, DRAIN, RESUME, SET, UNSET = "suspend", "drain", "resume", "set", "unset"
-PERMIT, RETURN = "permit", "return"  # of a node or sidecar, as node:NAME
-KINDS = (SUSPEND, DRAIN, RESUME, SET, UNSET, PERMIT, RETURN)
-NEEDS_FACTS = (SUSPEND, DRAIN, RESUME, PERMIT, RETURN)  # what the leader adds to
-FORCE, WAIT = "force", "wait"  # a word's value
-MOST_ID, MOST_NAME, MOST_KEY, MOST_VALUE = 64, 256, 64, 512  # characters
-MOST_HELD = 2000  # upstreams held at a time
-MOST_SETTINGS = 200
-MOST_SAID = 2048  # ids that are remembered; an older one said again is a new word
-MOST_UNREAD = 256
-LATEST = 256  # words shown by `fleet log`
 
-Id = Annotated[str, Meta(min_length=1, max_length=MOST_ID)]
-Whole = Annotated[int, Meta(ge=0, le=1 << 53)]
+class CommandKind(enum.StrEnum):
+    """The kinds of commands. The values are part of the log."""
+
+    SUSPEND = "suspend"  # sends nothing new to an upstream until it is resumed
+    DRAIN = "drain"  # sends nothing new to an upstream until its next start
+    RESUME = "resume"
+    SET = "set"
+    UNSET = "unset"
+    PERMIT = "permit"  # takes a permit for a target, as node:NAME or sidecar:NAME
+    RETURN = "return"  # returns it
+
+
+KNOWN_KINDS: tuple[str, ...] = tuple(CommandKind)
+KINDS_WITH_FACTS = (
+    CommandKind.SUSPEND,
+    CommandKind.DRAIN,
+    CommandKind.RESUME,
+    CommandKind.PERMIT,
+    CommandKind.RETURN,
+)
+FORCE, WAIT = "force", "wait"  # values of commands that need a permit
+MAX_ID_CHARS = 64
+MAX_NAME_CHARS = 256
+MAX_SETTING_NAME_CHARS = 64
+MAX_VALUE_CHARS = 512
+MAX_EXCLUDED = 2000
+MAX_SETTINGS = 200
+MAX_RESULTS = 2048  # commands whose id is remembered; an older one that is repeated is a new command
+MAX_UNKNOWN_COMMANDS = 256
+MAX_RECENT_COMMANDS = 256  # shown by `fleet log`
+
+CommandId = Annotated[str, Meta(min_length=1, max_length=MAX_ID_CHARS)]
+UnsignedInt = Annotated[int, Meta(ge=0, le=1 << 53)]
 
 
 class ReplicatedCommand(msgspec.Struct, array_like=True, frozen=True):
-    """What an operator says. Later versions may have more fields."""
+    """A command of an operator. Later versions may add fields at the end."""
 
     kind: Annotated[str, Meta(max_length=32)]
-    id: Id
-    by: Annotated[str, Meta(max_length=MOST_ID)]  # the sidecar at whose door it was said
-    at_ms: Whole  # by that one's wall clock; for people alone
-    name: Annotated[str, Meta(max_length=MOST_NAME)] = ""  # an upstream, or a setting
-    born_ms: Whole = 0  # drain: of that start of it and no later one; 0 = long ago
-    value: Annotated[str, Meta(max_length=MOST_VALUE)] = ""
-    facts: permits.Facts | None = None  # the leader's
+    id: CommandId
+    submitted_by: Annotated[str, Meta(max_length=MAX_ID_CHARS)]  # the sidecar that it was submitted at
+    submitted_at_ms: UnsignedInt  # by that sidecar's wall clock; only shown
+    name: Annotated[str, Meta(max_length=MAX_NAME_CHARS)] = ""  # of an upstream, a target or a setting
+    started_ms: UnsignedInt = 0  # the upstream's start that a drain or permit is for; 0 = long ago
+    value: Annotated[str, Meta(max_length=MAX_VALUE_CHARS)] = ""
+    facts: DisruptionFacts | None = None  # added by the leader
 
 
-class Held(msgspec.Struct, array_like=True, frozen=True):
+class ExcludedUpstream(msgspec.Struct, array_like=True, frozen=True):
     """An upstream to which nothing new is sent."""
 
-    index: Whole  # since that entry
+    index: UnsignedInt  # of the command
     kind: str
-    born_ms: Whole
+    started_ms: UnsignedInt
 
 
 class Setting(msgspec.Struct, array_like=True, frozen=True):
-    index: Whole
+    """The value of a setting."""
+
+    index: UnsignedInt  # of the command
     value: str
 
 
-class Once(msgspec.Struct, array_like=True, frozen=True):
-    """A word that was said, for who says it again."""
+class CommandResult(msgspec.Struct, array_like=True, frozen=True):
+    """The result of a command, for those who repeat it."""
 
-    index: Whole
-    content: bytes  # a digest of its kind, name and value
+    index: UnsignedInt
+    digest: bytes  # of the command's kind, name and value
     error: str
     text: str = ""
 
 
 class ReplicatedState(msgspec.Struct, array_like=True):
-    """All that the words up to `index` come to; the snapshot's form."""
+    """The result of all commands up to `index`; also the content of a snapshot."""
 
-    fleet: str = ""  # drawn when it was begun
+    fleet_id: str = ""  # random, from when the fleet was created
     index: int = 0
-    held: dict[str, Held] = {}
+    excluded: dict[str, ExcludedUpstream] = {}
     settings: dict[str, Setting] = {}
-    said: dict[str, Once] = {}  # by id, the oldest first
-    latest: list[tuple[int, ReplicatedCommand]] = []
-    unread: list[tuple[int, bytes]] = []
-    places: permits.Places = msgspec.field(default_factory=permits.Places)
+    results: dict[str, CommandResult] = {}  # by command id, the oldest first
+    recent_commands: list[tuple[int, ReplicatedCommand]] = []
+    unknown_commands: list[tuple[int, bytes]] = []
+    permits: PermitState = msgspec.field(default_factory=PermitState)
 
 
 class CommandError(ValueError):
-    """It can't be said; one line."""
+    """A command or snapshot is not valid; the message is one line."""
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a word came to. `text`: of one that was taken, what else is to be said."""
+    """The outcome of applying an entry; `text` is additional information on a success."""
 
     index: int
     error: str = ""
     text: str = ""
 
 
-word_decoder = msgspec.msgpack.Decoder(ReplicatedCommand)
+class Effect(msgspec.Struct, frozen=True):
+    """What a command did: an error, or a success with additional information."""
+
+    error: str = ""
+    text: str = ""
+
+
+command_decoder = msgspec.msgpack.Decoder(ReplicatedCommand)
 state_decoder = msgspec.msgpack.Decoder(ReplicatedState)
 encode = msgspec.msgpack.Encoder(order=None).encode
 
 
-def encoded(word: ReplicatedCommand) -> bytes:
-    """As an entry's data. Raises WordError."""
-    check(word)
-    data = encode(word)
-    if len(data) > MOST_DATA:
+def encode_command(command: ReplicatedCommand) -> bytes:
+    """Check a command and return it as the data of an entry. Raises CommandError."""
+    check_command(command)
+    data = encode(command)
+    if len(data) > MAX_ENTRY_DATA_BYTES:
         raise CommandError("too long")
     return data
 
 
-def fitting(word: ReplicatedCommand) -> bytes:
-    """As an entry's data; what does not fit of the facts becomes a number."""
-    data = encode(word)
-    while len(data) > MOST_DATA and word.facts is not None and word.facts.down:
-        facts = msgspec.structs.replace(word.facts, down=word.facts.down[:-1], more=word.facts.more + 1)
-        word = msgspec.structs.replace(word, facts=facts)
-        data = encode(word)
-    return data if len(data) <= MOST_DATA else encode(msgspec.structs.replace(word, facts=None))
+def encode_command_with_facts(command: ReplicatedCommand) -> bytes:
+    """Return a command as the data of an entry; facts that do not fit are reduced to a count."""
+    data = encode(command)
+    while len(data) > MAX_ENTRY_DATA_BYTES and command.facts is not None and command.facts.unavailable:
+        facts = msgspec.structs.replace(
+            command.facts,
+            unavailable=command.facts.unavailable[:-1],
+            unnamed_unavailable_count=command.facts.unnamed_unavailable_count + 1,
+        )
+        command = msgspec.structs.replace(command, facts=facts)
+        data = encode(command)
+    if len(data) > MAX_ENTRY_DATA_BYTES:
+        return encode(msgspec.structs.replace(command, facts=None))
+    return data
 
 
-def check(word: ReplicatedCommand) -> None:
-    """Raises WordError."""
-    for what, text, most in (
-        ("id", word.id, MOST_ID),
-        ("name", word.name, MOST_NAME),
-        ("value", word.value, MOST_VALUE),
-        ("sidecar", word.by, MOST_ID),
-    ):
-        if len(text) > most or not text.isprintable():
-            raise CommandError(f"{what}: expected at most {most} printable characters")
-    if word.kind not in KINDS:
-        raise CommandError(f"expected one of {', '.join(KINDS)}")
-    if not word.id or " " in word.id:
+def check_command(command: ReplicatedCommand) -> None:
+    """Check a command that is about to be submitted. Raises CommandError."""
+    _check_texts(command)
+    if command.kind not in KNOWN_KINDS:
+        raise CommandError(f"expected one of {', '.join(KNOWN_KINDS)}")
+    if not command.id or " " in command.id:
         raise CommandError("expected an id without spaces")
-    if word.kind in (PERMIT, RETURN) and word.name.partition(":")[0] not in permits.WHAT:
+    names_target = command.kind in (CommandKind.PERMIT, CommandKind.RETURN)
+    if names_target and command.name.partition(":")[0] not in list(TargetKind):
         raise CommandError("expected node:NAME or sidecar:NAME")
-    if word.kind in (SUSPEND, DRAIN, PERMIT) and word.value not in ("", FORCE, WAIT):
+    may_take_permit = command.kind in (CommandKind.SUSPEND, CommandKind.DRAIN, CommandKind.PERMIT)
+    if may_take_permit and command.value not in ("", FORCE, WAIT):
         raise CommandError(f"expected {FORCE}, {WAIT} or nothing")
-    if word.kind == SET and (wrong := permits.check_budget(word.name, word.value)):
-        raise CommandError(wrong)
-    if not word.name or (word.kind in (SET, UNSET) and len(word.name) > MOST_KEY):
+    if command.kind == CommandKind.SET:
+        problem = disruption_budgets.check_budget_setting(command.name, command.value)
+        if problem:
+            raise CommandError(problem)
+    is_setting = command.kind in (CommandKind.SET, CommandKind.UNSET)
+    if not command.name or (is_setting and len(command.name) > MAX_SETTING_NAME_CHARS):
         raise CommandError("expected a name")
 
 
-def decode(data: bytes) -> ReplicatedCommand | None:
-    """None: of another version."""
+def _check_texts(command: ReplicatedCommand) -> None:
+    for field, text, max_chars in (
+        ("id", command.id, MAX_ID_CHARS),
+        ("name", command.name, MAX_NAME_CHARS),
+        ("value", command.value, MAX_VALUE_CHARS),
+        ("sidecar", command.submitted_by, MAX_ID_CHARS),
+    ):
+        if len(text) > max_chars or not text.isprintable():
+            raise CommandError(f"{field}: expected at most {max_chars} printable characters")
+
+
+def decode_command(data: bytes) -> ReplicatedCommand | None:
+    """Return the command in an entry's data, or None if it is of another version."""
     try:
-        word = codec.read(word_decoder, data)
+        command = codec.read(command_decoder, data)
     except codec.CodecError:
         return None
-    return word if word.kind in KINDS else None
+    return command if command.kind in KNOWN_KINDS else None
 
 
-def content(word: ReplicatedCommand) -> bytes:
-    """What makes two words the same; a repeat may come by another door, later, after a restart there."""
-    return hashlib.blake2b(encode([word.kind, word.name, word.value]), digest_size=16).digest()
+def command_digest(command: ReplicatedCommand) -> bytes:
+    """Return what a repeat has in common: it may come by another sidecar, later, after a restart."""
+    return hashlib.blake2b(encode([command.kind, command.name, command.value]), digest_size=16).digest()
 
 
-def restored(data: bytes) -> ReplicatedState:
-    """From a snapshot's data; empty: nothing was ever said. Raises WordError."""
+def decode_state(data: bytes) -> ReplicatedState:
+    """Return the state in a snapshot's data; without data it is empty. Raises CommandError."""
     if not data:
         return ReplicatedState()
     try:
@@ -166,162 +219,194 @@
         raise CommandError(f"a snapshot that can't be read: {error}") from error
 
 
-def kept(state: ReplicatedState) -> bytes:
-    """The snapshot's data. It is bounded: all in it is."""
+def encode_state(state: ReplicatedState) -> bytes:
+    """Return the data of a snapshot. Its size is bounded, as all parts of the state are."""
     data = encode(state)
-    assert len(data) <= MOST_SNAPSHOT
+    assert len(data) <= MAX_SNAPSHOT_BYTES
     return data
 
 
-def begun(fleet: str) -> bytes:
-    """The first snapshot of a fleet."""
-    return kept(ReplicatedState(fleet=fleet, index=1))
+def initial_snapshot_data(fleet_id: str) -> bytes:
+    """Return the data of the first snapshot of a fleet."""
+    return encode_state(ReplicatedState(fleet_id=fleet_id, index=1))
 
 
 def apply(state: ReplicatedState, entry: Entry) -> Outcome:
-    """The next committed entry."""
+    """Apply the next committed entry."""
     assert entry.index == state.index + 1
     state.index = entry.index
     if entry.voters is not None or not entry.data:
         return Outcome(entry.index)
-    word = decode(entry.data)
-    if word is None:
-        state.unread.append((entry.index, entry.data))
-        del state.unread[:-MOST_UNREAD]
+    command = decode_command(entry.data)
+    if command is None:
+        state.unknown_commands.append((entry.index, entry.data))
+        del state.unknown_commands[:-MAX_UNKNOWN_COMMANDS]
         return Outcome(entry.index, "of a kind that this version does not know")
-    before = state.said.get(word.id)
-    if before is not None:
-        if before.content != content(word):
-            return Outcome(before.index, "that id was used for another word")
-        return Outcome(before.index, before.error, before.text)
-    error, text = say(state, word, entry.index)
-    state.said[word.id] = Once(entry.index, content(word), error, text)
-    if len(state.said) > MOST_SAID:
-        del state.said[next(iter(state.said))]
-    if not error:
-        state.latest.append((entry.index, word))
-        del state.latest[:-LATEST]
-    return Outcome(entry.index, error, text)
-
-
-def say(state: ReplicatedState, word: ReplicatedCommand, index: int) -> tuple[str, str]:
-    """What is wrong with it, "" = it holds; and what else is to be said."""
-    if word.kind in (SUSPEND, DRAIN):
-        return hold(state, word, index), ""
-    if word.kind == PERMIT:
-        return permit(state, word, index)
-    if word.kind in (RESUME, RETURN):
-        what, name = ("node", word.name) if word.kind == RESUME else word.name.split(":", 1)
-        if word.kind == RESUME:
-            state.held.pop(name, None)
-        elif permits.key_of(what, name) not in state.places.held and not any(
-            one.place.member.name == name for one in state.places.line
-        ):
-            return "it holds no place and waits for none", ""
-        elif what == "node" and name in state.held:
-            return "it is held out: resume it", ""
-        given = permits.give_back(state.places, limits(state), what, name, word.facts, state.held, index)
-        return "", f"places given to {', '.join(one.member.name for one in given)}" if given else ""
-    if word.kind == SET:
-        if word.name not in state.settings and len(state.settings) >= MOST_SETTINGS:
-            return "too many settings", ""
-        state.settings[word.name] = Setting(index, word.value)
-    else:
-        state.settings.pop(word.name, None)
-    return "", ""
-
-
-def limits(state: ReplicatedState) -> dict[str, str]:
-    """The budgets, and all other settings."""
-    return {name: one.value for name, one in state.settings.items()}
-
-
-def place(word: ReplicatedCommand, what: str, name: str, index: int) -> permits.Place:
-    return permits.Place(index, what, permits.Member(name), word.by, word.id, word.born_ms, word.at_ms)
-
-
-def hold(state: ReplicatedState, word: ReplicatedCommand, index: int) -> str:
-    """Nothing new is sent to an upstream: it takes a place, where there are budgets, unless it has one."""
-    held = state.held.get(word.name)
-    if held is None and len(state.held) >= MOST_HELD:
-        return "too many are held"
-    if (
-        permits.budgets(limits(state), "node")
-        and held is None
-        and (permits.key_of("node", word.name) not in state.places.held)
-    ):
-        why = permits.ask(
-            state.places,
-            limits(state),
-            place(word, "node", word.name, index),
-            word.facts,
-            state.held,
-            word.value == FORCE,
+    earlier = state.results.get(command.id)
+    if earlier is not None:
+        if earlier.digest != command_digest(command):
+            return Outcome(earlier.index, "that id was used for another word")
+        return Outcome(earlier.index, earlier.error, earlier.text)
+    effect = _execute(state, command, entry.index)
+    state.results[command.id] = CommandResult(entry.index, command_digest(command), effect.error, effect.text)
+    if len(state.results) > MAX_RESULTS:
+        del state.results[next(iter(state.results))]
+    if not effect.error:
+        state.recent_commands.append((entry.index, command))
+        del state.recent_commands[:-MAX_RECENT_COMMANDS]
+    return Outcome(entry.index, effect.error, effect.text)
+
+
+def _execute(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
+    if command.kind in (CommandKind.SUSPEND, CommandKind.DRAIN):
+        return _exclude(state, command, index)
+    if command.kind == CommandKind.PERMIT:
+        return _request_permit(state, command, index)
+    if command.kind == CommandKind.RESUME:
+        state.excluded.pop(command.name, None)
+        return _return_permit(state, command, TargetKind.UPSTREAM, command.name, index)
+    if command.kind == CommandKind.RETURN:
+        return _return_named_permit(state, command, index)
+    return _change_setting(state, command, index)
+
+
+def _change_setting(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
+    if command.kind != CommandKind.SET:
+        state.settings.pop(command.name, None)
+        return Effect()
+    if command.name not in state.settings and len(state.settings) >= MAX_SETTINGS:
+        return Effect("too many settings")
+    state.settings[command.name] = Setting(index, command.value)
+    return Effect()
+
+
+def settings_of(state: ReplicatedState) -> dict[str, str]:
+    """Return all settings by name; the budgets are among them."""
+    return {name: setting.value for name, setting in state.settings.items()}
+
+
+def _create_permit(command: ReplicatedCommand, target_kind: str, name: str, index: int) -> Permit:
+    return Permit(
+        index,
+        target_kind,
+        Target(name),
+        command.submitted_by,
+        command.id,
+        command.started_ms,
+        command.submitted_at_ms,
+    )
+
+
+def _exclude(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
+    """Exclude an upstream; where there are budgets it needs a permit, unless it has one."""
+    excluded = state.excluded.get(command.name)
+    if excluded is None and len(state.excluded) >= MAX_EXCLUDED:
+        return Effect("too many are held")
+    settings = settings_of(state)
+    key = disruption_budgets.permit_key(TargetKind.UPSTREAM, command.name)
+    has_budgets = bool(disruption_budgets.budgets(settings, TargetKind.UPSTREAM))
+    if has_budgets and excluded is None and key not in state.permits.granted:
+        outcome = disruption_budgets.request_permit(
+            state.permits,
+            settings,
+            _create_permit(command, TargetKind.UPSTREAM, command.name, index),
+            command.facts,
+            state.excluded,
+            force=command.value == FORCE,
         )
-        if why:
-            return why
-    if held is None or held.kind != SUSPEND:  # hazard: a drain ends by itself, a suspension must not
-        state.held[word.name] = Held(index, word.kind, word.born_ms if word.kind == DRAIN else 0)
-    return ""
-
-
-def permit(state: ReplicatedState, word: ReplicatedCommand, index: int) -> tuple[str, str]:
-    what, _, name = word.name.partition(":")
-    if not permits.budgets(limits(state), what):
-        return f"there is no budget of {what}s (set out.{what})", ""
-    why = permits.ask(
-        state.places,
-        limits(state),
-        place(word, what, name, index),
-        word.facts,
-        state.held,
-        word.value == FORCE,
-        word.value == WAIT,
+        if outcome.rejection:
+            return Effect(outcome.rejection)
+    # A drain ends by itself and a suspension must not, so a drain does not replace a suspension.
+    if excluded is None or excluded.kind != CommandKind.SUSPEND:
+        started_ms = command.started_ms if command.kind == CommandKind.DRAIN else 0
+        state.excluded[command.name] = ExcludedUpstream(index, command.kind, started_ms)
+    return Effect()
+
+
+def _request_permit(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
+    target_kind, _, name = command.name.partition(":")
+    settings = settings_of(state)
+    if not disruption_budgets.budgets(settings, target_kind):
+        return Effect(f"there is no budget of {target_kind}s (set out.{target_kind})")
+    outcome = disruption_budgets.request_permit(
+        state.permits,
+        settings,
+        _create_permit(command, target_kind, name, index),
+        command.facts,
+        state.excluded,
+        force=command.value == FORCE,
+        wait=command.value == WAIT,
     )
-    return ("", why) if why.startswith("queued") else (why, "")
+    answer = outcome.rejection or outcome.queued
+    # Earlier versions tell a queued request by its text, so a rejected target whose name begins with
+    # "queued" counts as queued. All versions must arrive at the same state.
+    return Effect(text=answer) if answer.startswith("queued") else Effect(error=answer)
+
+
+def _return_named_permit(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
+    target_kind, name = command.name.split(":", 1)
+    is_granted = disruption_budgets.permit_key(target_kind, name) in state.permits.granted
+    if not is_granted and not any(queued.permit.target.name == name for queued in state.permits.queue):
+        return Effect("it holds no place and waits for none")
+    if target_kind == TargetKind.UPSTREAM and name in state.excluded:
+        return Effect("it is held out: resume it")
+    return _return_permit(state, command, target_kind, name, index)
+
+
+def _return_permit(
+    state: ReplicatedState, command: ReplicatedCommand, target_kind: str, name: str, index: int
+) -> Effect:
+    granted = disruption_budgets.return_permit(
+        state.permits, settings_of(state), target_kind, name, command.facts, state.excluded, index
+    )
+    if not granted:
+        return Effect()
+    return Effect(text=f"places given to {', '.join(permit.target.name for permit in granted)}")
 
 
-def shown(state: ReplicatedState) -> dict[str, Any]:
-    """For people."""
+def describe_state(state: ReplicatedState) -> dict[str, Any]:
+    """Return the state as `fleet words` shows it."""
     return {
-        "fleet": state.fleet,
+        "fleet": state.fleet_id,
         "index": state.index,
         "held": {
-            name: {"kind": one.kind, "index": one.index, "born_ms": one.born_ms}
-            for name, one in sorted(state.held.items())
+            name: {"kind": excluded.kind, "index": excluded.index, "born_ms": excluded.started_ms}
+            for name, excluded in sorted(state.excluded.items())
         },
         "settings": {
-            name: {"value": one.value, "index": one.index} for name, one in sorted(state.settings.items())
+            name: {"value": setting.value, "index": setting.index}
+            for name, setting in sorted(state.settings.items())
         },
-        "unread": [index for index, _ in state.unread],
-        "places": [
-            {
-                "what": one.what,
-                "name": one.member.name,
-                "index": one.index,
-                "by": one.by,
-                "id": one.id,
-                "at_ms": one.at_ms,
-                "forced": one.forced,
-            }
-            for one in state.places.held.values()
-        ],
-        "line": [one.place.member.name for one in state.places.line],
-        "forced": state.places.forced,
+        "unread": [index for index, _ in state.unknown_commands],
+        "places": [_describe_permit(permit) for permit in state.permits.granted.values()],
+        "line": [queued.permit.target.name for queued in state.permits.queue],
+        "forced": state.permits.forced_count,
+    }
+
+
+def _describe_permit(permit: Permit) -> dict[str, Any]:
+    return {
+        "what": permit.target_kind,
+        "name": permit.target.name,
+        "index": permit.index,
+        "by": permit.requested_by,
+        "id": permit.id,
+        "at_ms": permit.requested_at_ms,
+        "forced": permit.exceeded_budget,
     }
 
 
-def log(state: ReplicatedState) -> list[dict[str, Any]]:
-    """The latest words, oldest first."""
+def describe_recent_commands(state: ReplicatedState) -> list[dict[str, Any]]:
+    """Return the latest commands as `fleet log` shows them, oldest first."""
     return [
         {
             "index": index,
-            "kind": word.kind,
-            "id": word.id,
-            "by": word.by,
-            "at_ms": word.at_ms,
-            "name": word.name,
-            "value": word.value,
+            "kind": command.kind,
+            "id": command.id,
+            "by": command.submitted_by,
+            "at_ms": command.submitted_at_ms,
+            "name": command.name,
+            "value": command.value,
         }
-        for index, word in state.latest
+        for index, command in state.recent_commands
     ]
--- a/sidecar_proxy/consensus/session.py
+++ b/sidecar_proxy/consensus/session.py
@@ -1,11 +1,10 @@
-"""A connection between two sidecars that trust each other's certificates: who is there, and frames that only
-those two can read or make. Pure: bytes in, bytes out.
-
-Each side draws a key of its own for the connection (X25519) and signs it with its certificate's key; who is
-called signs the caller's too, and the caller's first frame shows that it has the key that it told. So no old
-greeting is of use to anybody, and nothing depends on clocks, but for the end of a certificate. Frames are
-sealed by XSalsa20-Poly1305 with counted nonces: none is taken twice, in another order, or in the other
-direction. By PyNaCl.
+"""The security of a connection between two sidecars: mutual authentication and encrypted frames.
+
+Both sides trust each other's certificates. Each side creates a key for the connection (X25519) and signs it
+with its certificate's key; the accepting side signs the caller's key as well, and the caller's first frame
+proves that it holds the key that it sent. So a recorded greeting is useless, and nothing depends on clocks
+except the expiry of certificates. Frames are sealed by XSalsa20-Poly1305 with counted nonces: none is
+accepted twice, out of order or in the other direction. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -17,90 +16,101 @@
 from nacl.exceptions import CryptoError
 from nacl.public import Box, PrivateKey, PublicKey
 
-from sidecar_proxy.consensus.frames import MOST_FRAME
-from sidecar_proxy.consensus.messages import MOST_NODE, Node
+from sidecar_proxy.consensus.frames import MAX_FRAME_BYTES
+from sidecar_proxy.consensus.messages import MAX_NODE_ID_CHARS, NodeId
 from sidecar_proxy.consensus.voters import name_of
 from sidecar_proxy.gossip.codec import SIGNATURE_BYTES, Certificate
 from sidecar_proxy.gossip.keys import Keyring, RejectedError, decode_or_reject
 from sidecar_proxy.gossip.transport import frame_message
 
-MAGIC = b"wsa\x01"  # the first bytes of a connection; no length that gossip would take
-MOST_GREETING = 1024
-OVERHEAD = 16  # of a sealed frame
-MOST_SEALED = MOST_FRAME + OVERHEAD
+CONNECTION_MAGIC = b"wsa\x01"  # the first bytes of a connection; gossip accepts no frame of this length
+SIGNATURE_CONTEXT = b"wickspread agreement"
+MAX_GREETING_BYTES = 1024
+SEAL_OVERHEAD_BYTES = 16
+MAX_SEALED_BYTES = MAX_FRAME_BYTES + SEAL_OVERHEAD_BYTES
+NONCE_COUNT_BYTES = 23
 Key = Annotated[bytes, Meta(min_length=32, max_length=32)]
 
 
 class Greeting(msgspec.Struct, array_like=True, frozen=True):
+    """The first message of each side."""
+
     certificate: Certificate
-    node: Annotated[str, Meta(min_length=1, max_length=MOST_NODE)]
-    key: Key  # of this connection alone
-    answers: Annotated[bytes, Meta(max_length=32)]  # the other's key; empty: of who calls
+    node: Annotated[str, Meta(min_length=1, max_length=MAX_NODE_ID_CHARS)]
+    session_key: Key
+    answered_key: Annotated[bytes, Meta(max_length=32)]  # the caller's key; empty in the caller's greeting
 
 
 encode = msgspec.msgpack.Encoder().encode
-decoder = msgspec.msgpack.Decoder(Greeting)
+greeting_decoder = msgspec.msgpack.Decoder(Greeting)
 
 
 class Session:
     """One side of a connection."""
 
-    def __init__(self, keyring: Keyring, node: Node) -> None:
+    def __init__(self, keyring: Keyring, node: NodeId) -> None:
         self.keyring = keyring
         self.node = node
-        self.key = PrivateKey.generate()
+        self.session_key = PrivateKey.generate()
         self.box: Box | None = None
-        self.caller = False
-        self.peer: Node = ""
-        self.certificate: Certificate | None = None  # the peer's
-        self.sent = self.got = 0  # frames
-
-    def greeting(self, answers: bytes = b"") -> bytes:
-        """What this side says first."""
-        self.caller = not answers
-        payload = encode(Greeting(self.keyring.certificate, self.node, self.key.public_key.encode(), answers))
-        return self.keyring.key.sign(b"wickspread agreement" + payload).signature + payload
-
-    def greeted(self, data: bytes, now_us: int, wall_us: int) -> bytes:
-        """The other's greeting; returns the key that ours has to answer. Raises Refused."""
-        if not SIGNATURE_BYTES < len(data) <= MOST_GREETING:
+        self.is_caller = False
+        self.peer: NodeId = ""
+        self.peer_certificate: Certificate | None = None
+        self.sent_frame_count = 0
+        self.received_frame_count = 0
+
+    def create_greeting(self, answered_key: bytes = b"") -> bytes:
+        """Return this side's signed greeting; the accepting side passes the caller's key."""
+        self.is_caller = not answered_key
+        own_key = self.session_key.public_key.encode()
+        payload = encode(Greeting(self.keyring.certificate, self.node, own_key, answered_key))
+        return self.keyring.key.sign(SIGNATURE_CONTEXT + payload).signature + payload
+
+    def accept_greeting(self, data: bytes, now_us: int, wall_us: int) -> bytes:
+        """Check the peer's greeting and return the key that ours has to answer. Raises RejectedError."""
+        if not SIGNATURE_BYTES < len(data) <= MAX_GREETING_BYTES:
             raise RejectedError("not of this version")
-        signature, payload = data[:SIGNATURE_BYTES], data[SIGNATURE_BYTES:]
-        told = decode_or_reject(decoder, payload)
-        if name_of(told.node) != told.certificate.name:
+        signature = data[:SIGNATURE_BYTES]
+        payload = data[SIGNATURE_BYTES:]
+        greeting = decode_or_reject(greeting_decoder, payload)
+        if name_of(greeting.node) != greeting.certificate.name:
             raise RejectedError("of another name")
-        if told.node == self.node:
+        if greeting.node == self.node:
             raise RejectedError("our own")
-        if told.answers != (self.key.public_key.encode() if self.caller else b""):
+        expected_key = self.session_key.public_key.encode() if self.is_caller else b""
+        if greeting.answered_key != expected_key:
             raise RejectedError("an answer to another")
-        self.keyring.certified(told.certificate, now_us, wall_us)
-        self.keyring.verify(told.certificate.key, b"wickspread agreement" + payload, signature, now_us)
+        certificate = greeting.certificate
+        self.keyring.certified(certificate, now_us, wall_us)
+        self.keyring.verify(certificate.key, SIGNATURE_CONTEXT + payload, signature, now_us)
         try:
-            self.box = Box(self.key, PublicKey(told.key))
+            self.box = Box(self.session_key, PublicKey(greeting.session_key))
         except (CryptoError, ValueError, RuntimeError) as error:  # a key of small order
             raise RejectedError("malformed") from error
-        self.peer, self.certificate = told.node, told.certificate
-        return told.key
+        self.peer = greeting.node
+        self.peer_certificate = certificate
+        return greeting.session_key
 
-    def nonce(self, of_caller: bool, count: int) -> bytes:
-        return bytes([of_caller]) + count.to_bytes(23, "big")
+    def _nonce(self, is_from_caller: bool, count: int) -> bytes:
+        return bytes([is_from_caller]) + count.to_bytes(NONCE_COUNT_BYTES, "big")
 
     def seal(self, frame: bytes) -> bytes:
-        """With its length before it."""
+        """Return the encrypted frame with its length before it."""
         assert self.box is not None
-        self.sent += 1
-        sealed = self.box.encrypt(frame, self.nonce(self.caller, self.sent)).ciphertext
-        return frame_message(sealed)
+        self.sent_frame_count += 1
+        nonce = self._nonce(self.is_caller, self.sent_frame_count)
+        return frame_message(self.box.encrypt(frame, nonce).ciphertext)
 
     def open(self, sealed: bytes) -> bytes:
-        """Raises Refused."""
+        """Return the content of the peer's next frame. Raises RejectedError."""
         assert self.box is not None
-        self.got += 1
+        self.received_frame_count += 1
+        nonce = self._nonce(not self.is_caller, self.received_frame_count)
         try:
-            return self.box.decrypt(sealed, self.nonce(not self.caller, self.got))
+            return self.box.decrypt(sealed, nonce)
         except CryptoError as error:
             raise RejectedError("forged") from error
 
     def is_revoked(self) -> bool:
-        """Since it was opened."""
-        return self.certificate is not None and self.certificate.serial in self.keyring.revoked
+        """Tell whether the peer's certificate was revoked after the greeting."""
+        return self.peer_certificate is not None and self.peer_certificate.serial in self.keyring.revoked
--- a/sidecar_proxy/consensus/state_transfer.py
+++ b/sidecar_proxy/consensus/state_transfer.py
@@ -1,5 +1,7 @@
-"""How a sidecar that does not vote, or a voter that is far behind, gets what is committed: it asks a voter
-for what follows its own, piece by piece, one question at a time, and goes on where it was cut off. Pure.
+"""Transfer of committed entries and snapshots to learners, and to voters that are far behind.
+
+The receiver asks a voter for what follows its own log, one request at a time, and resumes an interrupted
+snapshot. The sender answers from a byte budget. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -10,158 +12,199 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from sidecar_proxy.consensus.frames import MOST_PIECE, Batch, Later, Piece, Want
+from sidecar_proxy.consensus.frames import (
+    MAX_CHUNK_BYTES,
+    EntryBatch,
+    FetchLater,
+    FetchRequest,
+    SnapshotChunk,
+)
 from sidecar_proxy.consensus.log import RaftLog
-from sidecar_proxy.consensus.messages import MOST_ENTRIES, Entry, Node, Snapshot
+from sidecar_proxy.consensus.messages import MAX_MESSAGE_ENTRIES, Entry, NodeId, Snapshot
 
-PATIENCE_US = 3_000_000  # for one answer
-POLL_US = 10_000_000  # between two questions where nothing new was heard of; half as long again by chance
-SPREAD_US = 2_000  # for each sidecar of the fleet: what is new is not asked for by all at once
-MOST_SPREAD_US = 1_000_000
-LEAST_PIECE = 512
+RESPONSE_TIMEOUT_US = 3_000_000
+POLL_INTERVAL_US = 10_000_000  # without news; up to half as long again at random
+SPREAD_PER_SIDECAR_US = 2_000  # spreads the requests of a fleet that hears news at the same time
+MAX_SPREAD_US = 1_000_000
+MIN_CHUNK_BYTES = 512
+MAX_WAIT_MS = 10_000
+MIN_WAIT_MS = 50
+ENTRY_OVERHEAD_BYTES = 32  # estimates, for the budget
+BATCH_OVERHEAD_BYTES = 80
+CHUNK_OVERHEAD_BYTES = 160
 
 
 @dataclass(slots=True)
-class Partial:
-    """A snapshot of which some is there."""
+class PartialSnapshot:
+    """The part of a snapshot that was received."""
 
     index: int
     digest: bytes
     data: bytearray = field(default_factory=bytearray)
 
 
-class Fetch:
-    """The asking side."""
+class Fetcher:
+    """The receiving side: whom to ask for what, and when."""
 
-    def __init__(self, dice: random.Random, now_us: int) -> None:
-        self.dice = dice
-        self.number = 0  # of the question that is out; 0 = none is
-        self.asked: Node = ""
-        self.asked_us = 0
+    def __init__(self, rng: random.Random, now_us: int) -> None:
+        self.rng = rng
+        self.request_number = 0  # of the request that awaits its response; 0 = none
+        self.source: NodeId = ""
+        self.requested_at_us = 0
         self.due_us = now_us
-        self.news = False  # somebody has more
-        self.failed: Node = ""
-        self.most = MOST_PIECE
-        self.partial: Partial | None = None
+        self.has_news = False  # a voter has committed more than this sidecar has
+        self.failed_source: NodeId = ""
+        self.max_bytes = MAX_CHUNK_BYTES
+        self.partial: PartialSnapshot | None = None
 
     @property
-    def there(self) -> int:
-        """Bytes of a snapshot."""
+    def received_bytes(self) -> int:
+        """Bytes of the partial snapshot."""
         return len(self.partial.data) if self.partial else 0
 
-    def heard_of_more(self, now_us: int, members: int) -> None:
-        """Somebody has more than we."""
-        if not self.news:
-            self.news = True
-            spread_us = min(MOST_SPREAD_US, members * SPREAD_US)
-            self.due_us = min(self.due_us, now_us + int(self.dice.random() * spread_us))
-
-    def question(self, now_us: int, voters: Sequence[Node], after: int) -> tuple[Node, Want] | None:
-        """The next one, if one is due."""
-        if self.number and now_us - self.asked_us >= PATIENCE_US:
-            self.failed, self.number = self.asked, 0
-            self.most = max(LEAST_PIECE, self.most // 4)  # a narrow link, perhaps
+    def on_news(self, now_us: int, sidecar_count: int) -> None:
+        """Ask soon, as a voter has committed more than this sidecar has."""
+        if not self.has_news:
+            self.has_news = True
+            spread_us = min(MAX_SPREAD_US, sidecar_count * SPREAD_PER_SIDECAR_US)
+            self.due_us = min(self.due_us, now_us + int(self.rng.random() * spread_us))
+
+    def next_request(
+        self, now_us: int, voters: Sequence[NodeId], after: int
+    ) -> tuple[NodeId, FetchRequest] | None:
+        """Return the next request and its target, if one is due."""
+        if self.request_number and now_us - self.requested_at_us >= RESPONSE_TIMEOUT_US:
+            self.failed_source = self.source
+            self.request_number = 0
+            self.max_bytes = max(MIN_CHUNK_BYTES, self.max_bytes // 4)  # the link may be slow
             self.due_us = now_us
-        if self.number or now_us < self.due_us or not voters:
+        if self.request_number or now_us < self.due_us or not voters:
             return None
-        others = [node for node in voters if node != self.failed] or list(voters)
-        # hazard: half of a snapshot is of use only where the rest of the very same one is
-        self.asked = self.asked if self.partial and self.asked in others else self.dice.choice(others)
-        self.number, self.asked_us = self.dice.getrandbits(48) + 1, now_us
-        have = self.partial
-        return self.asked, Want(
-            self.number, after, have.index if have else 0, len(have.data) if have else 0, self.most
+        sources = [node for node in voters if node != self.failed_source] or list(voters)
+        # The rest of a snapshot must come from the same node: another one's snapshot may differ.
+        if not self.partial or self.source not in sources:
+            self.source = self.rng.choice(sources)
+        self.request_number = self.rng.getrandbits(48) + 1
+        self.requested_at_us = now_us
+        snapshot_index = self.partial.index if self.partial else 0
+        request = FetchRequest(
+            self.request_number, after, snapshot_index, self.received_bytes, self.max_bytes
         )
+        return self.source, request
 
-    def answered(self, answer: Batch | Piece | Later, now_us: int) -> bool:
-        """Whether that is what was asked for."""
-        if answer.number != self.number or not self.number:
+    def accept_response(self, response: EntryBatch | SnapshotChunk | FetchLater, now_us: int) -> bool:
+        """Tell whether a response belongs to the pending request, which it then completes."""
+        if response.number != self.request_number or not self.request_number:
             return False
-        self.number, self.failed = 0, ""
-        if isinstance(answer, Later):
-            self.due_us = now_us + answer.wait_ms * 1000
+        self.request_number = 0
+        self.failed_source = ""
+        if isinstance(response, FetchLater):
+            self.due_us = now_us + response.wait_ms * 1000
         return True
 
-    def rest(self, now_us: int, more: bool) -> None:
-        """After an answer: more is there to be had at once, or nothing for a while."""
-        self.news = more
-        self.due_us = now_us if more else now_us + int(POLL_US * (1 + self.dice.random() / 2))
-
-    def lost(self, node: Node, now_us: int) -> None:
-        """The link to that one broke."""
-        if self.number and self.asked == node:
-            self.number, self.failed, self.due_us = 0, node, now_us
-
-    def pieced(self, piece: Piece) -> Snapshot | None:
-        """The snapshot, once it is whole; None: not yet, or from the start again."""
-        have = self.partial
-        if have is None or (have.index, have.digest) != (piece.index, piece.digest):
-            have = self.partial = Partial(piece.index, piece.digest)
-        if piece.offset != len(have.data) or len(have.data) + len(piece.data) > piece.size:
+    def schedule_next(self, now_us: int, has_more: bool) -> None:
+        """Schedule the next request after a response: at once if there is more, else the next poll."""
+        self.has_news = has_more
+        if has_more:
+            self.due_us = now_us
+        else:
+            self.due_us = now_us + int(POLL_INTERVAL_US * (1 + self.rng.random() / 2))
+
+    def on_link_broken(self, node: NodeId, now_us: int) -> None:
+        """Ask another node if the pending request went to this one."""
+        if self.request_number and self.source == node:
+            self.request_number = 0
+            self.failed_source = node
+            self.due_us = now_us
+
+    def add_chunk(self, chunk: SnapshotChunk) -> Snapshot | None:
+        """Add a chunk. Returns the snapshot once it is complete and its digest is right."""
+        partial = self.partial
+        if partial is None or (partial.index, partial.digest) != (chunk.index, chunk.digest):
+            partial = PartialSnapshot(chunk.index, chunk.digest)
+            self.partial = partial
+        if chunk.offset != len(partial.data) or len(partial.data) + len(chunk.data) > chunk.size:
             return None
-        have.data += piece.data
-        self.most = min(MOST_PIECE, self.most * 2)
-        if len(have.data) < piece.size:
+        partial.data += chunk.data
+        self.max_bytes = min(MAX_CHUNK_BYTES, self.max_bytes * 2)
+        if len(partial.data) < chunk.size:
             return None
         self.partial = None
-        data = bytes(have.data)
-        if digest(data) != piece.digest:
+        data = bytes(partial.data)
+        if snapshot_digest(data) != chunk.digest:
             return None
-        return Snapshot(piece.index, piece.term, piece.voters, data)
+        return Snapshot(chunk.index, chunk.term, chunk.voters, data)
 
 
-class Budget:
-    """Bytes a second for all who fetch: a token bucket."""
+class TransferBudget:
+    """The bytes a second for all receivers together: a token bucket of one second's bytes."""
 
-    def __init__(self, rate: float, now_us: int) -> None:
-        self.rate = rate
-        self.left = rate  # a second's worth at most
-        self.at_us = now_us
+    def __init__(self, bytes_per_s: float, now_us: int) -> None:
+        self.bytes_per_s = bytes_per_s
+        self.available_bytes = bytes_per_s
+        self.updated_us = now_us
 
     def take(self, size: int, now_us: int) -> int:
-        """0: go on; else after how many ms it may be asked again. A debt is paid first."""
-        self.left = min(self.rate, self.left + self.rate * max(0, now_us - self.at_us) / 1e6)
-        self.at_us = now_us
-        if self.left <= 0:
-            return min(10_000, int(-self.left / self.rate * 1000) + 50)
-        self.left -= size
+        """Take bytes and return 0, or return the milliseconds after which to ask again.
+
+        A response may exceed what is available; the debt is paid before the next one.
+        """
+        elapsed_us = max(0, now_us - self.updated_us)
+        refill_bytes = self.bytes_per_s * elapsed_us / 1e6
+        self.available_bytes = min(self.bytes_per_s, self.available_bytes + refill_bytes)
+        self.updated_us = now_us
+        if self.available_bytes <= 0:
+            debt_ms = int(-self.available_bytes / self.bytes_per_s * 1000)
+            return min(MAX_WAIT_MS, debt_ms + MIN_WAIT_MS)
+        self.available_bytes -= size
         return 0
 
 
-def answer(want: Want, log: RaftLog, commit: int, fleet: str) -> Batch | Piece:
-    """What somebody who has it says."""
-    if want.after >= log.snapshot.index:
-        entries: list[Entry] = []
-        size = 0
-        for one in log.between(want.after + 1, min(commit, want.after + MOST_ENTRIES)):
-            size += len(one.data) + 32
-            if entries and size > want.most:
-                break
-            entries.append(one)
-        return Batch(want.number, fleet, commit, tuple(entries))
-    found = log.snapshot
-    offset = want.offset if want.index == found.index and want.offset <= len(found.data) else 0
-    return Piece(
-        want.number,
-        fleet,
-        commit,
-        found.index,
-        found.term,
-        found.voters,
-        len(found.data),
-        digest(found.data),
+def create_response(
+    request: FetchRequest, log: RaftLog, commit_index: int, fleet_id: str
+) -> EntryBatch | SnapshotChunk:
+    """Return the response to a request: entries, or a chunk of the snapshot that has replaced them."""
+    if request.after >= log.snapshot.index:
+        entries = _entries_for(request, log, commit_index)
+        return EntryBatch(request.number, fleet_id, commit_index, tuple(entries))
+    snapshot = log.snapshot
+    offset = 0
+    if request.snapshot_index == snapshot.index and request.snapshot_offset <= len(snapshot.data):
+        offset = request.snapshot_offset
+    return SnapshotChunk(
+        request.number,
+        fleet_id,
+        commit_index,
+        snapshot.index,
+        snapshot.term,
+        snapshot.voters,
+        len(snapshot.data),
+        snapshot_digest(snapshot.data),
         offset,
-        found.data[offset : offset + want.most],
+        snapshot.data[offset : offset + request.max_bytes],
     )
 
 
-def size(told: Batch | Piece) -> int:
-    """Bytes on the way, nearly."""
-    if isinstance(told, Piece):
-        return 160 + len(told.data)
-    return 80 + sum(len(one.data) + 32 for one in told.entries)
+def _entries_for(request: FetchRequest, log: RaftLog, commit_index: int) -> list[Entry]:
+    entries: list[Entry] = []
+    size = 0
+    last_index = min(commit_index, request.after + MAX_MESSAGE_ENTRIES)
+    for entry in log.entries_between(request.after + 1, last_index):
+        size += len(entry.data) + ENTRY_OVERHEAD_BYTES
+        if entries and size > request.max_bytes:
+            break
+        entries.append(entry)
+    return entries
+
+
+def estimated_size(response: EntryBatch | SnapshotChunk) -> int:
+    """Return about how many bytes a response takes on the wire."""
+    if isinstance(response, SnapshotChunk):
+        return CHUNK_OVERHEAD_BYTES + len(response.data)
+    return BATCH_OVERHEAD_BYTES + sum(len(entry.data) + ENTRY_OVERHEAD_BYTES for entry in response.entries)
 
 
-@functools.lru_cache(maxsize=2)  # of our own snapshot it is asked for with each piece
-def digest(data: bytes) -> bytes:
+@functools.lru_cache(maxsize=2)  # the digest of this sidecar's own snapshot is needed for each chunk
+def snapshot_digest(data: bytes) -> bytes:
+    """Return the digest that identifies the content of a snapshot."""
     return hashlib.blake2b(data, digest_size=16).digest()
