--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -1,4 +1,7 @@
-"""Consensus under directed hard cases and seeded disorder: what was committed stays, one leader a term."""
+"""The Raft core in directed hard cases and under random disorder.
+
+What was committed stays committed, and a term has one leader.
+"""
 
 from __future__ import annotations
 
@@ -14,276 +17,303 @@
     AppendReply,
     Entry,
     HardState,
-    Install,
+    InstallSnapshot,
     Message,
-    Node,
+    NodeId,
     Snapshot,
     TimeoutNow,
     VoteReply,
     VoteRequest,
 )
-from sidecar_proxy.consensus.raft import ProposalRejected, RaftCore, Role, Timing
+from sidecar_proxy.consensus.raft import ProposalRejectedError, RaftCore, Role, Timing
 
 TIMING = Timing()
+SNAPSHOT_MARK = b"snapshot"
+LEARNER = "l0"
 
 
-class Disk:
+class SimulatedDisk:
     """What one node has written and synced."""
 
-    def __init__(self, voters: tuple[Node, ...]) -> None:
-        self.hard = HardState()
+    def __init__(self, voters: tuple[NodeId, ...]) -> None:
+        self.hard_state = HardState()
         self.log = RaftLog(Snapshot(voters=voters))
 
-    def log_copy(self) -> RaftLog:
+    def copy_log(self) -> RaftLog:
         return RaftLog(self.log.snapshot, list(self.log.entries))
 
 
-class Fleet:
-    """Nodes on a network of ours; each Ready is written, then sent, then applied."""
+class Cluster:
+    """Nodes on a simulated network; each Ready is written, then sent, then applied."""
 
-    def __init__(self, count: int, seed: int, learners: int = 0, timing: Timing = TIMING) -> None:
-        self.dice = random.Random(seed)
+    def __init__(self, voter_count: int, seed: int, learner_count: int = 0, timing: Timing = TIMING) -> None:
+        self.rng = random.Random(seed)
         self.timing = timing
-        self.voters = tuple(f"n{n}" for n in range(count))
-        self.disks = {node: Disk(self.voters) for node in self.voters}
-        for n in range(learners):
-            self.disks[f"l{n}"] = Disk(())
-        self.cores = {node: self.core(node) for node in self.disks}
-        self.wire: list[Message] = []
-        self.cut: set[tuple[Node, Node]] = set()
-        self.stopped: set[Node] = set()
-        self.applied: dict[Node, list[bytes]] = {node: [] for node in self.disks}
+        self.voters = tuple(f"n{number}" for number in range(voter_count))
+        self.disks = {node: SimulatedDisk(self.voters) for node in self.voters}
+        for number in range(learner_count):
+            self.disks[f"l{number}"] = SimulatedDisk(())
+        self.cores = {node: self.create_core(node) for node in self.disks}
+        self.network: list[Message] = []
+        self.cut_links: set[tuple[NodeId, NodeId]] = set()
+        self.stopped: set[NodeId] = set()
+        self.applied: dict[NodeId, list[bytes]] = {node: [] for node in self.disks}
         self.committed: dict[int, Entry] = {}
-        self.leaders: dict[int, Node] = {}
-        self.reads: list[tuple[Node, int, int]] = []
+        self.leader_of_term: dict[int, NodeId] = {}
+        self.reads: list[tuple[NodeId, int, int]] = []  # node, context, read index
 
-    def core(self, node: Node) -> RaftCore:
+    def create_core(self, node: NodeId) -> RaftCore:
         disk = self.disks[node]
-        return RaftCore(node, disk.log_copy(), disk.hard, random.Random(self.dice.random()), self.timing)
+        rng = random.Random(self.rng.random())
+        return RaftCore(node, disk.copy_log(), disk.hard_state, rng, self.timing)
+
+    def add_node(self, node: NodeId) -> None:
+        self.disks[node] = SimulatedDisk(())
+        self.applied[node] = []
+        self.cores[node] = self.create_core(node)
 
-    def take(self, node: Node) -> None:
+    def process_ready(self, node: NodeId) -> None:
         core, disk = self.cores[node], self.disks[node]
         while core.has_ready():
             ready = core.ready()
-            disk.hard = ready.hard or disk.hard
+            disk.hard_state = ready.hard_state or disk.hard_state
             if ready.snapshot is not None:
                 disk.log = RaftLog(ready.snapshot, [])
-                self.applied[node] = [b"snapshot"]
+                self.applied[node] = [SNAPSHOT_MARK]
             if ready.entries:
                 del disk.log.entries[ready.entries[0].index - disk.log.snapshot.index - 1 :]
                 disk.log.entries += ready.entries
-            assert disk.log.entries == core.log.entries, "what is written is not what is held"
-            self.wire += ready.messages
+            assert disk.log.entries == core.log.entries, "the disk differs from the log"
+            self.network += ready.messages
             for entry in ready.committed:
-                assert self.committed.setdefault(entry.index, entry) == entry, "two words at one place"
+                assert self.committed.setdefault(entry.index, entry) == entry, "two entries at one index"
                 if entry.data:
                     self.applied[node].append(entry.data)
-            self.reads += [(node, *one) for one in ready.reads]
-            if core.leads:
-                assert self.leaders.setdefault(core.term, node) == node, "two leaders of one term"
-
-    def deliver(self, most: int = 10_000) -> None:
-        for _ in range(most):
-            if not self.wire:
+            self.reads += [(node, *read) for read in ready.reads]
+            if core.is_leader:
+                leader = self.leader_of_term.setdefault(core.term, node)
+                assert leader == node, "two leaders of one term"
+
+    def deliver_all(self, max_count: int = 10_000) -> None:
+        for _ in range(max_count):
+            if not self.network:
                 return
-            self.pass_on(self.wire.pop(0))
-
-    def pass_on(self, message: Message) -> None:
-        if (
-            (message.source, message.target) in self.cut
-            or message.target in self.stopped
-            or (message.target not in self.cores)
-        ):
+            self.deliver(self.network.pop(0))
+
+    def deliver(self, message: Message) -> None:
+        if (message.source, message.target) in self.cut_links:
+            return
+        if message.target in self.stopped or message.target not in self.cores:
             return
         self.cores[message.target].step(message)
-        self.take(message.target)
+        self.process_ready(message.target)
 
-    def tick(self, times: int = 1) -> None:
-        for _ in range(times):
+    def tick(self, count: int = 1) -> None:
+        for _ in range(count):
             for node, core in self.cores.items():
                 if node not in self.stopped:
                     core.tick()
-                    self.take(node)
-            self.deliver()
+                    self.process_ready(node)
+            self.deliver_all()
 
-    def until(self, holds: Callable[[], bool], ticks: int = 300) -> None:
-        for _ in range(ticks):
-            if holds():
+    def run_until(self, condition: Callable[[], bool], max_ticks: int = 300) -> None:
+        for _ in range(max_ticks):
+            if condition():
                 return
             self.tick()
-        raise AssertionError("it never came to hold")
+        raise AssertionError("the condition was not met in time")
 
-    def leading(self) -> list[Node]:
-        return [node for node, core in self.cores.items() if core.leads and node not in self.stopped]
+    def leaders(self) -> list[NodeId]:
+        return [node for node, core in self.cores.items() if core.is_leader and node not in self.stopped]
 
-    def leader(self) -> RaftCore:
-        self.until(lambda: len(self.leading()) == 1)
-        return self.cores[self.leading()[0]]
+    def elect_leader(self) -> RaftCore:
+        self.run_until(lambda: len(self.leaders()) == 1)
+        return self.cores[self.leaders()[0]]
 
-    def say(self, data: bytes) -> int:
-        leader = self.leader()
+    def propose(self, data: bytes) -> int:
+        leader = self.elect_leader()
         index = leader.propose(data)
-        self.take(leader.me)
-        self.deliver()
+        self.process_ready(leader.node_id)
+        self.deliver_all()
         return index
 
-    def restart(self, node: Node) -> None:
-        self.applied[node] = [b"snapshot"] if self.disks[node].log.snapshot.index else []
-        self.cores[node] = self.core(node)
+    def restart(self, node: NodeId) -> None:
+        self.applied[node] = [SNAPSHOT_MARK] if self.disks[node].log.snapshot.index else []
+        self.cores[node] = self.create_core(node)
         self.stopped.discard(node)
 
-    def isolate(self, node: Node, on: bool = True) -> None:
-        pairs = {pair for other in self.disks for pair in ((node, other), (other, node))}
-        self.cut = self.cut | pairs if on else self.cut - pairs
-
-
-@pytest.mark.parametrize("count", [1, 3, 5])
-def test_a_word_is_committed_in_one_exchange_and_applied_by_all(count: int) -> None:
-    fleet = Fleet(count, 1)
-    index = fleet.say(b"x")
-    assert fleet.leader().commit >= index
-    fleet.tick(4)
-    assert all(applied == [b"x"] for applied in fleet.applied.values())
-
-
-def test_a_leader_that_nobody_answers_steps_down_and_another_is_there_within_two_elections() -> None:
-    fleet = Fleet(3, 2)
-    old = fleet.leader()
-    fleet.isolate(old.me)
-    fleet.until(lambda: old.role is not Role.LEADER and len(fleet.leading()) == 1, 4 * TIMING.election)
-    index = fleet.say(b"y")
-    assert fleet.committed[index].data == b"y"
-    term = fleet.leader().term
-    fleet.isolate(old.me, False)
-    fleet.tick(30)
-    assert fleet.leader().term == term, "pre-vote: who was away does not unseat the leader"
-    assert fleet.applied[old.me] == [b"y"]
-
-
-def test_a_leader_heard_one_way_only_steps_down() -> None:
-    fleet = Fleet(3, 3)
-    old = fleet.leader()
-    fleet.cut |= {(other, old.me) for other in fleet.voters if other != old.me}
-    fleet.until(lambda: not old.leads, 3 * TIMING.election)
-
-
-def test_a_word_of_a_lost_leader_is_replaced_and_never_was() -> None:
-    fleet = Fleet(3, 4)
-    old = fleet.leader()
-    fleet.isolate(old.me)
-    old.propose(b"lost")
-    fleet.take(old.me)
-    fleet.until(lambda: not old.leads)
-    fleet.say(b"kept")
-    fleet.isolate(old.me, False)
-    fleet.tick(20)
-    assert all(applied == [b"kept"] for applied in fleet.applied.values())
-
-
-def test_one_voter_is_replaced_and_an_emptied_one_counts_for_nothing() -> None:
-    fleet = Fleet(3, 5)
-    leader = fleet.leader()
-    lost = next(node for node in fleet.voters if node != leader.me)
-    fleet.stopped.add(lost)
-    fleet.disks["new"] = Disk(())
-    fleet.applied["new"] = []
-    fleet.cores["new"] = fleet.core("new")
-    fleet.say(b"before")
-    leader.learn("new")
-    fleet.tick(6)
-    assert fleet.applied["new"] == [b"before"] and leader.peers["new"].match == leader.log.last_index
-    fleet.cores["new"].campaign()
-    assert not fleet.cores["new"].has_ready(), "a learner does not stand"
-    with pytest.raises(ProposalRejected, match="one voter at a time"):
-        leader.change(("new", leader.me))
-    leader.change((*fleet.voters, "new"))
-    with pytest.raises(ProposalRejected, match="not committed yet"):
-        leader.change(fleet.voters)
-    fleet.take(leader.me)
-    fleet.deliver()
-    leader.change(tuple(node for node in leader.voters if node != lost))
-    fleet.take(leader.me)
-    fleet.tick(6)
-    assert set(leader.voters) == {*fleet.voters, "new"} - {lost}
-    other = next(node for node in fleet.voters if node not in (lost, leader.me))
-    fleet.stopped.add(other)
-    fleet.say(b"after")
-    assert fleet.applied["new"][-1] == b"after"
-
-
-def test_a_voter_that_takes_itself_out_steps_down_once_that_is_committed() -> None:
-    fleet = Fleet(3, 6)
-    old = fleet.leader()
-    fleet.say(b"x")
-    old.change(tuple(node for node in fleet.voters if node != old.me))
-    fleet.take(old.me)
-    fleet.deliver()
-    assert not old.leads
-    fleet.until(lambda: fleet.leading() != [] and fleet.leading() != [old.me])
-
-
-def test_the_office_is_handed_over_at_once() -> None:
-    fleet = Fleet(5, 7)
-    old = fleet.leader()
-    fleet.say(b"x")
-    target = next(node for node in fleet.voters if node != old.me)
-    term = old.term
-    old.transfer(target)
-    with pytest.raises(ProposalRejected, match="handed over"):
-        old.propose(b"y")
-    fleet.take(old.me)
-    fleet.deliver()
-    assert fleet.cores[target].leads and fleet.cores[target].term == term + 1
-
-
-def test_a_read_is_answered_only_after_a_round_of_a_majority() -> None:
-    fleet = Fleet(3, 8)
-    leader = fleet.leader()
-    index = fleet.say(b"x")
-    leader.read(7)
-    fleet.take(leader.me)
-    assert not fleet.reads
-    fleet.deliver()
-    assert fleet.reads == [(leader.me, 7, index)]
-    fleet.isolate(leader.me)
-    leader.read(8)
-    refused: list[int] = []
-    while leader.leads:
+    def compact(self, node: NodeId, index: int) -> None:
+        log = self.cores[node].log
+        log.compact(index, b"state")
+        self.disks[node].log = RaftLog(log.snapshot, list(log.entries))
+
+    def _links_of(self, node: NodeId) -> set[tuple[NodeId, NodeId]]:
+        return {link for other in self.disks for link in ((node, other), (other, node))}
+
+    def isolate(self, node: NodeId) -> None:
+        self.cut_links = self.cut_links | self._links_of(node)
+
+    def reconnect(self, node: NodeId) -> None:
+        self.cut_links = self.cut_links - self._links_of(node)
+
+    def other_voter(self, *excluded: NodeId) -> NodeId:
+        return next(node for node in self.voters if node not in excluded)
+
+
+@pytest.mark.parametrize("voter_count", [1, 3, 5])
+def test_proposal_is_committed_in_one_exchange_and_applied_by_all(voter_count: int) -> None:
+    cluster = Cluster(voter_count, 1)
+    index = cluster.propose(b"x")
+    assert cluster.elect_leader().commit_index >= index
+    cluster.tick(4)
+    assert all(applied == [b"x"] for applied in cluster.applied.values())
+
+
+def test_isolated_leader_steps_down_and_is_replaced_within_two_election_timeouts() -> None:
+    cluster = Cluster(3, 2)
+    old_leader = cluster.elect_leader()
+    cluster.isolate(old_leader.node_id)
+    cluster.run_until(
+        lambda: old_leader.role is not Role.LEADER and len(cluster.leaders()) == 1, 4 * TIMING.election
+    )
+    index = cluster.propose(b"y")
+    assert cluster.committed[index].data == b"y"
+    term = cluster.elect_leader().term
+    cluster.reconnect(old_leader.node_id)
+    cluster.tick(30)
+    assert cluster.elect_leader().term == term, "pre-vote: a node that was away does not unseat the leader"
+    assert cluster.applied[old_leader.node_id] == [b"y"]
+
+
+def test_leader_that_receives_nothing_steps_down() -> None:
+    cluster = Cluster(3, 3)
+    leader = cluster.elect_leader()
+    cluster.cut_links |= {(other, leader.node_id) for other in cluster.voters if other != leader.node_id}
+    cluster.run_until(lambda: not leader.is_leader, 3 * TIMING.election)
+
+
+def test_uncommitted_entry_of_a_lost_leader_is_replaced() -> None:
+    cluster = Cluster(3, 4)
+    old_leader = cluster.elect_leader()
+    cluster.isolate(old_leader.node_id)
+    old_leader.propose(b"lost")
+    cluster.process_ready(old_leader.node_id)
+    cluster.run_until(lambda: not old_leader.is_leader)
+    cluster.propose(b"committed")
+    cluster.reconnect(old_leader.node_id)
+    cluster.tick(20)
+    assert all(applied == [b"committed"] for applied in cluster.applied.values())
+
+
+def test_lost_voter_is_replaced_by_a_learner_that_has_caught_up() -> None:
+    cluster = Cluster(3, 5)
+    leader = cluster.elect_leader()
+    lost = cluster.other_voter(leader.node_id)
+    cluster.stopped.add(lost)
+    cluster.add_node("new")
+    cluster.propose(b"before")
+    leader.add_learner("new")
+    cluster.tick(6)
+    assert cluster.applied["new"] == [b"before"]
+    assert leader.progress["new"].match_index == leader.log.last_index
+    cluster.cores["new"].campaign()
+    assert not cluster.cores["new"].has_ready(), "a learner starts no election"
+    with pytest.raises(ProposalRejectedError, match="one voter at a time"):
+        leader.propose_voters(("new", leader.node_id))
+    leader.propose_voters((*cluster.voters, "new"))
+    with pytest.raises(ProposalRejectedError, match="not committed yet"):
+        leader.propose_voters(cluster.voters)
+    cluster.process_ready(leader.node_id)
+    cluster.deliver_all()
+    leader.propose_voters(tuple(node for node in leader.voters if node != lost))
+    cluster.process_ready(leader.node_id)
+    cluster.tick(6)
+    assert set(leader.voters) == {*cluster.voters, "new"} - {lost}
+    cluster.stopped.add(cluster.other_voter(lost, leader.node_id))
+    cluster.propose(b"after")
+    assert cluster.applied["new"][-1] == b"after"
+
+
+def test_leader_that_removes_itself_steps_down_once_that_is_committed() -> None:
+    cluster = Cluster(3, 6)
+    old_leader = cluster.elect_leader()
+    cluster.propose(b"x")
+    old_leader.propose_voters(tuple(node for node in cluster.voters if node != old_leader.node_id))
+    cluster.process_ready(old_leader.node_id)
+    cluster.deliver_all()
+    assert not old_leader.is_leader
+    cluster.run_until(lambda: cluster.leaders() != [] and cluster.leaders() != [old_leader.node_id])
+
+
+def test_leadership_transfer_elects_the_target_at_once() -> None:
+    cluster = Cluster(5, 7)
+    old_leader = cluster.elect_leader()
+    cluster.propose(b"x")
+    target = cluster.other_voter(old_leader.node_id)
+    term = old_leader.term
+    old_leader.transfer_leadership(target)
+    with pytest.raises(ProposalRejectedError, match="being transferred"):
+        old_leader.propose(b"y")
+    cluster.process_ready(old_leader.node_id)
+    cluster.deliver_all()
+    assert cluster.cores[target].is_leader
+    assert cluster.cores[target].term == term + 1
+
+
+def test_read_is_confirmed_only_after_a_majority_has_replied() -> None:
+    cluster = Cluster(3, 8)
+    leader = cluster.elect_leader()
+    index = cluster.propose(b"x")
+    leader.request_read(7)
+    cluster.process_ready(leader.node_id)
+    assert not cluster.reads
+    cluster.deliver_all()
+    assert cluster.reads == [(leader.node_id, 7, index)]
+    cluster.isolate(leader.node_id)
+    leader.request_read(8)
+    rejected: list[int] = []
+    while leader.is_leader:
         leader.tick()
-        refused += leader.ready().refused_reads
-    assert refused == [8] and fleet.reads == [(leader.me, 7, index)]
-    with pytest.raises(ProposalRejected):
-        leader.read(9)
-
-
-def test_one_far_behind_gets_a_snapshot_and_then_the_rest() -> None:
-    fleet = Fleet(3, 9)
-    leader = fleet.leader()
-    late = next(node for node in fleet.voters if node != leader.me)
-    fleet.isolate(late)
+        rejected += leader.ready().rejected_reads
+    assert rejected == [8]
+    assert cluster.reads == [(leader.node_id, 7, index)]
+    with pytest.raises(ProposalRejectedError):
+        leader.request_read(9)
+
+
+def test_follower_far_behind_gets_the_snapshot_and_then_the_entries_after_it() -> None:
+    cluster = Cluster(3, 9)
+    leader = cluster.elect_leader()
+    late = cluster.other_voter(leader.node_id)
+    cluster.isolate(late)
     for number in range(100):
-        fleet.say(b"%d" % number)
-    leader.log.compact(leader.commit - 10, b"state")
-    fleet.disks[leader.me].log = RaftLog(leader.log.snapshot, list(leader.log.entries))
-    fleet.isolate(late, False)
-    fleet.tick(10)
-    assert fleet.applied[late][0] == b"snapshot" and fleet.applied[late][-1] == b"99"
-    assert len(fleet.applied[late]) == 11
-    fleet.restart(late)
-    fleet.tick(10)
-    assert fleet.cores[late].commit == leader.commit
-
-
-def test_a_log_keeps_what_an_old_message_says_less_of() -> None:
+        cluster.propose(b"%d" % number)
+    cluster.compact(leader.node_id, leader.commit_index - 10)
+    cluster.reconnect(late)
+    cluster.tick(10)
+    assert cluster.applied[late][0] == SNAPSHOT_MARK
+    assert cluster.applied[late][-1] == b"99"
+    assert len(cluster.applied[late]) == 11
+    cluster.restart(late)
+    cluster.tick(10)
+    assert cluster.cores[late].commit_index == leader.commit_index
+
+
+def test_log_is_not_truncated_by_a_delayed_message() -> None:
     log = RaftLog()
-    assert log.add([Entry(1, 1), Entry(1, 2), Entry(1, 3)]) == 1
-    assert log.add([Entry(1, 1)]) is None and log.last_index == 3
-    assert log.add([Entry(2, 2)]) == 2 and log.last_index == 2 and log.last_term == 2
+    assert log.append([Entry(1, 1), Entry(1, 2), Entry(1, 3)]) == 1
+    assert log.append([Entry(1, 1)]) is None
+    assert log.last_index == 3
+    assert log.append([Entry(2, 2)]) == 2
+    assert log.last_index == 2
+    assert log.last_term == 2
     log.compact(1, b"s")
-    assert log.last_index == 2 and log.term_at(1) == 1 and log.snapshot.data == b"s"
+    assert log.last_index == 2
+    assert log.term_at(1) == 1
+    assert log.snapshot.data == b"s"
 
 
-def test_words_of_strangers_and_of_another_time_change_nothing() -> None:
+def test_messages_of_strangers_and_of_other_terms_change_nothing() -> None:
     core = RaftCore("a", RaftLog(Snapshot(voters=("a", "b", "c"))), HardState(5, "b"), random.Random(1))
     for message in (
         VoteReply("x", "a", 5, True),
@@ -293,78 +323,107 @@
         VoteRequest("c", "a", 5, 9, 9),
         Append("b", "z", 9, 0, 0, (), 0),
         VoteRequest("c", "a", 4, 9, 9),
-        VoteRequest("c", "a", 6, 9, 9, pre=True),
+        VoteRequest("c", "a", 6, 9, 9, pre_vote=True),
     ):
         core.step(message)
     assert (core.term, core.vote, core.role) == (5, "b", Role.FOLLOWER)
-    granted = [one.granted for one in core.ready().messages if isinstance(one, VoteReply)]
-    assert granted == [False, False, True]  # a pre-vote promises nothing
-    core.step(Install("b", "a", 5, Snapshot(4, 3, ("a", "b"), b"s")))
-    assert core.commit == 4 and core.voters == ("a", "b") and core.ready().snapshot is not None
-
-
-@pytest.mark.parametrize("seed", range(60))
-def test_through_any_disorder_what_is_committed_stays(seed: int) -> None:
-    """Losses, doubles, orders, cuts, restarts, compaction, changes of voters; then all is whole again."""
-    fleet = Fleet(3 + 2 * (seed % 2), seed, learners=1)
-    dice = random.Random(seed)
-    words = 0
-    for _ in range(600):
-        chance = dice.random()
-        node = dice.choice(list(fleet.cores))
-        core = fleet.cores[node]
+    granted = [reply.granted for reply in core.ready().messages if isinstance(reply, VoteReply)]
+    assert granted == [False, False, True]  # a granted pre-vote commits the node to nothing
+    core.step(InstallSnapshot("b", "a", 5, Snapshot(4, 3, ("a", "b"), b"s")))
+    assert core.commit_index == 4
+    assert core.voters == ("a", "b")
+    assert core.ready().snapshot is not None
+
+
+class RandomDisorder:
+    """Random steps: losses, duplicates, reordering, cuts, restarts, compaction and changes of voters."""
+
+    def __init__(self, cluster: Cluster, seed: int) -> None:
+        self.cluster = cluster
+        self.rng = random.Random(seed)
+        self.proposal_count = 0
+
+    def step(self) -> None:
+        cluster, rng = self.cluster, self.rng
+        chance = rng.random()
+        node = rng.choice(list(cluster.cores))
+        core = cluster.cores[node]
         if chance < 0.35:
             core.tick()
-        elif chance < 0.85 and fleet.wire:
-            at = dice.randrange(len(fleet.wire)) if dice.random() < 0.3 else 0
-            message = fleet.wire[at] if dice.random() < 0.15 else fleet.wire.pop(at)
-            if dice.random() < 0.9:
-                fleet.pass_on(message)
+        elif chance < 0.85 and cluster.network:
+            self._deliver_one()
         elif chance < 0.9:
-            for name in fleet.leading():
-                words += 1
-                fleet.cores[name].learn("l0")
-                fleet.cores[name].propose(b"w%d" % words)
-                fleet.take(name)
+            self._propose_at_leaders()
         elif chance < 0.93:
-            fleet.restart(node)
+            cluster.restart(node)
         elif chance < 0.95:
-            fleet.isolate(node, dice.random() < 0.5)
-        elif chance < 0.97 and core.applied > core.log.snapshot.index:
-            core.log.compact(core.applied, b"state")
-            fleet.disks[node].log = RaftLog(core.log.snapshot, list(core.log.entries))
-        elif core.leads:
-            gone = dice.choice(core.voters)
-            voters = tuple(one for one in core.voters if one != gone)
-            if len(voters) == 1:
-                voters = (*core.voters, *(set(fleet.voters) - set(core.voters)))
-            with contextlib.suppress(ProposalRejected):
-                core.change(voters)
-        fleet.take(node)
-    fleet.cut.clear()
-    fleet.tick(40)
-    leader = fleet.leader()
-    leader.learn("l0")
-    index = fleet.say(b"last")
-    fleet.tick(20)
-    assert fleet.committed[index].data == b"last", f"seed {seed}"
+            if rng.random() < 0.5:
+                cluster.isolate(node)
+            else:
+                cluster.reconnect(node)
+        elif chance < 0.97 and core.applied_index > core.log.snapshot.index:
+            cluster.compact(node, core.applied_index)
+        elif core.is_leader:
+            self._change_voters(core)
+        cluster.process_ready(node)
+
+    def _deliver_one(self) -> None:
+        network, rng = self.cluster.network, self.rng
+        position = rng.randrange(len(network)) if rng.random() < 0.3 else 0
+        is_duplicated = rng.random() < 0.15
+        message = network[position] if is_duplicated else network.pop(position)
+        if rng.random() < 0.9:
+            self.cluster.deliver(message)
+
+    def _propose_at_leaders(self) -> None:
+        for node in self.cluster.leaders():
+            self.proposal_count += 1
+            self.cluster.cores[node].add_learner(LEARNER)
+            self.cluster.cores[node].propose(b"w%d" % self.proposal_count)
+            self.cluster.process_ready(node)
+
+    def _change_voters(self, core: RaftCore) -> None:
+        removed = self.rng.choice(core.voters)
+        voters = tuple(node for node in core.voters if node != removed)
+        if len(voters) == 1:
+            voters = (*core.voters, *(set(self.cluster.voters) - set(core.voters)))
+        with contextlib.suppress(ProposalRejectedError):
+            core.propose_voters(voters)
+
+
+@pytest.mark.parametrize("seed", range(60))
+def test_committed_entries_survive_any_disorder(seed: int) -> None:
+    cluster = Cluster(3 + 2 * (seed % 2), seed, learner_count=1)
+    disorder = RandomDisorder(cluster, seed)
+    for _ in range(600):
+        disorder.step()
+    cluster.cut_links.clear()
+    cluster.tick(40)
+    leader = cluster.elect_leader()
+    leader.add_learner(LEARNER)
+    index = cluster.propose(b"last")
+    cluster.tick(20)
+    assert cluster.committed[index].data == b"last", f"seed {seed}"
     for node in leader.voters:
-        assert fleet.applied[node][-1:] == [b"last"], f"seed {seed}: {node}"
+        assert cluster.applied[node][-1:] == [b"last"], f"seed {seed}: {node}"
+
 
+def test_fetched_entries_of_a_later_term_are_not_cut_by_a_former_leader() -> None:
+    """A node in term 2 fetches committed entries of term 3.
 
-def test_what_was_fetched_of_a_later_term_is_not_cut_by_a_leader_whose_time_is_over() -> None:
-    """Found by a campaign: a node in term 2 fetched committed entries of term 3; the leader of term 2, cut
-    off from the others, then sent it one of its own for the same place.
+    The leader of term 2, cut off from the others, then sends it an entry of its own for the same index.
     """
     core = RaftCore("a", RaftLog(Snapshot(1, 0, ("a", "b", "c"))), HardState(2, ""), random.Random(1))
     core.step(Append("b", "a", 2, 1, 0, (Entry(2, 2, b"two"),), 2))
     core.ready()
-    core.learned([Entry(3, 3, b"of term three")])
-    assert core.term == 3 and core.commit == 3
+    core.append_committed([Entry(3, 3, b"of term three")])
+    assert core.term == 3
+    assert core.commit_index == 3
     core.step(Append("b", "a", 2, 2, 2, (Entry(2, 3, b"never committed"),), 2))
     assert core.log.last_term == 3
     assert core.ready().messages[-1] == AppendReply("a", "b", 3, False, 0)
     core.restore(Snapshot(9, 5, ("a", "b", "c"), b"state"))
-    assert core.term == 5 and core.commit == 9
-    with pytest.raises(ProposalRejected):
-        core.learned([Entry(5, 10), Entry(5, 12)])
+    assert core.term == 5
+    assert core.commit_index == 9
+    with pytest.raises(ProposalRejectedError):
+        core.append_committed([Entry(5, 10), Entry(5, 12)])
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -1,10 +1,11 @@
-"""The store: killed at each of its operations, cut and damaged at each byte, copied, full."""
+"""The log store: killed at each operation, cut and damaged at each byte, copied, and on a full disk."""
 
 from __future__ import annotations
 
 import shutil
 import subprocess
 import sys
+from dataclasses import dataclass
 from pathlib import Path
 
 import pytest
@@ -12,166 +13,212 @@
 from sidecar_proxy.consensus.disk import RealDisk
 from sidecar_proxy.consensus.log import PersistedState
 from sidecar_proxy.consensus.messages import Entry, HardState, Snapshot
-from sidecar_proxy.consensus.storage import Copied, Damaged, Store, read, records
+from sidecar_proxy.consensus.storage import (
+    CopiedFolderError,
+    DamagedLogError,
+    LogStore,
+    iterate_records,
+    read_log,
+)
 from tests.sockets import LONG_S, ROOT
 
-# what a voter of some life saves, one Write after the other
-LIFE: list[tuple[HardState | None, int, Snapshot | None, list[Entry]]] = [
-    (HardState(1, "a"), 0, None, []),
-    (None, 0, None, [Entry(1, 1, b"one"), Entry(1, 2, b"two\0\0")]),
-    (None, 2, None, [Entry(1, 3, b"three")]),
-    (HardState(2, ""), 2, None, [Entry(2, 3, b"another third"), Entry(2, 4, voters=("a", "b"))]),
-    (None, 4, None, []),
-    (None, 4, Snapshot(4, 2, ("a", "b"), b"all"), [Entry(2, 5, b"five")]),
-    (HardState(3, "b"), 4, None, [Entry(3, 6, b"six")]),
+LARGE_ROOM_BYTES = 10_000
+
+
+@dataclass(frozen=True)
+class Write:
+    """The arguments of one call of `LogStore.save`."""
+
+    hard_state: HardState | None
+    commit_index: int
+    snapshot: Snapshot | None
+    entries: list[Entry]
+    current_hard_state: HardState
+
+
+TERM_1, TERM_2, TERM_3 = HardState(1, "a"), HardState(2, ""), HardState(3, "b")
+# What a voter saves in the course of its life.
+WRITES = [
+    Write(TERM_1, 0, None, [], TERM_1),
+    Write(None, 0, None, [Entry(1, 1, b"one"), Entry(1, 2, b"two\0\0")], TERM_1),
+    Write(None, 2, None, [Entry(1, 3, b"three")], TERM_1),
+    Write(TERM_2, 2, None, [Entry(2, 3, b"another third"), Entry(2, 4, voters=("a", "b"))], TERM_2),
+    Write(None, 4, None, [], TERM_2),
+    Write(None, 4, Snapshot(4, 2, ("a", "b"), b"all"), [Entry(2, 5, b"five")], TERM_2),
+    Write(TERM_3, 4, None, [Entry(3, 6, b"six")], TERM_3),
 ]
 
+StateContent = tuple[HardState, Snapshot, list[Entry]]
+
+
+def save(store: LogStore, write: Write) -> None:
+    store.save(write.hard_state, write.commit_index, write.snapshot, write.entries, write.current_hard_state)
+
+
+def save_all(store: LogStore, acknowledged: list[PersistedState] | None = None) -> None:
+    """Save all WRITES; after each one record what the store holds, and print its number."""
+    for number, write in enumerate(WRITES):
+        save(store, write)
+        if acknowledged is not None:
+            acknowledged.append(LogStore(store.folder).open())
+        print(number, flush=True)
+
+
+def content(state: PersistedState) -> StateContent:
+    return state.hard_state, state.log.snapshot, state.log.entries
 
-def known(at: int) -> HardState:
-    """The hard state that holds with that Write."""
-    return [one[0] for one in LIFE[: at + 1] if one[0] is not None][-1]
 
+def read_only(folder: Path) -> PersistedState:
+    """Read what a start would find, without a change of the file."""
+    return read_log((folder / "log").read_bytes(), folder / "log")[0]
 
-def live(store: Store, promised: list[PersistedState] | None = None) -> None:
-    """All of LIFE; what holds after each is noted, and told on standard output once it is promised."""
-    for at, one in enumerate(LIFE):
-        store.save(*one, known(at))
-        if promised is not None:
-            promised.append(Store(store.folder).open())
-        print(at, flush=True)
 
+@dataclass(frozen=True)
+class SavedFolder:
+    """A folder after all WRITES, and what it held after each of them."""
 
-def said(kept: PersistedState) -> tuple[HardState, Snapshot, list[Entry]]:
-    return kept.hard, kept.log.snapshot, kept.log.entries
+    path: Path
+    acknowledged: list[PersistedState]
 
 
 @pytest.fixture
-def lived(tmp_path: Path) -> tuple[Path, list[PersistedState]]:
-    store, promised = Store(tmp_path / "a"), list[PersistedState]()
+def saved(tmp_path: Path) -> SavedFolder:
+    store = LogStore(tmp_path / "a")
+    acknowledged: list[PersistedState] = []
     store.open()
-    live(store, promised)
+    save_all(store, acknowledged)
     store.close()
-    return tmp_path / "a", promised
+    return SavedFolder(tmp_path / "a", acknowledged)
 
 
-def test_all_that_was_saved_is_there_again(lived: tuple[Path, list[PersistedState]]) -> None:
-    kept = Store(lived[0]).open()
-    assert kept.hard == HardState(3, "b") and kept.commit == 4 and not kept.torn
-    assert kept.log.snapshot.data == b"all" and [one.data for one in kept.log.entries] == [b"five", b"six"]
+def test_saved_state_is_read_back(saved: SavedFolder) -> None:
+    state = LogStore(saved.path).open()
+    assert state.hard_state == TERM_3
+    assert state.commit_index == 4
+    assert not state.torn_bytes
+    assert state.log.snapshot.data == b"all"
+    assert [entry.data for entry in state.log.entries] == [b"five", b"six"]
 
 
-def test_cut_anywhere_it_loses_nothing_that_stood_before_the_cut(tmp_path: Path) -> None:
-    store = Store(tmp_path / "a")
+def test_file_cut_at_any_byte_keeps_all_complete_records(tmp_path: Path) -> None:
+    store = LogStore(tmp_path / "a")
     store.open()
-    promised = {}
-    for at, one in enumerate(LIFE[:5]):
-        store.save(*one, known(at))
-        promised[store.size] = said(Store(store.folder).open())
-    whole = store.path.read_bytes()
-    ends = {end for _, end, _ in records(whole)}
-    for size in range(min(promised), len(whole) + 1):
-        for tail in (b"", bytes(7)):  # a file may have grown before its bytes came
-            store.path.write_bytes(whole[:size] + tail)
-            kept = Store(store.folder).open()
-            good = max(end for end in ends if end <= size)
-            assert store.path.stat().st_size == good
-            assert said(kept) == said(read(whole[:good], store.path)[0])
-            assert good not in promised or said(kept) == promised[good]
-
-
-def test_a_bit_that_has_turned_anywhere_is_damage(lived: tuple[Path, list[PersistedState]]) -> None:
-    path = lived[0] / "log"
-    whole = path.read_bytes()
-    for at in range(len(whole)):
+    acknowledged = {}
+    for write in WRITES[:5]:
+        save(store, write)
+        acknowledged[store.size] = content(LogStore(store.folder).open())
+    data = store.path.read_bytes()
+    ends = {framed.end for framed in iterate_records(data)}
+    for size in range(min(acknowledged), len(data) + 1):
+        for tail in (b"", bytes(7)):  # a file may have grown before its data was written
+            store.path.write_bytes(data[:size] + tail)
+            state = LogStore(store.folder).open()
+            valid_size = max(end for end in ends if end <= size)
+            assert store.path.stat().st_size == valid_size
+            assert content(state) == content(read_log(data[:valid_size], store.path)[0])
+            assert valid_size not in acknowledged or content(state) == acknowledged[valid_size]
+
+
+def test_flipped_bit_anywhere_is_reported_as_damage(saved: SavedFolder) -> None:
+    path = saved.path / "log"
+    data = path.read_bytes()
+    for position in range(len(data)):
         for bit in (1, 16, 128):
-            path.write_bytes(whole[:at] + bytes([whole[at] ^ bit]) + whole[at + 1 :])
-            with pytest.raises(Damaged):
-                Store(lived[0]).open()
-    store = Store(lived[0])
-    kept = store.begin_again()
-    assert kept.incarnation != lived[1][0].incarnation
-    assert kept.hard == HardState() and not kept.log.last_index
-    assert (lived[0] / "log.damaged").exists() and Store(lived[0]).open().incarnation == kept.incarnation
-
-
-def test_a_copy_of_an_earlier_time_is_known_for_one(
-    lived: tuple[Path, list[PersistedState]], tmp_path: Path
-) -> None:
-    shutil.copytree(lived[0], tmp_path / "older")
-    with pytest.raises(Copied):
-        Store(tmp_path / "older").open()
-    shutil.rmtree(lived[0])
-    shutil.copytree(tmp_path / "older", lived[0])
-    with pytest.raises(Copied):
-        Store(lived[0]).open()
-
-
-class Full(RealDisk):
-    """There is room for so many bytes more."""
-
-    def __init__(self, room: int) -> None:
-        self.room = room
+            path.write_bytes(data[:position] + bytes([data[position] ^ bit]) + data[position + 1 :])
+            with pytest.raises(DamagedLogError):
+                LogStore(saved.path).open()
+    state = LogStore(saved.path).recreate()
+    assert state.incarnation != saved.acknowledged[0].incarnation
+    assert state.hard_state == HardState()
+    assert not state.log.last_index
+    assert (saved.path / "log.damaged").exists()
+    assert LogStore(saved.path).open().incarnation == state.incarnation
+
+
+def test_copied_folder_is_recognized(saved: SavedFolder, tmp_path: Path) -> None:
+    shutil.copytree(saved.path, tmp_path / "older")
+    with pytest.raises(CopiedFolderError):
+        LogStore(tmp_path / "older").open()
+    shutil.rmtree(saved.path)
+    shutil.copytree(tmp_path / "older", saved.path)
+    with pytest.raises(CopiedFolderError):
+        LogStore(saved.path).open()
+
+
+class FullDisk(RealDisk):
+    """A disk with room for so many bytes more."""
+
+    def __init__(self, room_bytes: int) -> None:
+        self.room_bytes = room_bytes
 
     def write(self, file: int, data: bytes) -> None:
-        super().write(file, data[: self.room])
-        if len(data) > self.room:
+        super().write(file, data[: self.room_bytes])
+        if len(data) > self.room_bytes:
             raise OSError(28, "no space")
-        self.room -= len(data)
+        self.room_bytes -= len(data)
 
 
-@pytest.mark.parametrize("room", [0, 1, 20, 45])
-def test_a_full_disk_costs_nothing_and_the_same_can_be_saved_later(room: int, tmp_path: Path) -> None:
-    disk = Full(10_000)
-    store = Store(tmp_path, disk)
+@pytest.mark.parametrize("room_bytes", [0, 1, 20, 45])
+def test_failed_write_loses_nothing_and_can_be_repeated(room_bytes: int, tmp_path: Path) -> None:
+    disk = FullDisk(LARGE_ROOM_BYTES)
+    store = LogStore(tmp_path, disk)
     store.open()
-    for at, one in enumerate(LIFE):
-        before = said(read_only(tmp_path))
-        disk.room = room
+    for write in WRITES:
+        before = content(read_only(tmp_path))
+        disk.room_bytes = room_bytes
         try:
-            store.save(*one, known(at))
+            save(store, write)
         except OSError:
-            # entries may be there that are not promised
-            assert said(read_only(tmp_path))[:2] == before[:2]
-            disk.room = 10_000
-            store.save(*one, known(at))
-    kept = Store(tmp_path).open()
-    assert [one.data for one in kept.log.entries] == [b"five", b"six"] and kept.hard == HardState(3, "b")
+            # There may be entries that were not acknowledged.
+            assert content(read_only(tmp_path))[:2] == before[:2]
+            disk.room_bytes = LARGE_ROOM_BYTES
+            save(store, write)
+    state = LogStore(tmp_path).open()
+    assert [entry.data for entry in state.log.entries] == [b"five", b"six"]
+    assert state.hard_state == TERM_3
 
 
-def read_only(folder: Path) -> PersistedState:
-    """What a start would find; the file stays as it is."""
-    return read((folder / "log").read_bytes(), folder / "log")[0]
+KILLED_PROGRAM = (
+    "import sys; from pathlib import Path; from tests.consensus.test_storage import save_all, LogStore;"
+    "from sidecar_proxy.consensus.disk import FaultyDisk;"
+    "store = LogStore(Path(sys.argv[1]), FaultyDisk(Path(sys.argv[2]))); store.open(); save_all(store)"
+)
+
+
+def start_killed_process(folder: Path, fault: str) -> subprocess.Popen[str]:
+    """Start a process that saves WRITES until the fault kills it."""
+    fault_path = folder.with_suffix(".disk")
+    fault_path.write_text(fault)
+    line = [sys.executable, "-c", KILLED_PROGRAM, str(folder), str(fault_path)]
+    return subprocess.Popen(line, cwd=ROOT, stdout=subprocess.PIPE, text=True)
+
+
+def assert_acknowledged_state(folder: Path, write_count: int, acknowledged: list[PersistedState]) -> None:
+    """Check that a folder holds what was acknowledged; the write after that may be there in part."""
+    actual = content(LogStore(folder).open())
+    expected = [content(state) for state in acknowledged[max(0, write_count - 1) : write_count + 1]]
+    if write_count == 0:
+        expected.append((HardState(), Snapshot(), []))
+    # Of a write that was not acknowledged the entries come before the hard state.
+    has_next_entries = actual[0] == expected[0][0] and actual[1:] == expected[-1][1:]
+    assert actual in expected or has_next_entries, (folder, write_count)
 
 
 @pytest.mark.parametrize("operation", ["write", "sync", "rename"])
-def test_killed_at_each_operation_what_was_promised_is_there(operation: str, tmp_path: Path) -> None:
-    """By SIGKILL, in a process of its own; the runs go side by side."""
-    program = (
-        "import sys; from pathlib import Path; from tests.consensus.test_storage import live, Store;"
-        "from sidecar_proxy.consensus.disk import BrokenDisk;"
-        "store = Store(Path(sys.argv[1]), BrokenDisk(Path(sys.argv[2]))); store.open(); live(store)"
-    )
-    reference = Store(tmp_path / "whole")
+def test_process_killed_at_any_operation_keeps_what_was_acknowledged(operation: str, tmp_path: Path) -> None:
+    """Each run is a process of its own; they run at the same time."""
+    reference = LogStore(tmp_path / "reference")
     reference.open()
-    promised: list[PersistedState] = []
-    live(reference, promised)
-    runs = []
+    acknowledged: list[PersistedState] = []
+    save_all(reference, acknowledged)
+    processes = {}
     for number in range(1, 12 if operation != "rename" else 4):
-        for when in ("before", "middle", "after"):
-            folder, told = tmp_path / f"{number}{when}", tmp_path / f"{number}{when}.disk"
-            told.write_text(f"kill {operation} {when} {number}")
-            line = [sys.executable, "-c", program, str(folder), str(told)]
-            process = subprocess.Popen(line, cwd=ROOT, stdout=subprocess.PIPE, text=True)
-            runs.append((folder, process))
-    killed = 0
-    for folder, process in runs:
-        out, _ = process.communicate(timeout=LONG_S)
-        killed += process.returncode == -9
-        done = len(out.split())
-        kept = Store(folder).open()
-        now, later = said(kept), [said(one) for one in promised[max(0, done - 1) : done + 1]]
-        if done == 0:
-            later.append((HardState(), Snapshot(), []))
-        # what was not promised may be there as well, or some of its records: the hard state comes last
-        assert now in later or (now[0] == later[0][0] and now[1:] == later[-1][1:]), (folder, done)
-    assert killed >= 6, killed
+        for moment in ("before", "middle", "after"):
+            folder = tmp_path / f"{number}{moment}"
+            processes[folder] = start_killed_process(folder, f"kill {operation} {moment} {number}")
+    killed_count = 0
+    for folder, process in processes.items():
+        output, _ = process.communicate(timeout=LONG_S)
+        killed_count += process.returncode == -9
+        assert_acknowledged_state(folder, len(output.split()), acknowledged)
+    assert killed_count >= 6, killed_count
--- a/tests/consensus/test_voters.py
+++ b/tests/consensus/test_voters.py
@@ -1,77 +1,101 @@
-"""Who votes: rules that hold in every case, and that it comes to rest."""
+"""Who votes: rules that hold in every case, and that the changes come to an end."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sidecar_proxy.consensus.voters import Candidate, Look, majority
+from sidecar_proxy.consensus.voters import Candidate, VoterPlanner, majority
+
+REPLACE_AFTER_US = 60_000_000
+LEADER = "s0#0"
+
 
-REPLACE_US = 60_000_000
+def planner(
+    candidates: list[Candidate],
+    voters: tuple[str, ...],
+    silent_us: dict[str, int],
+    responsive: set[str],
+    target_count: int,
+) -> VoterPlanner:
+    by_name = {candidate.name: candidate for candidate in candidates}
+    return VoterPlanner(LEADER, voters, by_name, silent_us, responsive, target_count, REPLACE_AFTER_US)
 
 
-def look(
-    there: list[Candidate], voters: tuple[str, ...], away: dict[str, int], answered: set[str], wanted: int
-) -> Look:
-    return Look("s0#0", voters, {one.name: one for one in there}, away, answered, wanted, REPLACE_US)
+@dataclass(frozen=True)
+class FleetCase:
+    candidates: list[Candidate]
+    voters: tuple[str, ...]
+    silent_us: dict[str, int]
+    responsive: set[str]
+    target_count: int
 
 
 @st.composite
-def fleets(draw: st.DrawFn) -> tuple[list[Candidate], tuple[str, ...], dict[str, int], set[str], int]:
-    """Sidecars, some of another incarnation than the voter of that name, some away, some without the log."""
-    there = [
+def fleet_cases(draw: st.DrawFn) -> FleetCase:
+    """Some sidecars have another incarnation than the voter of their name, are away or lack the log."""
+    others = [
         Candidate(f"s{n}#{draw(st.integers(0, 1))}", f"s{n}", f"site{n % 3}", draw(st.booleans()))
         for n in draw(st.sets(st.integers(1, 8), max_size=7))
     ]
-    me = Candidate("s0#0", "s0", "site0", True)
-    others = draw(st.sets(st.sampled_from([f"s{n}#0" for n in range(1, 9)]), max_size=5))
-    voters = ("s0#0", *sorted(others))
-    away = {node: draw(st.sampled_from([0, REPLACE_US // 2, REPLACE_US, 2 * REPLACE_US])) for node in others}
-    answered = {node for node in others if draw(st.booleans()) and away[node] < REPLACE_US}
-    return [me, *there], voters, away, answered, draw(st.sampled_from([1, 3, 5]))
-
-
-@given(fleets())
-def test_one_at_a_time_never_the_leader_and_always_with_a_quorum_of_the_next(
-    fleet: tuple[list[Candidate], tuple[str, ...], dict[str, int], set[str], int],
-) -> None:
-    there, voters, away, answered, wanted = fleet
-    found = look(there, voters, away, answered, wanted).next_voters()
-    if found is None:
+    leader = Candidate(LEADER, "s0", "site0", True)
+    other_voters = draw(st.sets(st.sampled_from([f"s{n}#0" for n in range(1, 9)]), max_size=5))
+    times_us = st.sampled_from([0, REPLACE_AFTER_US // 2, REPLACE_AFTER_US, 2 * REPLACE_AFTER_US])
+    silent_us = {node: draw(times_us) for node in other_voters}
+    responsive = {node for node in other_voters if draw(st.booleans()) and silent_us[node] < REPLACE_AFTER_US}
+    voters = (LEADER, *sorted(other_voters))
+    target_count = draw(st.sampled_from([1, 3, 5]))
+    return FleetCase([leader, *others], voters, silent_us, responsive, target_count)
+
+
+@given(fleet_cases())
+def test_voters_change_one_at_a_time_keep_the_leader_and_the_quorum_of_the_next_set(case: FleetCase) -> None:
+    voters = planner(
+        case.candidates, case.voters, case.silent_us, case.responsive, case.target_count
+    ).next_voters()
+    if voters is None:
         return
-    assert len(set(found) ^ set(voters)) == 1 and "s0#0" in found and len(set(found)) == len(found)
-    well = [node for node in found if node == "s0#0" or node in answered]
-    new = set(found) - set(voters)
-    assert len(well) + (len(new) if len(voters) == 1 else 0) >= majority(len(found))
-    for node in new:
-        assert len(found) <= wanted
-        assert [one for one in there if one.node == node][0].proven
-
-
-@given(fleets())
-def test_it_comes_to_rest_with_as_many_as_are_wanted_where_they_are_there(
-    fleet: tuple[list[Candidate], tuple[str, ...], dict[str, int], set[str], int],
-) -> None:
-    """Everybody who is there answers; voters that are not there have been away for long."""
-    there, voters, _, _, wanted = fleet
-    nodes = {one.node for one in there}
+    assert len(set(voters) ^ set(case.voters)) == 1
+    assert LEADER in voters
+    assert len(set(voters)) == len(voters)
+    responsive = [node for node in voters if node == LEADER or node in case.responsive]
+    added = set(voters) - set(case.voters)
+    added_count = len(added) if len(case.voters) == 1 else 0
+    assert len(responsive) + added_count >= majority(len(voters))
+    for node in added:
+        assert len(voters) <= case.target_count
+        candidate = next(candidate for candidate in case.candidates if candidate.node == node)
+        assert candidate.is_caught_up
+
+
+@given(fleet_cases())
+def test_changes_end_with_as_many_voters_as_wanted_if_they_are_present(case: FleetCase) -> None:
+    """Every sidecar that is present responds; voters that are not present have been silent for long."""
+    voters = case.voters
+    present = {candidate.node for candidate in case.candidates}
     for _ in range(20):
-        away = {node: 0 if node in nodes else 2 * REPLACE_US for node in voters}
-        found = look(there, voters, away, nodes, wanted).next_voters()
-        if found is None:
+        silent_us = {node: 0 if node in present else 2 * REPLACE_AFTER_US for node in voters}
+        next_voters = planner(case.candidates, voters, silent_us, present, case.target_count).next_voters()
+        if next_voters is None:
             break
-        voters = found
+        voters = next_voters
     else:
-        raise AssertionError("it never rests")
-    has = [one for one in there if one.proven or one.node in voters]
-    here = sum(node in nodes for node in voters)
-    if here >= majority(len(voters)) and len(voters) - here <= 1:
-        assert len(voters) >= min(wanted, len(has)) and (here == len(voters) or here <= wanted)
-
-
-def test_a_site_that_has_none_gets_the_next() -> None:
-    there = [Candidate(f"s{n}#0", f"s{n}", f"site{n // 2}", True) for n in range(6)]
-    voters: tuple[str, ...] = ("s0#0",)
-    while found := look(there, voters, {}, {one.node for one in there}, 3).next_voters():
-        voters = found
-    assert voters == ("s0#0", "s2#0", "s4#0")
+        raise AssertionError("the voters change without end")
+    eligible = [
+        candidate for candidate in case.candidates if candidate.is_caught_up or candidate.node in voters
+    ]
+    present_count = sum(node in present for node in voters)
+    if present_count >= majority(len(voters)) and len(voters) - present_count <= 1:
+        assert len(voters) >= min(case.target_count, len(eligible))
+        assert present_count == len(voters) or present_count <= case.target_count
+
+
+def test_candidate_of_a_site_without_voters_is_added_first() -> None:
+    candidates = [Candidate(f"s{n}#0", f"s{n}", f"site{n // 2}", True) for n in range(6)]
+    nodes = {candidate.node for candidate in candidates}
+    voters: tuple[str, ...] = (LEADER,)
+    while next_voters := planner(candidates, voters, {}, nodes, 3).next_voters():
+        voters = next_voters
+    assert voters == (LEADER, "s2#0", "s4#0")
--- a/tests/model_checking/test_consensus.py
+++ b/tests/model_checking/test_consensus.py
@@ -13,21 +13,24 @@
 
     def ready(self) -> consensus.Ready:
         ready = super().ready()
-        self.told = HardState(self.term, "")
+        self.persisted_hard_state = HardState(self.term, "")
         return ready
 
 
 class Counts(RaftCore):
     """Planted: an entry of an earlier term is committed by count (5.4.2)."""
 
-    def advance(self) -> None:
-        if not self.leads:
+    def advance_commit_index(self) -> None:
+        if not self.is_leader:
             return
         has = sorted(
-            (self.log.last_index if node == self.me else self.peers[node].match for node in self.voters),
+            (
+                self.log.last_index if node == self.node_id else self.progress[node].match_index
+                for node in self.voters
+            ),
             reverse=True,
         )
-        self.commit = max(self.commit, has[self.majority() - 1])
+        self.commit_index = max(self.commit_index, has[self.quorum_size() - 1])
 
 
 def test_nothing_is_found_within_small_bounds_that_are_searched_whole() -> None:
@@ -74,10 +77,10 @@
         "a hears AppendReply of c, term 3 (ok True, match 1)",
     ]
     bounds = Bounds(terms=4, proposals=0, restarts=0)
-    was, consensus.MOST_FED = consensus.MOST_FED, 1
+    was, consensus.MAX_APPEND_ENTRIES = consensus.MAX_APPEND_ENTRIES, 1
     try:
         found = run(bounds, 60_000, Counts, begun)
         assert "leader completeness" in found.breach, str(found)
         assert not run(bounds, 10_000, RaftCore, begun).breach
     finally:
-        consensus.MOST_FED = was
+        consensus.MAX_APPEND_ENTRIES = was
--- a/tests/model_checking/test_fleets.py
+++ b/tests/model_checking/test_fleets.py
@@ -9,8 +9,11 @@
 import pytest
 
 from sidecar_proxy.consensus import replicated_commands as words
-from sidecar_proxy.consensus.frames import Answer, Ask
-from sidecar_proxy.consensus.replica import Replica, ReplicaLimits
+from sidecar_proxy.consensus.frames import LeaderRequest
+from sidecar_proxy.consensus.leader_requests import LeaderRequests, RequestedRead, Requester
+from sidecar_proxy.consensus.proposals import ProposalStatus
+from sidecar_proxy.consensus.replica import Replica
+from sidecar_proxy.consensus.replica_context import ReplicaLimits
 from sidecar_proxy.consensus.voters import name_of
 from sidecar_proxy.model_checking.fleets import World
 from sidecar_proxy.model_checking.history import Logged, Said, judge
@@ -27,30 +30,49 @@
     assert not play(seed), f"python -m sidecar_proxy.model_checking.fleets --seed {seed} --runs 1"
 
 
-class Hasty(Replica):
+class HastyRequests(LeaderRequests):
     """It says that a word is done once it is proposed."""
 
-    def asked(self, node: str, ask: Ask) -> None:
-        super().asked(node, ask)
-        for index, one in list(self.waiting.items()):
-            for who, number in one.who:
-                self.answer(who, Answer(number, "done", index, "", self.me))
-            one.who.clear()
+    def handle(self, node: str, request: LeaderRequest) -> None:
+        super().handle(node, request)
+        for index, proposed in list(self.proposed.items()):
+            for requester in proposed.requesters:
+                self._reply(requester, ProposalStatus.DONE, index, "", self.context.node_id)
+            proposed.requesters.clear()
 
 
-class Stale(Replica):
+class StaleRequests(LeaderRequests):
     """It answers a look from what it has, without asking whether it leads yet."""
 
-    def asked(self, node: str, ask: Ask) -> None:
-        if ask.word or not self.core.leads:
-            super().asked(node, ask)
+    def handle(self, node: str, request: LeaderRequest) -> None:
+        core = self.context.core
+        if request.command or not core.is_leader:
+            super().handle(node, request)
         else:
-            self.reads += 1
-            self.reading[self.reads] = node, ask
-            self.core.out.reads.append((self.reads, self.core.commit))
+            self.last_read_context += 1
+            requester = Requester(node, request.number)
+            self.reads[self.last_read_context] = RequestedRead(requester, request.name)
+            core.next_ready.reads.append((self.last_read_context, core.commit_index))
 
 
-@pytest.mark.parametrize("makes", [Hasty, Stale])
+def hasty(*arguments: Any) -> Replica:
+    """A replica with the planted bug of HastyRequests."""
+    return with_requests(Replica(*arguments), HastyRequests)
+
+
+def stale(*arguments: Any) -> Replica:
+    """A replica with the planted bug of StaleRequests."""
+    return with_requests(Replica(*arguments), StaleRequests)
+
+
+def with_requests(replica: Replica, kind: type[LeaderRequests]) -> Replica:
+    requests = kind(replica.context, replica.proposals)
+    replica.leader_requests = requests
+    replica.driver.leader_requests = requests
+    return replica
+
+
+@pytest.mark.parametrize("makes", [hasty, stale])
 def test_planted_bugs_are_found(makes: Callable[..., Replica]) -> None:
     assert any(play(seed, makes) for seed in range(1, SEEDS))
 
@@ -59,7 +81,7 @@
     apply = words.apply
 
     def forgets(state: words.ReplicatedState, entry: Any) -> words.Outcome:
-        state.said.clear()
+        state.results.clear()
         return apply(state, entry)
 
     monkeypatch.setattr(words, "apply", forgets)
@@ -110,7 +132,7 @@
 
 def test_who_may_not_vote_learns() -> None:
     def makes(name: str, site: str, kept: Any, limits: ReplicaLimits, *rest: Any) -> Replica:
-        return Replica(name, site, kept, replace(limits, votes=name in ("m0", "m4", "m5")), *rest)
+        return Replica(name, site, kept, replace(limits, can_vote=name in ("m0", "m4", "m5")), *rest)
 
     world = World(1, 6, 3, makes)
     world.run(15.0)
