--- a/sidecar_proxy/consensus/fleet_commands.py
+++ b/sidecar_proxy/consensus/fleet_commands.py
@@ -12,14 +12,13 @@
 from sidecar_proxy.admin.server import AdminCommand, AdminCommandError, AdminServer
 from sidecar_proxy.consensus import disruption_budgets, replicated_commands
 from sidecar_proxy.consensus.disruption_budgets import TargetKind, permit_key
+from sidecar_proxy.consensus.errors import CommandError, ProposalRejectedError
 from sidecar_proxy.consensus.outputs import Output
 from sidecar_proxy.consensus.proposals import ProposalResult, ProposalStatus
-from sidecar_proxy.consensus.raft import ProposalRejectedError
 from sidecar_proxy.consensus.replica import Replica
 from sidecar_proxy.consensus.replicated_commands import (
     FORCE,
     WAIT,
-    CommandError,
     CommandKind,
     ReplicatedCommand,
 )
--- a/sidecar_proxy/consensus/frames.py
+++ b/sidecar_proxy/consensus/frames.py
@@ -11,6 +11,7 @@
 import msgspec
 from msgspec import Meta
 
+from sidecar_proxy.consensus.errors import FrameError
 from sidecar_proxy.consensus.messages import (
     MAX_ENTRY_DATA_BYTES,
     MAX_MESSAGE_ENTRIES,
@@ -147,10 +148,6 @@
 status_decoder = msgspec.msgpack.Decoder(ReplicaStatus)
 
 
-class FrameError(ValueError):
-    """Received bytes are not a valid frame; the message is one line."""
-
-
 def decode_frame(data: bytes, source: NodeId, target: NodeId) -> Frame:
     """Decode a frame that `source`, as its session has proved, sent to `target`. Raises FrameError."""
     frame = _decode(frame_decoder, data)
--- a/sidecar_proxy/consensus/leader_requests.py
+++ b/sidecar_proxy/consensus/leader_requests.py
@@ -13,10 +13,10 @@
 
 from sidecar_proxy.consensus import replicated_commands
 from sidecar_proxy.consensus.disruption_budgets import DisruptionFacts
+from sidecar_proxy.consensus.errors import ProposalRejectedError
 from sidecar_proxy.consensus.frames import LeaderReply, LeaderRequest
 from sidecar_proxy.consensus.messages import Entry, NodeId
 from sidecar_proxy.consensus.proposals import PendingProposals, ProposalStatus
-from sidecar_proxy.consensus.raft import ProposalRejectedError
 from sidecar_proxy.consensus.replica_context import ReplicaContext
 from sidecar_proxy.consensus.replicated_commands import Outcome, ReplicatedCommand
 
--- a/sidecar_proxy/consensus/log.py
+++ b/sidecar_proxy/consensus/log.py
@@ -5,17 +5,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
+from sidecar_proxy.consensus.errors import CompactedError
 from sidecar_proxy.consensus.messages import Entry, HardState, NodeId, Snapshot
 
 
-class CompactedError(LookupError):
-    """The entry was replaced by the snapshot."""
-
-    def __init__(self, index: int) -> None:
-        super().__init__(f"entry {index} is part of the snapshot")
-        self.index = index
-
-
 @dataclass(slots=True)
 class RaftLog:
     """A snapshot and the entries that follow it without gaps."""
--- a/sidecar_proxy/consensus/raft.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -13,7 +13,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from sidecar_proxy.consensus.log import CompactedError, RaftLog
+from sidecar_proxy.consensus.errors import CompactedError, ProposalRejectedError
+from sidecar_proxy.consensus.log import RaftLog
 from sidecar_proxy.consensus.messages import (
     MAX_MESSAGE_ENTRIES,
     Append,
@@ -85,10 +86,6 @@
     rejected_reads: list[int] = field(default_factory=list)  # contexts; the leadership was lost
 
 
-class ProposalRejectedError(Exception):
-    """A proposal, read or change of voters can't be taken now, or not by this node."""
-
-
 class RaftCore:
     """A voter, or a learner as long as it is not among the voters."""
 
--- a/sidecar_proxy/consensus/replica.py
+++ b/sidecar_proxy/consensus/replica.py
@@ -11,6 +11,7 @@
 import random
 
 from sidecar_proxy.consensus import replicated_commands
+from sidecar_proxy.consensus.errors import CommandError, ProposalRejectedError
 from sidecar_proxy.consensus.frames import (
     EntryBatch,
     FetchLater,
@@ -27,11 +28,11 @@
 from sidecar_proxy.consensus.messages import Append, Message, NodeId, Snapshot
 from sidecar_proxy.consensus.outputs import Outbox, Output
 from sidecar_proxy.consensus.peers import PeerTable
-from sidecar_proxy.consensus.persistence import ReadyDriver
 from sidecar_proxy.consensus.proposals import PendingProposals, ProposalResult
-from sidecar_proxy.consensus.raft import ProposalRejectedError, RaftCore, Timing
+from sidecar_proxy.consensus.raft import RaftCore, Timing
+from sidecar_proxy.consensus.ready_driver import ReadyDriver
 from sidecar_proxy.consensus.replica_context import ReplicaContext, ReplicaLimits
-from sidecar_proxy.consensus.replicated_commands import CommandError, ReplicatedCommand, ReplicatedState
+from sidecar_proxy.consensus.replicated_commands import ReplicatedCommand, ReplicatedState
 from sidecar_proxy.consensus.state_machine import StateMachine
 from sidecar_proxy.consensus.status import LeaderTracker, StatusBroadcaster, StatusReporter
 from sidecar_proxy.consensus.transfer_manager import TransferManager
--- a/sidecar_proxy/consensus/replicated_commands.py
+++ b/sidecar_proxy/consensus/replicated_commands.py
@@ -24,6 +24,7 @@
     Target,
     TargetKind,
 )
+from sidecar_proxy.consensus.errors import CommandError
 from sidecar_proxy.consensus.messages import MAX_ENTRY_DATA_BYTES, MAX_SNAPSHOT_BYTES, Entry
 from sidecar_proxy.gossip import codec
 
@@ -113,10 +114,6 @@
     permits: PermitState = msgspec.field(default_factory=PermitState)
 
 
-class CommandError(ValueError):
-    """A command or snapshot is not valid; the message is one line."""
-
-
 class Outcome(msgspec.Struct, frozen=True):
     """The outcome of applying an entry; `text` is additional information on a success."""
 
--- a/sidecar_proxy/consensus/storage.py
+++ b/sidecar_proxy/consensus/storage.py
@@ -29,6 +29,7 @@
 from msgspec import Meta
 
 from sidecar_proxy.consensus.disk import Disk, RealDisk
+from sidecar_proxy.consensus.errors import CopiedFolderError, DamagedLogError, RecordError
 from sidecar_proxy.consensus.log import PersistedState, RaftLog
 from sidecar_proxy.consensus.messages import (
     MAX_ENTRY_DATA_BYTES,
@@ -45,14 +46,7 @@
 MAX_RECORD_ENTRIES = MAX_RECORD_BYTES // (MAX_ENTRY_DATA_BYTES * 2)
 MAX_FILE_BYTES = 256 << 20  # this program never writes a larger file
 INCARNATION_CHARS = 16
-
-
-class DamagedLogError(Exception):
-    """The persisted log is not reliable; the message is one line."""
-
-
-class CopiedFolderError(DamagedLogError):
-    """The folder is a copy, perhaps of an earlier state."""
+MAX_PROBLEM_CHARS = 80  # of a decoder's message
 
 
 class HeaderRecord(msgspec.Struct, array_like=True, frozen=True, tag=0):
@@ -123,12 +117,12 @@
         if not self.path.exists():
             return self.create()
         if self.path.stat().st_size > MAX_FILE_BYTES:
-            raise DamagedLogError(f"{self.path}: larger than any log of this program")
+            raise DamagedLogError(self.path, "larger than any log of this program")
         data = self.path.read_bytes()
         state, self.size, self.last_digest = read_log(data, self.path)
         self.header = read_header(data, self.path)
         if marker_identity(self.folder) != (self.header.marker_inode, self.header.marker_changed_ns):
-            raise CopiedFolderError(f"{self.path}: the folder is a copy")
+            raise CopiedFolderError(self.path)
         self.file = os.open(self.path, os.O_RDWR | os.O_APPEND)
         if self.size < len(data):
             self.disk.truncate(self.file, self.size)
@@ -271,9 +265,9 @@
             size = framed.end
             digest = framed.digest
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
-        raise DamagedLogError(f"{path}: damaged at byte {size}: {str(error)[:80]}") from error
-    except DamagedLogError as error:
-        raise DamagedLogError(f"{path}: damaged at byte {size}: {error}") from error
+        raise DamagedLogError(path, str(error)[:MAX_PROBLEM_CHARS], size) from error
+    except RecordError as error:
+        raise DamagedLogError(path, error.problem, size) from error
     state.torn_bytes = len(data) - size
     state.commit_index = max(state.log.snapshot.index, min(state.commit_index, state.log.last_index))
     return state, size, digest
@@ -282,19 +276,19 @@
 def read_header(data: bytes, path: Path) -> HeaderRecord:
     """Return the first record of a file's content. Raises DamagedLogError."""
     if not data.startswith(FILE_MAGIC):
-        raise DamagedLogError(f"{path}: no log of this version")
+        raise DamagedLogError(path, "no log of this version")
     try:
         record = next(iterate_records(data)).record
-    except (StopIteration, DamagedLogError, msgspec.DecodeError, msgspec.ValidationError) as error:
+    except (StopIteration, RecordError, msgspec.DecodeError, msgspec.ValidationError) as error:
         # The file is created by a rename, so its first record is never torn.
-        raise DamagedLogError(f"{path}: its first record can't be read") from error
+        raise DamagedLogError(path, "its first record can't be read") from error
     if not isinstance(record, HeaderRecord):
-        raise DamagedLogError(f"{path}: its first record is of another kind")
+        raise DamagedLogError(path, "its first record is of another kind")
     return record
 
 
 def iterate_records(data: bytes) -> Iterator[FramedRecord]:
-    """Yield the complete records of a file's content, up to a torn one. Raises DamagedLogError."""
+    """Yield the complete records of a file's content, up to a torn one. Raises RecordError."""
     position = len(FILE_MAGIC)
     last_digest = b""
     written_size = len(data.rstrip(b"\0"))  # a file may have grown by zeros before its data was written
@@ -303,23 +297,23 @@
             return
         length, checksum, digest = RECORD_HEADER.unpack_from(data, position)
         if header_checksum(length, digest) != checksum or length > MAX_RECORD_BYTES:
-            raise DamagedLogError("the header of a record is damaged")
+            raise RecordError("the header of a record is damaged")
         end = position + RECORD_HEADER.size + length + len(RECORD_END)
         if written_size < end:
             return
         payload = data[position + RECORD_HEADER.size : end - len(RECORD_END)]
         if data[end - len(RECORD_END) : end] != RECORD_END or chained_digest(last_digest, payload) != digest:
-            raise DamagedLogError("the content of a record is damaged")
+            raise RecordError("the content of a record is damaged")
         yield FramedRecord(record_decoder.decode(payload), end, digest)
         position = end
         last_digest = digest
 
 
 def apply_record(state: PersistedState, record: Record) -> None:
-    """Apply the next record of a file to the state read so far. Raises DamagedLogError."""
+    """Apply the next record of a file to the state read so far. Raises RecordError."""
     if isinstance(record, HardStateRecord):
         if record.term < state.hard_state.term:
-            raise DamagedLogError("a term that goes back")
+            raise RecordError("a term that goes back")
         state.hard_state = HardState(record.term, record.vote)
         state.commit_index = max(state.commit_index, record.commit_index)
     elif isinstance(record, SnapshotRecord):
@@ -328,6 +322,6 @@
         log = state.log
         first_index = record.entries[0].index
         if not log.snapshot.index < first_index <= log.last_index + 1:
-            raise DamagedLogError("entries with a gap")
+            raise RecordError("entries with a gap")
         del log.entries[first_index - log.snapshot.index - 1 :]
         log.entries += record.entries
--- a/sidecar_proxy/consensus/subsystem.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -18,6 +18,7 @@
 from sidecar_proxy.config.schema import Agreement
 from sidecar_proxy.consensus import frames
 from sidecar_proxy.consensus.disk import disk_of_process
+from sidecar_proxy.consensus.errors import CommandError, DamagedLogError, FrameError
 from sidecar_proxy.consensus.fleet_commands import FleetCommands, wall_ms
 from sidecar_proxy.consensus.frames import Frame
 from sidecar_proxy.consensus.log import PersistedState
@@ -34,14 +35,13 @@
 from sidecar_proxy.consensus.replica import Replica
 from sidecar_proxy.consensus.replica_context import ReplicaLimits
 from sidecar_proxy.consensus.replicated_commands import (
-    CommandError,
     CommandKind,
     ExcludedUpstream,
     ReplicatedCommand,
 )
 from sidecar_proxy.consensus.session import CONNECTION_MAGIC
 from sidecar_proxy.consensus.state_writer import StateWriter
-from sidecar_proxy.consensus.storage import DamagedLogError, LogStore
+from sidecar_proxy.consensus.storage import LogStore
 from sidecar_proxy.consensus.transport import Address, ConsensusTransport
 from sidecar_proxy.consensus.voters import name_of
 from sidecar_proxy.consensus.witness import DisruptionWitness
@@ -187,7 +187,7 @@
             return
         try:
             status = frames.decode_status(message.body)
-        except frames.FrameError as error:
+        except FrameError as error:
             self._warn(f"a status of {message.author} that can't be read: {error}")
             return
         assert self.gossip.transport is not None
--- a/sidecar_proxy/consensus/transfer_manager.py
+++ b/sidecar_proxy/consensus/transfer_manager.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from sidecar_proxy.consensus import replicated_commands
+from sidecar_proxy.consensus.errors import CommandError, ProposalRejectedError
 from sidecar_proxy.consensus.frames import (
     EntryBatch,
     FetchLater,
@@ -11,7 +12,6 @@
     SnapshotOffer,
 )
 from sidecar_proxy.consensus.messages import AppendReply, InstallSnapshot, NodeId, Snapshot
-from sidecar_proxy.consensus.raft import ProposalRejectedError
 from sidecar_proxy.consensus.replica_context import ReplicaContext
 from sidecar_proxy.consensus.state_transfer import (
     Fetcher,
@@ -98,7 +98,7 @@
         """Check a snapshot before it is persisted: an unreadable one would end this sidecar at each start."""
         try:
             state = replicated_commands.decode_state(snapshot.data)
-        except replicated_commands.CommandError as error:
+        except CommandError as error:
             self.context.outbox.log(str(error))
             return False
         return state.index == snapshot.index and state.fleet_id == fleet_id
--- a/sidecar_proxy/consensus/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -18,6 +18,7 @@
 from typing import Protocol
 
 from sidecar_proxy.consensus import frames
+from sidecar_proxy.consensus.errors import FrameError
 from sidecar_proxy.consensus.frames import (
     EntryBatch,
     FetchLater,
@@ -317,7 +318,7 @@
     def _decode(self, data: bytes, session: Session) -> Frame | None:
         try:
             return frames.decode_frame(data, session.peer, self.node_id)
-        except frames.FrameError as error:
+        except FrameError as error:
             self.count_rejection(f"{session.peer}: {error}")
             return None
 
--- a/sidecar_proxy/consensus/voter_manager.py
+++ b/sidecar_proxy/consensus/voter_manager.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Sequence
 
+from sidecar_proxy.consensus.errors import ProposalRejectedError
 from sidecar_proxy.consensus.leader_requests import BARRIER_CONTEXT
 from sidecar_proxy.consensus.messages import NodeId
-from sidecar_proxy.consensus.raft import ProposalRejectedError
 from sidecar_proxy.consensus.replica_context import ReplicaContext
 from sidecar_proxy.consensus.voters import Candidate, VoterPlanner, name_of
 
@@ -149,7 +149,7 @@
             core.add_learner(self.candidate)
 
     def _is_candidate_valid(
-        self, planner: VoterPlanner, candidates: Iterable[Candidate], now_us: int
+        self, planner: VoterPlanner, candidates: Sequence[Candidate], now_us: int
     ) -> bool:
         if all(candidate.node != self.candidate for candidate in candidates):
             return False
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from sidecar_proxy.consensus.errors import ProposalRejectedError
 from sidecar_proxy.consensus.log import RaftLog
 from sidecar_proxy.consensus.messages import (
     Append,
@@ -25,7 +26,7 @@
     VoteReply,
     VoteRequest,
 )
-from sidecar_proxy.consensus.raft import ProposalRejectedError, RaftCore, Role, Timing
+from sidecar_proxy.consensus.raft import RaftCore, Role, Timing
 
 TIMING = Timing()
 SNAPSHOT_MARK = b"snapshot"
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -11,11 +11,10 @@
 import pytest
 
 from sidecar_proxy.consensus.disk import RealDisk
+from sidecar_proxy.consensus.errors import CopiedFolderError, DamagedLogError
 from sidecar_proxy.consensus.log import PersistedState
 from sidecar_proxy.consensus.messages import Entry, HardState, Snapshot
 from sidecar_proxy.consensus.storage import (
-    CopiedFolderError,
-    DamagedLogError,
     LogStore,
     iterate_records,
     read_log,
