--- a/sidecar_proxy/cli/fleet.py
+++ b/sidecar_proxy/cli/fleet.py
@@ -27,7 +27,7 @@
 
 
 def call(address: str, line: str) -> str:
-    """Send one FLEET command to an admin server and return the answer. Raises OSError and ValueError."""
+    """Sends one FLEET command to an admin server and returns the answer. Raises OSError and ValueError."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
         raise ValueError(f"{address}: expected HOST:PORT")
@@ -44,7 +44,7 @@
 
 
 def call_for_object(address: str, line: str) -> dict[str, Any]:
-    """Send one FLEET command whose answer is a JSON object. Raises OSError and ValueError."""
+    """Sends one FLEET command whose answer is a JSON object. Raises OSError and ValueError."""
     answer = call(address, line)
     text, _, end = answer.rpartition("\n")
     if end != END_LINE:
@@ -54,17 +54,17 @@
 
 
 def format_age(seconds: float | None) -> str:
-    """Return an age as text."""
+    """Returns an age as text."""
     return "never" if seconds is None else f"{seconds:.1f} s ago"
 
 
 def format_time(unix_ms: int | None) -> str:
-    """Return a time in UTC as text."""
+    """Returns a time in UTC as text."""
     return "?" if unix_ms is None else time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(unix_ms / 1000))
 
 
 def format_status(status: dict[str, Any]) -> list[str]:
-    """Return the lines of `fleet status`."""
+    """Returns the lines of `fleet status`."""
     if not status["fleet"]:
         return [f"{status['name']}: no fleet was begun, as far as it knows"]
     if status["leader"]:
@@ -85,7 +85,7 @@
 
 
 def format_voters(status: dict[str, Any]) -> list[str]:
-    """Return the lines of `fleet members`."""
+    """Returns the lines of `fleet members`."""
     present = {sidecar["node"] for sidecar in status["sidecars"]}
     lines = []
     for node in status["voters"]:
@@ -96,7 +96,7 @@
 
 
 def format_log(answer: dict[str, Any]) -> list[str]:
-    """Return the lines of `fleet log`."""
+    """Returns the lines of `fleet log`."""
     lines = [f"up to date {format_age(answer['age_s'])}"]
     for command in answer["words"]:
         value = f" = {command['value']}" if command["value"] else ""
@@ -108,7 +108,7 @@
 
 
 def format_effect(effect_ms_by_sidecar: dict[str, int | None]) -> str:
-    """Return where a command is in effect, and since when."""
+    """Returns where a command is in effect, and since when."""
     missing = [name for name, effect_ms in effect_ms_by_sidecar.items() if effect_ms is None]
     if missing:
         return f"not yet at {', '.join(missing[:MAX_SHOWN_SIDECARS])}"
@@ -117,7 +117,7 @@
 
 
 def format_state(state: dict[str, Any]) -> list[str]:
-    """Return the lines of `fleet words`."""
+    """Returns the lines of `fleet words`."""
     fleet = state["fleet"] or "(none)"
     lines = [f"fleet {fleet}, up to word {state['index']}; up to date {format_age(state['age_s'])}"]
     for name, upstream in state["held"].items():
@@ -163,7 +163,7 @@
 
 
 def run_query(options: argparse.Namespace) -> int:
-    """Run a subcommand of QUERIES. Raises OSError and ValueError."""
+    """Runs a subcommand of QUERIES. Raises OSError and ValueError."""
     query = QUERIES[options.command]
     answer = call_for_object(options.address, query.line)
     print(json.dumps(answer) if options.json else "\n".join(query.format(answer)))
@@ -171,7 +171,7 @@
 
 
 def run_command(options: argparse.Namespace) -> int:
-    """Run a subcommand that the leader has to handle. Raises OSError and ValueError."""
+    """Runs a subcommand that the leader has to handle. Raises OSError and ValueError."""
     command_id = options.id or secrets.token_hex(ID_BYTES)
     words = command_words(options, command_id)
     if any(not word.isprintable() for word in words):
@@ -187,7 +187,7 @@
 
 
 def command_words(options: argparse.Namespace, command_id: str) -> list[str]:
-    """Return the words of the FLEET command for a subcommand."""
+    """Returns the words of the FLEET command for a subcommand."""
     if options.command == "begin":
         words = ["BEGIN"]
     elif options.command == "read":
@@ -200,7 +200,7 @@
 
 
 def create_parser() -> argparse.ArgumentParser:
-    """Return the parser of the `fleet` command."""
+    """Returns the parser of the `fleet` command."""
     parser = argparse.ArgumentParser(
         prog="python3 -m sidecar_proxy fleet",
         description=__doc__,
@@ -232,7 +232,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the `fleet` command and return its exit status."""
+    """Runs the `fleet` command and returns its exit status."""
     options = create_parser().parse_args(arguments)
     try:
         return int(options.run(options))
--- a/sidecar_proxy/consensus/disk.py
+++ b/sidecar_proxy/consensus/disk.py
@@ -21,37 +21,37 @@
     """File operations. All of them raise OSError."""
 
     def write(self, file: int, data: bytes) -> None:
-        """Write all of the data at the file's end."""
+        """Writes all of the data at the file's end."""
 
     def sync(self, file: int) -> None:
-        """Return once the file's content is on disk."""
+        """Returns once the file's content is on disk."""
 
     def truncate(self, file: int, size: int) -> None:
-        """Cut the file to this many bytes."""
+        """Cuts the file to this many bytes."""
 
     def rename(self, source: Path, target: Path) -> None:
-        """Rename a file, in place of one that is there."""
+        """Renames a file, in place of one that is there."""
 
 
 class RealDisk:
     """The operations of the operating system."""
 
     def write(self, file: int, data: bytes) -> None:
-        """Write all of the data at the file's end."""
+        """Writes all of the data at the file's end."""
         remaining = memoryview(data)
         while remaining:
             remaining = remaining[os.write(file, remaining) :]
 
     def sync(self, file: int) -> None:
-        """Return once the file's content is on disk."""
+        """Returns once the file's content is on disk."""
         os.fsync(file)
 
     def truncate(self, file: int, size: int) -> None:
-        """Cut the file to this many bytes."""
+        """Cuts the file to this many bytes."""
         os.ftruncate(file, size)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Rename a file, in place of one that is there."""
+        """Renames a file, in place of one that is there."""
         os.rename(source, target)
 
 
@@ -88,7 +88,7 @@
         os.kill(os.getpid(), signal.SIGKILL)
 
     def write(self, file: int, data: bytes) -> None:
-        """Write all of the data at the file's end; "middle" is after half of it."""
+        """Writes all of the data at the file's end; "middle" is after half of it."""
         self._run(
             "write",
             lambda: RealDisk.write(self, file, data),
@@ -96,15 +96,15 @@
         )
 
     def sync(self, file: int) -> None:
-        """Return once the file's content is on disk."""
+        """Returns once the file's content is on disk."""
         self._run("sync", lambda: RealDisk.sync(self, file), lambda: None)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Rename a file, in place of one that is there."""
+        """Renames a file, in place of one that is there."""
         self._run("rename", lambda: RealDisk.rename(self, source, target), lambda: None)
 
 
 def disk_of_process() -> Disk:
-    """Return the disk that this process's environment asks for."""
+    """Returns the disk that this process's environment asks for."""
     fault_path = read_variable("DISK_FILE")
     return FaultyDisk(Path(fault_path)) if fault_path else RealDisk()
--- a/sidecar_proxy/consensus/disruption_budgets.py
+++ b/sidecar_proxy/consensus/disruption_budgets.py
@@ -51,7 +51,7 @@
     cell: Text = ""  # of a sidecar: its process id
 
     def group(self, scope: str) -> str:
-        """Return the group in which the target counts for budgets of a scope."""
+        """Returns the group in which the target counts for budgets of a scope."""
         groups = {
             Scope.ALL: "",
             Scope.SITE: self.site,
@@ -61,7 +61,7 @@
         return groups[Scope(scope)]
 
     def shares_group(self, other: Target, scope: str) -> bool:
-        """Tell whether both count for the same budget of a scope."""
+        """Tells whether both count for the same budget of a scope."""
         return self.group(scope) == other.group(scope)
 
 
@@ -104,12 +104,12 @@
 
 
 def permit_key(target_kind: str, name: str) -> str:
-    """Return the key of a target's permit."""
+    """Returns the key of a target's permit."""
     return f"{target_kind}:{name}"
 
 
 def parse_limit(setting: str, total: int) -> int | None:
-    """Return how many of `total` may be out by a budget's setting, or None if it is not valid."""
+    """Returns how many of `total` may be out by a budget's setting, or None if it is not valid."""
     stripped = setting.strip()
     number = stripped.removesuffix("%")
     if not number.isascii() or not number.isdigit() or len(number) > MAX_SETTING_DIGITS:
@@ -120,7 +120,7 @@
 
 
 def check_budget_setting(name: str, value: str) -> str:
-    """Return what is wrong with a setting if it is a budget; "" = nothing."""
+    """Returns what is wrong with a setting if it is a budget; "" = nothing."""
     if not name.startswith(SETTING_PREFIX):
         return ""
     target_kind, _, scope = name.removeprefix(SETTING_PREFIX).partition(".")
@@ -132,7 +132,7 @@
 
 
 def budgets(settings: Mapping[str, str], target_kind: str) -> dict[Scope, str]:
-    """Return the settings of the budgets for a kind of target."""
+    """Returns the settings of the budgets for a kind of target."""
     base = SETTING_PREFIX + target_kind
     by_scope = {scope: settings.get(f"{base}.{scope}" if scope else base, "") for scope in Scope}
     return {scope: setting for scope, setting in by_scope.items() if setting}
@@ -141,7 +141,7 @@
 def exceeded_budget(
     state: PermitState, settings: Mapping[str, str], facts: DisruptionFacts, excluded: Iterable[str] = ()
 ) -> str:
-    """Return which budget one more target would exceed, and who is out; "" = none.
+    """Returns which budget one more target would exceed, and who is out; "" = none.
 
     `excluded` names the upstreams that are excluded without a permit. Nothing else is known of them, so they
     count in every group.
@@ -190,7 +190,7 @@
     force: bool = False,
     wait: bool = False,
 ) -> PermitOutcome:
-    """Grant a permit, queue it if `wait` is set, or reject it.
+    """Grants a permit, queues it if `wait` is set, or rejects it.
 
     `force` grants it beyond the budgets and before those that wait.
     """
@@ -232,7 +232,7 @@
     excluded: Iterable[str],
     index: int,
 ) -> list[Permit]:
-    """Remove a target's permit or its place in the queue, and return the permits that are granted now.
+    """Removes a target's permit or its place in the queue, and returns the permits that are granted now.
 
     The queue is served in order: a request that does not fit holds up those behind it, so that none waits
     for ever.
--- a/sidecar_proxy/consensus/fleet_commands.py
+++ b/sidecar_proxy/consensus/fleet_commands.py
@@ -38,13 +38,13 @@
     is_closed: bool
 
     def perform(self, outputs: list[Output]) -> None:
-        """Perform the effects of the replica."""
+        """Performs the effects of the replica."""
 
     def now_us(self) -> int:
-        """Return the engine's time."""
+        """Returns the engine's time."""
 
     def frame_counts(self) -> dict[str, int]:
-        """Return the transport's counts."""
+        """Returns the transport's counts."""
 
 
 class FleetCommands:
@@ -57,20 +57,20 @@
         self.last_context = 0  # contexts begin at 1; 0 is a request that nobody waits for
 
     def register(self, server: AdminServer) -> None:
-        """Add the commands to the admin server."""
+        """Adds the commands to the admin server."""
         server.calls["FLEET"] = self.handle_fleet
         for name, handler in (("PAUSE", self.handle_pause), ("RESUME", self.handle_resume)):
             if name in server.calls:
                 server.calls[name] = partial(handler, server.calls[name])
 
     def on_result(self, result: ProposalResult) -> None:
-        """Pass a result on to the command that waits for it."""
+        """Passes a result on to the command that waits for it."""
         future = self.futures.pop(result.context, None)
         if future is not None and not future.done():
             future.set_result(result)
 
     async def handle_fleet(self, line: str) -> str:
-        """Handle `FLEET …`. Raises AdminCommandError."""
+        """Handles `FLEET …`. Raises AdminCommandError."""
         verb, _, rest = line.partition(" ")
         verb = verb.upper()
         now_us = self.host.now_us()
@@ -134,7 +134,7 @@
         )
 
     def _started_ms(self, name: str) -> int:
-        """Return the start of an upstream in Unix milliseconds, 0 = long ago. Raises AdminCommandError."""
+        """Returns the start of an upstream in Unix milliseconds, 0 = long ago. Raises AdminCommandError."""
         upstream = self.host.witness.upstream(name)
         if upstream is None:
             raise AdminCommandError("no upstream of that name is listed")
@@ -143,7 +143,7 @@
     # PAUSE and RESUME
 
     def handle_pause(self, pause: AdminCommand, argument: str) -> str | Awaitable[str]:
-        """Take a permit before this sidecar is paused, if sidecars have a budget.
+        """Takes a permit before this sidecar is paused, if sidecars have a budget.
 
         With the argument `force` it is paused in any case.
         """
@@ -152,7 +152,7 @@
         return self._pause_with_permit(pause, argument)
 
     def handle_resume(self, resume: AdminCommand, _argument: str) -> str | Awaitable[str]:
-        """Return the permit after this sidecar is resumed, if sidecars have a budget."""
+        """Returns the permit after this sidecar is resumed, if sidecars have a budget."""
         if not self._needs_permit():
             return resume("")
         return self._resume_with_permit(resume)
@@ -182,7 +182,7 @@
         return f"{answer}; its place: {permit_answer}"
 
     async def _submit_permit(self, kind: CommandKind, value: str) -> str:
-        """Take or return the permit of this sidecar, and return the answer, whatever it is."""
+        """Takes or returns the permit of this sidecar, and returns the answer, whatever it is."""
         replica = self.host.replica
         command = ReplicatedCommand(
             kind,
@@ -201,7 +201,7 @@
             return str(error)
 
     async def _submit(self, submit: Callable[[int], list[Output]]) -> str:
-        """Submit a request and return the answer to its result. Raises AdminCommandError."""
+        """Submits a request and returns the answer to its result. Raises AdminCommandError."""
         self.last_context += 1
         context = self.last_context
         future = self.loop.create_future()
@@ -221,10 +221,10 @@
 
 
 def wall_ms() -> int:
-    """Return the wall clock in Unix milliseconds."""
+    """Returns the wall clock in Unix milliseconds."""
     return wall_clock.now_ns() // 1_000_000
 
 
 def encode_answer(answer: dict[str, Any]) -> str:
-    """Return an answer of several values: JSON, and a line that marks its end."""
+    """Returns an answer of several values: JSON, and a line that marks its end."""
     return json.dumps(answer, ensure_ascii=False) + "\nend"
--- a/sidecar_proxy/consensus/frames.py
+++ b/sidecar_proxy/consensus/frames.py
@@ -149,7 +149,7 @@
 
 
 def decode_frame(data: bytes, source: NodeId, target: NodeId) -> Frame:
-    """Decode a frame that `source`, as its session has proved, sent to `target`. Raises FrameError."""
+    """Decodes a frame that `source`, as its session has proved, sent to `target`. Raises FrameError."""
     frame = _decode(frame_decoder, data)
     if isinstance(frame, Message | SnapshotOffer) and (frame.source != source or frame.target != target):
         raise FrameError("in another's name, or to another")
@@ -161,7 +161,7 @@
 
 
 def decode_status(data: bytes) -> ReplicaStatus:
-    """Decode a status broadcast. Raises FrameError."""
+    """Decodes a status broadcast. Raises FrameError."""
     return _decode(status_decoder, data)
 
 
--- a/sidecar_proxy/consensus/leader_requests.py
+++ b/sidecar_proxy/consensus/leader_requests.py
@@ -63,7 +63,7 @@
         self.facts_provider: FactsProvider | None = None
 
     def handle(self, node: NodeId, request: LeaderRequest) -> None:
-        """Handle a request of any sidecar, this one included."""
+        """Handles a request of any sidecar, this one included."""
         requester = Requester(node, request.number)
         try:
             if request.command:
@@ -98,14 +98,14 @@
         self.proposed[index] = ProposedCommand(core.term, command.id, [requester])
 
     def _add_facts(self, command: ReplicatedCommand, data: bytes) -> bytes:
-        """Return the command with this leader's facts, in place of any that it came with."""
+        """Returns the command with this leader's facts, in place of any that it came with."""
         if command.kind not in replicated_commands.KINDS_WITH_FACTS:
             return data
         facts = self.facts_provider(command) if self.facts_provider else None
         return replicated_commands.encode_command_with_facts(msgspec.structs.replace(command, facts=facts))
 
     def on_applied(self, entry: Entry, outcome: Outcome) -> None:
-        """Reply to those who wait for an entry that is committed and applied now."""
+        """Replies to those who wait for an entry that is committed and applied now."""
         proposed = self.proposed.pop(entry.index, None)
         if proposed is None:
             return
@@ -118,7 +118,7 @@
                 self._reply_done(requester, outcome.index, outcome.text)
 
     def on_read_confirmed(self, context: int) -> None:
-        """Answer a read from the current state."""
+        """Answers a read from the current state."""
         if context == BARRIER_CONTEXT:
             return
         read = self.reads.pop(context)
@@ -134,14 +134,14 @@
         self._reply_done(read.requester, state.index, text[: replicated_commands.MAX_VALUE_CHARS])
 
     def on_read_rejected(self, context: int) -> None:
-        """Reply that the leadership was lost before a read was confirmed."""
+        """Replies that the leadership was lost before a read was confirmed."""
         if context == BARRIER_CONTEXT:
             return
         read = self.reads.pop(context)
         self._reply(read.requester, ProposalStatus.NOT_LEADER, leader=self.context.core.leader)
 
     def on_leadership_lost(self) -> None:
-        """Reply "unknown" to all: another leader may yet commit what was proposed."""
+        """Replies "unknown" to all: another leader may yet commit what was proposed."""
         for proposed in self.proposed.values():
             for requester in proposed.requesters:
                 self._reply(requester, ProposalStatus.UNKNOWN, leader=self.context.core.leader)
--- a/sidecar_proxy/consensus/log.py
+++ b/sidecar_proxy/consensus/log.py
@@ -27,7 +27,7 @@
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None if the log ends before it. Raises CompactedError."""
+        """Returns the term of an entry, or None if the log ends before it. Raises CompactedError."""
         if index < self.snapshot.index:
             raise CompactedError(index)
         if index == self.snapshot.index:
@@ -36,19 +36,19 @@
         return self.entries[position].term if position < len(self.entries) else None
 
     def entries_after(self, index: int, max_count: int) -> tuple[Entry, ...]:
-        """Return at most `max_count` entries that follow `index`. Raises CompactedError."""
+        """Returns at most `max_count` entries that follow `index`. Raises CompactedError."""
         if index < self.snapshot.index:
             raise CompactedError(index)
         position = index - self.snapshot.index
         return tuple(self.entries[position : position + max_count])
 
     def entries_between(self, first: int, last: int) -> list[Entry]:
-        """Return the entries from `first` to `last`, both included."""
+        """Returns the entries from `first` to `last`, both included."""
         base = self.snapshot.index + 1
         return self.entries[max(0, first - base) : max(0, last - base + 1)]
 
     def append(self, entries: Sequence[Entry]) -> int | None:
-        """Add entries whose predecessor was found to match.
+        """Adds entries whose predecessor was found to match.
 
         An entry that conflicts replaces the rest of the log. Entries that are already there stay, and so does
         what follows them: a delayed message with fewer entries must not truncate the log. Returns the index
@@ -65,25 +65,25 @@
         return None
 
     def voters(self) -> tuple[NodeId, ...]:
-        """Return the latest voters in the log, committed or not (4.1)."""
+        """Returns the latest voters in the log, committed or not (4.1)."""
         for entry in reversed(self.entries):
             if entry.voters is not None:
                 return entry.voters
         return self.snapshot.voters
 
     def voters_index(self) -> int:
-        """Return the index of the entry that holds the latest voters, or that of the snapshot."""
+        """Returns the index of the entry that holds the latest voters, or that of the snapshot."""
         for entry in reversed(self.entries):
             if entry.voters is not None:
                 return entry.index
         return self.snapshot.index
 
     def is_up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Tell whether a log with this last entry is at least as up to date as this one (5.4.1)."""
+        """Tells whether a log with this last entry is at least as up to date as this one (5.4.1)."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
 
     def compact(self, index: int, data: bytes) -> Snapshot:
-        """Replace the entries up to `index`, which has been applied, by a snapshot with this data."""
+        """Replaces the entries up to `index`, which has been applied, by a snapshot with this data."""
         term = self.term_at(index)
         assert term is not None
         assert index >= self.snapshot.index
@@ -97,7 +97,7 @@
         return self.snapshot
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replace the snapshot; entries that follow the new one stay if the log matches it (figure 5.3)."""
+        """Replaces the snapshot; entries that follow the new one stay if the log matches it (figure 5.3)."""
         matches = snapshot.index <= self.last_index and self.term_at(snapshot.index) == snapshot.term
         remaining = self.entries[snapshot.index - self.snapshot.index :] if matches else []
         self.snapshot = snapshot
--- a/sidecar_proxy/consensus/outputs.py
+++ b/sidecar_proxy/consensus/outputs.py
@@ -58,19 +58,19 @@
         self.outputs: list[Output] = []
 
     def add(self, output: Output) -> None:
-        """Add an effect."""
+        """Adds an effect."""
         self.outputs.append(output)
 
     def send(self, target: NodeId, frame: Frame) -> None:
-        """Add a frame to send."""
+        """Adds a frame to send."""
         self.outputs.append(SendMessage(target, frame))
 
     def log(self, text: str) -> None:
-        """Add a line for the program's log."""
+        """Adds a line for the program's log."""
         self.outputs.append(LogMessage(text))
 
     def take(self) -> list[Output]:
-        """Return all effects and forget them."""
+        """Returns all effects and forgets them."""
         outputs = self.outputs
         self.outputs = []
         return outputs
--- a/sidecar_proxy/consensus/peers.py
+++ b/sidecar_proxy/consensus/peers.py
@@ -37,7 +37,7 @@
         return node_id_of(self.name, self.status.incarnation)
 
     def update(self, status: ReplicaStatus, site: str, now_us: int) -> None:
-        """Record a status broadcast."""
+        """Records a status broadcast."""
         self.status = status
         self.site = site
         self.received_us = now_us
@@ -45,7 +45,7 @@
             self.applied_times.append(AppliedTime(status.applied_index, status.applied_at_ms))
 
     def applied_at_ms(self, index: int) -> int | None:
-        """Return when the peer had applied an entry, or None if that is not known."""
+        """Returns when the peer had applied an entry, or None if that is not known."""
         return next((applied.at_ms for applied in self.applied_times if applied.index >= index), None)
 
 
@@ -58,7 +58,7 @@
         self.reported_foreign: set[str] = set()  # sidecars of another fleet that were logged
 
     def update(self, name: str, site: str, status: ReplicaStatus, now_us: int) -> Peer | None:
-        """Record a status broadcast. Returns None if there are too many sidecars."""
+        """Records a status broadcast. Returns None if there are too many sidecars."""
         peer = self.peers.get(name)
         if peer is None:
             if len(self.peers) >= MAX_PEERS:
@@ -73,23 +73,23 @@
         return peer
 
     def remove(self, name: str) -> None:
-        """Forget a sidecar that gossip considers dead."""
+        """Forgets a sidecar that gossip considers dead."""
         self.peers.pop(name, None)
         self.voting.pop(name, None)
 
     def mark_foreign(self, name: str) -> bool:
-        """Record a sidecar of another fleet and tell whether that is news."""
+        """Records a sidecar of another fleet and tells whether that is news."""
         if name in self.reported_foreign or len(self.reported_foreign) >= MAX_PEERS:
             return False
         self.reported_foreign.add(name)
         return True
 
     def voter_nodes(self) -> list[NodeId]:
-        """Return the nodes that say that they are voters."""
+        """Returns the nodes that say that they are voters."""
         return [peer.node for peer in self.voting.values()]
 
     def reported_leader(self) -> NodeId:
-        """Return the leader that the voters report: that of the latest term, its own report first."""
+        """Returns the leader that the voters report: that of the latest term, its own report first."""
         reports = (
             (peer.status.term, peer.status.leader == peer.node, peer.status.leader)
             for peer in self.voting.values()
@@ -98,5 +98,5 @@
         return max(reports, default=(0, False, ""))[2]
 
     def reported_fleet_id(self) -> str:
-        """Return the fleet that the first peer with one belongs to, or "" if none knows one."""
+        """Returns the fleet that the first peer with one belongs to, or "" if none knows one."""
         return next((peer.status.fleet_id for peer in self.peers.values() if peer.status.fleet_id), "")
--- a/sidecar_proxy/consensus/proposals.py
+++ b/sidecar_proxy/consensus/proposals.py
@@ -60,7 +60,7 @@
         self.last_number = 0
 
     def add(self, context: int, command: bytes, name: str, now_us: int) -> ProposalResult | None:
-        """Add a request. Returns a result if it is rejected at once."""
+        """Adds a request. Returns a result if it is rejected at once."""
         if len(self.pending) >= MAX_PENDING_PROPOSALS:
             return ProposalResult(context, ProposalStatus.ERROR, text="too many are asked here at a time")
         self.last_number += 1
@@ -69,7 +69,7 @@
         return None
 
     def take_requests(self, leader: NodeId, now_us: int) -> list[LeaderRequest]:
-        """Return the requests to send to the leader now."""
+        """Returns the requests to send to the leader now."""
         requests = []
         for number, proposal in self.pending.items():
             if leader and not proposal.sent_to and now_us >= proposal.retry_at_us:
@@ -79,7 +79,7 @@
         return requests
 
     def on_unsent(self, number: int, now_us: int) -> None:
-        """Retry a request that never left this sidecar."""
+        """Retries a request that never left this sidecar."""
         proposal = self.pending.get(number)
         if proposal is not None and proposal.sent_to:
             proposal.sent_to = ""
@@ -87,14 +87,14 @@
             proposal.retry_at_us = now_us + RETRY_US
 
     def on_link_broken(self, node: NodeId, now_us: int) -> None:
-        """Retry the requests that a node may or may not have received."""
+        """Retries the requests that a node may or may not have received."""
         for proposal in self.pending.values():
             if proposal.sent_to == node:
                 proposal.sent_to = ""
                 proposal.retry_at_us = now_us + RETRY_US
 
     def on_reply(self, node: NodeId, reply: LeaderReply, now_us: int) -> ProposalResult | None:
-        """Handle a reply. Returns the result if it is final."""
+        """Handles a reply. Returns the result if it is final."""
         proposal = self.pending.get(reply.number)
         if proposal is None or proposal.sent_to != node:
             return None  # the answer to an earlier attempt says nothing about the current one
@@ -107,7 +107,7 @@
         return None
 
     def expire(self, now_us: int, leaderless_us: int) -> list[ProposalResult]:
-        """Return the results of the requests that can't wait any longer."""
+        """Returns the results of the requests that can't wait any longer."""
         results = []
         for number, proposal in list(self.pending.items()):
             has_no_leader = not proposal.sent_to and leaderless_us >= NO_LEADER_TIMEOUT_US
--- a/sidecar_proxy/consensus/raft.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -99,7 +99,7 @@
         commit_index: int = 0,
         send_before_persist: bool = False,
     ) -> None:
-        """Start from persisted state.
+        """Starts from persisted state.
 
         `commit_index` is what was known to be committed before the restart; the caller has applied everything
         up to there. With `send_before_persist` the caller sends the Appends of a Ready before it has written
@@ -145,11 +145,11 @@
         return self.role is Role.LEADER
 
     def quorum_size(self) -> int:
-        """Return the size of a majority of the voters."""
+        """Returns the size of a majority of the voters."""
         return len(self.voters) // 2 + 1
 
     def has_ready(self) -> bool:
-        """Tell whether `ready` would return work."""
+        """Tells whether `ready` would return work."""
         ready = self.next_ready
         return bool(
             self.persisted_hard_state != HardState(self.term, self.vote)
@@ -162,7 +162,7 @@
         )
 
     def ready(self) -> Ready:
-        """Return the work that is due. Its content counts as persisted and applied from here on."""
+        """Returns the work that is due. Its content counts as persisted and applied from here on."""
         ready = self.next_ready
         self.next_ready = Ready()
         if not self.send_before_persist:
@@ -177,7 +177,7 @@
         return ready
 
     def mark_persisted(self, entries: Sequence[Entry]) -> None:
-        """Record that the entries of a Ready are on disk; those replaced in the meantime do not count."""
+        """Records that the entries of a Ready are on disk; those replaced in the meantime do not count."""
         if not entries:
             return
         unwritten = self.next_ready.entries
@@ -188,7 +188,7 @@
     # Time
 
     def ticks_until_due(self) -> int:
-        """Return the number of ticks until this node has something to do, at least one."""
+        """Returns the number of ticks until this node has something to do, at least one."""
         if self.role is Role.LEADER:
             return max(1, self.timing.heartbeat - self.elapsed_ticks)
         if self.role is Role.CANDIDATE:
@@ -196,7 +196,7 @@
         return max(1, self.election_timeout_ticks - self.elapsed_ticks)
 
     def tick(self) -> None:
-        """Advance the time by one tick."""
+        """Advances the time by one tick."""
         self.elapsed_ticks += 1
         if self.role is Role.LEADER:
             self._tick_leader()
@@ -235,14 +235,14 @@
         return active_count + (self.node_id in self.voters) >= self.quorum_size()
 
     def reset_election_timer(self) -> None:
-        """Restart the election timer with a random timeout (3.4)."""
+        """Restarts the election timer with a random timeout (3.4)."""
         self.elapsed_ticks = 0
         self.election_timeout_ticks = self.timing.election + self.rng.randrange(self.timing.election)
 
     # Elections
 
     def become_follower(self, term: int, leader: NodeId) -> None:
-        """Follow `leader` ("" = not known) in a term that is not earlier than the current one."""
+        """Follows `leader` ("" = not known) in a term that is not earlier than the current one."""
         if term > self.term:
             self.term = term
             self.vote = ""
@@ -257,7 +257,7 @@
         self.reset_election_timer()
 
     def campaign(self, transfer: bool = False) -> None:
-        """Start an election, with a pre-vote first unless the leader asked for it (9.6)."""
+        """Starts an election, with a pre-vote first unless the leader asked for it (9.6)."""
         if self.node_id not in self.voters:
             return
         self.role = Role.CANDIDATE
@@ -308,7 +308,7 @@
         self._broadcast_append()
 
     def _hears_leader(self) -> bool:
-        """Tell whether a live leader is a reason to ignore vote requests (4.2.3)."""
+        """Tells whether a live leader is a reason to ignore vote requests (4.2.3)."""
         return bool(self.leader and self.elapsed_ticks < self.timing.election and self.timing.check_quorum)
 
     def _on_vote_request(self, request: VoteRequest) -> None:
@@ -345,7 +345,7 @@
     # Messages
 
     def step(self, message: Message) -> None:
-        """Handle a message of any kind, from any node, in any order."""
+        """Handles a message of any kind, from any node, in any order."""
         if message.target != self.node_id or message.source == self.node_id:
             return
         if isinstance(message, VoteRequest):
@@ -363,7 +363,7 @@
             self.campaign(transfer=True)
 
     def send(self, message: Message) -> None:
-        """Add a message to the next Ready."""
+        """Adds a message to the next Ready."""
         self.next_ready.messages.append(message)
 
     # Followers
@@ -403,7 +403,7 @@
         self._reply_to_append(install, True, max(install.snapshot.index, self.commit_index))
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Take over a snapshot of any node if it is newer: all that it holds is committed."""
+        """Takes over a snapshot of any node if it is newer: all that it holds is committed."""
         if snapshot.index > self.commit_index:
             self._raise_term(snapshot.term)
             self.log.install(snapshot)
@@ -414,7 +414,7 @@
             self.next_ready.entries = list(self.log.entries)
 
     def append_committed(self, entries: Sequence[Entry]) -> None:
-        """Add committed entries that were fetched from a voter.
+        """Adds committed entries that were fetched from a voter.
 
         Entries that do not follow the commit index are ignored. Raises ProposalRejectedError if they have
         gaps.
@@ -431,7 +431,7 @@
         self.commit_index = max(self.commit_index, new[-1].index)
 
     def _raise_term(self, term: int) -> None:
-        """Keep the node's term at or above that of its last entry.
+        """Keeps the node's term at or above that of its last entry.
 
         Otherwise a former leader of an earlier term could cut entries that are committed.
         """
@@ -446,7 +446,7 @@
         self.advance_commit_index()
 
     def _stage_entries(self, entries: Iterable[Entry]) -> None:
-        """Add entries to the next Ready in place of those from the first one's index on."""
+        """Adds entries to the next Ready in place of those from the first one's index on."""
         added = list(entries)
         first_index = added[0].index
         self.persisted_index = min(self.persisted_index, first_index - 1)
@@ -454,7 +454,7 @@
         self.next_ready.entries = remaining + added
 
     def propose(self, data: bytes) -> int:
-        """Append an entry and return its index. Raises ProposalRejectedError."""
+        """Appends an entry and returns its index. Raises ProposalRejectedError."""
         if not self.is_leader:
             raise ProposalRejectedError("not the leader")
         if self.transfer_target:
@@ -467,7 +467,7 @@
         return entry.index
 
     def propose_voters(self, voters: tuple[NodeId, ...]) -> int:
-        """Add or remove one voter (4.1) and return the entry's index. Raises ProposalRejectedError."""
+        """Adds or removes one voter (4.1) and returns the entry's index. Raises ProposalRejectedError."""
         self._check_voters_proposal(voters)
         entry = Entry(self.term, self.log.last_index + 1, voters=tuple(sorted(voters)))
         for node in voters:
@@ -492,20 +492,20 @@
             raise ProposalRejectedError("nothing of this term is committed yet")
 
     def add_learner(self, node: NodeId) -> None:
-        """Replicate the log to a node that does not vote."""
+        """Replicates the log to a node that does not vote."""
         if node != self.node_id:
             self.learners[node] = None
             if self.is_leader and node not in self.progress:
                 self.progress[node] = Progress(self.log.last_index + 1)
 
     def remove_learner(self, node: NodeId) -> None:
-        """Stop replicating to a learner."""
+        """Stops replicating to a learner."""
         self.learners.pop(node, None)
         if node not in self.voters:
             self.progress.pop(node, None)
 
     def request_read(self, context: int) -> None:
-        """Start a linearizable read (6.4): a Ready holds its context once the leadership is confirmed.
+        """Starts a linearizable read (6.4): a Ready holds its context once the leadership is confirmed.
 
         Raises ProposalRejectedError.
         """
@@ -519,7 +519,7 @@
         self._complete_reads()
 
     def transfer_leadership(self, node: NodeId) -> None:
-        """Let another voter start an election as soon as its log is complete (3.10).
+        """Lets another voter start an election as soon as its log is complete (3.10).
 
         Raises ProposalRejectedError.
         """
@@ -539,7 +539,7 @@
             self._send_append(node)
 
     def _send_append(self, node: NodeId) -> None:
-        """Send a node its next entries, or the snapshot if that has replaced them."""
+        """Sends a node its next entries, or the snapshot if that has replaced them."""
         progress = self.progress[node]
         prev_index = progress.next_index - 1
         try:
@@ -595,7 +595,7 @@
         return progress.match_index if progress is not None else 0
 
     def advance_commit_index(self) -> None:
-        """Commit what a majority holds, if the last entry of it is of this term (5.4.2)."""
+        """Commits what a majority holds, if the last entry of it is of this term (5.4.2)."""
         if not self.is_leader:
             return
         voters = self.voters
--- a/sidecar_proxy/consensus/ready_driver.py
+++ b/sidecar_proxy/consensus/ready_driver.py
@@ -28,7 +28,7 @@
         self.unpersisted: Ready | None = None  # what is being written
 
     def run(self) -> None:
-        """Take Readies until one has to be written or none is left, then compact the log if it is due."""
+        """Takes Readies until one has to be written or none is left, then compacts the log if it is due."""
         core = self.context.core
         while self.unpersisted is None:
             if not core.has_ready():
@@ -44,7 +44,7 @@
             del waiting[:-MAX_WAITING_MESSAGES]
 
     def on_persisted(self) -> None:
-        """Send and apply what was written."""
+        """Sends and applies what was written."""
         ready = self.unpersisted
         assert ready is not None
         self.unpersisted = None
--- a/sidecar_proxy/consensus/replica.py
+++ b/sidecar_proxy/consensus/replica.py
@@ -60,7 +60,7 @@
         wall_ms: int,
         timing: Timing = TIMING,
     ) -> None:
-        """Start from persisted state. Raises CommandError for a snapshot that can't be read."""
+        """Starts from persisted state. Raises CommandError for a snapshot that can't be read."""
         process_id = f"{rng.getrandbits(64):016x}"
         node_id = node_id_of(name, persisted.incarnation)
         core = RaftCore(
@@ -127,7 +127,7 @@
         return not self.proposals.pending
 
     def known_fleet_id(self) -> str:
-        """Return this sidecar's fleet or, if it is new, the one that its peers report."""
+        """Returns this sidecar's fleet or, if it is new, the one that its peers report."""
         return self.state.fleet_id or self.peers.reported_fleet_id()
 
     # Time
@@ -150,7 +150,7 @@
         return (at_us - self.last_tick_us) // TICK_US + 1
 
     def tick(self, now_us: int, wall_ms: int) -> list[Output]:
-        """Let time pass; to be called at `due_us`.
+        """Lets time pass; to be called at `due_us`.
 
         Time in which this process did not run is not counted: frames that it has not read yet may say that
         all is well.
@@ -169,7 +169,7 @@
         return self._finish(now_us)
 
     def _catch_up_ticks(self, now_us: int) -> None:
-        """Run the ticks that have passed, except the one at which something is due.
+        """Runs the ticks that have passed, except the one at which something is due.
 
         An event that arrives now has to count from now.
         """
@@ -198,7 +198,7 @@
     # Events from the network
 
     def on_frame(self, node: NodeId, frame: Frame, now_us: int) -> list[Output]:
-        """Handle a frame of a node that its session has authenticated."""
+        """Handles a frame of a node that its session has authenticated."""
         self._catch_up_ticks(now_us)
         if isinstance(frame, Message):
             self.voter_manager.on_frame(node, now_us)
@@ -218,7 +218,7 @@
         return self._finish(now_us)
 
     def on_status(self, name: str, site: str, status: ReplicaStatus, now_us: int) -> list[Output]:
-        """Handle a peer's status broadcast."""
+        """Handles a peer's status broadcast."""
         fleet_id = self.state.fleet_id
         if status.fleet_id and fleet_id and status.fleet_id != fleet_id:
             if self.peers.mark_foreign(name):
@@ -235,12 +235,12 @@
         return self._finish(now_us)
 
     def on_peer_left(self, name: str, now_us: int) -> list[Output]:
-        """Forget a peer that gossip considers dead."""
+        """Forgets a peer that gossip considers dead."""
         self.peers.remove(name)
         return self._finish(now_us)
 
     def on_unsent(self, node: NodeId, frame: Frame, now_us: int) -> list[Output]:
-        """Handle a frame that never left this sidecar, as there is no way to the node."""
+        """Handles a frame that never left this sidecar, as there is no way to the node."""
         if isinstance(frame, LeaderRequest):
             self.proposals.on_unsent(frame.number, now_us)
         elif isinstance(frame, FetchRequest):
@@ -248,7 +248,7 @@
         return self._finish(now_us)
 
     def on_link_broken(self, node: NodeId, now_us: int) -> list[Output]:
-        """Handle the loss of a connection; what was sent may or may not have arrived."""
+        """Handles the loss of a connection; what was sent may or may not have arrived."""
         self.proposals.on_link_broken(node, now_us)
         self.transfer.fetcher.on_link_broken(node, now_us)
         return self._finish(now_us)
@@ -256,21 +256,21 @@
     # Events from the disk
 
     def on_persisted(self, now_us: int) -> list[Output]:
-        """Continue after the last `PersistState` was written and synced."""
+        """Continues after the last `PersistState` was written and synced."""
         self.driver.on_persisted()
         return self._finish(now_us)
 
     # Requests of operators
 
     def submit_command(self, context: int, command: ReplicatedCommand, now_us: int) -> list[Output]:
-        """Submit a command; a ProposalResult with this context follows. Raises CommandError."""
+        """Submits a command; a ProposalResult with this context follows. Raises CommandError."""
         data = replicated_commands.encode_command(command)
         if not self.known_fleet_id():
             raise CommandError("no fleet was begun (`fleet begin`)")
         return self._submit(context, data, "", now_us)
 
     def submit_read(self, context: int, name: str, now_us: int) -> list[Output]:
-        """Submit a linearizable read of an upstream or setting; a ProposalResult follows."""
+        """Submits a linearizable read of an upstream or setting; a ProposalResult follows."""
         return self._submit(context, b"", name, now_us)
 
     def _submit(self, context: int, data: bytes, name: str, now_us: int) -> list[Output]:
@@ -279,7 +279,7 @@
         return self._finish(now_us)
 
     def create_fleet(self, now_us: int) -> list[Output]:
-        """Create a fleet with this sidecar as its only voter. Raises ProposalRejectedError."""
+        """Creates a fleet with this sidecar as its only voter. Raises ProposalRejectedError."""
         fleet_id = self.known_fleet_id()
         if fleet_id or self.core.commit_index or self.driver.unpersisted is not None:
             raise ProposalRejectedError(f"there is a fleet already: {fleet_id or 'being begun'}")
@@ -290,7 +290,7 @@
         return self._finish(now_us)
 
     def _send_proposals(self, now_us: int) -> None:
-        """Send waiting requests to the leader, and end those that can't wait any longer."""
+        """Sends waiting requests to the leader, and ends those that can't wait any longer."""
         if not self.proposals.pending:
             return
         leader = self.tracker.leader
@@ -307,7 +307,7 @@
             self.context.outbox.add(result)
 
     def _finish(self, now_us: int) -> list[Output]:
-        """Complete an event: take what the core has ready, broadcast news, and return all effects."""
+        """Completes an event: takes what the core has ready, broadcasts news, and returns all effects."""
         self.driver.run()
         self.broadcaster.broadcast_if_due(now_us)
         return self.context.outbox.take()
--- a/sidecar_proxy/consensus/replicated_commands.py
+++ b/sidecar_proxy/consensus/replicated_commands.py
@@ -135,7 +135,7 @@
 
 
 def encode_command(command: ReplicatedCommand) -> bytes:
-    """Check a command and return it as the data of an entry. Raises CommandError."""
+    """Checks a command and returns it as the data of an entry. Raises CommandError."""
     check_command(command)
     data = encode(command)
     if len(data) > MAX_ENTRY_DATA_BYTES:
@@ -144,7 +144,7 @@
 
 
 def encode_command_with_facts(command: ReplicatedCommand) -> bytes:
-    """Return a command as the data of an entry; facts that do not fit are reduced to a count."""
+    """Returns a command as the data of an entry; facts that do not fit are reduced to a count."""
     data = encode(command)
     while len(data) > MAX_ENTRY_DATA_BYTES and command.facts is not None and command.facts.unavailable:
         facts = msgspec.structs.replace(
@@ -160,7 +160,7 @@
 
 
 def check_command(command: ReplicatedCommand) -> None:
-    """Check a command that is about to be submitted. Raises CommandError."""
+    """Checks a command that is about to be submitted. Raises CommandError."""
     _check_texts(command)
     if command.kind not in KNOWN_KINDS:
         raise CommandError(f"expected one of {', '.join(KNOWN_KINDS)}")
@@ -193,7 +193,7 @@
 
 
 def decode_command(data: bytes) -> ReplicatedCommand | None:
-    """Return the command in an entry's data, or None if it is of another version."""
+    """Returns the command in an entry's data, or None if it is of another version."""
     try:
         command = codec.read(command_decoder, data)
     except codec.CodecError:
@@ -202,12 +202,12 @@
 
 
 def command_digest(command: ReplicatedCommand) -> bytes:
-    """Return what a repeat has in common: it may come by another sidecar, later, after a restart."""
+    """Returns what a repeat has in common: it may come by another sidecar, later, after a restart."""
     return hashlib.blake2b(encode([command.kind, command.name, command.value]), digest_size=16).digest()
 
 
 def decode_state(data: bytes) -> ReplicatedState:
-    """Return the state in a snapshot's data; without data it is empty. Raises CommandError."""
+    """Returns the state in a snapshot's data; without data it is empty. Raises CommandError."""
     if not data:
         return ReplicatedState()
     try:
@@ -217,19 +217,19 @@
 
 
 def encode_state(state: ReplicatedState) -> bytes:
-    """Return the data of a snapshot. Its size is bounded, as all parts of the state are."""
+    """Returns the data of a snapshot. Its size is bounded, as all parts of the state are."""
     data = encode(state)
     assert len(data) <= MAX_SNAPSHOT_BYTES
     return data
 
 
 def initial_snapshot_data(fleet_id: str) -> bytes:
-    """Return the data of the first snapshot of a fleet."""
+    """Returns the data of the first snapshot of a fleet."""
     return encode_state(ReplicatedState(fleet_id=fleet_id, index=1))
 
 
 def apply(state: ReplicatedState, entry: Entry) -> Outcome:
-    """Apply the next committed entry."""
+    """Applies the next committed entry."""
     assert entry.index == state.index + 1
     state.index = entry.index
     if entry.voters is not None or not entry.data:
@@ -278,7 +278,7 @@
 
 
 def settings_of(state: ReplicatedState) -> dict[str, str]:
-    """Return all settings by name; the budgets are among them."""
+    """Returns all settings by name; the budgets are among them."""
     return {name: setting.value for name, setting in state.settings.items()}
 
 
@@ -295,7 +295,7 @@
 
 
 def _exclude(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
-    """Exclude an upstream; where there are budgets it needs a permit, unless it has one."""
+    """Excludes an upstream; where there are budgets it needs a permit, unless it has one."""
     excluded = state.excluded.get(command.name)
     if excluded is None and len(state.excluded) >= MAX_EXCLUDED:
         return Effect("too many are held")
@@ -362,7 +362,7 @@
 
 
 def describe_state(state: ReplicatedState) -> dict[str, Any]:
-    """Return the state as `fleet words` shows it."""
+    """Returns the state as `fleet words` shows it."""
     return {
         "fleet": state.fleet_id,
         "index": state.index,
@@ -394,7 +394,7 @@
 
 
 def describe_recent_commands(state: ReplicatedState) -> list[dict[str, Any]]:
-    """Return the latest commands as `fleet log` shows them, oldest first."""
+    """Returns the latest commands as `fleet log` shows them, oldest first."""
     return [
         {
             "index": index,
--- a/sidecar_proxy/consensus/session.py
+++ b/sidecar_proxy/consensus/session.py
@@ -60,14 +60,14 @@
         self.received_frame_count = 0
 
     def create_greeting(self, answered_key: bytes = b"") -> bytes:
-        """Return this side's signed greeting; the accepting side passes the caller's key."""
+        """Returns this side's signed greeting; the accepting side passes the caller's key."""
         self.is_caller = not answered_key
         own_key = self.session_key.public_key.encode()
         payload = encode(Greeting(self.keyring.certificate, self.node, own_key, answered_key))
         return self.keyring.key.sign(SIGNATURE_CONTEXT + payload).signature + payload
 
     def accept_greeting(self, data: bytes, now_us: int, wall_us: int) -> bytes:
-        """Check the peer's greeting and return the key that ours has to answer. Raises RejectedError."""
+        """Checks the peer's greeting and returns the key that ours has to answer. Raises RejectedError."""
         if not SIGNATURE_BYTES < len(data) <= MAX_GREETING_BYTES:
             raise RejectedError("not of this version")
         signature = data[:SIGNATURE_BYTES]
@@ -95,14 +95,14 @@
         return bytes([is_from_caller]) + count.to_bytes(NONCE_COUNT_BYTES, "big")
 
     def seal(self, frame: bytes) -> bytes:
-        """Return the encrypted frame with its length before it."""
+        """Returns the encrypted frame with its length before it."""
         assert self.box is not None
         self.sent_frame_count += 1
         nonce = self._nonce(self.is_caller, self.sent_frame_count)
         return frame_message(self.box.encrypt(frame, nonce).ciphertext)
 
     def open(self, sealed: bytes) -> bytes:
-        """Return the content of the peer's next frame. Raises RejectedError."""
+        """Returns the content of the peer's next frame. Raises RejectedError."""
         assert self.box is not None
         self.received_frame_count += 1
         nonce = self._nonce(not self.is_caller, self.received_frame_count)
@@ -112,5 +112,5 @@
             raise RejectedError("forged") from error
 
     def is_revoked(self) -> bool:
-        """Tell whether the peer's certificate was revoked after the greeting."""
+        """Tells whether the peer's certificate was revoked after the greeting."""
         return self.peer_certificate is not None and self.peer_certificate.serial in self.keyring.revoked
--- a/sidecar_proxy/consensus/state_machine.py
+++ b/sidecar_proxy/consensus/state_machine.py
@@ -12,7 +12,7 @@
     """Applies committed entries to the replicated state."""
 
     def __init__(self, persisted: PersistedState, commit_index: int, wall_ms: int) -> None:
-        """Restore the state up to the commit index. Raises CommandError for an unreadable snapshot."""
+        """Restores the state up to the commit index. Raises CommandError for an unreadable snapshot."""
         self.state: ReplicatedState = replicated_commands.decode_state(persisted.log.snapshot.data)
         self.wall_ms = wall_ms  # the wall clock, set by the replica
         self.applied_at_ms = wall_ms
@@ -21,13 +21,13 @@
             self.apply(entry)
 
     def apply(self, entry: Entry) -> Outcome:
-        """Apply the next committed entry."""
+        """Applies the next committed entry."""
         return replicated_commands.apply(self.state, entry)
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by that of a snapshot. Raises CommandError."""
+        """Replaces the state by that of a snapshot. Raises CommandError."""
         self.state = replicated_commands.decode_state(data)
 
     def mark_changed(self) -> None:
-        """Record when the latest entries were applied."""
+        """Records when the latest entries were applied."""
         self.applied_at_ms = self.wall_ms
--- a/sidecar_proxy/consensus/state_transfer.py
+++ b/sidecar_proxy/consensus/state_transfer.py
@@ -63,7 +63,7 @@
         return len(self.partial.data) if self.partial else 0
 
     def on_news(self, now_us: int, sidecar_count: int) -> None:
-        """Ask soon, as a voter has committed more than this sidecar has."""
+        """Asks soon, as a voter has committed more than this sidecar has."""
         if not self.has_news:
             self.has_news = True
             spread_us = min(MAX_SPREAD_US, sidecar_count * SPREAD_PER_SIDECAR_US)
@@ -72,7 +72,7 @@
     def next_request(
         self, now_us: int, voters: Sequence[NodeId], after: int
     ) -> tuple[NodeId, FetchRequest] | None:
-        """Return the next request and its target, if one is due."""
+        """Returns the next request and its target, if one is due."""
         if self.request_number and now_us - self.requested_at_us >= RESPONSE_TIMEOUT_US:
             self.failed_source = self.source
             self.request_number = 0
@@ -93,7 +93,7 @@
         return self.source, request
 
     def accept_response(self, response: EntryBatch | SnapshotChunk | FetchLater, now_us: int) -> bool:
-        """Tell whether a response belongs to the pending request, which it then completes."""
+        """Tells whether a response belongs to the pending request, which it then completes."""
         if response.number != self.request_number or not self.request_number:
             return False
         self.request_number = 0
@@ -103,7 +103,7 @@
         return True
 
     def schedule_next(self, now_us: int, has_more: bool) -> None:
-        """Schedule the next request after a response: at once if there is more, else the next poll."""
+        """Schedules the next request after a response: at once if there is more, else the next poll."""
         self.has_news = has_more
         if has_more:
             self.due_us = now_us
@@ -111,14 +111,14 @@
             self.due_us = now_us + int(POLL_INTERVAL_US * (1 + self.rng.random() / 2))
 
     def on_link_broken(self, node: NodeId, now_us: int) -> None:
-        """Ask another node if the pending request went to this one."""
+        """Asks another node if the pending request went to this one."""
         if self.request_number and self.source == node:
             self.request_number = 0
             self.failed_source = node
             self.due_us = now_us
 
     def add_chunk(self, chunk: SnapshotChunk) -> Snapshot | None:
-        """Add a chunk. Returns the snapshot once it is complete and its digest is right."""
+        """Adds a chunk. Returns the snapshot once it is complete and its digest is right."""
         partial = self.partial
         if partial is None or (partial.index, partial.digest) != (chunk.index, chunk.digest):
             partial = PartialSnapshot(chunk.index, chunk.digest)
@@ -145,7 +145,7 @@
         self.updated_us = now_us
 
     def take(self, size: int, now_us: int) -> int:
-        """Take bytes and return 0, or return the milliseconds after which to ask again.
+        """Takes bytes and returns 0, or returns the milliseconds after which to ask again.
 
         A response may exceed what is available; the debt is paid before the next one.
         """
@@ -163,7 +163,7 @@
 def create_response(
     request: FetchRequest, log: RaftLog, commit_index: int, fleet_id: str
 ) -> EntryBatch | SnapshotChunk:
-    """Return the response to a request: entries, or a chunk of the snapshot that has replaced them."""
+    """Returns the response to a request: entries, or a chunk of the snapshot that has replaced them."""
     if request.after >= log.snapshot.index:
         entries = _entries_for(request, log, commit_index)
         return EntryBatch(request.number, fleet_id, commit_index, tuple(entries))
@@ -198,7 +198,7 @@
 
 
 def estimated_size(response: EntryBatch | SnapshotChunk) -> int:
-    """Return about how many bytes a response takes on the wire."""
+    """Returns about how many bytes a response takes on the wire."""
     if isinstance(response, SnapshotChunk):
         return CHUNK_OVERHEAD_BYTES + len(response.data)
     return BATCH_OVERHEAD_BYTES + sum(len(entry.data) + ENTRY_OVERHEAD_BYTES for entry in response.entries)
@@ -206,5 +206,5 @@
 
 @functools.lru_cache(maxsize=2)  # the digest of this sidecar's own snapshot is needed for each chunk
 def snapshot_digest(data: bytes) -> bytes:
-    """Return the digest that identifies the content of a snapshot."""
+    """Returns the digest that identifies the content of a snapshot."""
     return hashlib.blake2b(data, digest_size=16).digest()
--- a/sidecar_proxy/consensus/state_writer.py
+++ b/sidecar_proxy/consensus/state_writer.py
@@ -35,7 +35,7 @@
         self.is_closed = False
 
     def write(self, state: PersistState) -> None:
-        """Start to write and sync the state."""
+        """Starts to write and sync the state."""
         if self.is_closed:
             return
         future = self.thread.submit(
@@ -68,7 +68,7 @@
             self.on_fault()
 
     def close(self) -> None:
-        """Stop writing and close the store once the current write has ended."""
+        """Stops writing and closes the store once the current write has ended."""
         self.is_closed = True
         if self.retry_timer is not None:
             self.retry_timer.cancel()
--- a/sidecar_proxy/consensus/status.py
+++ b/sidecar_proxy/consensus/status.py
@@ -25,13 +25,13 @@
         self.since_us = now_us  # also since when no leader is known
 
     def update(self, leader: NodeId, now_us: int) -> None:
-        """Record the leader, "" if none is known."""
+        """Records the leader, "" if none is known."""
         if leader != self.leader:
             self.leader = leader
             self.since_us = now_us
 
     def leaderless_us(self, now_us: int) -> int:
-        """Return for how long no leader has been known; 0 if one is."""
+        """Returns for how long no leader has been known; 0 if one is."""
         return 0 if self.leader else now_us - self.since_us
 
 
@@ -50,7 +50,7 @@
         self.last_status: ReplicaStatus | None = None  # as broadcast, without the time of leadership
 
     def broadcast_if_due(self, now_us: int) -> None:
-        """Broadcast the status if it has changed and the interval has passed."""
+        """Broadcasts the status if it has changed and the interval has passed."""
         status = self._current_status()
         self.has_news = status != self.last_status
         if not self.has_news or now_us < self.next_broadcast_us:
@@ -98,12 +98,12 @@
         self.tracker = tracker
 
     def age_s(self, now_us: int) -> float | None:
-        """Return how long ago this sidecar had all that was committed, or None if it never knew."""
+        """Returns how long ago this sidecar had all that was committed, or None if it never knew."""
         up_to_date_us = self.context.up_to_date_us
         return round((now_us - up_to_date_us) / 1e6, 1) if up_to_date_us else None
 
     def describe(self, now_us: int, is_writing: bool) -> dict[str, Any]:
-        """Return the answer of `FLEET STATUS`."""
+        """Returns the answer of `FLEET STATUS`."""
         context = self.context
         core = context.core
         is_voter = context.is_voter
@@ -146,7 +146,7 @@
         ]
 
     def _leader_since_us(self, now_us: int) -> int:
-        """Return for how long the leader has led; a learner adds what the leader itself reports."""
+        """Returns for how long the leader has led; a learner adds what the leader itself reports."""
         tracker = self.tracker
         known_since_us = now_us - tracker.since_us
         if self.context.is_voter:
@@ -159,7 +159,7 @@
         return known_since_us + max(reported_us, default=0)
 
     def describe_recent_commands(self) -> list[dict[str, Any]]:
-        """Return the answer of `FLEET LOG`: the latest commands, and when each peer had applied them."""
+        """Returns the answer of `FLEET LOG`: the latest commands, and when each peer had applied them."""
         commands = replicated_commands.describe_recent_commands(self.context.state)
         for command in commands:
             command["in_effect_ms"] = {
--- a/sidecar_proxy/consensus/storage.py
+++ b/sidecar_proxy/consensus/storage.py
@@ -108,7 +108,7 @@
         self.header = HeaderRecord("0" * INCARNATION_CHARS, 0, 0)
 
     def open(self) -> PersistedState:
-        """Read the log, or create one where there is none.
+        """Reads the log, or creates one where there is none.
 
         Raises DamagedLogError, and changes nothing, if the content is not reliable.
         """
@@ -130,7 +130,7 @@
         return state
 
     def create(self) -> PersistedState:
-        """Start an empty log under a new incarnation, which has acknowledged nothing."""
+        """Starts an empty log under a new incarnation, which has acknowledged nothing."""
         marker = self.folder / "marker"
         marker.unlink(missing_ok=True)
         marker.touch()
@@ -140,7 +140,7 @@
         return state
 
     def recreate(self) -> PersistedState:
-        """Start an empty log after DamagedLogError.
+        """Starts an empty log after DamagedLogError.
 
         The damaged file is kept as `log.damaged`, in place of one of an earlier time.
         """
@@ -157,7 +157,7 @@
         entries: Sequence[Entry],
         current_hard_state: HardState,
     ) -> None:
-        """Write and sync the content of a Ready.
+        """Writes and syncs the content of a Ready.
 
         `hard_state` is set if it has changed; `current_hard_state` is what holds in any case.
         """
@@ -190,7 +190,7 @@
         self.has_clean_end = True
 
     def _rewrite(self, records: list[Record]) -> None:
-        """Replace the file atomically."""
+        """Replaces the file atomically."""
         temporary_path = self.path.with_suffix(".part")
         data, digest = frame_records(records, b"")
         data = FILE_MAGIC + data
@@ -215,14 +215,14 @@
             os.close(folder)
 
     def close(self) -> None:
-        """Close the file; a closed store may be opened again."""
+        """Closes the file; a closed store may be opened again."""
         if self.file >= 0:
             os.close(self.file)
             self.file = -1
 
 
 def marker_identity(folder: Path) -> tuple[int, int]:
-    """Return the marker's inode and change time, which no copy shares; (0, 0) without a marker."""
+    """Returns the marker's inode and change time, which no copy shares; (0, 0) without a marker."""
     try:
         status = (folder / "marker").stat()
     except OSError:
@@ -231,7 +231,7 @@
 
 
 def frame_records(records: Sequence[Record], last_digest: bytes) -> tuple[bytes, bytes]:
-    """Return the bytes of the records that follow one with this digest, and the digest of the last."""
+    """Returns the bytes of the records that follow one with this digest, and the digest of the last."""
     parts = []
     for record in records:
         payload = encode(record)
@@ -242,17 +242,17 @@
 
 
 def chained_digest(last_digest: bytes, payload: bytes) -> bytes:
-    """Return the digest of a payload that follows the record with `last_digest`."""
+    """Returns the digest of a payload that follows the record with `last_digest`."""
     return hashlib.blake2b(payload, digest_size=8, key=last_digest).digest()
 
 
 def header_checksum(length: int, digest: bytes) -> int:
-    """Return the checksum of a record's header."""
+    """Returns the checksum of a record's header."""
     return zlib.crc32(struct.pack("<I8s", length, digest))
 
 
 def read_log(data: bytes, path: Path) -> tuple[PersistedState, int, bytes]:
-    """Return the state in a file's content, the length of its complete records and the last digest.
+    """Returns the state in a file's content, the length of its complete records and the last digest.
 
     Raises DamagedLogError.
     """
@@ -274,7 +274,7 @@
 
 
 def read_header(data: bytes, path: Path) -> HeaderRecord:
-    """Return the first record of a file's content. Raises DamagedLogError."""
+    """Returns the first record of a file's content. Raises DamagedLogError."""
     if not data.startswith(FILE_MAGIC):
         raise DamagedLogError(path, "no log of this version")
     try:
@@ -288,7 +288,7 @@
 
 
 def iterate_records(data: bytes) -> Iterator[FramedRecord]:
-    """Yield the complete records of a file's content, up to a torn one. Raises RecordError."""
+    """Yields the complete records of a file's content, up to a torn one. Raises RecordError."""
     position = len(FILE_MAGIC)
     last_digest = b""
     written_size = len(data.rstrip(b"\0"))  # a file may have grown by zeros before its data was written
@@ -310,7 +310,7 @@
 
 
 def apply_record(state: PersistedState, record: Record) -> None:
-    """Apply the next record of a file to the state read so far. Raises RecordError."""
+    """Applies the next record of a file to the state read so far. Raises RecordError."""
     if isinstance(record, HardStateRecord):
         if record.term < state.hard_state.term:
             raise RecordError("a term that goes back")
--- a/sidecar_proxy/consensus/subsystem.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -75,7 +75,7 @@
         admin_server: AdminServer | None,
         is_serving: Callable[[], bool],
     ) -> None:
-        """Open the folder. Raises OperatorError if that is not possible."""
+        """Opens the folder. Raises OperatorError if that is not possible."""
         self.engine = engine
         self.gossip = gossip
         self.overrides = overrides
@@ -117,7 +117,7 @@
         return Replica(certificate.name, certificate.site, persisted, limits, rng, now_us, wall_ms())
 
     def start(self) -> None:
-        """Start to take part, once gossip has started."""
+        """Starts to take part, once gossip has started."""
         assert self.gossip.transport is not None
         self.gossip.listeners[GOSSIP_TOPIC] = self._on_gossip
         self.gossip.transport.doors[CONNECTION_MAGIC] = self.transport.serve
@@ -133,7 +133,7 @@
         self._maintain()
 
     def close(self) -> None:
-        """Stop taking part; what holds for the fleet goes on holding here."""
+        """Stops taking part; what holds for the fleet goes on holding here."""
         self.is_closed = True
         self.gossip.listeners.pop(GOSSIP_TOPIC, None)
         if self.gossip.transport is not None:
@@ -145,17 +145,17 @@
         self.writer.close()
 
     def now_us(self) -> int:
-        """Return the engine's time."""
+        """Returns the engine's time."""
         return self.engine.clock.now_us()
 
     def frame_counts(self) -> dict[str, int]:
-        """Return the transport's counts."""
+        """Returns the transport's counts."""
         return dict(self.transport.counts)
 
     # Network
 
     def address_of(self, node: NodeId) -> Address | None:
-        """Return where a node is reached, or None if that is not known."""
+        """Returns where a node is reached, or None if that is not known."""
         name = name_of(node)
         assert self.gossip.transport is not None
         peer = self.gossip.transport.instance.core.peers.get(name)
@@ -164,20 +164,20 @@
         return self.addresses.get(name)
 
     def local_address(self) -> Address | None:
-        """Return the address that connections are opened from, or None for any."""
+        """Returns the address that connections are opened from, or None for any."""
         assert self.gossip.transport is not None
         return self.gossip.transport.local
 
     def on_frame(self, node: NodeId, frame: Frame) -> None:
-        """Handle a received frame."""
+        """Handles a received frame."""
         self._step(lambda: self.replica.on_frame(node, frame, self.now_us()))
 
     def on_unsent(self, node: NodeId, frame: Frame) -> None:
-        """Handle a frame that never left."""
+        """Handles a frame that never left."""
         self._step(lambda: self.replica.on_unsent(node, frame, self.now_us()))
 
     def on_link_broken(self, node: NodeId) -> None:
-        """Handle the loss of a connection."""
+        """Handles the loss of a connection."""
         self._step(lambda: self.replica.on_link_broken(node, self.now_us()))
 
     def _on_gossip(self, message: SubsystemMessage) -> None:
@@ -197,7 +197,7 @@
             self._step(lambda: self.replica.on_status(message.author, peer.site, status, now_us))
 
     def _warn(self, text: str) -> None:
-        """Log a warning, with at most one line a second."""
+        """Logs a warning, with at most one line a second."""
         if self.engine.loop.time() >= self.next_warning_s:
             self.next_warning_s = self.engine.loop.time() + WARNING_INTERVAL_S
             log.warning("agreement: %s", text)
@@ -212,7 +212,7 @@
         self._set_timer()
 
     def _set_timer(self) -> None:
-        """Set the tick timer, or set it anew if an event has brought the next tick forward."""
+        """Sets the tick timer, or sets it anew if an event has brought the next tick forward."""
         due_us = self.replica.due_us
         if self.is_closed or (self.timer_due_us and self.timer_due_us <= due_us):
             return
@@ -223,7 +223,7 @@
         self.tick_timer = self.engine.loop.call_later(wait_us / 1e6 + TIMER_SLACK_S, self._tick)
 
     def _maintain(self) -> None:
-        """Maintain the connections, and return permits that have become obsolete."""
+        """Maintains the connections, and returns permits that have become obsolete."""
         self.transport.maintain()
         own_command = self.witness.own_return_command(self.replica.state) if self.is_serving() else None
         if own_command is not None and self.replica.is_idle:
@@ -239,7 +239,7 @@
     # Effects
 
     def _step(self, handle: Callable[[], list[Output]]) -> None:
-        """Handle an event of the replica and perform its effects.
+        """Handles an event of the replica and performs its effects.
 
         After an unexpected exception this sidecar stops taking part: a replica that has failed half-way must
         neither acknowledge nor vote any more. Clients' requests are not affected.
@@ -253,7 +253,7 @@
             self.close()
 
     def perform(self, outputs: list[Output]) -> None:
-        """Perform the effects of an event in their order."""
+        """Performs the effects of an event in their order."""
         for output in outputs:
             match output:
                 case PersistState():
@@ -275,7 +275,7 @@
         self._step(lambda: self.replica.on_persisted(self.now_us()))
 
     def _apply_state(self) -> None:
-        """Pass the excluded upstreams on to the balancer's overrides."""
+        """Passes the excluded upstreams on to the balancer's overrides."""
         excluded = {
             name: override_until_us(upstream) for name, upstream in self.replica.state.excluded.items()
         }
@@ -289,7 +289,7 @@
 
 
 def override_until_us(upstream: ExcludedUpstream) -> int:
-    """Return up to which start of an upstream its override holds.
+    """Returns up to which start of an upstream its override holds.
 
     A drain holds for the start that it names, which is known in milliseconds.
     """
@@ -299,7 +299,7 @@
 
 
 def replica_limits(settings: Agreement) -> ReplicaLimits:
-    """Return the limits that the operator's settings ask for."""
+    """Returns the limits that the operator's settings ask for."""
     return ReplicaLimits(
         voter_count=settings.voters,
         can_vote=settings.votes,
--- a/sidecar_proxy/consensus/transfer_manager.py
+++ b/sidecar_proxy/consensus/transfer_manager.py
@@ -30,7 +30,7 @@
         self.budget = TransferBudget(context.limits.transfer_bytes_per_s, now_us)
 
     def request_if_due(self, now_us: int) -> None:
-        """Ask for what is committed; a voter gets it from the leader and asks only if it is far behind."""
+        """Asks for what is committed; a voter gets it from the leader and asks only if it is far behind."""
         if self.context.is_voter and not self.fetcher.has_news:
             return
         voters = self.context.peers.voter_nodes()
@@ -39,7 +39,7 @@
             self.context.outbox.send(*request)
 
     def handle_request(self, node: NodeId, request: FetchRequest, now_us: int) -> None:
-        """Answer another sidecar's request."""
+        """Answers another sidecar's request."""
         core = self.context.core
         response = create_response(request, core.log, core.applied_index, self.context.state.fleet_id)
         wait_ms = self.budget.take(estimated_size(response), now_us)
@@ -49,7 +49,7 @@
             self.context.outbox.send(node, response)
 
     def handle_offer(self, offer: SnapshotOffer, now_us: int) -> None:
-        """Fetch the leader's snapshot if it is newer; first tell the leader how far this log goes."""
+        """Fetches the leader's snapshot if it is newer; first tells the leader how far this log goes."""
         core = self.context.core
         commit_index = core.commit_index
         known = Snapshot(min(commit_index, offer.index))
@@ -60,7 +60,7 @@
     def handle_response(
         self, node: NodeId, response: EntryBatch | SnapshotChunk | FetchLater, now_us: int
     ) -> None:
-        """Take over what was fetched."""
+        """Takes over what was fetched."""
         if not self.fetcher.accept_response(response, now_us) or isinstance(response, FetchLater):
             return
         fleet_id = self.context.state.fleet_id
@@ -95,7 +95,7 @@
             self.context.outbox.log(f"{node}: {error}")
 
     def _is_valid(self, snapshot: Snapshot, fleet_id: str) -> bool:
-        """Check a snapshot before it is persisted: an unreadable one would end this sidecar at each start."""
+        """Checks a snapshot before it is persisted: an unreadable one would end every later start."""
         try:
             state = replicated_commands.decode_state(snapshot.data)
         except CommandError as error:
--- a/sidecar_proxy/consensus/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -59,19 +59,19 @@
     """The owner of the connections."""
 
     def on_frame(self, node: NodeId, frame: Frame) -> None:
-        """Handle a received frame."""
+        """Handles a received frame."""
 
     def on_unsent(self, node: NodeId, frame: Frame) -> None:
-        """Handle a frame that never left."""
+        """Handles a frame that never left."""
 
     def on_link_broken(self, node: NodeId) -> None:
-        """Handle the loss of a connection; what was sent may or may not have arrived."""
+        """Handles the loss of a connection; what was sent may or may not have arrived."""
 
     def address_of(self, node: NodeId) -> Address | None:
-        """Return where a node is reached, or None if that is not known."""
+        """Returns where a node is reached, or None if that is not known."""
 
     def local_address(self) -> Address | None:
-        """Return the address that connections are opened from, or None for any."""
+        """Returns the address that connections are opened from, or None for any."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -95,7 +95,7 @@
         self.task = transport.loop.create_task(self._run())
 
     def send(self, frame: Frame) -> bool:
-        """Queue a frame. Returns False if the queue is full."""
+        """Queues a frame. Returns False if the queue is full."""
         size = estimated_size(frame)
         if self.queued_bytes + size > MAX_QUEUED_BYTES:
             return False
@@ -184,7 +184,7 @@
     # Sending
 
     def send(self, node: NodeId, frame: Frame) -> None:
-        """Send a frame to a node; it may be lost."""
+        """Sends a frame to a node; it may be lost."""
         if self.is_closed:
             return
         if isinstance(frame, RESPONSES):
@@ -210,7 +210,7 @@
     def on_connection_ended(
         self, connection: OutgoingConnection, writer: asyncio.StreamWriter | None
     ) -> None:
-        """Forget an outgoing connection; `writer` is None if it was never opened."""
+        """Forgets an outgoing connection; `writer` is None if it was never opened."""
         self.sessions = {
             session: session_writer
             for session, session_writer in self.sessions.items()
@@ -228,7 +228,7 @@
     # Receiving
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve an accepted connection whose first bytes, CONNECTION_MAGIC, were read."""
+        """Serves an accepted connection whose first bytes, CONNECTION_MAGIC, were read."""
         if self.is_closed or self.accepted.total() >= MAX_ACCEPTED_CONNECTIONS:
             writer.transport.abort()
             return
@@ -257,7 +257,7 @@
     async def _accept(
         self, session: Session, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bytes:
-        """Exchange greetings and return the caller's first frame, which proves that it has its key."""
+        """Exchanges greetings and returns the caller's first frame, which proves that it has its key."""
         greeting = await receive(reader, MAX_GREETING_BYTES)
         key = session.accept_greeting(greeting, self.now_us(), wall_clock_us())
         if self.accepted[session.peer] >= MAX_CONNECTIONS_PER_NODE:
@@ -278,7 +278,7 @@
         self.sessions.pop(session, None)
 
     async def read_responses(self, reader: asyncio.StreamReader, session: Session) -> None:
-        """Read what comes back by an outgoing connection, until it ends. Raises RejectedError."""
+        """Reads what comes back by an outgoing connection, until it ends. Raises RejectedError."""
         while not self.is_closed:
             frame = self._decode(await self._read_frame(reader, session), session)
             if frame is None:
@@ -299,7 +299,7 @@
             data = await self._read_frame(reader, session)
 
     def _handle_request(self, data: bytes, session: Session, writer: asyncio.StreamWriter) -> bool:
-        """Handle a frame of an accepted connection. Returns False if it is not valid."""
+        """Handles a frame of an accepted connection. Returns False if it is not valid."""
         frame = self._decode(data, session)
         if frame is None:
             return False
@@ -325,13 +325,13 @@
     # Maintenance
 
     def count_rejection(self, text: str) -> None:
-        """Count a rejected connection or frame."""
+        """Counts a rejected connection or frame."""
         self.rejected_count += 1
         self.last_rejection = text
         self._log_rejections()
 
     def _log_rejections(self) -> None:
-        """Log rejections, with at most one line a second."""
+        """Logs rejections, with at most one line a second."""
         has_news = self.rejected_count > self.logged_rejected_count
         if has_news and self.loop.time() >= self.next_warning_s:
             self.next_warning_s = self.loop.time() + WARNING_INTERVAL_S
@@ -343,7 +343,7 @@
             )
 
     def maintain(self) -> None:
-        """Close idle connections and those whose certificate was revoked; to be called regularly."""
+        """Closes idle connections and those whose certificate was revoked; to be called regularly."""
         for connection in list(self.outgoing.values()):
             if self.loop.time() - connection.last_used_s > IDLE_TIMEOUT_S:
                 connection.task.cancel()
@@ -354,7 +354,7 @@
                 writer.transport.abort()
 
     def close(self) -> None:
-        """Close all connections."""
+        """Closes all connections."""
         self.is_closed = True
         for connection in list(self.outgoing.values()):
             connection.task.cancel()
@@ -366,7 +366,7 @@
 
 
 def estimated_size(frame: Frame) -> int:
-    """Return about how many bytes a request takes on the wire."""
+    """Returns about how many bytes a request takes on the wire."""
     size = FRAME_OVERHEAD_BYTES
     if isinstance(frame, Append):
         size += sum(len(entry.data) + ENTRY_OVERHEAD_BYTES for entry in frame.entries)
--- a/sidecar_proxy/consensus/voter_manager.py
+++ b/sidecar_proxy/consensus/voter_manager.py
@@ -29,24 +29,24 @@
         self.barrier_round = 0  # the round of the last check; 0 = none to compare replies with
 
     def on_frame(self, node: NodeId, now_us: int) -> None:
-        """Record that a voter was heard."""
+        """Records that a voter was heard."""
         if node in self.context.core.voters:
             self.heard_us[node] = now_us
 
     def on_stall(self, now_us: int) -> None:
-        """Forget silences after this process was itself stopped for a while."""
+        """Forgets silences after this process was itself stopped for a while."""
         self.barrier_round = 0
         self.heard_us = dict.fromkeys(self.heard_us, now_us)
 
     def on_elected(self, now_us: int) -> None:
-        """Start afresh as a new leader."""
+        """Starts afresh as a new leader."""
         self.barrier_round = 0
         self.candidate = ""
         self.context.core.learners.clear()
         self.heard_us.update(dict.fromkeys(self.context.core.voters, now_us))
 
     def quorum_heard_us(self, now_us: int) -> int:
-        """Return when a quorum was last heard."""
+        """Returns when a quorum was last heard."""
         core = self.context.core
         times_us = sorted((self._heard_us(node, now_us) for node in core.voters), reverse=True)
         return times_us[core.quorum_size() - 1]
@@ -55,7 +55,7 @@
         return now_us if node == self.context.node_id else self.heard_us.get(node, 0)
 
     def check_if_due(self, now_us: int) -> None:
-        """Look twice a second whether the voters have to change."""
+        """Looks twice a second whether the voters have to change."""
         if self.context.core.is_leader and now_us >= self.next_check_us:
             self.next_check_us = now_us + CHECK_INTERVAL_US
             self._check(now_us)
@@ -83,7 +83,7 @@
         self.context.outbox.log("voters from now on: " + ", ".join(map(name_of, sorted(voters))))
 
     def _responsive_nodes(self) -> set[NodeId]:
-        """Return the nodes that have replied since the last check.
+        """Returns the nodes that have replied since the last check.
 
         Without a last check there are none: after a pause of this process, old replies prove nothing.
         """
@@ -119,7 +119,7 @@
         )
 
     def _is_caught_up(self, node: NodeId, responsive: set[NodeId]) -> bool:
-        """Tell whether a node replies and has nearly all of the log (4.2.1)."""
+        """Tells whether a node replies and has nearly all of the log (4.2.1)."""
         progress = self.context.core.progress.get(node)
         return (
             progress is not None
@@ -128,7 +128,7 @@
         )
 
     def _update_candidate(self, planner: VoterPlanner, now_us: int) -> None:
-        """Send the log to the best candidate, and to the next one if it does not reply."""
+        """Sends the log to the best candidate, and to the next one if it does not reply."""
         core = self.context.core
         candidates = planner.candidates_to_catch_up()
         if self.candidate and not self._is_candidate_valid(planner, candidates, now_us):
--- a/sidecar_proxy/consensus/voters.py
+++ b/sidecar_proxy/consensus/voters.py
@@ -39,7 +39,7 @@
     replace_after_us: int
 
     def is_lost(self, node: NodeId) -> bool:
-        """Tell whether a voter has been silent for too long, or its name now belongs to another node."""
+        """Tells whether a voter has been silent for too long, or its name now belongs to another node."""
         if node == self.node_id:
             return False
         current = self.candidates.get(name_of(node))
@@ -47,7 +47,7 @@
         return self.silent_us.get(node, 0) >= self.replace_after_us or is_replaced
 
     def live_voters(self) -> list[NodeId]:
-        """Return the voters that are not lost."""
+        """Returns the voters that are not lost."""
         return [node for node in self.voters if not self.is_lost(node)]
 
     def _site_of(self, node: NodeId) -> str:
@@ -55,7 +55,7 @@
         return current.site if current is not None else ""
 
     def addable_candidates(self) -> list[Candidate]:
-        """Return the candidates that may be added, those of the sites with the fewest voters first."""
+        """Returns the candidates that may be added, those of the sites with the fewest voters first."""
         live = self.live_voters()
         voters_of_site = Counter(map(self._site_of, live))
         live_names = set(map(name_of, live))
@@ -65,15 +65,15 @@
         )
 
     def is_settled(self) -> bool:
-        """Tell whether there are as many voters as wanted and none is lost."""
+        """Tells whether there are as many voters as wanted and none is lost."""
         return len(self.live_voters()) == len(self.voters) == self.target_count
 
     def candidates_to_catch_up(self) -> list[Candidate]:
-        """Return the candidates that should get the log in order to be added, the best first."""
+        """Returns the candidates that should get the log in order to be added, the best first."""
         return self.addable_candidates() if len(self.live_voters()) < self.target_count else []
 
     def next_voters(self) -> tuple[NodeId, ...] | None:
-        """Return the voters with one added or removed, or None if nothing is to be changed now."""
+        """Returns the voters with one added or removed, or None if nothing is to be changed now."""
         live = self.live_voters()
         responsive_count = sum(node == self.node_id or node in self.responsive for node in live)
         caught_up = [candidate for candidate in self.addable_candidates() if candidate.is_caught_up]
@@ -107,15 +107,15 @@
 
 
 def node_id_of(name: str, incarnation: str) -> NodeId:
-    """Return the node id of a sidecar's incarnation."""
+    """Returns the node id of a sidecar's incarnation."""
     return f"{name}#{incarnation}"
 
 
 def name_of(node: NodeId) -> str:
-    """Return the name of the sidecar that a node id belongs to."""
+    """Returns the name of the sidecar that a node id belongs to."""
     return node.rpartition("#")[0]
 
 
 def majority(count: int) -> int:
-    """Return the size of a majority of this many voters."""
+    """Returns the size of a majority of this many voters."""
     return count // 2 + 1
--- a/sidecar_proxy/consensus/witness.py
+++ b/sidecar_proxy/consensus/witness.py
@@ -48,7 +48,7 @@
         self.gossip = gossip
 
     def facts(self, command: ReplicatedCommand) -> DisruptionFacts | None:
-        """Return the facts for a command, or None if its target is not known."""
+        """Returns the facts for a command, or None if its target is not known."""
         target_kind, name = str(TargetKind.UPSTREAM), command.name
         if command.kind in (CommandKind.PERMIT, CommandKind.RETURN):
             target_kind, _, name = command.name.partition(":")
@@ -72,7 +72,7 @@
         )
 
     def _upstreams(self) -> Iterator[ObservedTarget]:
-        """Yield the upstreams that are listed."""
+        """Yields the upstreams that are listed."""
         assert self.gossip.transport is not None
         weights = self.gossip.transport.instance.weights
         zones = {number: name for name, number in self.directory.zones.items()}
@@ -91,7 +91,7 @@
             )
 
     def _sidecars(self) -> Iterator[ObservedTarget]:
-        """Yield the sidecars of the fleet.
+        """Yields the sidecars of the fleet.
 
         In place of a cell they have their process id: the permit of a process that has ended is returned.
         """
@@ -106,7 +106,7 @@
             yield ObservedTarget(Target(member.name, member.site), True)
 
     def own_return_command(self, state: ReplicatedState) -> ReplicatedCommand | None:
-        """Return the command that returns a permit which an earlier process of this sidecar took."""
+        """Returns the command that returns a permit which an earlier process of this sidecar took."""
         name = self.replica.name
         permit = state.permits.granted.get(permit_key(TargetKind.SIDECAR, name))
         if permit is None or permit.target.cell in ("", self.replica.process_id):
@@ -116,7 +116,7 @@
         )
 
     def upstream_return_commands(self, state: ReplicatedState) -> Iterator[ReplicatedCommand]:
-        """Yield commands that return the permits of upstreams which are ready after a later start."""
+        """Yields commands that return the permits of upstreams which are ready after a later start."""
         for permit in list(state.permits.granted.values()):
             if permit.target_kind != TargetKind.UPSTREAM:
                 continue
@@ -135,7 +135,7 @@
                 yield ReplicatedCommand(CommandKind.RESUME, command_id, "", 0, name)
 
     def upstream(self, name: str) -> Host | None:
-        """Return an upstream that is listed, by name."""
+        """Returns an upstream that is listed, by name."""
         return self.engine.known().get(self.directory.numbers.get(name, -1))
 
 
