--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -57,38 +57,61 @@
     "entry": Form(messages.Entry, "term index data voters"),
     "hard_state": Form(messages.HardState, "term vote"),
     "snapshot": Form(messages.Snapshot, "index term voters data"),
-    "vote_request": Form(messages.VoteRequest, "source target term last_index last_term pre transfer"),
-    "vote_reply": Form(messages.VoteReply, "source target term granted pre"),
+    "vote_request": Form(
+        messages.VoteRequest, "source target term last_index last_term pre=pre_vote transfer"
+    ),
+    "vote_reply": Form(messages.VoteReply, "source target term granted pre=pre_vote"),
     "append": Form(messages.Append, "source target term prev_index prev_term entries commit round"),
     "append_reply": Form(messages.AppendReply, "source target term ok match round"),
     "timeout_now": Form(messages.TimeoutNow, "source target term"),
-    "store_owner": Form(store.Owner, "incarnation inode made_ns"),
-    "store_hard": Form(store.Hard, "term vote commit"),
-    "store_entries": Form(store.Entries, "entries"),
-    "store_whole": Form(store.Whole, "snapshot"),
+    "store_owner": Form(store.HeaderRecord, "incarnation inode=marker_inode made_ns=marker_changed_ns"),
+    "store_hard": Form(store.HardStateRecord, "term vote commit=commit_index"),
+    "store_entries": Form(store.EntriesRecord, "entries"),
+    "store_whole": Form(store.SnapshotRecord, "snapshot"),
     # agreement: the other frames
-    "offer": Form(frames.Offer, "source target term index round"),
-    "want": Form(frames.Want, "number after index offset most"),
-    "batch": Form(frames.Batch, "number fleet commit entries"),
-    "piece": Form(frames.Piece, "number fleet commit index term voters size digest offset data"),
-    "later": Form(frames.Later, "number wait_ms"),
-    "ask": Form(frames.Ask, "number word name"),
-    "answer": Form(frames.Answer, "number what index text leader"),
+    "offer": Form(frames.SnapshotOffer, "source target term index round"),
+    "want": Form(
+        frames.FetchRequest, "number after index=snapshot_index offset=snapshot_offset most=max_bytes"
+    ),
+    "batch": Form(frames.EntryBatch, "number fleet=fleet_id commit=commit_index entries"),
+    "piece": Form(
+        frames.SnapshotChunk,
+        "number fleet=fleet_id commit=commit_index index term voters size digest offset data",
+    ),
+    "later": Form(frames.FetchLater, "number wait_ms"),
+    "ask": Form(frames.LeaderRequest, "number word=command name"),
+    "answer": Form(frames.LeaderReply, "number what=status index text leader"),
     "here": Form(
-        frames.ReplicaStatus, "incarnation fleet term leader since_ms votes commit applied at_ms life able"
+        frames.ReplicaStatus,
+        "incarnation fleet=fleet_id term leader since_ms=leader_since_ms votes=is_voter commit=commit_index"
+        " applied=applied_index at_ms=applied_at_ms life=process_id able=can_vote",
     ),
-    "greeting": Form(session.Greeting, "certificate node key answers"),
+    "greeting": Form(session.Greeting, "certificate node key=session_key answers=answered_key"),
     # agreement: words and the state that they come to
-    "word": Form(agreed.ReplicatedCommand, "kind id by at_ms name born_ms value facts"),
-    "held": Form(agreed.Held, "index kind born_ms"),
+    "word": Form(
+        agreed.ReplicatedCommand,
+        "kind id by=submitted_by at_ms=submitted_at_ms name born_ms=started_ms value facts",
+    ),
+    "held": Form(agreed.ExcludedUpstream, "index kind born_ms=started_ms"),
     "setting": Form(agreed.Setting, "index value"),
-    "once": Form(agreed.Once, "index content error text"),
-    "agreed_state": Form(agreed.ReplicatedState, "fleet index held settings said latest unread places"),
-    "member": Form(permits.Member, "name site kind cell"),
-    "facts": Form(permits.Facts, "what about total down more"),
-    "place": Form(permits.Place, "index what member by id born_ms at_ms forced"),
-    "waiting": Form(permits.Waiting, "place facts"),
-    "places": Form(permits.Places, "held line forced"),
+    "once": Form(agreed.CommandResult, "index content=digest error text"),
+    "agreed_state": Form(
+        agreed.ReplicatedState,
+        "fleet=fleet_id index held=excluded settings said=results"
+        " latest=recent_commands unread=unknown_commands places=permits",
+    ),
+    "member": Form(permits.Target, "name site kind=upstream_class cell"),
+    "facts": Form(
+        permits.DisruptionFacts,
+        "what=target_kind about=target total=totals down=unavailable more=unnamed_unavailable_count",
+    ),
+    "place": Form(
+        permits.Permit,
+        "index what=target_kind member=target by=requested_by id born_ms=started_ms"
+        " at_ms=requested_at_ms forced=exceeded_budget",
+    ),
+    "waiting": Form(permits.QueuedPermit, "place=permit facts"),
+    "places": Form(permits.PermitState, "held=granted line=queue forced=forced_count"),
     # overload
     "loan": Form(overload.LeaseRecord, "to=borrower parts"),
     "work": Form(
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -36,6 +36,7 @@
 from sidecar_proxy.consensus import replicated_commands as words
 from sidecar_proxy.consensus import storage as store
 from sidecar_proxy.consensus import subsystem as agreement_start
+from sidecar_proxy.consensus.errors import CopiedFolderError
 from sidecar_proxy.consensus.messages import Entry
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.gossip import codec, credentials, files
@@ -123,7 +124,7 @@
 
 
 def read_frame(data: bytes) -> frames.Frame:
-    return frames.read(data, EAST, WEST)
+    return frames.decode_frame(data, EAST, WEST)
 
 
 def write_sealed(told: Any) -> bytes:
@@ -133,9 +134,9 @@
 
 READERS: dict[str, Callable[[bytes], Any]] = {
     "agreement-frame": read_frame,
-    "agreement-here": frames.read_here,
-    "agreement-state": words.restored,
-    "agreement-word": words.decode,
+    "agreement-here": frames.decode_status,
+    "agreement-state": words.decode_state,
+    "agreement-word": words.decode_command,
     "gossip-packet": read_packet,
     "gossip-state": read_state,
     "gossip-statement": read_statement,
@@ -144,8 +145,8 @@
 WRITERS: dict[str, Callable[[Any], bytes]] = {
     "agreement-frame": frames.encode,
     "agreement-here": frames.encode,
-    "agreement-state": words.kept,
-    "agreement-word": words.encoded,
+    "agreement-state": words.encode_state,
+    "agreement-word": words.encode_command,
     "gossip-packet": write_sealed,
     "gossip-state": write_sealed,
     "gossip-statement": codec.encode,
@@ -213,7 +214,7 @@
 
 
 def test_the_topics_of_the_words_that_gossip_carries() -> None:
-    assert (overload.TOPIC, agreement_start.TOPIC) == ("overload", "agreement")
+    assert (overload.TOPIC, agreement_start.GOSSIP_TOPIC) == ("overload", "agreement")
 
 
 def test_the_length_before_a_frame_on_a_connection() -> None:
@@ -222,13 +223,13 @@
 
 def test_the_golden_words_come_to_the_golden_state() -> None:
     full = build(golden_json("frames/agreement-state/full.json"))
-    state = words.restored(golden_hex("frames/agreement-state/begun.hex"))
+    state = words.decode_state(golden_hex("frames/agreement-state/begun.hex"))
     for kind in ("set", "set_share", "drain", "suspend", "permit", "permit_node", "unset"):
         words.apply(state, Entry(3, state.index + 1, golden_hex(f"frames/agreement-word/{kind}.hex")))
-    [(_, unread)] = full.unread
+    [(_, unread)] = full.unknown_commands
     words.apply(state, Entry(3, state.index + 1, unread))
     words.apply(state, Entry(3, state.index + 1, b"", (EAST, WEST)))
-    assert words.kept(state) == golden_hex("frames/agreement-state/full.hex")
+    assert words.encode_state(state) == golden_hex("frames/agreement-state/full.hex")
 
 
 # A connection between two sidecars that agree
@@ -238,8 +239,8 @@
     """Caller and called, with the golden keys."""
     told = golden_json("session/session.json")
     caller, called = session.Session(east_keyring(), EAST), session.Session(west_keyring(), WEST)
-    caller.key = PrivateKey(bytes.fromhex(told["caller_key"]))
-    called.key = PrivateKey(bytes.fromhex(told["answer_key"]))
+    caller.session_key = PrivateKey(bytes.fromhex(told["caller_key"]))
+    called.session_key = PrivateKey(bytes.fromhex(told["answer_key"]))
     return caller, called
 
 
@@ -251,11 +252,11 @@
 def test_both_sides_of_a_session_write_the_golden_bytes() -> None:
     told = golden_json("session/session.json")
     caller, called = sessions()
-    first = caller.greeting()
-    assert session.MAGIC + frame_message(first) == golden_hex("session/caller_greeting.hex")
-    answer = called.greeting(called.greeted(first, 0, WALL_US))
+    first = caller.create_greeting()
+    assert session.CONNECTION_MAGIC + frame_message(first) == golden_hex("session/caller_greeting.hex")
+    answer = called.create_greeting(called.accept_greeting(first, 0, WALL_US))
     assert frame_message(answer) == golden_hex("session/answer_greeting.hex")
-    caller.greeted(answer, 0, WALL_US)
+    caller.accept_greeting(answer, 0, WALL_US)
     assert caller.seal(frames.encode(build(told["caller_frame"]))) == golden_hex("session/caller_frame.hex")
     assert called.seal(frames.encode(build(told["answer_frame"]))) == golden_hex("session/answer_frame.hex")
 
@@ -263,20 +264,20 @@
 def test_both_sides_of_a_session_take_the_golden_bytes() -> None:
     told = golden_json("session/session.json")
     caller, called = sessions()
-    caller.greeting()
+    caller.create_greeting()
     first = golden_hex("session/caller_greeting.hex")
     assert first.startswith(b"wsa\x01")
-    called.greeting(called.greeted(without_length(first[4:]), 0, WALL_US))
-    caller.greeted(without_length(golden_hex("session/answer_greeting.hex")), 0, WALL_US)
+    called.create_greeting(called.accept_greeting(without_length(first[4:]), 0, WALL_US))
+    caller.accept_greeting(without_length(golden_hex("session/answer_greeting.hex")), 0, WALL_US)
     for opener, name in ((called, "caller_frame"), (caller, "answer_frame")):
         data = opener.open(without_length(golden_hex(f"session/{name}.hex")))
-        assert_described(frames.read(data, opener.peer, opener.node), told[name])
+        assert_described(frames.decode_frame(data, opener.peer, opener.node), told[name])
 
 
 @pytest.mark.parametrize(("name", "head"), [("caller_greeting", 4 + 4), ("answer_greeting", 4)])
 def test_a_greeting_reads_as_its_golden_values(name: str, head: int) -> None:
     payload = golden_hex(f"session/{name}.hex")[head + codec.SIGNATURE_BYTES :]
-    found = codec.read(session.decoder, payload)
+    found = codec.read(session.greeting_decoder, payload)
     assert_described(found, golden_json("session/session.json")[name])
     assert session.encode(found) == payload
 
@@ -403,24 +404,24 @@
 def described_kept(kept: Any) -> dict[str, Any]:
     return {
         "incarnation": kept.incarnation,
-        "hard_state": describe(kept.hard),
-        "commit": kept.commit,
+        "hard_state": describe(kept.hard_state),
+        "commit": kept.commit_index,
         "snapshot": describe(kept.log.snapshot),
         "entries": describe(kept.log.entries),
-        "torn": kept.torn,
+        "torn": kept.torn_bytes,
     }
 
 
 @pytest.mark.parametrize("name", STORES)
 def test_the_records_of_a_log_read_as_their_golden_values(name: str) -> None:
-    found = [one for one, _, _ in store.records(store_bytes(name))]
+    found = [framed.record for framed in store.iterate_records(store_bytes(name))]
     assert text(describe(found)) == text(golden_json(f"store/{name}.json")["records"])
 
 
 @pytest.mark.parametrize("name", STORES)
 def test_a_log_built_from_golden_values_is_written_as_the_same_bytes(name: str) -> None:
     told = golden_json(f"store/{name}.json")
-    data = store.MAGIC + store.framed(build(told["records"]), b"")[0]
+    data = store.FILE_MAGIC + store.frame_records(build(told["records"]), b"")[0]
     torn = told["kept"]["torn"]
     assert data == store_bytes(name)[: len(data)] and len(store_bytes(name)) == len(data) + torn
     assert (torn > 0) == (name == "torn")
@@ -428,7 +429,7 @@
 
 @pytest.mark.parametrize("name", STORES)
 def test_a_log_keeps_what_its_golden_values_say(name: str) -> None:
-    kept, _, _ = store.read(store_bytes(name), Path("log"))
+    kept, _, _ = store.read_log(store_bytes(name), Path("log"))
     assert text(described_kept(kept)) == text(golden_json(f"store/{name}.json")["kept"])
 
 
@@ -436,38 +437,41 @@
 def test_a_folder_with_a_golden_log_is_known_for_a_copy(name: str, tmp_path: Path) -> None:
     (tmp_path / "marker").touch()
     (tmp_path / "log").write_bytes(store_bytes(name))
-    with pytest.raises(store.Copied):
-        store.Store(tmp_path).open()
+    with pytest.raises(CopiedFolderError):
+        store.LogStore(tmp_path).open()
 
 
 @pytest.mark.parametrize("name", STORES)
 def test_a_golden_log_whose_owner_is_this_folder_is_opened_in_place(name: str, tmp_path: Path) -> None:
     (tmp_path / "marker").touch()
     told = golden_json(f"store/{name}.json")
-    inode, made_ns = store.mark(tmp_path)
+    inode, made_ns = store.marker_identity(tmp_path)
     told["records"][0]["fields"] |= {"inode": inode, "made_ns": made_ns}
-    bound, _ = store.framed(build(told["records"]), b"")
-    (tmp_path / "log").write_bytes(store.MAGIC + bound)
-    opened = store.Store(tmp_path)
+    bound, _ = store.frame_records(build(told["records"]), b"")
+    (tmp_path / "log").write_bytes(store.FILE_MAGIC + bound)
+    opened = store.LogStore(tmp_path)
     kept = opened.open()
     opened.close()
     assert text(described_kept(kept)) == text(told["kept"] | {"torn": 0})
 
 
 def test_a_new_folder_holds_a_log_of_the_golden_form(tmp_path: Path) -> None:
-    opened = store.Store(tmp_path / "new")
+    opened = store.LogStore(tmp_path / "new")
     opened.open()
     opened.close()
     assert sorted(path.name for path in (tmp_path / "new").iterdir()) == ["log", "marker"]
-    golden, [(owner, _, _)] = store_bytes("begun"), store.records((tmp_path / "new" / "log").read_bytes())
+    golden = store_bytes("begun")
+    [header] = store.iterate_records((tmp_path / "new" / "log").read_bytes())
     assert golden.startswith(b"wickspread agreement 1\n")
-    assert describe(owner)["kind"] == golden_json("store/begun.json")["records"][0]["kind"]
+    assert describe(header.record)["kind"] == golden_json("store/begun.json")["records"][0]["kind"]
 
 
 def test_the_snapshot_of_a_golden_log_is_the_golden_state() -> None:
-    kept, _, _ = store.read(store_bytes("snapshot"), Path("log"))
+    kept, _, _ = store.read_log(store_bytes("snapshot"), Path("log"))
     assert kept.log.snapshot.data == golden_hex("frames/agreement-state/full.hex")
-    assert_described(words.restored(kept.log.snapshot.data), golden_json("frames/agreement-state/full.json"))
+    assert_described(
+        words.decode_state(kept.log.snapshot.data), golden_json("frames/agreement-state/full.json")
+    )
 
 
 # What a process leaves to the next in $TMPDIR
