--- a/tests/admin/admin_sidecar.py
+++ b/tests/admin/admin_sidecar.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import os
 import socket
 import tempfile
 from collections.abc import Iterator
@@ -13,10 +14,16 @@
 Address = tuple[str, int]
 
 
-def free_port() -> int:
-    """Return a port that nobody listens on at the moment; the admin address has to name one."""
-    with socket.create_server(("127.0.0.1", 0)) as server:
-        return int(server.getsockname()[1])
+def free_address() -> Address:
+    """Return a loopback address on which nobody listens; the admin address has to name a port.
+
+    The host is this process's own: on 127.0.0.1 another test's socket could get the port before the sidecar
+    listens on it.
+    """
+    process = os.getpid()
+    host = f"127.{64 + (process >> 8) % 64}.{process % 256}.1"
+    with socket.create_server((host, 0)) as server:
+        return host, int(server.getsockname()[1])
 
 
 class AdminSidecar(Sidecar):
@@ -25,8 +32,9 @@
     def __init__(
         self, upstreams: list[Upstream], folder: str, discovery: Discovery | None = None, **options: Any
     ) -> None:
-        self.admin_address: Address = ("127.0.0.1", free_port())
-        env = {"PROXY_MGMT": f"127.0.0.1:{self.admin_address[1]}", "TMPDIR": folder}
+        self.admin_address = free_address()
+        host, port = self.admin_address
+        env = {"PROXY_MGMT": f"{host}:{port}", "TMPDIR": folder}
         super().__init__(upstreams, discovery, env=env | options.pop("env", {}), **options)
 
     def call(self, line: str) -> str:
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -50,7 +50,7 @@
     (root / "pyproject.toml").write_text(pin)
     with ThreadPoolExecutor() as workers:
         done = list(workers.map(lambda _: build(root), range(2)))
-    assert [one.returncode for one in done] == [0, 0], done
+    assert [one.returncode for one in done] == [0, 0], [one.stdout + one.stderr for one in done]
     assert len(list((root / "sidecar_proxy/_compiled").iterdir())) == 1
     return root
 
