--- a/sidecar_proxy/testbed/process.py
+++ b/sidecar_proxy/testbed/process.py
@@ -183,7 +183,7 @@
             self.note("full" if full else "has room")
 
     def spoil(self, told: str) -> None:
-        """What is wrong with its disk from now on (agreement/disk.py); "" = nothing."""
+        """What is wrong with its disk from now on (consensus/disk.py); "" = nothing."""
         replaced(self.disk, told)
         self.note(f"disk: {told or 'well'}")
 
