--- a/benchmarks/gossip_fuzz.py
+++ b/benchmarks/gossip_fuzz.py
@@ -122,7 +122,7 @@
     core = target.instance.core
     assert time.monotonic() - began_s < MAX_INPUT_S, "slow"
     assert len(core.dissemination.queue) <= MAX_QUEUED_BROADCASTS, "broadcasts without bound"
-    assert len(core.peers) <= MAX_KNOWN_PEERS, "peers without bound"
+    assert len(core.members) <= MAX_KNOWN_PEERS, "peers without bound"
 
 
 def play(seed: int, inputs: int, failing: list[bytes], until_s: float = float("inf")) -> int:
--- a/benchmarks/gossip_parts.py
+++ b/benchmarks/gossip_parts.py
@@ -101,7 +101,7 @@
     body, as_json = codec.encode(report), msgspec.json.encode(report)
     protobuf = protobuf_cost()
     write_us = cost_us(lambda: codec.encode(report))
-    read_us = cost_us(lambda: codec.read(codec.statement_decoder, body))
+    read_us = cost_us(lambda: codec.decode(codec.statement_decoder, body))
     json_us = cost_us(lambda: json.loads(as_json))
     print("an outlier report on 8 upstreams: bytes, us to write, us to read (into values)")
     print(f"  MessagePack by msgspec {len(body):>6} {write_us:>7.1f} {read_us:>7.1f}")
--- a/deploy/compiled.py
+++ b/deploy/compiled.py
@@ -86,6 +86,7 @@
                     [
                         "--config-file=",
                         "--no-incremental",
+                        f"--cache-dir={into}/mypy_cache",  # two builds at once would lock each other out
                         "--ignore-missing-imports",
                         "--follow-imports=silent",
                         *modules,
--- a/sidecar_proxy/admin/commands.py
+++ b/sidecar_proxy/admin/commands.py
@@ -5,7 +5,7 @@
 import logging
 from typing import Protocol
 
-from sidecar_proxy.admin.endpoint_overrides import ALWAYS, OPERATOR_SOURCE, EndpointOverrides
+from sidecar_proxy.admin.endpoint_overrides import ANY_START_US, OPERATOR_SOURCE, EndpointOverrides
 from sidecar_proxy.admin.hot_restart import HotRestart
 from sidecar_proxy.admin.server import AdminCommand, AdminCommandError
 from sidecar_proxy.admin.suspensions import SuspensionError, Suspensions
@@ -115,7 +115,7 @@
     def set_suspended_names(self, names: set[str]) -> None:
         """Put exactly these suspensions into effect."""
         self.suspensions.replace(names)
-        self.overrides.put(OPERATOR_SOURCE, dict.fromkeys(names, ALWAYS))
+        self.overrides.replace_source(OPERATOR_SOURCE, dict.fromkeys(names, ANY_START_US))
 
     def poll_other_process(self) -> None:
         """Take over suspensions that another process of this sidecar has stored, and look who serves."""
--- a/sidecar_proxy/admin/endpoint_overrides.py
+++ b/sidecar_proxy/admin/endpoint_overrides.py
@@ -15,7 +15,7 @@
 from sidecar_proxy.engine.interfaces import ListedUpstream
 
 OPERATOR_SOURCE = "operator"
-ALWAYS = 1 << 62  # us: later than any start, so the override holds for every incarnation
+ANY_START_US = 1 << 62  # us: later than any start, so the override holds for every incarnation
 
 
 class EndpointOverrides:
@@ -28,18 +28,18 @@
     def __init__(self, engine: Engine, directory: EndpointDirectory) -> None:
         self.engine = engine
         self.directory = directory
-        self.sources: dict[str, Mapping[str, int]] = {}  # latest starts by name, by source
+        self.latest_starts_us: dict[str, Mapping[str, int]] = {}  # latest starts by name, by source
         self.name_listeners: list[Callable[[str], None]] = []  # called with each name that a list has
         engine.apply_overrides = self.apply_to_list
 
     def applies_to(self, name: str, started_us: int) -> bool:
         """Whether any source overrides the endpoint of this name that started then."""
-        return any(started_us <= starts[name] for starts in self.sources.values() if name in starts)
+        return any(started_us <= starts[name] for starts in self.latest_starts_us.values() if name in starts)
 
-    def put(self, source: str, names: Mapping[str, int]) -> None:
+    def replace_source(self, source: str, names: Mapping[str, int]) -> None:
         """Replace all overrides of a source, and notify the balancer of the endpoints that this changes."""
-        previous_names = self.sources.get(source, {})
-        self.sources[source] = names
+        previous_names = self.latest_starts_us.get(source, {})
+        self.latest_starts_us[source] = names
         known_hosts = self.engine.listed_upstreams()
         changed_hosts = []
         for name in {name for name, _ in previous_names.items() ^ names.items()}:
--- a/sidecar_proxy/admin/server.py
+++ b/sidecar_proxy/admin/server.py
@@ -32,7 +32,7 @@
     """The listener; it owns the connections of its clients."""
 
     def __init__(self, commands: Mapping[str, AdminCommand]) -> None:
-        self.calls = dict(commands)  # subsystems add theirs
+        self.commands = dict(commands)  # subsystems add theirs
         self.connections: dict[AdminConnection, None] = {}  # oldest first
         self.server: asyncio.Server | None = None
 
@@ -53,9 +53,9 @@
     def execute(self, line: bytes) -> bytes | Awaitable[bytes]:
         """Carry out a complete line and return its answer; neither the call nor the awaitable raises."""
         name, _, argument = line.decode("utf-8", "replace").strip().partition(" ")
-        command = self.calls.get(name.upper())
+        command = self.commands.get(name.upper())
         if command is None:
-            return b"error: expected one of %s\n" % ", ".join(self.calls).encode()
+            return b"error: expected one of %s\n" % ", ".join(self.commands).encode()
         try:
             answer = command(argument.strip())
         except Exception as error:  # a fault in one command must not end the sidecar
--- a/sidecar_proxy/consensus/fleet_commands.py
+++ b/sidecar_proxy/consensus/fleet_commands.py
@@ -58,10 +58,10 @@
 
     def register(self, server: AdminServer) -> None:
         """Adds the commands to the admin server."""
-        server.calls["FLEET"] = self.handle_fleet
+        server.commands["FLEET"] = self.handle_fleet
         for name, handler in (("PAUSE", self.handle_pause), ("RESUME", self.handle_resume)):
-            if name in server.calls:
-                server.calls[name] = partial(handler, server.calls[name])
+            if name in server.commands:
+                server.commands[name] = partial(handler, server.commands[name])
 
     def on_result(self, result: ProposalResult) -> None:
         """Passes a result on to the command that waits for it."""
--- a/sidecar_proxy/consensus/frames.py
+++ b/sidecar_proxy/consensus/frames.py
@@ -165,8 +165,8 @@
     return _decode(status_decoder, data)
 
 
-def _decode(decoder: msgspec.msgpack.Decoder[codec.Form], data: bytes) -> codec.Form:
+def _decode(decoder: msgspec.msgpack.Decoder[codec.Decoded], data: bytes) -> codec.Decoded:
     try:
-        return codec.read(decoder, data)
+        return codec.decode(decoder, data)
     except codec.CodecError as error:
         raise FrameError(str(error)) from error
--- a/sidecar_proxy/consensus/replicated_commands.py
+++ b/sidecar_proxy/consensus/replicated_commands.py
@@ -195,7 +195,7 @@
 def decode_command(data: bytes) -> ReplicatedCommand | None:
     """Returns the command in an entry's data, or None if it is of another version."""
     try:
-        command = codec.read(command_decoder, data)
+        command = codec.decode(command_decoder, data)
     except codec.CodecError:
         return None
     return command if command.kind in KNOWN_KINDS else None
@@ -211,7 +211,7 @@
     if not data:
         return ReplicatedState()
     try:
-        return codec.read(state_decoder, data)
+        return codec.decode(state_decoder, data)
     except codec.CodecError as error:
         raise CommandError(f"a snapshot that can't be read: {error}") from error
 
--- a/sidecar_proxy/consensus/session.py
+++ b/sidecar_proxy/consensus/session.py
@@ -81,7 +81,7 @@
         if greeting.answered_key != expected_key:
             raise RejectedError("an answer to another")
         certificate = greeting.certificate
-        self.keyring.certified(certificate, now_us, wall_us)
+        self.keyring.check_certificate(certificate, now_us, wall_us)
         self.keyring.verify(certificate.key, SIGNATURE_CONTEXT + payload, signature, now_us)
         try:
             self.box = Box(self.session_key, PublicKey(greeting.session_key))
--- a/sidecar_proxy/consensus/subsystem.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -12,7 +12,7 @@
 from functools import partial
 from pathlib import Path
 
-from sidecar_proxy.admin.endpoint_overrides import ALWAYS, EndpointOverrides
+from sidecar_proxy.admin.endpoint_overrides import ANY_START_US, EndpointOverrides
 from sidecar_proxy.admin.server import AdminServer
 from sidecar_proxy.config.errors import OperatorError
 from sidecar_proxy.config.schema import Agreement
@@ -120,7 +120,7 @@
         """Starts to take part, once gossip has started."""
         assert self.gossip.transport is not None
         self.gossip.listeners[GOSSIP_TOPIC] = self._on_gossip
-        self.gossip.transport.doors[CONNECTION_MAGIC] = self.transport.serve
+        self.gossip.transport.protocol_handlers[CONNECTION_MAGIC] = self.transport.serve
         state = self.replica.state
         log.info(
             "agreement: %s, %s, %d upstreams excluded",
@@ -137,7 +137,7 @@
         self.is_closed = True
         self.gossip.listeners.pop(GOSSIP_TOPIC, None)
         if self.gossip.transport is not None:
-            self.gossip.transport.doors.pop(CONNECTION_MAGIC, None)
+            self.gossip.transport.protocol_handlers.pop(CONNECTION_MAGIC, None)
         for timer in (self.tick_timer, self.maintenance_timer):
             if timer is not None:
                 timer.cancel()
@@ -158,7 +158,7 @@
         """Returns where a node is reached, or None if that is not known."""
         name = name_of(node)
         assert self.gossip.transport is not None
-        peer = self.gossip.transport.instance.core.peers.get(name)
+        peer = self.gossip.transport.instance.core.members.get(name)
         if peer is not None:
             self.addresses[name] = peer.address
         return self.addresses.get(name)
@@ -166,7 +166,7 @@
     def local_address(self) -> Address | None:
         """Returns the address that connections are opened from, or None for any."""
         assert self.gossip.transport is not None
-        return self.gossip.transport.local
+        return self.gossip.transport.local_address
 
     def on_frame(self, node: NodeId, frame: Frame) -> None:
         """Handles a received frame."""
@@ -182,7 +182,7 @@
 
     def _on_gossip(self, message: SubsystemMessage) -> None:
         now_us = self.now_us()
-        if message.left:
+        if message.is_departure:
             self._step(lambda: self.replica.on_peer_left(message.author, now_us))
             return
         try:
@@ -191,8 +191,8 @@
             self._warn(f"a status of {message.author} that can't be read: {error}")
             return
         assert self.gossip.transport is not None
-        peer = self.gossip.transport.instance.core.peers.get(message.author)
-        if peer is not None and not message.alone:
+        peer = self.gossip.transport.instance.core.members.get(message.author)
+        if peer is not None and not message.is_direct:
             self.addresses[message.author] = peer.address
             self._step(lambda: self.replica.on_status(message.author, peer.site, status, now_us))
 
@@ -261,7 +261,7 @@
                 case SendMessage(target=target, frame=frame):
                     self.transport.send(target, frame)
                 case Broadcast(status=status):
-                    self.gossip.say(GOSSIP_TOPIC, frames.encode(status))
+                    self.gossip.broadcast(GOSSIP_TOPIC, frames.encode(status))
                 case StateChanged():
                     self._apply_state()
                 case LogMessage(text=text):
@@ -279,8 +279,8 @@
         excluded = {
             name: override_until_us(upstream) for name, upstream in self.replica.state.excluded.items()
         }
-        if excluded != self.overrides.sources.get(OVERRIDES_SOURCE, {}):
-            self.overrides.put(OVERRIDES_SOURCE, excluded)
+        if excluded != self.overrides.latest_starts_us.get(OVERRIDES_SOURCE, {}):
+            self.overrides.replace_source(OVERRIDES_SOURCE, excluded)
             log.info(
                 "agreement: excluded for the fleet as of entry %d: %s",
                 self.replica.state.index,
@@ -295,7 +295,7 @@
     """
     if upstream.kind == CommandKind.DRAIN:
         return upstream.started_ms * 1000 + 999
-    return ALWAYS
+    return ANY_START_US
 
 
 def replica_limits(settings: Agreement) -> ReplicaLimits:
--- a/sidecar_proxy/consensus/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -36,7 +36,7 @@
     Session,
 )
 from sidecar_proxy.gossip.keys import Keyring, RejectedError
-from sidecar_proxy.gossip.transport import HEADER_BYTES, frame_message, receive, wall_clock_us
+from sidecar_proxy.gossip.transport import HEADER_BYTES, frame_message, read_frame, wall_clock_us
 
 log = logging.getLogger("sidecar_proxy")
 
@@ -141,7 +141,7 @@
         self, session: Session, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         writer.write(CONNECTION_MAGIC + frame_message(session.create_greeting()))
-        greeting = await receive(reader, MAX_GREETING_BYTES)
+        greeting = await read_frame(reader, MAX_GREETING_BYTES)
         session.accept_greeting(greeting, self.transport.now_us(), wall_clock_us())
         if session.peer != self.node:
             raise RejectedError("another node by now")
@@ -258,13 +258,13 @@
         self, session: Session, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bytes:
         """Exchanges greetings and returns the caller's first frame, which proves that it has its key."""
-        greeting = await receive(reader, MAX_GREETING_BYTES)
+        greeting = await read_frame(reader, MAX_GREETING_BYTES)
         key = session.accept_greeting(greeting, self.now_us(), wall_clock_us())
         if self.accepted[session.peer] >= MAX_CONNECTIONS_PER_NODE:
             raise RejectedError("too many connections of one")
         writer.write(frame_message(session.create_greeting(key)))
         await writer.drain()
-        return session.open(await receive(reader, MAX_SEALED_BYTES))
+        return session.open(await read_frame(reader, MAX_SEALED_BYTES))
 
     def _forget_accepted(self, session: Session, peer: NodeId) -> None:
         self.accepted[UNIDENTIFIED] -= 1
@@ -311,7 +311,7 @@
         return True
 
     async def _read_frame(self, reader: asyncio.StreamReader, session: Session) -> bytes:
-        sealed = await receive(reader, MAX_SEALED_BYTES)
+        sealed = await read_frame(reader, MAX_SEALED_BYTES)
         self.counts["bytes in"] += len(sealed) + HEADER_BYTES
         return session.open(sealed)
 
--- a/sidecar_proxy/consensus/witness.py
+++ b/sidecar_proxy/consensus/witness.py
@@ -74,7 +74,7 @@
     def _upstreams(self) -> Iterator[ObservedTarget]:
         """Yields the upstreams that are listed."""
         assert self.gossip.transport is not None
-        weights = self.gossip.transport.instance.weights
+        weights = self.gossip.transport.instance.outlier_weights
         zones = {number: name for name, number in self.directory.zones.items()}
         classes = {number: name for name, number in self.directory.kinds.items()}
         for number, host in self.engine.listed_upstreams().items():
@@ -98,11 +98,11 @@
         assert self.gossip.transport is not None
         core = self.gossip.transport.instance.core
         yield ObservedTarget(Target(core.name, core.site, "", self.replica.process_id), False)
-        for member in core.peers.living():
+        for member in core.members.living():
             peer = self.replica.peers.peers.get(member.name)
             process_id = peer.status.process_id if peer else ""
             yield ObservedTarget(Target(member.name, member.site, "", process_id), False)
-        for member in core.peers.dead():
+        for member in core.members.dead():
             yield ObservedTarget(Target(member.name, member.site), True)
 
     def own_return_command(self, state: ReplicatedState) -> ReplicatedCommand | None:
--- a/sidecar_proxy/gossip/codec.py
+++ b/sidecar_proxy/gossip/codec.py
@@ -158,7 +158,7 @@
     statements: Annotated[list[SignedStatement], Meta(max_length=MAX_STATEMENTS)]
 
 
-Form = TypeVar("Form")
+Decoded = TypeVar("Decoded")
 
 
 class CodecError(ValueError):
@@ -184,7 +184,7 @@
     return MAGIC + signature + payload
 
 
-def read(decoder: msgspec.msgpack.Decoder[Form], data: bytes) -> Form:
+def decode(decoder: msgspec.msgpack.Decoder[Decoded], data: bytes) -> Decoded:
     """Decode with one of the decoders above. Raises CodecError."""
     try:
         return decoder.decode(data)
--- a/sidecar_proxy/gossip/core.py
+++ b/sidecar_proxy/gossip/core.py
@@ -63,22 +63,22 @@
         """Make a core; `sign` signs this instance's statements, `alive` makes its Alive of an incarnation."""
         self.name = name
         self.site = site
-        self.peers = MemberList()
+        self.members = MemberList()
         self.awareness = Awareness()
         self.counts: Counter[str] = Counter()
         self.reports: dict[str, SignedStatement] = {}  # the latest outlier report of each author
-        self.dice = rng
+        self.rng = rng
         self._sign = sign
         self._topic_times_us: dict[tuple[str, str], int] = {}  # by author and topic: time of the latest
         shuffled_seeds = rng.sample(seeds, len(seeds))
         self.local = LocalMember(incarnation, sign, alive)
-        self.dissemination = Dissemination(self.peers, sign)
+        self.dissemination = Dissemination(self.members, sign)
         self._suspicions = Suspicions(
-            name, self.local, self.peers, self.dissemination, self.awareness, self.counts
+            name, self.local, self.members, self.dissemination, self.awareness, self.counts
         )
         self._detector = FailureDetector(
             name,
-            self.peers,
+            self.members,
             self.dissemination,
             self._suspicions,
             self.awareness,
@@ -86,8 +86,8 @@
             rng,
             now_us,
         )
-        self._push_pull = PushPullSchedule(shuffled_seeds, self.peers, rng, now_us)
-        self._urgent = UrgentRelay(self.peers, self.reports, rng, now_us)
+        self._push_pull = PushPullSchedule(shuffled_seeds, self.members, rng, now_us)
+        self._urgent = UrgentRelay(self.members, self.reports, rng, now_us)
         self.dissemination.enqueue(BroadcastKind.ALIVE, self.local.alive_statement)
 
     # Queries
@@ -106,8 +106,8 @@
         """Return this side of a state exchange: the living and their reports, this instance's first."""
         statements = self._statements_of(self.name, self.local.alive_statement)
         remaining_bytes = max_bytes - sum(map(encoded_size, statements))
-        living = self.peers.living()
-        for peer in self.dice.sample(living, len(living)):
+        living = self.members.living()
+        for peer in self.rng.sample(living, len(living)):
             peer_statements = self._statements_of(peer.name, peer.alive_statement)
             remaining_bytes -= sum(map(encoded_size, peer_statements))
             if remaining_bytes < 0:
@@ -121,7 +121,7 @@
 
     def certificate(self, author: str) -> Certificate | None:
         """Return the certificate of a known peer."""
-        peer = self.peers.get(author)
+        peer = self.members.get(author)
         return peer.certificate if peer is not None else None
 
     # Time
@@ -142,7 +142,7 @@
 
     def on_message(self, sender: str, address: Address, message: Message, now_us: int) -> list[Effect]:
         """Handle the message of a packet; its broadcasts are passed to `on_statement` before."""
-        peer = self.peers.get(sender)
+        peer = self.members.get(sender)
         match message:
             case Ping():
                 return [*self._detector.on_ping(address, peer, message)]
@@ -189,7 +189,7 @@
 
     def send_topic_message(self, name: str, message: TopicMessage) -> list[Effect]:
         """Send another subsystem's message to one peer, unless it is unknown or dead."""
-        peer = self.peers.get(name)
+        peer = self.members.get(name)
         if peer is None or peer.state is MemberState.DEAD:
             return []
         packet: SendPacket = self.dissemination.packet(peer.address, message, peer)
@@ -211,10 +211,10 @@
 
     def _on_alive(self, statement: SignedStatement, alive: Alive, now_us: int) -> None:
         certificate = alive.certificate
-        peer = self.peers.get(statement.author)
+        peer = self.members.get(statement.author)
         is_join = peer is None
         if peer is None:
-            if len(self.peers) >= MAX_PEERS:
+            if len(self.members) >= MAX_PEERS:
                 self.counts["peers over the limit"] += 1
                 return
             peer = Peer(
@@ -226,7 +226,7 @@
                 statement,
                 since_us=now_us,
             )
-            self.peers.add(peer)
+            self.members.add(peer)
             self._detector.join_round(peer.name)
         elif alive.incarnation <= peer.incarnation:
             return
@@ -234,13 +234,13 @@
         peer.address = (alive.host, alive.port)
         peer.alive_statement = statement
         peer.certificate = certificate
-        self.peers.set_state(peer, MemberState.ALIVE, now_us, certificate.site)
+        self.members.set_state(peer, MemberState.ALIVE, now_us, certificate.site)
         peer.suspecters.clear()
         self.dissemination.enqueue(BroadcastKind.ALIVE, statement, is_deferred=is_join)
 
     def _on_report(self, statement: SignedStatement, report: OutlierReport, now_us: int) -> list[Effect]:
         """Accept a report, unless its author reports too often: it would fill the packets of all."""
-        peer = self.peers.get(statement.author)
+        peer = self.members.get(statement.author)
         if peer is None or peer.state is MemberState.DEAD:
             return []
         previous = self.reports.get(statement.author)
@@ -254,7 +254,7 @@
     def _on_topic_broadcast(self, statement: SignedStatement, broadcast: TopicBroadcast) -> list[Effect]:
         """Accept a topic broadcast; it is relayed with the probes, never urgently."""
         author, topic = statement.author, broadcast.topic
-        peer = self.peers.get(author)
+        peer = self.members.get(author)
         if peer is None or peer.state is MemberState.DEAD:
             return []
         if statement.at_us - self._topic_times_us.get((author, topic), 0) < MIN_STATEMENT_GAP_US:
@@ -270,9 +270,9 @@
         return sum(topic_author == author for topic_author, _ in self._topic_times_us)
 
     def _forget_dead(self, now_us: int) -> None:
-        forgotten = [peer for peer in self.peers.dead() if now_us >= peer.since_us + DEAD_RETENTION_US]
+        forgotten = [peer for peer in self.members.dead() if now_us >= peer.since_us + DEAD_RETENTION_US]
         for peer in forgotten:
-            self.peers.remove(peer)
+            self.members.remove(peer)
             self.reports.pop(peer.name, None)
             for key in [key for key in self._topic_times_us if key[0] == peer.name]:
                 del self._topic_times_us[key]
--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -76,15 +76,15 @@
 class SubsystemMessage:
     """A peer's message for another subsystem, or the notice that a peer is dead.
 
-    `alone`: the message is to this instance alone.
-    `left`: the author is dead; topic and body are empty.
+    `is_direct`: the message is to this instance alone.
+    `is_departure`: the author is dead; topic and body are empty.
     """
 
     author: str
     topic: str
     body: bytes
-    alone: bool = False
-    left: bool = False
+    is_direct: bool = False
+    is_departure: bool = False
 
 
 Output = Datagram | StateExchange | OutlierWeight | FleetSize | SubsystemMessage
@@ -110,7 +110,7 @@
         self.wall_us = wall_us
         self.observations = LocalObservations()
         self.aggregator = ReportAggregator(keyring.certificate.site)
-        self.weights: dict[str, float] = {}  # by upstream, as last reported
+        self.outlier_weights: dict[str, float] = {}  # by upstream, as last reported
         self.fleet_size = FleetSize(min_instances, 0)
         self.blocklist = AddressBlocklist()
         self.counts: Counter[str] = Counter()
@@ -206,12 +206,12 @@
 
     # From other subsystems
 
-    def say(self, topic: str, body: bytes, wall_us: int) -> None:
+    def broadcast(self, topic: str, body: bytes, wall_us: int) -> None:
         """Broadcast another subsystem's message; it travels with the probes."""
         self.wall_us = wall_us
         self.core.broadcast_topic(codec.TopicBroadcast(topic, body))
 
-    def note(self, name: str, topic: str, body: bytes, now_us: int, wall_us: int) -> list[Output]:
+    def send_message(self, name: str, topic: str, body: bytes, now_us: int, wall_us: int) -> list[Output]:
         """Send another subsystem's message to one peer, at once and at most once."""
         self.wall_us = wall_us
         return self._outputs(self.core.send_topic_message(name, codec.TopicMessage(topic, body)), now_us)
@@ -233,12 +233,12 @@
 
     def _review(self, now_us: int) -> list[Output]:
         self.aggregator.expire(now_us)
-        outputs = self._update_weights({*self.weights, *self.aggregator.by_upstream}, now_us)
+        outputs = self._update_weights({*self.outlier_weights, *self.aggregator.by_upstream}, now_us)
         self.observations.retain_contradicted(self.aggregator.by_upstream)
         return outputs + self._update_fleet_size(now_us)
 
     def _update_fleet_size(self, now_us: int) -> list[Output]:
-        living = self.core.peers.living()
+        living = self.core.members.living()
         instances = self._size_estimator.update(len(living) + 1, now_us)
         if instances == self.fleet_size.instances:
             return []
@@ -287,7 +287,7 @@
                 case MemberDied():
                     affected = self.aggregator.remove_author(effect.name)
                     outputs += self._update_weights(affected, now_us)
-                    outputs.append(SubsystemMessage(effect.name, "", b"", left=True))
+                    outputs.append(SubsystemMessage(effect.name, "", b"", is_departure=True))
                 case TopicReceived():
                     outputs.append(
                         SubsystemMessage(effect.author, effect.topic, effect.body, effect.is_direct)
@@ -315,19 +315,19 @@
     def _update_weights(self, upstreams: Iterable[str], now_us: int) -> list[Output]:
         """Compute the weights of upstreams and return those that have changed enough to matter."""
         outputs: list[Output] = []
-        sites = self.core.peers.sites
+        sites = self.core.members.sites
         for name in upstreams:
             started_ms = self._started_ms(name)
             weight = 0.0
             if started_ms is not None:
                 weight = self.aggregator.weight(name, started_ms, sites, now_us)
-            previous = self.weights.get(name, 0.0)
+            previous = self.outlier_weights.get(name, 0.0)
             is_same_verdict = (weight > 0.0) == (previous > 0.0)
             if abs(weight - previous) < WEIGHT_STEP and is_same_verdict:
                 continue
             if weight > 0.0:
-                self.weights[name] = weight
+                self.outlier_weights[name] = weight
             else:
-                self.weights.pop(name, None)
+                self.outlier_weights.pop(name, None)
             outputs.append(OutlierWeight(name, weight))
         return outputs
--- a/sidecar_proxy/gossip/keys.py
+++ b/sidecar_proxy/gossip/keys.py
@@ -138,12 +138,12 @@
             raise RejectedError(RejectionReason.UNKNOWN_AUTHOR)
         if certificate.name != statement.author:
             raise RejectedError(RejectionReason.WRONG_NAME)
-        self.certified(certificate, now_us, wall_us)
+        self.check_certificate(certificate, now_us, wall_us)
         signed = codec.statement_signing_input(statement.author, statement.at_us, statement.body)
         self.verify(certificate.key, signed, statement.signature, now_us)
         return content
 
-    def certified(self, certificate: Certificate, now_us: int, wall_us: int) -> None:
+    def check_certificate(self, certificate: Certificate, now_us: int, wall_us: int) -> None:
         """Check that a certificate is valid, not revoked and signed by a fleet key. Raises RejectedError."""
         if certificate.serial in self.revoked:
             raise RejectedError(RejectionReason.REVOKED)
@@ -197,7 +197,7 @@
         window = self.replay_windows.get(certificate.name)
         if window is not None and not window.is_new(sequence_us):
             raise RejectedError(RejectionReason.REPLAYED)
-        self.certified(certificate, now_us, wall_us)
+        self.check_certificate(certificate, now_us, wall_us)
         self.verify(certificate.key, payload, signature, now_us)
         if window is None:
             window = self.replay_windows[certificate.name] = ReplayWindow()
@@ -206,10 +206,10 @@
         window.record(sequence_us)
 
 
-def decode_or_reject(decoder: Decoder[codec.Form], data: bytes) -> codec.Form:
+def decode_or_reject(decoder: Decoder[codec.Decoded], data: bytes) -> codec.Decoded:
     """Decode, or raise RejectedError."""
     try:
-        return codec.read(decoder, data)
+        return codec.decode(decoder, data)
     except codec.CodecError as error:
         raise RejectedError(RejectionReason.MALFORMED) from error
 
--- a/sidecar_proxy/gossip/status.py
+++ b/sidecar_proxy/gossip/status.py
@@ -21,10 +21,10 @@
         "incarnation": core.local.incarnation,
         "health": core.awareness.score,
         "instances": instance.fleet_size.instances,
-        "peers": [_describe_peer(core.peers[name]) for name in sorted(core.peers)],
+        "peers": [_describe_peer(core.members[name]) for name in sorted(core.members)],
         "nodes": {
             name: {
-                "weight": round(instance.weights.get(name, 0.0), 3),
+                "weight": round(instance.outlier_weights.get(name, 0.0), 3),
                 "by": {author: _describe_report(report) for author, report in by_author.items()},
             }
             for name, by_author in sorted(instance.aggregator.by_upstream.items())
--- a/sidecar_proxy/gossip/subsystem.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -53,16 +53,16 @@
         """The instance's name, which is its certificate's."""
         return self.keyring.certificate.name
 
-    def say(self, topic: str, body: bytes) -> None:
+    def broadcast(self, topic: str, body: bytes) -> None:
         """Broadcast a message to all sidecars; it takes some seconds."""
         if self.transport is not None:
-            self.transport.instance.say(topic, body, wall_clock_us())
+            self.transport.instance.broadcast(topic, body, wall_clock_us())
 
-    def note(self, name: str, topic: str, body: bytes) -> None:
+    def send_message(self, name: str, topic: str, body: bytes) -> None:
         """Send a message to one sidecar; it may be lost."""
         if self.transport is not None:
             now_us = self._engine.clock.now_us()
-            outputs = self.transport.instance.note(name, topic, body, now_us, wall_clock_us())
+            outputs = self.transport.instance.send_message(name, topic, body, now_us, wall_clock_us())
             self.transport.perform(outputs)
 
     async def start(self) -> None:
@@ -147,7 +147,7 @@
         match output:
             case SubsystemMessage():
                 for topic, listener in self.listeners.items():
-                    if output.left or topic == output.topic:
+                    if output.is_departure or topic == output.topic:
                         listener(output)
             case FleetSize():
                 self._engine.dispatch(api.FleetResized(output.instances, output.index))
--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -54,8 +54,8 @@
         """Make a transport; `now_us` is the monotonic clock, `on_output` takes the other outputs."""
         self.instance = instance
         self.exchanges = 0  # running state exchanges
-        self.doors: dict[bytes, ProtocolHandler] = {}  # other protocols, by their magic
-        self.local: Address | None = None  # source of connections; None = the system's choice
+        self.protocol_handlers: dict[bytes, ProtocolHandler] = {}  # other protocols, by their magic
+        self.local_address: Address | None = None  # source of connections; None = the system's choice
         self.now_us = now_us
         self._on_output = on_output
         self._loop = asyncio.get_running_loop()
@@ -73,7 +73,7 @@
         """Listen on TCP and UDP and return the address. Raises OSError."""
         self._tcp = await asyncio.start_server(self._accept, *bind, limit=MAX_READ_BUFFER_BYTES)
         host, port = self._tcp.sockets[0].getsockname()[:2]
-        self.local = None if ipaddress.ip_address(host).is_unspecified else (host, 0)
+        self.local_address = None if ipaddress.ip_address(host).is_unspecified else (host, 0)
         try:
             self._udp, _ = await self._loop.create_datagram_endpoint(lambda: self, (host, port))
         except OSError:
@@ -132,6 +132,13 @@
     # State exchanges
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        try:
+            await self._serve_connection(reader, writer)
+        except asyncio.CancelledError:
+            # The process ends. The streams of Python 3.11 log a traceback for a handler that is cancelled.
+            writer.transport.abort()
+
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self._pending_connections >= MAX_PENDING_CONNECTIONS:
             writer.transport.abort()
             return
@@ -144,7 +151,7 @@
             return
         finally:
             self._pending_connections -= 1
-        handler = self.doors.get(header)
+        handler = self.protocol_handlers.get(header)
         if handler is not None:
             await handler(reader, writer)
         else:
@@ -154,7 +161,7 @@
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 # from the listening address, as the other side may judge by it
-                reader, writer = await asyncio.open_connection(*address, local_addr=self.local)
+                reader, writer = await asyncio.open_connection(*address, local_addr=self.local_address)
         except (OSError, TimeoutError):
             return
         await self._exchange(reader, writer, header=None)
@@ -192,7 +199,7 @@
         is_caller = header is None
         if is_caller:
             await _send_frame(writer, self.instance.local_state(wall_clock_us()))
-        data = await receive(reader, MAX_STATE_BYTES, header or b"")
+        data = await read_frame(reader, MAX_STATE_BYTES, header or b"")
         self.instance.counts["bytes in"] += len(data)
         statements = self.instance.open_remote_state(data, self.now_us(), wall_clock_us())
         if not is_caller:
@@ -239,7 +246,7 @@
     return len(data).to_bytes(HEADER_BYTES, "big") + data
 
 
-async def receive(reader: asyncio.StreamReader, max_bytes: int, header: bytes = b"") -> bytes:
+async def read_frame(reader: asyncio.StreamReader, max_bytes: int, header: bytes = b"") -> bytes:
     """Read one frame; `header` is its length if that has been read. Raises ValueError if it is too long."""
     size = int.from_bytes(header or await reader.readexactly(HEADER_BYTES), "big")
     if size > max_bytes:
--- a/sidecar_proxy/overload_control/subsystem.py
+++ b/sidecar_proxy/overload_control/subsystem.py
@@ -54,7 +54,7 @@
         self.rejected_messages = 0
         self.next_rejection_log_s = 0.0
         if admin_server is not None:
-            admin_server.calls[ADMIN_COMMAND] = self.handle_admin_command
+            admin_server.commands[ADMIN_COMMAND] = self.handle_admin_command
 
     def start(self) -> None:
         """Begins to count requests, to receive messages and to tick."""
@@ -103,7 +103,7 @@
     def receive(self, delivery: SubsystemMessage) -> None:
         """Hands a message of the gossip transport to the controller; logs a malformed one."""
         now_us = self.engine.clock.now_us()
-        if delivery.left:
+        if delivery.is_departure:
             self.controller.remove_peer(delivery.author)
             return
         try:
@@ -111,7 +111,7 @@
         except messages.MessageError as error:
             self._log_rejected(f"{delivery.author}: {error}")
             return
-        is_broadcast = not delivery.alone
+        is_broadcast = not delivery.is_direct
         if isinstance(message, messages.Report):
             if is_broadcast:
                 self._perform(self.controller.receive_report(delivery.author, message, now_us))
@@ -152,9 +152,9 @@
             if isinstance(output, Broadcast):
                 if self.options.trace:
                     self._trace_report()
-                self.gossip.say(messages.TOPIC, messages.encode(output.report))
+                self.gossip.broadcast(messages.TOPIC, messages.encode(output.report))
             elif isinstance(output, SendMessage):
-                self.gossip.note(output.recipient, messages.TOPIC, messages.encode(output.message))
+                self.gossip.send_message(output.recipient, messages.TOPIC, messages.encode(output.message))
             elif isinstance(output, LogMessage):
                 logger.info("overload: %s", output.text)
             else:
--- a/sidecar_proxy/testbed/client_fleet.py
+++ b/sidecar_proxy/testbed/client_fleet.py
@@ -50,7 +50,7 @@
         super().__init__(SigningKey(bytes(32)), certificate, [])
         self.key = CheapKey()  # type: ignore[assignment]
 
-    def certified(self, certificate: Certificate, now_us: int, wall_us: int) -> None:
+    def check_certificate(self, certificate: Certificate, now_us: int, wall_us: int) -> None:
         if certificate.serial in self.revoked:
             raise RejectedError("revoked")
 
@@ -239,4 +239,4 @@
 
     def knows_all(self) -> bool:
         living = [one for one in self.all() if not one.stopped]
-        return all(len(one.instance.core.peers.living()) == len(living) - 1 for one in living)
+        return all(len(one.instance.core.members.living()) == len(living) - 1 for one in living)
--- a/sidecar_proxy/testbed/gossip.py
+++ b/sidecar_proxy/testbed/gossip.py
@@ -121,7 +121,7 @@
                 self.index, 0, True, words.TOTAL_PARTS, 0, 10**9, 1000, False, 10**6, work, []
             )
             self.said += 1
-            self.instance.say(words.TOPIC, words.encode(told), wall_clock_us())
+            self.instance.broadcast(words.TOPIC, words.encode(told), wall_clock_us())
 
 
 def unheard(one: OutlierWeight | FleetSize | SubsystemMessage) -> None:
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -112,15 +112,15 @@
 
 
 def read_packet(data: bytes) -> codec.Packet:
-    return codec.read(codec.packet_decoder, codec.split_envelope(data, codec.MAX_PACKET_BYTES)[1])
+    return codec.decode(codec.packet_decoder, codec.split_envelope(data, codec.MAX_PACKET_BYTES)[1])
 
 
 def read_state(data: bytes) -> codec.State:
-    return codec.read(codec.state_decoder, codec.split_envelope(data, codec.MAX_STATE_BYTES)[1])
+    return codec.decode(codec.state_decoder, codec.split_envelope(data, codec.MAX_STATE_BYTES)[1])
 
 
 def read_statement(data: bytes) -> codec.Statement:
-    return codec.read(codec.statement_decoder, data)
+    return codec.decode(codec.statement_decoder, data)
 
 
 def read_frame(data: bytes) -> frames.Frame:
@@ -277,7 +277,7 @@
 @pytest.mark.parametrize(("name", "head"), [("caller_greeting", 4 + 4), ("answer_greeting", 4)])
 def test_a_greeting_reads_as_its_golden_values(name: str, head: int) -> None:
     payload = golden_hex(f"session/{name}.hex")[head + codec.SIGNATURE_BYTES :]
-    found = codec.read(session.greeting_decoder, payload)
+    found = codec.decode(session.greeting_decoder, payload)
     assert_described(found, golden_json("session/session.json")[name])
     assert session.encode(found) == payload
 
@@ -328,13 +328,13 @@
 def test_a_certificate_holds_until_its_end_and_not_once_it_is_revoked() -> None:
     west = west_keyring().certificate
     own = east_keyring()
-    own.certified(west, 0, WALL_US)
-    own.certified(west, 0, west.until_s * 1_000_000)
+    own.check_certificate(west, 0, WALL_US)
+    own.check_certificate(west, 0, west.until_s * 1_000_000)
     with pytest.raises(RejectedError, match="expired"):
-        own.certified(west, 0, west.until_s * 1_000_000 + 1)
+        own.check_certificate(west, 0, west.until_s * 1_000_000 + 1)
     own.revoked = frozenset(golden_json("keys/keys.json")["revoked"])
     with pytest.raises(RejectedError, match="revoked"):
-        own.certified(west, 0, WALL_US)
+        own.check_certificate(west, 0, WALL_US)
 
 
 def test_certify_writes_the_golden_certificates(keys: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/gossip/fleets.py
+++ b/tests/gossip/fleets.py
@@ -19,7 +19,7 @@
 def states_of(fleet: Fleet, name: str) -> set[MemberState]:
     """Return the states in which the running instances see a peer."""
     return {
-        member.instance.core.peers[name].state
+        member.instance.core.members[name].state
         for member in fleet.all()
-        if not member.stopped and name in member.instance.core.peers
+        if not member.stopped and name in member.instance.core.members
     }
--- a/tests/gossip/test_core.py
+++ b/tests/gossip/test_core.py
@@ -56,7 +56,7 @@
     fleet.run(3.0)
     fleet.passes = lambda source, target: (source[1] < 1010) == (target[1] < 1010)
     fleet.run(40.0)
-    assert max(len(member.instance.core.peers.living()) for member in fleet.all()) == 9
+    assert max(len(member.instance.core.members.living()) for member in fleet.all()) == 9
     assert {member.sized for member in fleet.all()} == {20}
     fleet.passes = lambda source, target: True
     fleet.run(40.0)
@@ -82,7 +82,7 @@
         starved.asleep_until_us = fleet.now_us + 399_500
         fleet.run(0.4)
         worst_score = max(worst_score, starved.instance.core.awareness.score)
-        dead |= {peer.name for member in others for peer in member.instance.core.peers.dead()}
+        dead |= {peer.name for member in others for peer in member.instance.core.members.dead()}
     assert worst_score >= 2
     assert dead <= {"i7"}
 
@@ -93,7 +93,7 @@
     core = liar.instance.core
     for _ in range(40):
         fleet.run(1.0)
-        for peer in core.peers.living():
+        for peer in core.members.living():
             statement = liar.instance.sign(codec.Suspect(peer.name, peer.incarnation))
             core.dissemination.enqueue(BroadcastKind.SUSPECT, statement, core.name, peer.name)
     fleet.run(10.0)
@@ -177,8 +177,8 @@
     assert first.keyring.rejections["not of this fleet"] == rejected + 1
     late = fleet.add(50, "s1")  # its certificate is signed by the old key alone
     fleet.run(20.0)
-    assert not late.instance.core.peers
-    assert all("i50" not in member.instance.core.peers for member in fleet.all())
+    assert not late.instance.core.members
+    assert all("i50" not in member.instance.core.members for member in fleet.all())
 
 
 def test_fleet_size_estimate_falls_late_and_never_below_its_floor() -> None:
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -116,6 +116,6 @@
                 udp.sendto(rng.randbytes(size))
             await until(lambda: pair.first.instance.keyring.rejections.total() >= 5)
             udp.close()
-            assert len(pair.first.instance.core.peers.living()) == 1
+            assert len(pair.first.instance.core.members.living()) == 1
 
     asyncio.run(scenario())
--- a/tests/overload_control/test_subsystem.py
+++ b/tests/overload_control/test_subsystem.py
@@ -77,12 +77,12 @@
         messages.encode(LeaseRequest(1, 1, 5, 0))[:-1],
     )
     for body in malformed:
-        for name in list(instance.core.peers):
-            outputs = instance.note(name, messages.TOPIC, body, now_us, wall_clock_us())
+        for name in list(instance.core.members):
+            outputs = instance.send_message(name, messages.TOPIC, body, now_us, wall_clock_us())
             liar.transport.perform(outputs)
-            lease_id = instance.core.dice.getrandbits(LIAR_RANDOM_BITS)
+            lease_id = instance.core.rng.getrandbits(LIAR_RANDOM_BITS)
             request = messages.encode(LeaseRequest(lease_id, 1, TOTAL_PARTS, 0))
-            outputs = instance.note(name, messages.TOPIC, request, now_us, wall_clock_us())
+            outputs = instance.send_message(name, messages.TOPIC, request, now_us, wall_clock_us())
             liar.transport.perform(outputs)
 
 
--- a/tests/overload_control/test_subsystem_wiring.py
+++ b/tests/overload_control/test_subsystem_wiring.py
@@ -46,11 +46,11 @@
         self.broadcasts: list[bytes] = []
         self.sent: list[tuple[str, bytes]] = []
 
-    def say(self, topic: str, body: bytes) -> None:
+    def broadcast(self, topic: str, body: bytes) -> None:
         assert topic == messages.TOPIC
         self.broadcasts.append(body)
 
-    def note(self, name: str, topic: str, body: bytes) -> None:
+    def send_message(self, name: str, topic: str, body: bytes) -> None:
         assert topic == messages.TOPIC
         self.sent.append((name, body))
 
