--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -44,8 +44,8 @@
 
 
 def cold(decisions: Balancer, ident: int, now_us: int) -> bool:
-    server = decisions.servers.get(ident)
-    return server is not None and decisions.fleet.warmth(server, now_us) < 1.0
+    server = decisions.endpoints.get(ident)
+    return server is not None and decisions.pool.slow_start_weight(server, now_us) < 1.0
 
 
 def count(recording: Recording, into: Counted) -> None:
@@ -74,17 +74,22 @@
             elif isinstance(action, api.Fail):
                 seen["failed"] += 1
             elif isinstance(action, api.Refuse):
-                fleet = decisions.fleet
+                fleet = decisions.pool
                 seen["refused"] += 1
-                seen["for all"] += decisions.total.free(now_us) <= 0
-                seen["idle warm"] += sum(one.slots.free(now_us) > 0 for one in fleet.warm.items())
+                seen["for all"] += decisions.total_limiter.free_slots(now_us) <= 0
+                seen["idle warm"] += sum(one.limiter.free_slots(now_us) > 0 for one in fleet.warm.items())
                 seen["idle cold"] += sum(
-                    not one.slots.used and one.slots.free(now_us) > 0 for one in fleet.cold.items()
+                    not one.limiter.in_flight and one.limiter.free_slots(now_us) > 0
+                    for one in fleet.warming.items()
                 )
         if second != shown:
             shown = second
             into.slots[second].append(
-                (decisions.total.window, decisions.total.used, decisions.fleet.as_many_warm(now_us))
+                (
+                    decisions.total_limiter.limit,
+                    decisions.total_limiter.in_flight,
+                    decisions.pool.warm_equivalent(now_us),
+                )
             )
 
 
--- a/benchmarks/replay_recordings.py
+++ b/benchmarks/replay_recordings.py
@@ -32,7 +32,7 @@
 
 
 def random_state_digest(balancer: Balancer) -> str:
-    state = repr(balancer.random.getstate()).encode()
+    state = repr(balancer.context.random.getstate()).encode()
     return hashlib.blake2b(state, digest_size=8).hexdigest()
 
 
--- a/benchmarks/spread.py
+++ b/benchmarks/spread.py
@@ -35,7 +35,7 @@
 
 def build(index: int, zones: int, home: int, size: int, instances: int = SIDECARS) -> Subset:
     one = Subset(index, instances, MOST, home, zones)
-    one.size = size
+    one.target_size = size
     dice = random.Random(1)
     for _ in range(UPSTREAMS):
         ident = dice.randrange(1 << 32)
--- a/sidecar_proxy/balancer/endpoint_pool.py
+++ b/sidecar_proxy/balancer/endpoint_pool.py
@@ -1,366 +1,342 @@
-"""The index of the fleet: what one sidecar knows of each upstream, and who of them may have a send now.
+"""The endpoint pool: what one sidecar knows of each upstream, indexed by who may be sent to now.
 
-No I/O and no clock but the time handed in. Every change of an upstream is told by `touch`, in O(log n); after
-it the shelves agree with what a plain scan of all upstreams would find (tests/balancer/test_endpoint_pool.py).
+No I/O and no clock but the time passed in. Every change of an endpoint is followed by `update`, which takes
+O(log n); after it the indexes agree with a plain scan of all endpoints
+(tests/balancer/test_endpoint_pool.py).
 """
 
 import heapq
 import math
 import random
 from itertools import islice
+from typing import Final
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.balancer.ordered_index import OrderedIndex, Seat, Sorted
-from sidecar_proxy.balancer.subsetting import place_of
-
-GROWTH = 0.4  # slots a round of answers moves, by the distance from the full load; 0.8 is too rash
-FULL_LOAD = 0.7  # of the slow time, where slots settle: more lets crowded upstreams choke, less refuses early
-FULL_SHARED = 0.85  # the same where very many sidecars share an upstream
-MOST_SLOTS = 8  # times the first slots, however quick the answers
-COLD_SLOTS = 8.0  # at an upstream that is nearly warm, all sidecars together; at a cold one its share of them
-FEW = 4  # sidecars that share an idle upstream: few connections, each well known; 8 to 50 do a little worse
-COLD_TRIES = 64
-GOLDEN = 0.618033988749895  # the multiples of it lie evenly in [0, 1), however many follow on another
-
-
-class ConcurrencyLimiter:
-    """Outstanding sends to one upstream, or to all of them together."""
-
-    __slots__ = ("first", "rest_until_us", "used", "window")
-
-    def __init__(self, window: float) -> None:
-        self.used = 0
-        self.first = window
-        self.window = window  # how many are open while all is well; below 1 the one slot rests between sends
-        self.rest_until_us = 0
-
-    def free(self, now_us: int) -> int:
-        return (int(self.window) if self.window >= 1.0 else int(now_us >= self.rest_until_us)) - self.used
-
-    def follow(self, load: float, full: float, needed: bool, floor: float, ways: float) -> None:
-        step = GROWTH * (full - load) / max(self.window, 1.0)
-        if step < 0.0:
-            # hazard: after an outage all would rest for long, and where all are slow it only refuses more
-            self.window = max(self.window * (1.0 + step), min(self.window, floor))
-        elif self.window < self.first or needed:
-            # hazard: slots opened without need, by many sidecars above all, choke bursts
-            self.window = min(self.window + min(self.window, step * ways), MOST_SLOTS * self.first)
-
-    def rest(self, now_us: int, busy_us: float, chance: float) -> None:
-        if self.window < 1.0:
-            self.rest_until_us = now_us + int(busy_us * (1.0 / self.window - 1.0) * (0.5 + chance))
-
-
-class Endpoint:  # what this sidecar knows of one upstream
-    __slots__ = (
-        "answer_us",
-        "answered_us",
-        "askers",
-        "counted",
-        "crowd",
-        "doubts",
-        "entry",
-        "failing",
-        "kept",
-        "low",
-        "noted_us",
-        "order",
-        "ranked",
-        "resting",
-        "seat",
-        "shelf",
-        "size",
-        "slots",
-        "told_us",
-        "turn",
-        "well_us",
-    )
-
-    def __init__(self, entry: api.Upstream, order: float, opening: float) -> None:
-        self.entry = entry
-        self.order = order  # this sidecar's own, at random
-        self.slots = ConcurrencyLimiter(1.0)  # one slot, as in the paper
-        self.slots.window = opening
-        self.crowd: float | None = None  # requests it holds by its last report; None = it told none
-        self.told_us = 0  # when it last reported, or left a probe unanswered
-        self.size = 1.0  # its weight, where weights speak of size
-        self.resting = False  # as last logged
-        self.failing = 0.0  # share of its last 16 attempts or so that failed
-        self.answer_us = 0.0  # its answers, smoothed
-        self.answered_us = 0  # when the last sent of the attempts that it has answered was sent
-        self.doubts = 0  # attempts presumed lost since it last answered
-        self.askers: dict[int, None] = {}  # requests that wait to hear its load, in their order
-        self.kept = 0.0  # its window, while others suspect it and each send is a trial; 0 = they do not
-        self.well_us = 0  # when an attempt of ours last ended well
-        # kept by Fleet alone:
-        self.seat: Seat[Endpoint] | None = None
-        self.shelf: OrderedIndex[Endpoint] | None = None
-        self.ranked = 0.0  # the failing share under which it is ranked
-        self.counted = (0.0, 0)  # its size, and its start since the index began, as summed
-        self.noted_us = 0  # the rest that is in the heap
-        self.low = opening < 1.0  # when last touched, its window was below 1
-        self.turn = 0.0  # in [0, 1): how early this sidecar is among those that its slots are dealt to, cold
+from sidecar_proxy.balancer.context import NO_HOME_ZONE
+from sidecar_proxy.balancer.endpoint import Endpoint
+from sidecar_proxy.balancer.ordered_index import OrderedIndex, SortedMultiset
+from sidecar_proxy.balancer.subsetting import ring_position
+
+# at a nearly warm endpoint, of all sidecars together; before that, in proportion to its slow-start weight
+MAX_SLOTS_WHILE_WARMING: Final = 8.0
+FEW_SIDECARS: Final = 4  # up to which the sidecars at an endpoint draw by its free slots
+MAX_WARMING_DRAWS: Final = 64
+GOLDEN_RATIO: Final = 0.618033988749895  # its multiples lie evenly in [0, 1), however many follow each other
 
 
 class EndpointPool:
-    """The upstreams that this sidecar uses, on a shelf of the warm and one of the cold."""
+    """The endpoints that this sidecar uses, in an index of the warm and one of those that warm up."""
 
-    def __init__(self, settings: api.Settings, home: int, now_us: int) -> None:
+    def __init__(self, settings: api.Settings, home_zone: int, now_us: int) -> None:
         self.settings = settings
-        self.home = home  # the zone that is near; -1 = none
-        self.few = settings.instances <= FEW  # draws go by size and open slots
-        self.number = settings.self_index  # of this sidecar
-        self.cold_slots = COLD_SLOTS / settings.instances
-        self.dealt: dict[int, Endpoint] = {}  # cold ones with a slot of this sidecar, in time
-        self.leased_slots, self.leased_us = 0.0, 0  # in place of `cold_slots`, until then
-        self.base_us = now_us  # starts are summed from here, lest sums of Unix times lose digits
-        self.servers: dict[int, Endpoint] = {}  # those that have something out, though not used any more, too
+        self.home_zone = home_zone
+        self.sidecar_index = settings.self_index
+        self.sidecars_per_endpoint = float(settings.instances)
+        self.draws_by_free_slots = settings.instances <= FEW_SIDECARS
+        # slots at warming endpoints: by this sidecar's share, or by a lease from the fleet in its place
+        self.warming_slots = MAX_SLOTS_WHILE_WARMING / settings.instances
+        self.leased_slots = 0.0
+        self.lease_until_us = 0
+        self.allocated: dict[int, Endpoint] = {}  # warming ones with a slot of this sidecar, sooner or later
+        self.epoch_us = now_us  # starts are summed from here, so that sums of Unix times lose no digits
+        # those that are not used any more stay while they have sends in flight
+        self.endpoints: dict[int, Endpoint] = {}
         self.warm: OrderedIndex[Endpoint] = OrderedIndex()  # in this sidecar's own order
-        self.cold: OrderedIndex[Endpoint] = OrderedIndex()
-        self.failing: Sorted[float] = Sorted()  # shares of the warm
-        self.warm_size = self.cold_size = self.cold_start = 0.0
-        self.moved: dict[int, None] = {}  # whose place in the order is renewed next
-        self.rests: list[tuple[int, int]] = []  # a heap: until when, who
-        self.warming: list[tuple[int, int]] = []  # a heap: from when warm, who
-
-    def warmth(self, server: Endpoint, now_us: int) -> float:
-        """Rule 4: the share of its capacity that an upstream surely has by now."""
-        s, age_us = self.settings, now_us - server.entry.started_us
-        if server.entry.started_us == 0 or age_us >= s.warm_up_us:
+        self.warming: OrderedIndex[Endpoint] = OrderedIndex()
+        self.failure_rates: SortedMultiset[float] = SortedMultiset()  # of the warm
+        self.warm_weight = 0.0
+        self.warming_weight = 0.0
+        self.warming_start_sum = 0.0  # weight times start since the epoch, of those that warm up
+        self.order_changed: dict[int, None] = {}  # whose place in the order is renewed next
+        self.reopen_times: list[tuple[int, int]] = []  # a heap: when a pause ends, and whose
+        self.warm_up_ends: list[tuple[int, int]] = []  # a heap: when warm-up ends, and whose
+
+    # Questions about one endpoint
+
+    def slow_start_weight(self, endpoint: Endpoint, now_us: int) -> float:
+        """Return the share of its capacity that an endpoint certainly has by now (rule 4)."""
+        settings = self.settings
+        started_us = endpoint.entry.started_us
+        age_us = now_us - started_us
+        if started_us == 0 or age_us >= settings.warm_up_us:
             return 1.0
-        return s.cold_share + (1.0 - s.cold_share) * max(0, age_us) / s.warm_up_us
-
-    def open_slots(self, server: Endpoint, now_us: int) -> int:
-        """How many more sends an upstream may have now; the one place where health lives."""
-        if server.entry.state is not api.UpstreamState.READY:
-            return 0  # rule 3: draining and gone upstreams get nothing from the moment we are told
-        free, warmth = server.slots.free(now_us), self.warmth(server, now_us)
-        if warmth >= 1.0:
+        return settings.cold_share + (1.0 - settings.cold_share) * max(0, age_us) / settings.warm_up_us
+
+    def open_slots(self, endpoint: Endpoint, now_us: int) -> int:
+        """Return how many more sends an endpoint may have now; 0 or less = none."""
+        if endpoint.entry.state is not api.UpstreamState.READY:
+            return 0  # rule 3: draining and removed upstreams get nothing from the moment that is known
+        limiter = endpoint.limiter
+        free = limiter.free_slots(now_us)
+        weight = self.slow_start_weight(endpoint, now_us)
+        if weight >= 1.0:
             return free
-        # rule 4: what is out together is what can be sent ahead of what it serves; that grows with its warmth
-        most = (
-            int(self.leased_slots * warmth + server.turn)
-            if self.leased(now_us)
-            else max(1, int(self.cold_slots * warmth))
-        )
-        return min(free, most - server.slots.used)
-
-    def leased(self, now_us: int) -> bool:
-        return now_us < self.leased_us
-
-    def lease(self, share: float, until_us: int, now_us: int) -> None:
-        """This sidecar's part of what cold upstreams bear, by the fleet's word. All sidecars' parts together
-        are no more than the whole.
-        """
-        self.leased_slots, self.leased_us = COLD_SLOTS * share, until_us
-        for server in self.cold.items():  # what is open grows with their warmth
-            self.touch(server, now_us)
+        # rule 4: sends in flight are what may come ahead of what it serves; that grows with its weight
+        if self.is_leased(now_us):
+            allowed = int(self.leased_slots * weight + endpoint.allocation_offset)
+        else:
+            allowed = max(1, int(self.warming_slots * weight))
+        return min(free, allowed - limiter.in_flight)
 
-    def failing_at(self, part: int) -> float:
-        """The failed share that one in `part` of the warm upstreams stays within."""
-        return self.failing.at((len(self.failing) - 1) // part) if len(self.failing) else 0.0
+    def is_leased(self, now_us: int) -> bool:
+        """Whether a lease from the fleet, not this sidecar's share, limits sends to warming endpoints."""
+        return now_us < self.lease_until_us
 
-    def key(self, server: Endpoint) -> float:
-        """The place in this sidecar's own order: by chance, size, zone and open slots."""
-        near = 2 if server.entry.zone == self.home else 1
-        # a trial is at its usual place: an upstream that is falsely suspected would not be tried else
-        return server.order / min(1.0, server.kept or server.slots.window) / server.size / near
+    def order_key(self, endpoint: Endpoint) -> float:
+        """Return the place in this sidecar's own order: by chance, weight, zone and slots below one."""
+        zone_factor = 2 if endpoint.entry.zone == self.home_zone else 1
+        # on probation it keeps its usual place; otherwise a false suspicion would never be tested
+        slots = min(1.0, endpoint.ordinary_limit())
+        return endpoint.order / slots / endpoint.weight / zone_factor
 
     # Changes
 
-    def place(self, server: Endpoint, now_us: int) -> None:
-        """Put a server on the shelf that it belongs to now: its entry, size or start may have changed."""
-        self.servers[server.entry.id] = server
-        ready = server.entry.state is api.UpstreamState.READY
-        is_warm = self.warmth(server, now_us) >= 1.0
-        shelf = (self.warm if is_warm else self.cold) if ready else None
-        if server.seat is not None:
-            same = server.shelf is shelf and server.counted == self.sums_of(server)
-            if same and server.seat.key[0] == self.key(server):
-                self.touch(server, now_us)
+    def grant_lease(self, budget_share: float, until_us: int, now_us: int) -> None:
+        """Set this sidecar's share of what warming endpoints bear; all shares together are at most 1."""
+        self.leased_slots = MAX_SLOTS_WHILE_WARMING * budget_share
+        self.lease_until_us = until_us
+        for endpoint in self.warming.items():  # their open slots grow with their weight
+            self.update(endpoint, now_us)
+
+    def place(self, endpoint: Endpoint, now_us: int) -> None:
+        """Put an endpoint into the index where it belongs by its present entry, weight and start."""
+        self.endpoints[endpoint.entry.id] = endpoint
+        is_warm = self.slow_start_weight(endpoint, now_us) >= 1.0
+        index: OrderedIndex[Endpoint] | None = None
+        if endpoint.entry.state is api.UpstreamState.READY:
+            index = self.warm if is_warm else self.warming
+        if endpoint.index_entry is not None:
+            is_same = endpoint.index is index and self.has_current_sums(endpoint)
+            if is_same and endpoint.index_entry.key[0] == self.order_key(endpoint):
+                self.update(endpoint, now_us)
                 return
-            self.remove(server)
-        if shelf is None:
+            self.remove(endpoint)
+        if index is None:
             return
-        server.shelf = shelf
-        server.seat = shelf.put(server, self.key(server), server.entry.id)
-        server.counted = self.sums_of(server)
+        endpoint.index = index
+        endpoint.index_entry = index.insert(endpoint, self.order_key(endpoint), endpoint.entry.id)
+        endpoint.summed_weight = endpoint.weight
+        endpoint.summed_start_us = endpoint.entry.started_us - self.epoch_us
         if is_warm:
-            server.ranked = server.failing
-            self.failing.add(server.ranked)
-            self.warm_size += server.size
+            endpoint.ranked_failure_rate = endpoint.failure_rate
+            self.failure_rates.add(endpoint.ranked_failure_rate)
+            self.warm_weight += endpoint.weight
         else:
-            self.cold_size += server.size
-            self.cold_start += server.size * server.counted[1]
-            until_us = server.entry.started_us + self.settings.warm_up_us
-            heapq.heappush(self.warming, (until_us, server.entry.id))
-            self.deal(server)
-        self.touch(server, now_us)
-
-    def deal(self, server: Endpoint) -> None:
-        """Rule 4, in a shortage: the slots that a cold upstream bears, COLD_SLOTS by its warmth, are dealt
-        out by the sidecars' numbers, so that without a word between them all hold no more than that, and a
-        busy one can use its own at once. What is out in a closed loop is all that a budget for a window can
-        be ahead of. Hazard: so few sidecars that each has a slot at every one together pass that budget.
+            self.warming_weight += endpoint.weight
+            self.warming_start_sum += endpoint.weight * endpoint.summed_start_us
+            warm_us = endpoint.entry.started_us + self.settings.warm_up_us
+            heapq.heappush(self.warm_up_ends, (warm_us, endpoint.entry.id))
+            self.allocate(endpoint)
+        self.update(endpoint, now_us)
+
+    def has_current_sums(self, endpoint: Endpoint) -> bool:
+        """Whether the sums hold an endpoint's weight and start as they are now."""
+        if endpoint.summed_weight != endpoint.weight:
+            return False
+        return endpoint.summed_start_us == endpoint.entry.started_us - self.epoch_us
+
+    def allocate(self, endpoint: Endpoint) -> None:
+        """Settle whether this sidecar has a slot at a warming endpoint while capacity is exhausted (rule 4).
+
+        The slots that a warming endpoint bears are allocated by the sidecars' indexes, so that all together
+        hold no more than that without exchanging messages, and a busy sidecar can use its own at once. A
+        few sidecars that would have a slot at every endpoint are left out: they would pass the budget of a
+        window of time.
         """
-        server.turn = (place_of(server.entry.id)[0] / 2.0**64 + self.number * GOLDEN) % 1.0
-        if 1.0 - server.turn <= self.cold_slots < 1.0:
-            self.dealt[server.entry.id] = server
+        position = ring_position(endpoint.entry.id)[0] / 2.0**64
+        endpoint.allocation_offset = (position + self.sidecar_index * GOLDEN_RATIO) % 1.0
+        if 1.0 - endpoint.allocation_offset <= self.warming_slots < 1.0:
+            self.allocated[endpoint.entry.id] = endpoint
         else:
-            self.dealt.pop(server.entry.id, None)
-
-    def sums_of(self, server: Endpoint) -> tuple[float, int]:
-        return server.size, server.entry.started_us - self.base_us
-
-    def draw(self, dice: random.Random, first: int, barred: list[Endpoint], most: float) -> Endpoint | None:
-        """A free slot of the first upstreams that have one, in order: rather of those that fail at most so
-        much, and of these rather of an idle one of the own zone. The barred ones are left out.
-        """
-        for limit in (most, math.inf) if most < math.inf else (math.inf,):
-            found = self.warm.pick(dice, first, barred, limit, near=True) if self.home != -1 else None
-            if found is None:
-                found = self.warm.pick(dice, first, barred, limit)
-            if found is not None:
-                return found
-        return None
+            self.allocated.pop(endpoint.entry.id, None)
 
-    def remove(self, server: Endpoint) -> None:
-        """Off its shelf; what is out to it goes on."""
-        if server.seat is None:
+    def remove(self, endpoint: Endpoint) -> None:
+        """Take an endpoint out of its index; its attempts in flight go on."""
+        if endpoint.index_entry is None:
             return
-        size, start_us = server.counted
-        if server.shelf is self.warm:
-            self.failing.remove(server.ranked)
-            self.warm_size = self.warm_size - size if len(self.warm) > 1 else 0.0
-            self.warm.drop(server.seat)
+        weight = endpoint.summed_weight
+        if endpoint.index is self.warm:
+            self.failure_rates.remove(endpoint.ranked_failure_rate)
+            self.warm_weight = self.warm_weight - weight if len(self.warm) > 1 else 0.0
+            self.warm.remove(endpoint.index_entry)
         else:
-            last = len(self.cold) == 1
-            self.cold_size = 0.0 if last else self.cold_size - size
-            self.cold_start = 0.0 if last else self.cold_start - size * start_us
-            self.cold.drop(server.seat)
-            self.dealt.pop(server.entry.id, None)
-        server.seat = server.shelf = None
-
-    def forget(self, server: Endpoint) -> None:
-        self.remove(server)
-        if self.servers.get(server.entry.id) is server:
-            del self.servers[server.entry.id]
-            self.moved.pop(server.entry.id, None)
-
-    def touch(self, server: Endpoint, now_us: int) -> None:
-        """Its slots or its failing share have changed."""
-        seat, slots = server.seat, server.slots
-        if seat is None:
+            is_last = len(self.warming) == 1
+            self.warming_weight = 0.0 if is_last else self.warming_weight - weight
+            start_sum = self.warming_start_sum - weight * endpoint.summed_start_us
+            self.warming_start_sum = 0.0 if is_last else start_sum
+            self.warming.remove(endpoint.index_entry)
+            self.allocated.pop(endpoint.entry.id, None)
+        endpoint.index_entry = None
+        endpoint.index = None
+
+    def forget(self, endpoint: Endpoint) -> None:
+        """Remove an endpoint and all that is known of it."""
+        self.remove(endpoint)
+        if self.endpoints.get(endpoint.entry.id) is endpoint:
+            del self.endpoints[endpoint.entry.id]
+            self.order_changed.pop(endpoint.entry.id, None)
+
+    def update(self, endpoint: Endpoint, now_us: int) -> None:
+        """Bring the indexes up to date after an endpoint's limiter or failure rate has changed."""
+        index_entry = endpoint.index_entry
+        if index_entry is None:
             return
-        if slots.window < 1.0 and slots.rest_until_us > now_us and slots.rest_until_us != server.noted_us:
-            server.noted_us = slots.rest_until_us
-            heapq.heappush(self.rests, (slots.rest_until_us, server.entry.id))
-        if server.shelf is self.cold:
-            open_now = self.open_slots(server, now_us)
-            self.cold.refresh(seat, int(open_now > 0), server.size, 0.0, server.failing)
+        limiter = endpoint.limiter
+        is_below_one_slot = limiter.limit < 1.0
+        reopen_us = limiter.paused_until_us
+        if is_below_one_slot and reopen_us > now_us and reopen_us != endpoint.scheduled_reopen_us:
+            endpoint.scheduled_reopen_us = reopen_us
+            heapq.heappush(self.reopen_times, (reopen_us, endpoint.entry.id))
+        if endpoint.index is self.warming:
+            is_open = int(self.open_slots(endpoint, now_us) > 0)
+            self.warming.update(index_entry, is_open, endpoint.weight, 0.0, endpoint.failure_rate)
             return
-        open_now = slots.free(now_us)  # those on a shelf are ready, and the warm ones stay warm
-        mass = 0.0 if open_now <= 0 else server.size * open_now if self.few else 1.0
-        near = mass if server.entry.zone == self.home and slots.used == 0 else 0.0
-        if server.failing != server.ranked:
-            self.failing.remove(server.ranked)
-            self.failing.add(server.failing)
-            server.ranked = server.failing
-        self.warm.refresh(seat, int(open_now > 0), mass, near, server.failing)
-        if slots.window < 1.0 or server.low:
-            server.low = slots.window < 1.0  # only such windows count in the order
-            self.moved[server.entry.id] = None
-
-    def settle(self, now_us: int) -> None:
-        """Slots whose rest is over are open again."""
-        while self.rests and self.rests[0][0] <= now_us:
-            server = self.servers.get(heapq.heappop(self.rests)[1])
-            if server is not None:
-                self.touch(server, now_us)
-
-    def next_rest_us(self) -> int:
-        """When the next slot that rests opens; 0 = none rests."""
-        while self.rests:
-            until_us, ident = self.rests[0]
-            server = self.servers.get(ident)
-            if (
-                server is not None
-                and server.seat is not None
-                and server.slots.window < 1.0
-                and (server.slots.rest_until_us == until_us)
-            ):
-                return until_us
-            heapq.heappop(self.rests)
+        free = limiter.free_slots(now_us)  # those in an index are ready, and the warm ones stay warm
+        weight = 0.0
+        if free > 0:
+            weight = endpoint.weight * free if self.draws_by_free_slots else 1.0
+        is_preferred = endpoint.entry.zone == self.home_zone and limiter.in_flight == 0
+        preferred_weight = weight if is_preferred else 0.0
+        if endpoint.failure_rate != endpoint.ranked_failure_rate:
+            self.failure_rates.remove(endpoint.ranked_failure_rate)
+            self.failure_rates.add(endpoint.failure_rate)
+            endpoint.ranked_failure_rate = endpoint.failure_rate
+        self.warm.update(index_entry, int(free > 0), weight, preferred_weight, endpoint.failure_rate)
+        if is_below_one_slot or endpoint.was_below_one_slot:  # only such limits count in the order
+            endpoint.was_below_one_slot = is_below_one_slot
+            self.order_changed[endpoint.entry.id] = None
+
+    def reopen_due(self, now_us: int) -> None:
+        """Open the slots whose pause is over."""
+        while self.reopen_times and self.reopen_times[0][0] <= now_us:
+            endpoint = self.endpoints.get(heapq.heappop(self.reopen_times)[1])
+            if endpoint is not None:
+                self.update(endpoint, now_us)
+
+    def next_reopen_us(self) -> int:
+        """Return when the next paused slot opens; 0 = none is paused."""
+        while self.reopen_times:
+            until_us, upstream = self.reopen_times[0]
+            endpoint = self.endpoints.get(upstream)
+            if endpoint is not None and endpoint.index_entry is not None:
+                limiter = endpoint.limiter
+                if limiter.limit < 1.0 and limiter.paused_until_us == until_us:
+                    return until_us
+            heapq.heappop(self.reopen_times)
         return 0
 
-    def renew(self, now_us: int) -> None:
-        """Bring the order up to date, and who has warmed up: for those alone that have changed."""
-        while self.warming and self.warming[0][0] <= now_us:
-            server = self.servers.get(heapq.heappop(self.warming)[1])
-            if server is not None and server.seat is not None:
-                self.place(server, now_us)
-        moved, self.moved = self.moved, {}
-        for ident in moved:
-            server = self.servers.get(ident)
-            if server is not None and server.seat is not None:
-                self.place(server, now_us)
-
-    def count_slots(self, sharing: float, number: int, now_us: int) -> None:
-        """How many sidecars share an upstream, and which of them this is. Draws of few go by size and slots;
-        where that changes, all weights are renewed.
+    def refresh_order(self, now_us: int) -> None:
+        """Renew the order and who has warmed up, for those alone that have changed."""
+        while self.warm_up_ends and self.warm_up_ends[0][0] <= now_us:
+            self.place_again(heapq.heappop(self.warm_up_ends)[1], now_us)
+        changed = self.order_changed
+        self.order_changed = {}
+        for upstream in changed:
+            self.place_again(upstream, now_us)
+
+    def place_again(self, upstream: int, now_us: int) -> None:
+        """Renew the place of an endpoint, if it is still in an index."""
+        endpoint = self.endpoints.get(upstream)
+        if endpoint is not None and endpoint.index_entry is not None:
+            self.place(endpoint, now_us)
+
+    def set_sharing(self, sidecars_per_endpoint: float, sidecar_index: int, now_us: int) -> None:
+        """Set how many sidecars share an endpoint and which of them this is."""
+        self.sidecars_per_endpoint = sidecars_per_endpoint
+        draws_by_free_slots = sidecars_per_endpoint <= FEW_SIDECARS
+        warming_slots = MAX_SLOTS_WHILE_WARMING / sidecars_per_endpoint
+        if warming_slots != self.warming_slots or sidecar_index != self.sidecar_index:
+            self.warming_slots = warming_slots
+            self.sidecar_index = sidecar_index
+            for endpoint in self.warming.items():
+                self.allocate(endpoint)
+        if draws_by_free_slots is not self.draws_by_free_slots:
+            self.draws_by_free_slots = draws_by_free_slots
+            for endpoint in list(self.endpoints.values()):  # all weights change
+                self.update(endpoint, now_us)
+
+    # Questions about all endpoints
+
+    def failure_rate_quantile(self, divisor: int) -> float:
+        """Return the failure rate that one in `divisor` of the warm endpoints does not exceed."""
+        if not len(self.failure_rates):
+            return 0.0
+        return self.failure_rates.at((len(self.failure_rates) - 1) // divisor)
+
+    def sample(
+        self, rng: random.Random, first: int, excluded: list[Endpoint], max_failure_rate: float
+    ) -> Endpoint | None:
+        """Draw one of the first open warm endpoints, or None.
+
+        Those within the failure rate come first, and of these the idle ones of the home zone.
         """
-        few, cold_slots = sharing <= FEW, COLD_SLOTS / sharing
-        if (cold_slots, number) != (self.cold_slots, self.number):
-            self.cold_slots, self.number = cold_slots, number
-            for server in self.cold.items():
-                self.deal(server)
-        if few is not self.few:
-            self.few = few
-            for server in list(self.servers.values()):
-                self.touch(server, now_us)
-
-    # Questions
-
-    def spare(self, dice: random.Random, barred: list[Endpoint], most: float, now_us: int) -> Endpoint | None:
-        """A free one of this sidecar's own slots at cold upstreams that fail at most so much."""
-        if self.leased(now_us):
-            return self.cold.any_open(dice, most)
-        found = [
-            one
-            for one in self.dealt.values()
-            if self.cold_slots * self.warmth(one, now_us) + one.turn >= 1.0
-            and one.failing <= most
-            and one not in barred
-            and self.open_slots(one, now_us) > 0
+        endpoint = self.sample_within(rng, first, excluded, max_failure_rate)
+        if endpoint is None and max_failure_rate < math.inf:
+            endpoint = self.sample_within(rng, first, excluded, math.inf)
+        return endpoint
+
+    def sample_within(
+        self, rng: random.Random, first: int, excluded: list[Endpoint], max_failure_rate: float
+    ) -> Endpoint | None:
+        """Draw one of the first open warm endpoints that do not exceed the failure rate."""
+        endpoint: Endpoint | None = None
+        if self.home_zone != NO_HOME_ZONE:
+            endpoint = self.warm.sample(rng, first, excluded, max_failure_rate, is_preferred=True)
+        if endpoint is None:
+            endpoint = self.warm.sample(rng, first, excluded, max_failure_rate)
+        return endpoint
+
+    def first_open(
+        self, first: int, excluded: list[Endpoint], max_failure_rate: float, count: int
+    ) -> list[Endpoint]:
+        """Return up to `count` of the first open warm endpoints within the failure rate, in order."""
+        entries = self.warm.iterate_open(first, max_failure_rate)
+        return list(islice((entry.item for entry in entries if entry.item not in excluded), count))
+
+    def sample_allocated(
+        self, rng: random.Random, excluded: list[Endpoint], max_failure_rate: float, now_us: int
+    ) -> Endpoint | None:
+        """Draw a warming endpoint with a free slot of this sidecar's own, within the failure rate."""
+        if self.is_leased(now_us):
+            return self.warming.sample_uniform(rng, max_failure_rate)
+        candidates = [
+            endpoint
+            for endpoint in self.allocated.values()
+            if self.warming_slots * self.slow_start_weight(endpoint, now_us) + endpoint.allocation_offset
+            >= 1.0
+            and endpoint.failure_rate <= max_failure_rate
+            and endpoint not in excluded
+            and self.open_slots(endpoint, now_us) > 0
         ]
-        return dice.choice(found) if found else None
-
-    def first_open(self, first: int, barred: list[Endpoint], most: float, wanted: int) -> list[Endpoint]:
-        """Of the first open ones some few that fail at most so much, in order."""
-        return list(
-            islice((seat.item for seat in self.warm.walk(first, most) if seat.item not in barred), wanted)
-        )
-
-    def cold_shares(self, now_us: int) -> float:
-        """Size times warmth of all that are cold, in one step: each grows alike with time."""
-        s = self.settings
-        if not len(self.cold):
+        return rng.choice(candidates) if candidates else None
+
+    def warming_capacity(self, now_us: int) -> float:
+        """Return the sum of weight times slow-start weight over all that warm up.
+
+        Each grows linearly with time, so two sums give it in one step.
+        """
+        if not len(self.warming):
             return 0.0
-        ages = (now_us - self.base_us) * self.cold_size - self.cold_start
-        shares = s.cold_share * self.cold_size + (1.0 - s.cold_share) * ages / max(1, s.warm_up_us)
-        return min(self.cold_size, max(s.cold_share * self.cold_size, shares))
-
-    def as_many_warm(self, now_us: int) -> float:
-        """How many warm upstreams would serve what all do now, at the least."""
-        share = self.cold_shares(now_us) / self.cold_size if self.cold_size > 0.0 else 0.0
-        return len(self.warm) + share * len(self.cold)
-
-    def cold_by_share(self, dice: random.Random, now_us: int) -> Endpoint | None:
-        """One of the cold by size times warmth: drawn by size, taken by warmth. None if chance takes none of
-        many, which is the careful side.
+        cold_share = self.settings.cold_share
+        age_sum = (now_us - self.epoch_us) * self.warming_weight - self.warming_start_sum
+        least = cold_share * self.warming_weight
+        capacity = least + (1.0 - cold_share) * age_sum / max(1, self.settings.warm_up_us)
+        return min(self.warming_weight, max(least, capacity))
+
+    def warm_equivalent(self, now_us: int) -> float:
+        """Return how many warm endpoints would at least serve what all do now."""
+        share = 0.0
+        if self.warming_weight > 0.0:
+            share = self.warming_capacity(now_us) / self.warming_weight
+        return len(self.warm) + share * len(self.warming)
+
+    def sample_warming(self, rng: random.Random, now_us: int) -> Endpoint | None:
+        """Draw a warming endpoint by weight, and accept it by its slow-start weight.
+
+        None if none is accepted in many draws, which errs on the side of sending too little.
         """
-        for _ in range(COLD_TRIES):
-            seat = self.cold.weighted(dice.random() * self.cold.root.total, near=False)
-            if seat is not None and dice.random() < self.warmth(seat.item, now_us):
-                return seat.item
+        for _ in range(MAX_WARMING_DRAWS):
+            entry = self.warming.at_weight(rng.random() * self.warming.root.total_weight, is_preferred=False)
+            if entry is not None and rng.random() < self.slow_start_weight(entry.item, now_us):
+                return entry.item
         return None
--- a/sidecar_proxy/balancer/ordered_index.py
+++ b/sidecar_proxy/balancer/ordered_index.py
@@ -1,8 +1,10 @@
-"""Ordered collections for the index of the fleet: a sorted multiset in blocks, and a shelf of seats that
-draws by weight. Pure data structures: no clock, no I/O; chance is a `random.Random` that is handed in.
+"""Ordered collections for the endpoint pool: a sorted multiset and a treap that samples by weight.
 
-Costs, n items: `Shelf.refresh`, `put`, `drop` and a draw O(log n) expected; `Sorted` one search and one
-shift inside a block of at most `BLOCK` items, and a step for each block where a rank is asked for.
+Pure data structures: no clock and no I/O; random numbers come from a `random.Random` that is passed in.
+
+Costs with n items: `OrderedIndex.update`, `insert`, `remove` and a sample take O(log n) expected time;
+`SortedMultiset` takes one search and one shift inside a block of at most `MAX_BLOCK_ITEMS` items, and one
+step per block where a rank is asked for.
 """
 
 from __future__ import annotations
@@ -11,343 +13,432 @@
 import random
 from bisect import bisect_left, insort
 from collections.abc import Container, Iterator
-from typing import Any, Generic, TypeVar
+from typing import Any, Final, Generic, TypeVar
+
+from sidecar_proxy.balancer.hashing import HASH_MULTIPLIER
 
 T = TypeVar("T")
 V = TypeVar("V", bound=Any)
 
-BLOCK = 512  # items: a shift inside one costs less than the search for it
-TRIES = 16  # draws by rejection, and a root of n more, before the few that fit are listed
-ANY = math.inf  # as `most`: however much it fails
-MIXER = 0x9E3779B97F4A7C15  # odd and without pattern
+MAX_BLOCK_ITEMS: Final = 512  # a shift inside a block of this size costs less than the search for the block
+MIN_REJECTION_TRIES: Final = 16  # samples by rejection, plus the root of n, before those that fit are listed
+ANY_FAILURE_RATE: Final = math.inf
 
 
-class Sorted(Generic[V]):
-    """A sorted multiset of comparable values."""
+class SortedMultiset(Generic[V]):
+    """A sorted multiset of comparable values, kept in blocks."""
 
     def __init__(self) -> None:
         self.blocks: list[list[V]] = []
-        self.tops: list[V] = []  # the last value of each block
+        self.block_maxima: list[V] = []  # the last value of each block
         self.size = 0
 
     def __len__(self) -> int:
         return self.size
 
     def add(self, value: V) -> None:
+        """Insert a value."""
         self.size += 1
         if not self.blocks:
-            self.blocks, self.tops = [[value]], [value]
+            self.blocks = [[value]]
+            self.block_maxima = [value]
             return
-        index = min(bisect_left(self.tops, value), len(self.blocks) - 1)
+        index = min(bisect_left(self.block_maxima, value), len(self.blocks) - 1)
         block = self.blocks[index]
         insort(block, value)
-        if len(block) > BLOCK:
+        if len(block) > MAX_BLOCK_ITEMS:
             half = len(block) // 2
             self.blocks[index : index + 1] = [block[:half], block[half:]]
-            self.tops[index : index + 1] = [block[half - 1], block[-1]]
+            self.block_maxima[index : index + 1] = [block[half - 1], block[-1]]
         else:
-            self.tops[index] = block[-1]
+            self.block_maxima[index] = block[-1]
 
     def remove(self, value: V) -> None:
-        """Take one out; ValueError if it is not there."""
-        index = bisect_left(self.tops, value)
-        block = self.blocks[index] if index < len(self.blocks) else []
-        at = bisect_left(block, value)
-        if at == len(block) or block[at] != value:
+        """Remove one occurrence of a value; ValueError if there is none."""
+        index = bisect_left(self.block_maxima, value)
+        block: list[V] = self.blocks[index] if index < len(self.blocks) else []
+        position = bisect_left(block, value)
+        if position == len(block) or block[position] != value:
             raise ValueError(f"{value!r} is not in it")
-        del block[at]
+        del block[position]
         self.size -= 1
         if block:
-            self.tops[index] = block[-1]
+            self.block_maxima[index] = block[-1]
         else:
-            del self.blocks[index], self.tops[index]
+            del self.blocks[index]
+            del self.block_maxima[index]
 
     def at(self, rank: int) -> V:
-        """The value with `rank` values before it, 0 <= rank < len."""
+        """Return the value with `rank` values before it; IndexError beyond the last one."""
         for block in self.blocks:
             if rank < len(block):
                 return block[rank]
             rank -= len(block)
         raise IndexError("beyond the last value")
 
-    def round_from(self, rank: int) -> Iterator[V]:
-        """All values once, beginning at a rank and going on from the first after the last."""
+    def cycle_from(self, rank: int) -> Iterator[V]:
+        """Yield all values once, beginning at a rank and wrapping around after the last value."""
         if not self.blocks:
             return
-        index, at = 0, rank
-        while index < len(self.blocks) and at >= len(self.blocks[index]):
-            at -= len(self.blocks[index])
+        index = 0
+        offset = rank
+        while index < len(self.blocks) and offset >= len(self.blocks[index]):
+            offset -= len(self.blocks[index])
             index += 1
         if index == len(self.blocks):
-            index, at = 0, 0
+            index = 0
+            offset = 0
         for number in range(len(self.blocks) + 1):
             block = self.blocks[(index + number) % len(self.blocks)]
-            start = at if number == 0 else 0
-            yield from block[start:at] if number == len(self.blocks) else block[start:]
+            if number == 0:
+                yield from block[offset:]
+            elif number == len(self.blocks):
+                yield from block[:offset]
+            else:
+                yield from block
 
 
-class Seat(Generic[T]):
-    """One item's place in the order of a shelf, and the sums of the subtree below it."""
+class IndexEntry(Generic[T]):
+    """One item's node in the treap, and the sums over the subtree below it."""
 
     __slots__ = (
-        "count",
-        "failing",
+        "failure_rate",
+        "is_open",
         "item",
         "key",
-        "least",
         "left",
-        "mass",
-        "near",
-        "near_least",
-        "nears",
-        "open",
+        "min_failure_rate",
+        "min_preferred_failure_rate",
+        "open_count",
+        "parent",
+        "preferred_total",
+        "preferred_weight",
         "priority",
         "right",
-        "total",
-        "up",
+        "total_weight",
+        "weight",
     )
 
     def __init__(self, item: T, key: tuple[float, int], priority: int) -> None:
         self.item = item
         self.key = key
-        self.priority = priority  # the treap's: a parent's is above its children's
-        self.open = 0  # 1 = it can be drawn
-        self.mass = self.near = 0.0  # its weight, and the same again where it is preferred, else 0
-        self.failing = ANY
-        self.left = self.right = self.up = NOBODY
-        self.count = 0  # open seats
-        self.total = self.nears = 0.0
-        self.least = self.near_least = ANY  # the smallest failing share of those that are open (and near)
-
-    def pull(self) -> None:
-        """The sums anew from the children's: never by differences, so that no rounding piles up."""
-        left, right = self.left, self.right
-        self.count = left.count + self.open + right.count
-        self.total = left.total + self.mass + right.total
-        self.nears = left.nears + self.near + right.nears
-        self.least = min(left.least, right.least, self.failing if self.open else ANY)
-        self.near_least = min(left.near_least, right.near_least, self.failing if self.near else ANY)
-
+        self.priority = priority  # of the treap: a parent's is above its children's
+        self.is_open = 0  # 1 = it can be sampled
+        self.weight = 0.0
+        self.preferred_weight = 0.0  # the weight again where the item is preferred, else 0
+        self.failure_rate = ANY_FAILURE_RATE
+        self.left = EMPTY
+        self.right = EMPTY
+        self.parent = EMPTY
+        self.open_count = 0  # open entries in the subtree
+        self.total_weight = 0.0
+        self.preferred_total = 0.0
+        self.min_failure_rate = ANY_FAILURE_RATE  # of the open entries of the subtree
+        self.min_preferred_failure_rate = ANY_FAILURE_RATE  # of those that are preferred too
+
+    def recompute(self) -> None:
+        """Add the sums up from the children's, never by differences, so that no rounding accumulates."""
+        left = self.left
+        right = self.right
+        own_rate = self.failure_rate if self.is_open else ANY_FAILURE_RATE
+        own_preferred_rate = self.failure_rate if self.preferred_weight else ANY_FAILURE_RATE
+        self.open_count = left.open_count + self.is_open + right.open_count
+        self.total_weight = left.total_weight + self.weight + right.total_weight
+        self.preferred_total = left.preferred_total + self.preferred_weight + right.preferred_total
+        self.min_failure_rate = min(left.min_failure_rate, right.min_failure_rate, own_rate)
+        self.min_preferred_failure_rate = min(
+            left.min_preferred_failure_rate, right.min_preferred_failure_rate, own_preferred_rate
+        )
+
+
+EMPTY: Any = None
+EMPTY = IndexEntry[Any](None, (0.0, 0), -1)
+
+
+class PrefixSums:
+    """The sums over the first open entries of an index."""
 
-NOBODY: Any = None
-NOBODY = Seat[Any](None, (0.0, 0), -1)
+    def __init__(self) -> None:
+        self.total_weight = 0.0
+        self.preferred_total = 0.0
+        self.min_failure_rate = ANY_FAILURE_RATE
+        self.min_preferred_failure_rate = ANY_FAILURE_RATE
 
 
 class OrderedIndex(Generic[T]):
-    """Items in the order of their keys, some of them open. A treap: its shape hangs on the items' numbers
-    alone, so the same items give the same draws.
+    """Items in the order of their keys, some of them open.
+
+    It is a treap whose shape depends on the items' numbers alone, so the same items give the same samples.
     """
 
     def __init__(self) -> None:
-        self.root: Seat[T] = NOBODY
+        self.root: IndexEntry[T] = EMPTY
         self.size = 0
 
     def __len__(self) -> int:
         return self.size
 
-    def put(self, item: T, key: float, number: int) -> Seat[T]:
-        """A new seat. Of equal keys the smaller number comes first; numbers are different."""
+    def insert(self, item: T, key: float, number: int) -> IndexEntry[T]:
+        """Insert an item; of equal keys the smaller number comes first, and numbers are distinct."""
         self.size += 1
-        seat = Seat(item, (key, number), (number * MIXER ^ number >> 7) * MIXER >> 8 & 0xFFFFFFFFFFFF)
-        if self.root is NOBODY:
-            self.root = seat
-            return seat
-        at = self.root
+        priority = (number * HASH_MULTIPLIER ^ number >> 7) * HASH_MULTIPLIER >> 8 & 0xFFFFFFFFFFFF
+        entry = IndexEntry(item, (key, number), priority)
+        if self.root is EMPTY:
+            self.root = entry
+            return entry
+        parent = self.root
         while True:
-            below = at.left if seat.key < at.key else at.right
-            if below is NOBODY:
+            child = parent.left if entry.key < parent.key else parent.right
+            if child is EMPTY:
                 break
-            at = below
-        if seat.key < at.key:
-            at.left = seat
+            parent = child
+        if entry.key < parent.key:
+            parent.left = entry
         else:
-            at.right = seat
-        seat.up = at
-        while seat.up is not NOBODY and seat.up.priority < seat.priority:
-            self.lift(seat)
-        return seat
-
-    def drop(self, seat: Seat[T]) -> None:
+            parent.right = entry
+        entry.parent = parent
+        while entry.parent is not EMPTY and entry.parent.priority < entry.priority:
+            self.rotate_up(entry)
+        return entry
+
+    def remove(self, entry: IndexEntry[T]) -> None:
+        """Take an entry out of the index."""
         self.size -= 1
-        while seat.left is not NOBODY or seat.right is not NOBODY:
-            left, right = seat.left, seat.right
-            self.lift(left if left.priority > right.priority else right)
-        above = seat.up
-        self.hang(above, seat, NOBODY)
-        seat.up = NOBODY
-        while above is not NOBODY:
-            above.pull()
-            above = above.up
-
-    def hang(self, above: Seat[T], old: Seat[T], new: Seat[T]) -> None:
-        """Put `new` where `old` hangs."""
-        if above is NOBODY:
+        while entry.left is not EMPTY or entry.right is not EMPTY:
+            left = entry.left
+            right = entry.right
+            self.rotate_up(left if left.priority > right.priority else right)
+        ancestor = entry.parent
+        self.replace_child(ancestor, entry, EMPTY)
+        entry.parent = EMPTY
+        while ancestor is not EMPTY:
+            ancestor.recompute()
+            ancestor = ancestor.parent
+
+    def replace_child(self, parent: IndexEntry[T], old: IndexEntry[T], new: IndexEntry[T]) -> None:
+        """Put `new` where `old` hangs below `parent`."""
+        if parent is EMPTY:
             self.root = new
-        elif above.left is old:
-            above.left = new
+        elif parent.left is old:
+            parent.left = new
         else:
-            above.right = new
-        if new is not NOBODY:
-            new.up = above
-
-    def lift(self, seat: Seat[T]) -> None:
-        """Rotate a seat above its parent."""
-        parent = seat.up
-        self.hang(parent.up, parent, seat)
-        if parent.left is seat:
-            parent.left, seat.right = seat.right, parent
+            parent.right = new
+        if new is not EMPTY:
+            new.parent = parent
+
+    def rotate_up(self, entry: IndexEntry[T]) -> None:
+        """Rotate an entry above its parent."""
+        parent = entry.parent
+        self.replace_child(parent.parent, parent, entry)
+        if parent.left is entry:
+            parent.left = entry.right
+            entry.right = parent
             inner = parent.left
         else:
-            parent.right, seat.left = seat.left, parent
+            parent.right = entry.left
+            entry.left = parent
             inner = parent.right
-        if inner is not NOBODY:
-            inner.up = parent
-        parent.up = seat
-        parent.pull()
-        seat.pull()
-
-    def refresh(self, seat: Seat[T], is_open: int, mass: float, near: float, failing: float) -> None:
-        """What is known of an item has changed. `near` is `mass` where the item is preferred, else 0."""
-        if seat.open == is_open and seat.mass == mass and seat.near == near and seat.failing == failing:
+        if inner is not EMPTY:
+            inner.parent = parent
+        parent.parent = entry
+        parent.recompute()
+        entry.recompute()
+
+    def update(
+        self,
+        entry: IndexEntry[T],
+        is_open: int,
+        weight: float,
+        preferred_weight: float,
+        failure_rate: float,
+    ) -> None:
+        """Renew what is known of an item; `preferred_weight` is the weight where it is preferred, else 0."""
+        if (
+            entry.is_open == is_open
+            and entry.weight == weight
+            and entry.preferred_weight == preferred_weight
+            and entry.failure_rate == failure_rate
+        ):
             return
-        preferred = near > 0.0 or seat.near > 0.0  # else the sums of the near stay as they are
-        seat.open, seat.mass, seat.near, seat.failing = is_open, mass, near, failing
-        nobody = NOBODY
-        # `pull` written out: these loops are most of what an event costs in a large fleet
-        while not preferred and seat is not nobody:
-            left, right = seat.left, seat.right
-            seat.count = left.count + seat.open + right.count
-            seat.total = left.total + seat.mass + right.total
-            least = seat.failing if seat.open else ANY
-            if left.least < least:
-                least = left.least
-            seat.least = right.least if right.least < least else least
-            seat = seat.up
-        while seat is not nobody:
-            left, right = seat.left, seat.right
-            seat.count = left.count + seat.open + right.count
-            seat.total = left.total + seat.mass + right.total
-            seat.nears = left.nears + seat.near + right.nears
-            least = seat.failing if seat.open else ANY
-            if left.least < least:
-                least = left.least
-            seat.least = right.least if right.least < least else least
-            least = seat.failing if seat.near else ANY
-            if left.near_least < least:
-                least = left.near_least
-            seat.near_least = right.near_least if right.near_least < least else least
-            seat = seat.up
+        touches_preferred = preferred_weight > 0.0 or entry.preferred_weight > 0.0
+        entry.is_open = is_open
+        entry.weight = weight
+        entry.preferred_weight = preferred_weight
+        entry.failure_rate = failure_rate
+        if touches_preferred:
+            self.recompute_path(entry)
+        else:
+            self.recompute_plain_path(entry)
+
+    # Both loops have `recompute` written out: they are most of what an event costs in a large fleet.
+
+    def recompute_plain_path(self, entry: IndexEntry[T]) -> None:
+        """Recompute the sums from an entry up to the root, but for those of preferred entries."""
+        empty = EMPTY
+        while entry is not empty:
+            left = entry.left
+            right = entry.right
+            entry.open_count = left.open_count + entry.is_open + right.open_count
+            entry.total_weight = left.total_weight + entry.weight + right.total_weight
+            lowest = entry.failure_rate if entry.is_open else ANY_FAILURE_RATE
+            if left.min_failure_rate < lowest:
+                lowest = left.min_failure_rate
+            entry.min_failure_rate = right.min_failure_rate if right.min_failure_rate < lowest else lowest
+            entry = entry.parent
+
+    def recompute_path(self, entry: IndexEntry[T]) -> None:
+        """Recompute all sums from an entry up to the root."""
+        empty = EMPTY
+        while entry is not empty:
+            left = entry.left
+            right = entry.right
+            entry.open_count = left.open_count + entry.is_open + right.open_count
+            entry.total_weight = left.total_weight + entry.weight + right.total_weight
+            entry.preferred_total = left.preferred_total + entry.preferred_weight + right.preferred_total
+            lowest = entry.failure_rate if entry.is_open else ANY_FAILURE_RATE
+            if left.min_failure_rate < lowest:
+                lowest = left.min_failure_rate
+            entry.min_failure_rate = right.min_failure_rate if right.min_failure_rate < lowest else lowest
+            lowest = entry.failure_rate if entry.preferred_weight else ANY_FAILURE_RATE
+            if left.min_preferred_failure_rate < lowest:
+                lowest = left.min_preferred_failure_rate
+            if right.min_preferred_failure_rate < lowest:
+                lowest = right.min_preferred_failure_rate
+            entry.min_preferred_failure_rate = lowest
+            entry = entry.parent
 
     def items(self) -> Iterator[T]:
-        """All, in order."""
-        path: list[Seat[T]] = []
-        at = self.root
-        while path or at is not NOBODY:
-            while at is not NOBODY:
-                path.append(at)
-                at = at.left
-            at = path.pop()
-            yield at.item
-            at = at.right
-
-    def sums(self, first: int) -> tuple[float, float, float, float]:
-        """Mass, near mass, least failing and least failing of the near among the first open seats, of which
-        there must be so many.
-        """
-        at = self.root
-        total = nears = 0.0
-        least = near_least = ANY
+        """Yield all items in order."""
+        path: list[IndexEntry[T]] = []
+        entry = self.root
+        while path or entry is not EMPTY:
+            while entry is not EMPTY:
+                path.append(entry)
+                entry = entry.left
+            entry = path.pop()
+            yield entry.item
+            entry = entry.right
+
+    def prefix_sums(self, first: int) -> PrefixSums:
+        """Return the sums over the first open entries, of which there must be at least `first`."""
+        sums = PrefixSums()
+        entry = self.root
         while first > 0:
-            left = at.left
-            if first <= left.count:
-                at = left
+            left = entry.left
+            if first <= left.open_count:
+                entry = left
                 continue
-            first -= left.count + at.open
-            total += left.total + at.mass
-            nears += left.nears + at.near
-            least = min(least, left.least, at.failing if at.open else ANY)
-            near_least = min(near_least, left.near_least, at.failing if at.near else ANY)
-            at = at.right
-        return total, nears, least, near_least
-
-    def weighted(self, x: float, near: bool) -> Seat[T] | None:
-        """The seat where the mass of those before it passes `x`; None only by rounding at the very end."""
-        at = self.root
-        while at is not NOBODY:
-            left, mass = at.left, at.near if near else at.mass
-            before = left.nears if near else left.total
-            if x < before:
-                at = left
+            first -= left.open_count + entry.is_open
+            own_rate = entry.failure_rate if entry.is_open else ANY_FAILURE_RATE
+            own_preferred_rate = entry.failure_rate if entry.preferred_weight else ANY_FAILURE_RATE
+            sums.total_weight += left.total_weight + entry.weight
+            sums.preferred_total += left.preferred_total + entry.preferred_weight
+            sums.min_failure_rate = min(sums.min_failure_rate, left.min_failure_rate, own_rate)
+            sums.min_preferred_failure_rate = min(
+                sums.min_preferred_failure_rate, left.min_preferred_failure_rate, own_preferred_rate
+            )
+            entry = entry.right
+        return sums
+
+    def at_weight(self, offset: float, is_preferred: bool) -> IndexEntry[T] | None:
+        """Return the entry where the cumulative weight passes `offset`; None only by rounding at the end."""
+        entry = self.root
+        while entry is not EMPTY:
+            left = entry.left
+            weight = entry.preferred_weight if is_preferred else entry.weight
+            before = left.preferred_total if is_preferred else left.total_weight
+            if offset < before:
+                entry = left
                 continue
-            x -= before
-            if x < mass:
-                return at
-            x -= mass
-            at = at.right
+            offset -= before
+            if offset < weight:
+                return entry
+            offset -= weight
+            entry = entry.right
         return None
 
-    def nth_open(self, rank: int) -> Seat[T]:
-        """The open seat with `rank` open ones before it, 0 <= rank < root.count."""
-        at = self.root
+    def nth_open(self, rank: int) -> IndexEntry[T]:
+        """Return the open entry with `rank` open ones before it, 0 <= rank < root.open_count."""
+        entry = self.root
         while True:
-            if rank < at.left.count:
-                at = at.left
+            if rank < entry.left.open_count:
+                entry = entry.left
                 continue
-            rank -= at.left.count
-            if rank < at.open:
-                return at
-            rank -= at.open
-            at = at.right
-
-    def walk(self, first: int, most: float = ANY, near: bool = False) -> Iterator[Seat[T]]:
-        """Of the first open seats those that fail at most so much (and are near), in order. Subtrees with
-        none are passed over, so each found costs O(log n).
+            rank -= entry.left.open_count
+            if rank < entry.is_open:
+                return entry
+            rank -= entry.is_open
+            entry = entry.right
+
+    def iterate_open(
+        self, first: int, max_failure_rate: float = ANY_FAILURE_RATE, is_preferred: bool = False
+    ) -> Iterator[IndexEntry[T]]:
+        """Yield, of the first open entries, those within a failure rate (and preferred), in order.
+
+        Subtrees that hold none are skipped, so each entry found costs O(log n).
         """
-        rest: list[tuple[Seat[T], int, bool]] = [(self.root, 0, False)]
-        while rest:
-            at, before, whole = rest.pop()
-            if whole:
-                yield at
+        stack: list[tuple[IndexEntry[T], int, bool]] = [(self.root, 0, False)]
+        while stack:
+            entry, before, is_result = stack.pop()
+            if is_result:
+                yield entry
                 continue
-            least = at.near_least if near else at.least
-            if at is NOBODY or before >= first or least > most or least == ANY:
+            lowest = entry.min_preferred_failure_rate if is_preferred else entry.min_failure_rate
+            if entry is EMPTY or before >= first or lowest > max_failure_rate or lowest == ANY_FAILURE_RATE:
                 continue
-            here = before + at.left.count
-            rest.append((at.right, here + at.open, False))
-            if at.open and here < first and at.failing <= most and (at.near or not near):
-                rest.append((at, here, True))
-            rest.append((at.left, before, False))
-
-    def pick(
-        self, dice: random.Random, first: int, barred: Container[T], most: float = ANY, near: bool = False
+            rank = before + entry.left.open_count
+            stack.append((entry.right, rank + entry.is_open, False))
+            fits = entry.is_open and rank < first and entry.failure_rate <= max_failure_rate
+            if fits and (entry.preferred_weight or not is_preferred):
+                stack.append((entry, rank, True))
+            stack.append((entry.left, before, False))
+
+    def sample(
+        self,
+        rng: random.Random,
+        first: int,
+        excluded: Container[T],
+        max_failure_rate: float = ANY_FAILURE_RATE,
+        is_preferred: bool = False,
     ) -> T | None:
-        """One of the first open seats by its weight, of those that fail at most so much, are not barred (and
-        are near). By rejection, which has the very distribution of a list of them all; where next to none
-        fit, these are listed instead.
+        """Return one of the first open items by its weight, not excluded and within a failure rate.
+
+        Sampling by rejection has exactly the distribution of a list of all that fit. Where next to none fit,
+        these are listed instead.
         """
         root = self.root
-        if first >= root.count:
-            first, total, nears = root.count, root.total, root.nears
-            least, near_least = root.least, root.near_least
+        if first >= root.open_count:
+            first = root.open_count
+            total = root.preferred_total if is_preferred else root.total_weight
+            lowest = root.min_preferred_failure_rate if is_preferred else root.min_failure_rate
         else:
-            total, nears, least, near_least = self.sums(first)
-        mass = nears if near else total
-        if mass <= 0.0 or (near_least if near else least) > most:
+            sums = self.prefix_sums(first)
+            total = sums.preferred_total if is_preferred else sums.total_weight
+            lowest = sums.min_preferred_failure_rate if is_preferred else sums.min_failure_rate
+        if total <= 0.0 or lowest > max_failure_rate:
             return None
-        for _ in range(min(2 * first, TRIES + math.isqrt(first))):
-            seat = self.weighted(dice.random() * mass, near)
-            if seat is not None and seat.open and seat.failing <= most and seat.item not in barred:
-                return seat.item
-        fit = [seat for seat in self.walk(first, most, near) if seat.item not in barred and seat.mass > 0.0]
-        return dice.choices(fit, [seat.mass for seat in fit])[0].item if fit else None
-
-    def any_open(self, dice: random.Random, most: float) -> T | None:
-        """One of the open seats that fail at most so much, each alike."""
-        count = self.root.count
-        if count == 0 or self.root.least > most:
+        for _ in range(min(2 * first, MIN_REJECTION_TRIES + math.isqrt(first))):
+            entry = self.at_weight(rng.random() * total, is_preferred)
+            if entry is None or not entry.is_open:
+                continue
+            if entry.failure_rate <= max_failure_rate and entry.item not in excluded:
+                return entry.item
+        fitting = [
+            entry
+            for entry in self.iterate_open(first, max_failure_rate, is_preferred)
+            if entry.item not in excluded and entry.weight > 0.0
+        ]
+        if not fitting:
+            return None
+        return rng.choices(fitting, [entry.weight for entry in fitting])[0].item
+
+    def sample_uniform(self, rng: random.Random, max_failure_rate: float) -> T | None:
+        """Return one of the open items within a failure rate, each with the same chance."""
+        count = self.root.open_count
+        if count == 0 or self.root.min_failure_rate > max_failure_rate:
             return None
-        for _ in range(min(2 * count, TRIES + math.isqrt(count))):
-            seat = self.nth_open(dice.randrange(count))
-            if seat.failing <= most:
-                return seat.item
-        return dice.choice([seat.item for seat in self.walk(count, most)])
+        for _ in range(min(2 * count, MIN_REJECTION_TRIES + math.isqrt(count))):
+            entry = self.nth_open(rng.randrange(count))
+            if entry.failure_rate <= max_failure_rate:
+                return entry.item
+        return rng.choice([entry.item for entry in self.iterate_open(count, max_failure_rate)])
--- /dev/null
+++ b/sidecar_proxy/balancer/request.py
@@ -0,0 +1,54 @@
+"""A request that is in the balancer, and its attempts. Pure."""
+
+from typing import Final
+
+from sidecar_proxy.balancer import events as api
+from sidecar_proxy.balancer.endpoint import Endpoint
+
+NEVER_RAN: Final = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
+
+
+class Attempt:
+    """One attempt of a request at one endpoint."""
+
+    def __init__(self, endpoint: Endpoint, now_us: int, was_warming: bool) -> None:
+        self.endpoint = endpoint
+        self.entry = endpoint.entry  # as it was then
+        self.sent_us = now_us
+        self.outcome: api.Outcome | None = None  # None while it is in flight
+        self.is_presumed_lost = False  # its slot is free again, though no outcome is known
+        self.was_warming = was_warming  # its endpoint was, when it was sent
+
+
+class Request:
+    """One request from its arrival until it is answered and no attempt is in flight."""
+
+    def __init__(self, event: api.RequestArrived, settings: api.Settings, now_us: int) -> None:
+        self.event = event
+        self.id = event.request
+        self.class_index = event.class_index
+        self.request_class = settings.classes[event.class_index]
+        self.give_up_us = event.due_us
+        if self.request_class.late_weight <= 0.0:
+            # an answer after the objective is worth nothing; waiting for a lost one would only hold its slot
+            objective_ends_us = now_us + self.request_class.latency_objective_us - settings.tick_us
+            self.give_up_us = min(event.due_us, objective_ends_us)
+        self.attempts: list[Attempt] = []
+        self.candidates: list[Endpoint] = []  # endpoints with a free slot whose load it waits for
+        self.last_probed: Endpoint | None = None
+        self.is_done = False
+
+    def has_attempt_in_flight(self) -> bool:
+        """Whether the last attempt has no outcome yet."""
+        return bool(self.attempts) and self.attempts[-1].outcome is None
+
+    def first_that_may_have_run(self) -> Attempt | None:
+        """Return the first attempt that may have had an effect, or None."""
+        for attempt in self.attempts:
+            if attempt.outcome not in NEVER_RAN:
+                return attempt
+        return None
+
+    def tried_endpoints(self) -> list[Endpoint]:
+        """Return the endpoints of all attempts, in order."""
+        return [attempt.endpoint for attempt in self.attempts]
--- a/sidecar_proxy/balancer/token_bucket.py
+++ b/sidecar_proxy/balancer/token_bucket.py
@@ -1,29 +1,30 @@
-"""A token bucket. Pure; times are handed in."""
+"""A token bucket. Pure; times are passed in."""
 
 
 class TokenBucket:
-    """So many a second, and at most a second's worth, or one, at once."""
-
-    __slots__ = ("at_us", "left", "rate")
+    """Grants `rate` tokens per second; it holds at most those of one second, and room for at least one."""
 
     def __init__(self, now_us: int) -> None:
-        self.rate = 0.0
-        self.left = 0.0
-        self.at_us = now_us
+        self.rate = 0.0  # tokens per second
+        self.tokens = 0.0
+        self.refilled_us = now_us
 
-    def fill(self, rate: float, now_us: int) -> None:
-        """The rate is another one from now on."""
-        self.settle(now_us)
+    def set_rate(self, rate: float, now_us: int) -> None:
+        """Change the rate from now on; tokens beyond the new capacity are lost."""
+        self.refill(now_us)
         self.rate = rate
-        self.left = min(self.left, max(1.0, rate))
+        self.tokens = min(self.tokens, max(1.0, rate))
 
-    def settle(self, now_us: int) -> None:
-        self.left = min(max(1.0, self.rate), self.left + self.rate * (now_us - self.at_us) / 1e6)
-        self.at_us = now_us
+    def refill(self, now_us: int) -> None:
+        """Add the tokens of the time since the last refill."""
+        earned = self.rate * (now_us - self.refilled_us) / 1e6
+        self.tokens = min(max(1.0, self.rate), self.tokens + earned)
+        self.refilled_us = now_us
 
     def take(self, now_us: int) -> bool:
-        self.settle(now_us)
-        if self.left < 1.0:
+        """Take one token; False if none is available."""
+        self.refill(now_us)
+        if self.tokens < 1.0:
             return False
-        self.left -= 1.0
+        self.tokens -= 1.0
         return True
--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -168,7 +168,7 @@
     def members(self) -> tuple[int, int]:
         """How many upstreams are listed, and how many of them get nothing now, by hand or by choice."""
         listed = sum(host.entry.state is not api.UpstreamState.GONE for host in self.pool.hosts.values())
-        return listed, self.balancer.avoided()
+        return listed, self.balancer.count_avoided()
 
     # Events and actions
 
--- a/sidecar_proxy/engine/interfaces.py
+++ b/sidecar_proxy/engine/interfaces.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.balancer.endpoint_pool import Endpoint
+from sidecar_proxy.balancer.endpoint import Endpoint
 from sidecar_proxy.engine.address import Address
 from sidecar_proxy.engine.body_buffers import Flow, Opens, Source, Upload
 
@@ -188,10 +188,10 @@
     """What of the decision module is called by the engine, and nowhere else."""
 
     entries: dict[int, api.Upstream]  # the list
-    servers: dict[int, Endpoint]  # those in use
+    endpoints: dict[int, Endpoint]  # those in use
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]: ...
 
-    def avoided(self) -> int: ...
+    def count_avoided(self) -> int: ...
 
     def learnt(self) -> api.WarmStartState: ...
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from sidecar_proxy.balancer.balancer import PROBE_GAINS
 from sidecar_proxy.balancer.events import (
     Fail,
     Log,
@@ -16,6 +15,7 @@
     Upstream,
     UpstreamState,
 )
+from sidecar_proxy.balancer.picker import MAX_PROBE_FEE
 from tests.balancer.world import World, settings, upstreams
 
 READ, PAY, MARK = 0, 1, 2
@@ -63,7 +63,7 @@
 def test_of_one_or_two_sidecars_each_starts_with_two_slots(instances: int, slots: int) -> None:
     world = ready_world(8, instances=instances)
     fill(world)
-    assert [server.slots.used for server in world.balancer.servers.values()] == [slots] * 8
+    assert [server.limiter.in_flight for server in world.balancer.endpoints.values()] == [slots] * 8
 
 
 def test_the_waiting_request_takes_the_first_slot_that_frees() -> None:
@@ -139,14 +139,14 @@
     for instances in (8, 40):
         world = World(settings(instances=instances))
         world.tell_list(upstreams(60))
-        total = world.balancer.total
+        total = world.balancer.total_limiter
         for _ in range(100):
             requests = [world.arrive(READ) for _ in range(4)]
             world.advance(117_000)
             for request in requests:
                 if world.owed[request].out():
                     world.end(request, 0, Outcome.OK)
-        held_by.append(total.window / total.first)
+        held_by.append(total.limit / total.initial_limit)
     assert held_by[0] < 0.9 and held_by[1] >= 1.0, held_by
 
 
@@ -176,7 +176,7 @@
         world = World(settings(instances=40, cold_share=0.5, warm_up_us=60_000_000))
         started_us = world.now_us - 30_000_000  # they have three quarters of what a warm one has
         world.tell_list([Upstream(n, started_us=started_us if n <= new else 0) for n in range(1, 61)])
-        open_now.append(world.balancer.total.free(world.now_us))
+        open_now.append(world.balancer.total_limiter.free_slots(world.now_us))
     assert open_now[0] * 0.6 < open_now[1] < open_now[0]
 
 
@@ -255,9 +255,9 @@
 def test_an_upstream_that_has_restarted_starts_with_fresh_slots() -> None:
     world = ready_world(2)
     churn(world, 100, 100, Outcome.CONNECT_FAILED)
-    assert world.balancer.servers[100].slots.window < 0.1
+    assert world.balancer.endpoints[100].limiter.limit < 0.1
     world.tell_list([Upstream(100, started_us=world.now_us - 1_000), Upstream(101)])
-    assert world.balancer.servers[100].slots.window == 1.0
+    assert world.balancer.endpoints[100].limiter.limit == 1.0
 
 
 def test_drained_upstreams_get_nothing() -> None:
@@ -411,7 +411,7 @@
     world = ready_world(60, instances=1000)
     for _ in range(12):
         churn(world, 1, took_us=290_000, class_index=PAY)
-    assert sum(1 for s in world.balancer.servers.values() if s.slots.window >= 1.0) > 40
+    assert sum(1 for s in world.balancer.endpoints.values() if s.limiter.limit >= 1.0) > 40
     before = len(world.sends())
     for _ in range(20):
         world.arrive(PAY)
@@ -495,7 +495,7 @@
         request = world.arrive(PAY)
         world.advance(10_000)
         world.end(request, 0, fault if step % 10 == 9 else Outcome.OK)
-    windows = [server.slots.window for server in world.balancer.servers.values()]
+    windows = [server.limiter.limit for server in world.balancer.endpoints.values()]
     assert sum(window >= 1.0 for window in windows) >= 8
 
 
@@ -510,7 +510,7 @@
                 attempt,
                 Outcome.ERROR if world.owed[request].tries[attempt].upstream < 104 else Outcome.OK,
             )
-    windows = {ident: server.slots.window for ident, server in world.balancer.servers.items()}
+    windows = {ident: server.limiter.limit for ident, server in world.balancer.endpoints.items()}
     assert all((window < 0.3) is (ident < 104) for ident, window in windows.items()), windows
 
 
@@ -524,7 +524,7 @@
 def test_without_need_slots_grow_back_to_the_first_ones_only() -> None:
     world = ready_world(40, instances=24)
     churn(world, 400)
-    assert all(server.slots.window <= 1.0 for server in world.balancer.servers.values())
+    assert all(server.limiter.limit <= 1.0 for server in world.balancer.endpoints.values())
     assert held(world) == 13  # a 24th of 8 for each of 40
 
 
@@ -537,9 +537,9 @@
         for request in (taken[0], taken[-1]):
             world.end(request, 0, Outcome.OK)
         world.advance(pause_us)
-        before = world.balancer.servers[100].slots.window
+        before = world.balancer.endpoints[100].limiter.limit
         churn(world, 3)
-        windows.append(world.balancer.servers[100].slots.window - before)
+        windows.append(world.balancer.endpoints[100].limiter.limit - before)
     assert windows[0] > 0 and windows[1] == 0
 
 
@@ -676,7 +676,7 @@
 
 
 def test_load_is_not_asked_for_where_a_probe_costs_more_than_the_better_choice_gains() -> None:
-    for fee, sent in ((PROBE_GAINS / 2, 0), (PROBE_GAINS * 2, 1)):
+    for fee, sent in ((MAX_PROBE_FEE / 2, 0), (MAX_PROBE_FEE * 2, 1)):
         world = asking_world({100: 40.0, 101: 0.0, 102: 40.0}, probe_fee=fee)
         assert len(world.sends(world.arrive(READ))) == sent
         assert any(isinstance(action, Probe) for action in world.log) == (sent == 0)
@@ -688,7 +688,7 @@
     world.quit(request)
     answer_probes(world)
     world.advance(100_000)
-    assert not world.sends(request) and not world.balancer.asking and not world.balancer.requests
+    assert not world.sends(request) and not world.balancer.prober.waiting and not world.balancer.requests
 
 
 def test_a_key_meets_the_same_upstream_from_every_sidecar_and_keys_spread() -> None:
@@ -707,12 +707,12 @@
 def test_lost_answers_close_no_slots_of_all_upstreams_together() -> None:
     world = ready_world(60, instances=1000)
     churn(world, 20, took_us=20_000, class_index=PAY)
-    before = world.balancer.total.window
+    before = world.balancer.total_limiter.limit
     for _ in range(10):
         world.arrive(PAY)
         world.advance(700_000)  # silence until due
         churn(world, 1, took_us=20_000, class_index=PAY)
-    assert world.balancer.total.window >= before
+    assert world.balancer.total_limiter.limit >= before
 
 
 def test_an_answer_worth_nothing_after_the_aim_is_not_waited_for() -> None:
@@ -736,15 +736,15 @@
     """Hazard: fewer slots only refuse those that would be answered at once."""
     world = busy_world()
     world.advance(1_000_000)
-    slots = world.balancer.servers[100].slots
-    before = slots.window
+    limiter = world.balancer.endpoints[100].limiter
+    before = limiter.limit
     for _ in range(4):
         world.arrive(PAY, patience_us=9_000_000)
         world.advance(10_000)
         world.end(world.arrive(PAY), 0, Outcome.OK)
         world.advance(300_000)
-        assert slots.used == 0
-    assert slots.window >= before
+        assert limiter.in_flight == 0
+    assert limiter.limit >= before
 
 
 def test_where_the_other_answers_are_slow_too_nothing_is_presumed_lost() -> None:
@@ -758,7 +758,7 @@
     for _ in range(30):
         world.arrive(PAY, patience_us=9_000_000)
         world.advance(30_000)
-    assert len(world.sends()) == before + int(world.balancer.servers[100].slots.window)
+    assert len(world.sends()) == before + int(world.balancer.endpoints[100].limiter.limit)
 
 
 def test_a_late_answer_to_what_was_presumed_lost_is_taken_and_frees_nothing_twice() -> None:
@@ -766,16 +766,16 @@
     late = world.arrive(PAY, patience_us=9_000_000)
     world.advance(400_000)
     world.end(late, 0, Outcome.OK)
-    assert world.balancer.total.used == 0 and held(world) == 1  # of two
+    assert world.balancer.total_limiter.in_flight == 0 and held(world) == 1  # of two
 
 
 def test_those_that_fail_less_are_drawn_first_and_the_others_beyond_their_slots() -> None:
     world, at_failing = ready_world(4), 0
-    failing = list(world.balancer.servers.values())[:2]
+    failing = list(world.balancer.endpoints.values())[:2]
     for _ in range(200):
         for server in failing:
-            server.failing = 0.3
-            world.balancer.fleet.touch(server, world.now_us)
+            server.failure_rate = 0.3
+            world.balancer.pool.update(server, world.now_us)
         taken = [world.arrive(PAY) for _ in range(4)]
         at_failing += world.sends(taken[0])[0].upstream in (100, 101)
         assert {world.sends(request)[0].upstream for request in taken} == set(world.known)
@@ -789,4 +789,4 @@
     world = asking_world({100: 1.0, 101: 1.0, 102: 1.0})
     for _ in range(50):
         world.arrive(READ)
-    assert len(world.balancer.asking) <= 3
+    assert len(world.balancer.prober.waiting) <= 3
--- a/tests/balancer/test_endpoint_pool.py
+++ b/tests/balancer/test_endpoint_pool.py
@@ -12,9 +12,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from sidecar_proxy.balancer.endpoint_pool import COLD_SLOTS, Endpoint, EndpointPool
+from sidecar_proxy.balancer.endpoint import Endpoint
+from sidecar_proxy.balancer.endpoint_pool import MAX_SLOTS_WHILE_WARMING, EndpointPool
 from sidecar_proxy.balancer.events import Upstream, UpstreamState
-from sidecar_proxy.balancer.ordered_index import BLOCK, OrderedIndex, Sorted
+from sidecar_proxy.balancer.ordered_index import MAX_BLOCK_ITEMS, OrderedIndex, SortedMultiset
 from tests import plain
 from tests.balancer.world import START_US, settings
 
@@ -46,16 +47,16 @@
         self.gone: list[Endpoint] = []
 
     def one(self, number: int) -> Endpoint:
-        return list(self.fleet.servers.values())[number % len(self.fleet.servers)]
+        return list(self.fleet.endpoints.values())[number % len(self.fleet.endpoints)]
 
     def some(self) -> bool:
-        return bool(self.fleet.servers)
+        return bool(self.fleet.endpoints)
 
     @rule(ident=st.integers(1, 40), zone=st.integers(0, 2), age=st.integers(-1, 30_000_000))
     def listed(self, ident: int, zone: int, age: int) -> None:
         started = 0 if age < 0 else self.now_us - age
         entry = Upstream(ident, zone=zone, started_us=started)
-        server = self.fleet.servers.get(ident) or Endpoint(entry, self.dice.expovariate(1.0), 1.0)
+        server = self.fleet.endpoints.get(ident) or Endpoint(entry, self.dice.expovariate(1.0), 1.0)
         server.entry = entry
         self.fleet.place(server, self.now_us)
 
@@ -77,8 +78,8 @@
     @rule(number=st.integers(0, 99), more=st.booleans())
     def used(self, number: int, more: bool) -> None:
         server = self.one(number)
-        server.slots.used = max(0, server.slots.used + (1 if more else -1))
-        self.fleet.touch(server, self.now_us)
+        server.limiter.in_flight = max(0, server.limiter.in_flight + (1 if more else -1))
+        self.fleet.update(server, self.now_us)
 
     @precondition(some)
     @rule(
@@ -89,14 +90,14 @@
     )
     def judged(self, number: int, window: float, rest: int, failing: float) -> None:
         server = self.one(number)
-        server.slots.window, server.failing = window, failing
-        server.slots.rest_until_us = self.now_us + rest
-        self.fleet.touch(server, self.now_us)
+        server.limiter.limit, server.failure_rate = window, failing
+        server.limiter.paused_until_us = self.now_us + rest
+        self.fleet.update(server, self.now_us)
 
     @precondition(some)
     @rule(number=st.integers(0, 99), size=st.floats(0.1, 9))
     def resized(self, number: int, size: float) -> None:
-        self.one(number).size = size
+        self.one(number).weight = size
         self.fleet.place(self.one(number), self.now_us)
 
     @rule(by=st.integers(1, 9_000_000))
@@ -106,36 +107,36 @@
     @invariant()
     def agrees(self) -> None:
         fleet, now_us = self.fleet, self.now_us
-        fleet.settle(now_us)
-        fleet.renew(now_us)
+        fleet.reopen_due(now_us)
+        fleet.refresh_order(now_us)
         warm = plain.in_order(fleet, now_us)
         assert list(fleet.warm.items()) == warm
-        assert set(fleet.cold.items()) == set(plain.ready(fleet)) - set(warm)
+        assert set(fleet.warming.items()) == set(plain.ready(fleet)) - set(warm)
         open_now = [server for server in warm if plain.free(fleet, server, now_us) > 0]
-        assert [seat.item for seat in fleet.warm.walk(len(warm))] == open_now
-        assert fleet.warm.root.count == len(open_now)
+        assert [seat.item for seat in fleet.warm.iterate_open(len(warm))] == open_now
+        assert fleet.warm.root.open_count == len(open_now)
         for part in (2, 4):
-            assert fleet.failing_at(part) == plain.failing_at(fleet, now_us, part)
-        idle = [s for s in open_now if s.entry.zone == fleet.home and s.slots.used == 0]
-        assert [seat.item for seat in fleet.warm.walk(len(warm), near=True)] == idle
+            assert fleet.failure_rate_quantile(part) == plain.failure_rate_quantile(fleet, now_us, part)
+        idle = [s for s in open_now if s.entry.zone == fleet.home_zone and s.limiter.in_flight == 0]
+        assert [seat.item for seat in fleet.warm.iterate_open(len(warm), is_preferred=True)] == idle
         assert math.isclose(
-            fleet.warm.root.total,
-            math.fsum(s.size * plain.free(fleet, s, now_us) for s in open_now),
+            fleet.warm.root.total_weight,
+            math.fsum(s.weight * plain.free(fleet, s, now_us) for s in open_now),
             abs_tol=1e-9,
         )
-        assert math.isclose(fleet.warm_size, math.fsum(s.size for s in warm), rel_tol=1e-9, abs_tol=1e-9)
+        assert math.isclose(fleet.warm_weight, math.fsum(s.weight for s in warm), rel_tol=1e-9, abs_tol=1e-9)
         rests = [
-            s.slots.rest_until_us
+            s.limiter.paused_until_us
             for s in plain.ready(fleet)
-            if s.slots.window < 1.0 and s.slots.rest_until_us > now_us
+            if s.limiter.limit < 1.0 and s.limiter.paused_until_us > now_us
         ]
-        assert fleet.next_rest_us() == min(rests, default=0)
-        shares = math.fsum(s.size * fleet.warmth(s, now_us) for s in fleet.cold.items())
-        assert math.isclose(fleet.cold_shares(now_us), shares, rel_tol=1e-6, abs_tol=1e-9)
+        assert fleet.next_reopen_us() == min(rests, default=0)
+        shares = math.fsum(s.weight * fleet.slow_start_weight(s, now_us) for s in fleet.warming.items())
+        assert math.isclose(fleet.warming_capacity(now_us), shares, rel_tol=1e-6, abs_tol=1e-9)
         for first in (1, 3, len(warm)):
             for most in (0.3, math.inf):
-                wanted = [s for s in open_now[:first] if s.failing <= most]
-                assert [seat.item for seat in fleet.warm.walk(first, most)] == wanted
+                wanted = [s for s in open_now[:first] if s.failure_rate <= most]
+                assert [seat.item for seat in fleet.warm.iterate_open(first, most)] == wanted
 
 
 TestIndex = IndexMachine.TestCase
@@ -151,14 +152,14 @@
     servers = []
     for ident in range(1, count + 1):
         server = add(fleet, ident, dice, zone=dice.randrange(3))
-        server.size = dice.choice([0.5, 1.0, 3.0])
-        server.failing = dice.random() if dice.random() < ill else dice.random() * 0.05
-        server.slots.window = dice.choice([0.3, 1.0, 2.0, 5.0])
-        server.slots.used = dice.randrange(3)
-        server.slots.rest_until_us = START_US + dice.choice([0, 50_000])
+        server.weight = dice.choice([0.5, 1.0, 3.0])
+        server.failure_rate = dice.random() if dice.random() < ill else dice.random() * 0.05
+        server.limiter.limit = dice.choice([0.3, 1.0, 2.0, 5.0])
+        server.limiter.in_flight = dice.randrange(3)
+        server.limiter.paused_until_us = START_US + dice.choice([0, 50_000])
         fleet.place(server, START_US)
         servers.append(server)
-    fleet.renew(START_US)
+    fleet.refresh_order(START_US)
     return fleet, servers
 
 
@@ -171,12 +172,12 @@
 ) -> None:
     fleet, servers = varied(count, instances, seed, ill)
     barred = servers[:2]
-    most = 0.1 + plain.failing_at(fleet, START_US, 4)
+    most = 0.1 + plain.failure_rate_quantile(fleet, START_US, 4)
     expected = plain.chances(fleet, START_US, first, barred, most)
     dice = random.Random(seed)
     counts: Counter[int] = Counter()
     for _ in range(DRAWS):
-        drawn = fleet.draw(dice, first, barred, most)
+        drawn = fleet.sample(dice, first, barred, most)
         if drawn is None:
             assert not expected
             return
@@ -190,7 +191,7 @@
     expected = plain.chances(fleet, START_US, 30, [], math.inf)
     dice = random.Random(1)
     counts = Counter(
-        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.draw(dice, 30, [], math.inf)) is not None
+        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.sample(dice, 30, [], math.inf)) is not None
     )
     off = {one: expected[one] * (1.5 if number % 2 else 1.0) for number, one in enumerate(expected)}
     whole = math.fsum(off.values())
@@ -202,12 +203,12 @@
     fleet, dice = new_fleet(), random.Random(4)
     for ident in range(1, 9):
         server = add(fleet, ident, dice, started_us=START_US - ident * 2_000_000)
-        server.size = 1.0 + ident % 3
+        server.weight = 1.0 + ident % 3
         fleet.place(server, START_US)
-    shares = {s.entry.id: s.size * fleet.warmth(s, START_US) for s in fleet.cold.items()}
+    shares = {s.entry.id: s.weight * fleet.slow_start_weight(s, START_US) for s in fleet.warming.items()}
     whole = math.fsum(shares.values())
     counts = Counter(
-        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.cold_by_share(dice, START_US)) is not None
+        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.sample_warming(dice, START_US)) is not None
     )
     assert sum(counts.values()) > DRAWS * 0.99
     assert plain.unlikely(counts, {one: share / whole for one, share in shares.items()}) < FAR_OFF
@@ -217,7 +218,7 @@
     """Rule 4: where chance takes none in many tries, none is taken."""
     fleet, dice = new_fleet(cold_share=0.0001), random.Random(4)
     add(fleet, 1, dice, started_us=START_US)
-    drawn = sum(fleet.cold_by_share(dice, START_US) is not None for _ in range(200))
+    drawn = sum(fleet.sample_warming(dice, START_US) is not None for _ in range(200))
     assert drawn < 10
 
 
@@ -225,13 +226,13 @@
 def test_where_next_to_none_fit_they_are_found_without_a_long_search(near: bool) -> None:
     fleet, servers = varied(2000, 3, 5, ill=0.0)
     for server in servers:
-        server.failing = 0.9
-    servers[1234].failing, servers[1234].slots.used = 0.0, 0
-    servers[1234].slots.window = 1.0
+        server.failure_rate = 0.9
+    servers[1234].failure_rate, servers[1234].limiter.in_flight = 0.0, 0
+    servers[1234].limiter.limit = 1.0
     for server in servers:
         fleet.place(server, START_US)
     drawn = {
-        fleet.warm.pick(random.Random(n), 10**9, [], 0.5, near and servers[1234].entry.zone == 1)
+        fleet.warm.sample(random.Random(n), 10**9, [], 0.5, near and servers[1234].entry.zone == 1)
         for n in range(20)
     }
     assert drawn == {servers[1234]}
@@ -243,21 +244,21 @@
     for count in (100, 10_000):
         shelf: OrderedIndex[int] = OrderedIndex()
         dice = random.Random(6)
-        seats = [shelf.put(n, dice.random(), n) for n in range(count)]
+        seats = [shelf.insert(n, dice.random(), n) for n in range(count)]
         total = 0
         for seat in seats:
-            while seat.up is not None and seat.up.item is not None:
+            while seat.parent is not None and seat.parent.item is not None:
                 total += 1
-                seat = seat.up
+                seat = seat.parent
         depths[count] = total / count
     assert depths[10_000] < 3 * depths[100]
 
 
 def test_sorted_blocks_agree_with_a_sorted_list() -> None:
     dice = random.Random(8)
-    blocks: Sorted[int] = Sorted()
+    blocks: SortedMultiset[int] = SortedMultiset()
     listed: list[int] = []
-    for _ in range(6 * BLOCK):
+    for _ in range(6 * MAX_BLOCK_ITEMS):
         if listed and dice.random() < 0.3:
             value = dice.choice(listed)
             listed.remove(value)
@@ -268,9 +269,9 @@
             blocks.add(value)
     listed.sort()
     assert [blocks.at(rank) for rank in range(len(listed))] == listed and len(blocks) == len(listed)
-    assert all(len(block) <= BLOCK for block in blocks.blocks) and len(blocks.blocks) > 2
+    assert all(len(block) <= MAX_BLOCK_ITEMS for block in blocks.blocks) and len(blocks.blocks) > 2
     for start in (0, 1, len(listed) // 2, len(listed) - 1):
-        assert list(blocks.round_from(start)) == listed[start:] + listed[:start]
+        assert list(blocks.cycle_from(start)) == listed[start:] + listed[:start]
     with pytest.raises(ValueError, match="is not in it"):
         blocks.remove(-1)
     with pytest.raises(IndexError):
@@ -281,17 +282,17 @@
     fleet, dice = new_fleet(), random.Random(3)
     for ident in range(1, 2001):
         server = add(fleet, ident, dice, started_us=START_US - 1_000 if ident % 3 else 0)
-        server.slots.window = 0.5
-        fleet.touch(server, START_US)
+        server.limiter.limit = 0.5
+        fleet.update(server, START_US)
         if ident > 20:
-            fleet.forget(fleet.servers[ident - 20])
-    left = len(fleet.servers)
-    assert left == 20 and len(fleet.warm) + len(fleet.cold) == 20 and len(fleet.moved) <= 20
-    assert len(fleet.failing) == len(fleet.warm)
-    fleet.renew(START_US + WARM_UP_US)
-    fleet.settle(START_US + WARM_UP_US)
-    assert not fleet.warming and not fleet.rests and len(fleet.warm) == 20
-    assert fleet.cold_size == 0.0 and math.isclose(fleet.warm_size, 20.0)
+            fleet.forget(fleet.endpoints[ident - 20])
+    left = len(fleet.endpoints)
+    assert left == 20 and len(fleet.warm) + len(fleet.warming) == 20 and len(fleet.order_changed) <= 20
+    assert len(fleet.failure_rates) == len(fleet.warm)
+    fleet.refresh_order(START_US + WARM_UP_US)
+    fleet.reopen_due(START_US + WARM_UP_US)
+    assert not fleet.warm_up_ends and not fleet.reopen_times and len(fleet.warm) == 20
+    assert fleet.warming_weight == 0.0 and math.isclose(fleet.warm_weight, 20.0)
 
 
 @pytest.mark.parametrize(
@@ -310,10 +311,12 @@
     """Rule 4: all sidecars together have no more out at a cold one than its share, or one each."""
     fleet = new_fleet(instances=instances, cold_share=0.3, warm_up_us=WARM_UP_US)
     server = add(fleet, 1, random.Random(1), started_us=START_US - age_us)
-    server.slots.window = 5.0
+    server.limiter.limit = 5.0
     now_us = START_US
     assert fleet.open_slots(server, now_us) == slots
-    server.slots.used = slots
+    server.limiter.in_flight = slots
     assert fleet.open_slots(server, now_us) <= 0
     if age_us < WARM_UP_US:
-        assert slots * instances <= max(COLD_SLOTS * fleet.warmth(server, now_us), instances)
+        assert slots * instances <= max(
+            MAX_SLOTS_WHILE_WARMING * fleet.slow_start_weight(server, now_us), instances
+        )
--- a/tests/balancer/test_outlier_reports.py
+++ b/tests/balancer/test_outlier_reports.py
@@ -7,8 +7,8 @@
 from hypothesis import settings as settings_of
 from hypothesis import strategies as st
 
-from sidecar_proxy.balancer.balancer import FRESH_US, MOST_TRIAL_US, TRIAL_US
 from sidecar_proxy.balancer.events import FleetResized, ListKind, Outcome, OutlierReported, UpstreamState
+from sidecar_proxy.balancer.outlier_detection import MAX_TRIAL_INTERVAL_US, OWN_ANSWER_US, TRIAL_INTERVAL_US
 from tests.balancer.world import World, settings, upstreams
 
 BAD = 100
@@ -43,29 +43,29 @@
     begin_us = one.now_us
     found = play(one, 20.0)
     rest_us = found[0] - begin_us
-    assert TRIAL_US * 4 // 2 <= rest_us <= TRIAL_US * 4 * 1.5 + 1_000_000
+    assert TRIAL_INTERVAL_US * 4 // 2 <= rest_us <= TRIAL_INTERVAL_US * 4 * 1.5 + 1_000_000
     after = [at for at in found if at > found[0]]
     assert len(after) > 10 and after[0] - found[0] < 2_000_000
     told = one.tell(OutlierReported(BAD, 1.0))
-    assert not told and one.balancer.servers[BAD].kept == 0.0  # its own answers are fresh
+    assert not told and one.balancer.endpoints[BAD].limit_before_probation == 0.0  # its own answers are fresh
 
 
 def test_a_silent_one_is_tried_seldom_while_it_is_suspected() -> None:
     one = world(instances=50)
     one.tell(OutlierReported(BAD, 0.8))
-    assert len(play(one, 30.0, silent=True)) <= 30.0 * 1e6 / (MOST_TRIAL_US / 2) + 1
+    assert len(play(one, 30.0, silent=True)) <= 30.0 * 1e6 / (MAX_TRIAL_INTERVAL_US / 2) + 1
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.1, 0.49])
 def test_little_against_it_changes_nothing_and_less_than_before_ends_a_trial(weight: float) -> None:
     one = world(instances=50)
     one.tell(OutlierReported(BAD, weight))
-    server = one.balancer.servers[BAD]
-    assert (server.kept, server.slots.window) == (0.0, 1.0)
+    server = one.balancer.endpoints[BAD]
+    assert (server.limit_before_probation, server.limiter.limit) == (0.0, 1.0)
     one.tell(OutlierReported(BAD, 1.0))
-    assert server.kept == 1.0 and server.slots.window < 1.0
+    assert server.limit_before_probation == 1.0 and server.limiter.limit < 1.0
     one.tell(OutlierReported(BAD, weight))
-    assert (server.kept, server.slots.window) == (0.0, 1.0)
+    assert (server.limit_before_probation, server.limiter.limit) == (0.0, 1.0)
 
 
 def test_one_that_is_suspected_keeps_its_place_in_the_order_of_a_large_fleet() -> None:
@@ -73,12 +73,12 @@
     one would never have the trial that clears it.
     """
     one = world(instances=50)
-    servers = one.balancer.servers
-    first = min(servers.values(), key=one.balancer.fleet.key).entry.id
+    servers = one.balancer.endpoints
+    first = min(servers.values(), key=one.balancer.pool.order_key).entry.id
     one.tell(OutlierReported(first, 1.0))
-    one.advance(int(MOST_TRIAL_US * 1.5) + 1)
-    one.balancer.renew()
-    assert min(servers.values(), key=one.balancer.fleet.key).entry.id == first
+    one.advance(int(MAX_TRIAL_INTERVAL_US * 1.5) + 1)
+    one.balancer.refresh()
+    assert min(servers.values(), key=one.balancer.pool.order_key).entry.id == first
     request = one.arrive(1)
     assert one.sends(request)[0].upstream == first
 
@@ -88,19 +88,21 @@
     one = world(instances=4)
     for number in range(6):
         one.tell(OutlierReported(100 + number, 1.0))
-    assert [server.kept > 0.0 for server in one.balancer.servers.values()].count(True) == 1
+    assert [server.limit_before_probation > 0.0 for server in one.balancer.endpoints.values()].count(
+        True
+    ) == 1
     one.tell(OutlierReported(100, 0.0))
     one.tell(OutlierReported(101, 1.0))
-    assert one.balancer.servers[101].kept
+    assert one.balancer.endpoints[101].limit_before_probation
 
 
 def test_hearsay_opens_nothing_that_own_experience_has_closed() -> None:
     one = world(instances=50)
-    server = one.balancer.servers[BAD]
-    server.slots.window = 1 / 32
+    server = one.balancer.endpoints[BAD]
+    server.limiter.limit = 1 / 32
     for weight in (1.0, 0.0, 0.7, 0.2):
         one.tell(OutlierReported(BAD, weight))
-        assert server.slots.window <= 1 / 32
+        assert server.limiter.limit <= 1 / 32
 
 
 def test_no_lie_however_long_takes_an_upstream_from_a_sidecar_that_uses_it() -> None:
@@ -112,9 +114,9 @@
     while one.now_us < begin_us + 40_000_000:
         one.tell(OutlierReported(BAD, 1.0))
         found += play(one, 0.5)
-    rest_us = int(min(TRIAL_US * 4, MOST_TRIAL_US) * 1.5)
+    rest_us = int(min(TRIAL_INTERVAL_US * 4, MAX_TRIAL_INTERVAL_US) * 1.5)
     gaps = [b - a for a, b in zip(found, found[1:], strict=False)]
-    assert found[0] - begin_us <= rest_us + 1_000_000 and max(gaps) < FRESH_US
+    assert found[0] - begin_us <= rest_us + 1_000_000 and max(gaps) < OWN_ANSWER_US
     assert len(found) >= fair_count * (1 - rest_us / 40e6) * 0.8
 
 
@@ -126,16 +128,16 @@
         [type(entry)(BAD, UpstreamState.READY, entry.zone, 0, entry.cell, started_us=one.now_us)],
         ListKind.DELTA,
     )
-    server = one.balancer.servers[BAD]
-    assert (server.kept, server.slots.window) == (0.0, 1.0)
+    server = one.balancer.endpoints[BAD]
+    assert (server.limit_before_probation, server.limiter.limit) == (0.0, 1.0)
 
 
 def test_the_number_of_sidecars_moves_what_a_cold_upstream_may_be_given() -> None:
     one = world(instances=2)
-    before = one.balancer.fleet.cold_slots
+    before = one.balancer.pool.warming_slots
     one.tell(FleetResized(20, 3))
-    assert one.balancer.sharing == 20.0 and one.balancer.fleet.cold_slots == before / 10
-    assert (one.balancer.subset.index, one.balancer.subset.instances) == (3, 20)
+    assert one.balancer.pool.sidecars_per_endpoint == 20.0 and one.balancer.pool.warming_slots == before / 10
+    assert (one.balancer.endpoint_list.subset.index, one.balancer.endpoint_list.subset.instances) == (3, 20)
     one.tell(OutlierReported(999, 1.0))  # of an upstream that nobody lists
 
 
@@ -154,15 +156,15 @@
 def test_whatever_is_said_the_rules_hold_and_nothing_opens(told: list[tuple[str, int, float]]) -> None:
     """World checks the rules at each action; what is said opens no slot and closes none for good."""
     one = world(instances=4)
-    servers = one.balancer.servers
+    servers = one.balancer.endpoints
     for what, number, part in told:
         if what == "suspect":
             server = servers[100 + number]
-            before = server.kept or server.slots.window
+            before = server.ordinary_limit()
             one.tell(OutlierReported(100 + number, part))
-            assert server.slots.window <= before and (server.kept or server.slots.window) == before
-            if server.kept and server.failing == 0.0:
-                assert server.slots.rest_until_us - one.now_us <= MOST_TRIAL_US * 1.5
+            assert server.limiter.limit <= before and server.ordinary_limit() == before
+            if server.limit_before_probation and server.failure_rate == 0.0:
+                assert server.limiter.paused_until_us - one.now_us <= MAX_TRIAL_INTERVAL_US * 1.5
         elif what == "size":
             one.tell(FleetResized(number, int(part * (number - 1))))
         elif what == "ask":
--- a/tests/balancer/test_steady_state.py
+++ b/tests/balancer/test_steady_state.py
@@ -76,9 +76,9 @@
     request = world.arrive(0)
     world.begin_stream(request, 0)
     world.advance(3_000_000)
-    assert world.balancer.total.used == 1
+    assert world.balancer.total_limiter.in_flight == 1
     world.end(request, 0, Outcome.OK)
-    assert world.balancer.total.used == 0 and not world.balancer.requests
+    assert world.balancer.total_limiter.in_flight == 0 and not world.balancer.requests
 
 
 def test_the_same_events_and_seed_give_the_same_actions() -> None:
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -14,7 +14,7 @@
     Upstream,
     UpstreamState,
 )
-from sidecar_proxy.balancer.subsetting import SHRINK_US, Subset
+from sidecar_proxy.balancer.subsetting import SHRINK_DELAY_US, Subset
 from tests.balancer.world import START_US, World, settings
 
 READ, MARK = 0, 2
@@ -40,7 +40,7 @@
 def test_every_upstream_is_in_as_many_subsets_as_any_other(instances: int, count: int, size: int) -> None:
     counts: Counter[int] = Counter()
     one = subset(0, instances, count)
-    one.size = size
+    one.target_size = size
     for index in range(instances):
         one.index = index
         counts.update(members(one))
@@ -70,19 +70,19 @@
 
 def test_the_own_site_has_most_places_and_is_made_up_for_when_it_is_ill() -> None:
     one = subset(3, 300, 5000, zones=5, home=2)
-    one.size = 40
+    one.target_size = 40
     well = members(one)
     assert 30 <= sum(one.zones[ident] == 2 for ident in well) < len(well)
     one.select(0, lambda ident: one.zones[ident] != 2)
     usable = [ident for ident in one.members if one.zones[ident] != 2]
-    assert len(usable) >= 40 and len(one.members) <= one.most
+    assert len(usable) >= 40 and len(one.members) <= one.max_members
 
 
 def test_all_of_the_own_site_is_covered_whichever_sidecars_it_has() -> None:
     for indexes in (range(75), range(0, 300, 4)):
         counts: Counter[int] = Counter()
         one = subset(0, 300, 4000, zones=4, home=0)
-        one.size = 52
+        one.target_size = 52
         for index in indexes:
             one.index = index
             counts.update(ident for ident in members(one) if one.zones[ident] == 0)
@@ -91,11 +91,13 @@
 
 def test_it_follows_the_traffic_wider_at_once_and_narrower_in_time() -> None:
     one = subset(0, 300, 5000)
-    assert one.resize(0, 30) and one.size == 52  # half of what it may use: the rest is for when some are ill
+    assert (
+        one.resize(0, 30) and one.target_size == 52
+    )  # half of what it may use: the rest is for when some are ill
     assert not one.resize(1_000_000, 1)
-    assert one.resize(SHRINK_US, 1) and one.size == 26
-    assert not one.resize(SHRINK_US + 1_000_000, 1)
-    assert one.resize(2 * SHRINK_US, 1) and one.size == 13
+    assert one.resize(SHRINK_DELAY_US, 1) and one.target_size == 26
+    assert not one.resize(SHRINK_DELAY_US + 1_000_000, 1)
+    assert one.resize(2 * SHRINK_DELAY_US, 1) and one.target_size == 13
 
 
 def test_a_fleet_that_is_all_ill_is_not_walked_through() -> None:
@@ -107,7 +109,7 @@
         return False
 
     one.select(0, usable)
-    assert len(asked) <= 20 * one.most and 0 < len(one.members) <= one.most
+    assert len(asked) <= 20 * one.max_members and 0 < len(one.members) <= one.max_members
 
 
 # In the decisions
@@ -144,15 +146,15 @@
 
 def test_members_that_are_gone_are_replaced_at_once() -> None:
     world = large_world()
-    used = set(world.balancer.subset.members)
+    used = set(world.balancer.endpoint_list.subset.members)
     world.tell_list([one for one in fleet(400) if one.id not in used])
     after = set(serve(world, 100))
-    assert after and not after & used and len(world.balancer.servers) <= MOST
+    assert after and not after & used and len(world.balancer.endpoints) <= MOST
 
 
 def test_members_that_drain_are_replaced_and_get_nothing_more() -> None:
     world = large_world()
-    used = set(world.balancer.subset.members)
+    used = set(world.balancer.endpoint_list.subset.members)
     out = [world.arrive(READ) for _ in range(3)]
     drained = [
         Upstream(one.id, UpstreamState.DRAINING, one.zone, 0, one.cell)
@@ -169,11 +171,11 @@
 
 def test_members_that_fail_are_added_to_at_once_and_come_back() -> None:
     world = large_world()
-    bad = set(world.balancer.subset.members)
+    bad = set(world.balancer.endpoint_list.subset.members)
     serve(world, 400, bad)
     late = serve(world, 100, bad)
     assert sum(upstream in bad for upstream in late) < 50
-    assert len(world.balancer.subset.members) <= MOST
+    assert len(world.balancer.endpoint_list.subset.members) <= MOST
     world.advance(30_000_000)
     serve(world, 2000)
     assert set(serve(world, 200)) & bad
@@ -182,25 +184,25 @@
 def test_those_that_stood_in_leave_when_the_members_are_well_again() -> None:
     """Without the mend they stayed until the list changed."""
     world = large_world()
-    before = set(world.balancer.subset.members)
+    before = set(world.balancer.endpoint_list.subset.members)
     serve(world, 400, set(list(before)[::2]))
-    assert len(world.balancer.subset.members) > len(before)
+    assert len(world.balancer.endpoint_list.subset.members) > len(before)
     for _ in range(60):
         serve(world, 40)
         world.advance(1_000_000)
-    assert set(world.balancer.subset.members) == before
+    assert set(world.balancer.endpoint_list.subset.members) == before
 
 
 def test_cold_members_are_added_to() -> None:
     world = large_world()
-    used = set(world.balancer.subset.members)
+    used = set(world.balancer.endpoint_list.subset.members)
     fresh = [
         Upstream(one.id, UpstreamState.READY, one.zone, 0, one.cell, 1.0, world.now_us)
         for one in fleet(400)
         if one.id in used
     ]
     world.tell_list(fresh, ListKind.DELTA)
-    assert len(world.balancer.fleet.warm) >= len(used) - 4
+    assert len(world.balancer.pool.warm) >= len(used) - 4
 
 
 def test_keyed_work_goes_on_in_its_cell_beyond_the_subset() -> None:
@@ -219,7 +221,7 @@
         world.end(request, 1, Outcome.OK)
     assert elsewhere >= 35
     world.advance(10_000_000)
-    assert len(world.balancer.servers) <= MOST + 6  # what was used for one repeat only is forgotten
+    assert len(world.balancer.endpoints) <= MOST + 6  # what was used for one repeat only is forgotten
 
 
 def test_two_thousand_replaced_in_a_minute_leave_nothing_behind() -> None:
@@ -234,41 +236,41 @@
             serve(world, 2)
         world.advance(30_000)
     balancer = world.balancer
-    assert len(balancer.entries) == len(balancer.subset) == 500
-    assert sum(map(len, balancer.cells.values())) == 500
-    assert len(balancer.servers) <= MOST and len(balancer.subset.suspects) <= MOST
-    assert set(balancer.servers) <= set(balancer.entries)
+    assert len(balancer.entries) == len(balancer.endpoint_list.subset) == 500
+    assert sum(map(len, balancer.endpoint_list.cells.values())) == 500
+    assert len(balancer.endpoints) <= MOST and len(balancer.endpoint_list.subset.suspects) <= MOST
+    assert set(balancer.endpoints) <= set(balancer.entries)
 
 
 def test_connections_to_those_that_are_left_are_closed() -> None:
     world = large_world()
-    world.balancer.subset.size = 20
+    world.balancer.endpoint_list.subset.target_size = 20
     serve(world, 5)
-    used = set(world.balancer.subset.members)
+    used = set(world.balancer.endpoint_list.subset.members)
     world.log.clear()
     world.tell_list([Upstream(90_000 + n) for n in range(100)], ListKind.DELTA)
-    left = used - set(world.balancer.subset.members)
+    left = used - set(world.balancer.endpoint_list.subset.members)
     assert left and {a.upstream for a in world.log if isinstance(a, CloseIdle)} == left
 
 
 def test_drained_and_ready_again_in_one_list_is_as_the_last_word_says() -> None:
     world = large_world()
-    ident = next(iter(world.balancer.subset.members))
+    ident = next(iter(world.balancer.endpoint_list.subset.members))
     one = world.balancer.entries[ident]
     drained = Upstream(ident, UpstreamState.DRAINING, one.zone, 0, one.cell)
     world.tell_list([drained, one], ListKind.DELTA)
-    assert ident in world.balancer.subset.members
+    assert ident in world.balancer.endpoint_list.subset.members
     world.tell_list([one, drained], ListKind.DELTA)
-    assert ident not in world.balancer.subset.members and ident not in set(serve(world, 100))
+    assert ident not in world.balancer.endpoint_list.subset.members and ident not in set(serve(world, 100))
 
 
 def test_a_fleet_that_grows_and_shrinks_past_the_bound_goes_on() -> None:
     world = large_world(MOST, instances=3)
-    assert not world.balancer.subset.on and len(set(serve(world, 600))) == MOST
+    assert not world.balancer.endpoint_list.subset.is_active and len(set(serve(world, 600))) == MOST
     world.tell_list(fleet(200))
-    assert world.balancer.subset.on and len(set(serve(world, 200))) <= MOST // 2 + 1
+    assert world.balancer.endpoint_list.subset.is_active and len(set(serve(world, 200))) <= MOST // 2 + 1
     world.tell_list(fleet(MOST - 1))
-    assert not world.balancer.subset.on and len(set(serve(world, 600))) == MOST - 1
+    assert not world.balancer.endpoint_list.subset.is_active and len(set(serve(world, 600))) == MOST - 1
     world.advance(START_US // 100)
     assert serve(world, 1)
 
@@ -276,7 +278,7 @@
 @pytest.mark.parametrize("home", [-1, 0, 1])
 def test_one_site_alone_or_none_of_the_own_makes_a_subset_as_well(home: int) -> None:
     one = subset(5, 300, 1000, zones=1, home=home)
-    assert len(members(one)) >= one.size
+    assert len(members(one)) >= one.target_size
     for ident in list(one.zones)[:-1]:
         one.remove(ident)
     assert len(members(one)) == 1
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -5,21 +5,22 @@
 import math
 from collections import Counter
 
-from sidecar_proxy.balancer.endpoint_pool import FEW, Endpoint, EndpointPool
+from sidecar_proxy.balancer.endpoint import Endpoint
+from sidecar_proxy.balancer.endpoint_pool import FEW_SIDECARS, EndpointPool
 from sidecar_proxy.balancer.events import UpstreamState
 
 ASKED = 3
 
 
 def ready(fleet: EndpointPool) -> list[Endpoint]:
-    return [server for server in fleet.servers.values() if server.entry.state is UpstreamState.READY]
+    return [server for server in fleet.endpoints.values() if server.entry.state is UpstreamState.READY]
 
 
 def free(fleet: EndpointPool, server: Endpoint, now_us: int) -> int:
-    slots = server.slots
-    count = int(slots.window) if slots.window >= 1.0 else int(now_us >= slots.rest_until_us)
-    count -= slots.used
-    return count if is_warm(fleet, server, now_us) else min(count, 1 - slots.used)
+    limiter = server.limiter
+    count = int(limiter.limit) if limiter.limit >= 1.0 else int(now_us >= limiter.paused_until_us)
+    count -= limiter.in_flight
+    return count if is_warm(fleet, server, now_us) else min(count, 1 - limiter.in_flight)
 
 
 def is_warm(fleet: EndpointPool, server: Endpoint, now_us: int) -> bool:
@@ -30,11 +31,11 @@
 def in_order(fleet: EndpointPool, now_us: int) -> list[Endpoint]:
     """The warm in the sidecar's own order."""
     warm = [server for server in ready(fleet) if is_warm(fleet, server, now_us)]
-    return sorted(warm, key=lambda server: (fleet.key(server), server.entry.id))
+    return sorted(warm, key=lambda server: (fleet.order_key(server), server.entry.id))
 
 
-def failing_at(fleet: EndpointPool, now_us: int, part: int) -> float:
-    shares = sorted(server.failing for server in in_order(fleet, now_us))
+def failure_rate_quantile(fleet: EndpointPool, now_us: int, part: int) -> float:
+    shares = sorted(server.failure_rate for server in in_order(fleet, now_us))
     return shares[(len(shares) - 1) // part] if shares else 0.0
 
 
@@ -44,10 +45,10 @@
     """With which chance each upstream is drawn, by listing them all."""
     found = [server for server in in_order(fleet, now_us) if free(fleet, server, now_us) > 0][:first]
     found = [server for server in found if server not in barred]
-    found = [server for server in found if server.failing <= most] or found
-    best = [s for s in found if s.entry.zone == fleet.home and s.slots.used == 0] or found
-    few = fleet.settings.instances <= FEW
-    sizes = [s.size * free(fleet, s, now_us) if few else 1.0 for s in best]
+    found = [server for server in found if server.failure_rate <= most] or found
+    best = [s for s in found if s.entry.zone == fleet.home_zone and s.limiter.in_flight == 0] or found
+    few = fleet.settings.instances <= FEW_SIDECARS
+    sizes = [s.weight * free(fleet, s, now_us) if few else 1.0 for s in best]
     return {s.entry.id: size / math.fsum(sizes) for s, size in zip(best, sizes, strict=True)}
 
 
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -76,10 +76,13 @@
 
 
 def test_the_on_call_page_quotes_the_log_lines_as_they_are() -> None:
-    page, module = ((ROOT / name).read_text() for name in ("docs/on-call.md", DEPLOY["policy"][0]))
+    page = (ROOT / "docs/on-call.md").read_text()
+    modules = [path.read_text() for path in (ROOT / "sidecar_proxy/balancer").glob("*.py")]
     assert "`upstream 42 rests`" in page and "`upstream 42 is back`" in page
-    assert module.count("api.Log(") == 1
-    assert 'api.Log(f"upstream {server.entry.id} " + ("is back", "rests")[rests])' in module
+    assert sum(module.count("api.Log(") for module in modules) == 1
+    module = next(module for module in modules if "api.Log(" in module)
+    assert 'state = "rests" if is_closed else "is back"' in module
+    assert 'api.Log(f"upstream {endpoint.entry.id} {state}")' in module
 
 
 def test_build_brings_an_older_venv_up_to_date_and_then_leaves_it_alone(tmp_path: Path) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -174,7 +174,7 @@
         for number in range(50):
             tell(f"s-{number}", "in_service")
             tell(f"s-{number}", "terminated")
-        kept = (directory.numbers, directory.names, pool.hosts, engine.balancer.servers)
+        kept = (directory.numbers, directory.names, pool.hosts, engine.balancer.endpoints)
         assert [len(one) for one in kept] == [0, 0, 0, 0]
         # while something is out to it, it is kept: its end must find it
         ident = tell("s-busy", "in_service")
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -265,7 +265,7 @@
         one.sink = engine = Engine(told, 1, Clock(), pool, one)
         one.told(text([entry(n) for n in range(3000)], 5).encode())
         await settled(one)
-        assert len(pool.hosts) == 3000 and len(engine.balancer.servers) <= 64
+        assert len(pool.hosts) == 3000 and len(engine.balancer.endpoints) <= 64
         looked: list[int] = []
 
         class Watched(dict[int, Host]):
