--- a/sidecar_proxy/balancer/events.py
+++ b/sidecar_proxy/balancer/events.py
@@ -1,8 +1,8 @@
-"""What a sidecar and the decision module say to each other: settings, events in, actions out.
+"""The interface of the balancer: settings, events in, actions out.
 
-Times are whole microseconds (`_us`) on the sidecar's own clock, which only moves forward.
-An embedding sidecar makes a `Settings`, hands events to `Balancer.handle` in their order of
-arrival and carries out the actions it gets back in the order given.
+Times are whole microseconds (`_us`) on the sidecar's own clock, which only moves forward. An embedding
+sidecar builds `Settings`, passes events to `Balancer.handle` in their order of arrival, and carries out the
+actions that are returned, in their order.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # turned away unseen; never ran
+    FULL = "full"  # rejected by the upstream; never ran
     TIMEOUT = "timeout"  # no answer in time; may have run or be running
     CONNECT_FAILED = "connect_failed"  # no connection; never ran
-    RESET = "reset"  # the connection broke; may have run
+    RESET = "reset"  # the connection was lost; may have run
     CANCELLED = "cancelled"  # cancelled by us; may have run
     NOT_SENT = "not_sent"  # the sidecar could not send it; never ran
 
 
 class UpstreamState(enum.Enum):
-    """What the upstream list says of one upstream."""
+    """The state of an upstream by the endpoint list."""
 
     GONE = "gone"
     READY = "ready"
@@ -38,7 +38,7 @@
     DELTA = "delta"  # changed entries only
     FULL = "full"  # the complete list
     CACHED = "cached"  # the complete list as last known, possibly outdated
-    HELD = "held"  # changed entries only, by an operator's hand; discovery has said nothing
+    HELD = "held"  # changed entries only, by an operator's override and not from discovery
     FAILED = "failed"  # a call failed or the subscription broke; the list stays as it was
 
 
@@ -56,11 +56,11 @@
     """One class of requests."""
 
     name: str
-    latency_objective_us: int  # an answer within this earns the full worth
+    latency_objective_us: int  # an answer within this earns the full weight
     deadline_us: int
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # share of the worth left for an answer after the aim
-    objective_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    late_weight: float = 0.0  # share of the weight that an answer after the objective earns
+    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
     effect: str = "idempotent"
     group: str = "all"  # deduplicated: which upstreams drop each other's repeats
     deduplication_window_us: int = 0  # deduplicated: how long they remember a request
@@ -115,27 +115,27 @@
     max_attempts: int = 1
     max_retry_after_us: int = 0
     connect_timeout_us: int = 0
-    retry_after: bool = True  # clients are told how long to stay away
+    retry_after: bool = True  # rejections carry Retry-After
     cancel: bool = False
     probes: bool = False
     peers: bool = False  # messages to other sidecars are allowed
     hedging_allowed: bool = False  # two attempts of a request may be out together
-    list_on_request: bool = False  # upstream changes come only after Subscribe or FetchList
+    list_on_request: bool = False  # list updates come only after Subscribe or FetchList
     max_poll_interval_us: int = 0  # without a subscription, the list must be asked for this often
-    cold_share: float = 1.0  # an upstream boots at this share of its capacity or more
-    warm_up_us: int = 0  # and is warm after this
+    cold_share: float = 1.0  # an upstream starts at this share of its capacity or more
+    warm_up_us: int = 0  # and has all of it after this time
     overload_factor: float = 1.0  # a cold upstream falls over at this multiple of its capacity
-    fall_us: int = 0  # sustained for this long
+    fall_us: int = 0  # if that lasts for this long
     cross_zone_fee: float = 0.0
     probe_fee: float = 0.0  # points of the result for one probe a request
-    key_affinity: bool = False  # an upstream that has lately served a key serves it with less work
+    key_affinity: bool = False  # an upstream serves a key that it served lately with less work
     report_names: list[str] = field(default_factory=list)
-    weighted: bool = False  # the list's weights speak of size
+    weighted: bool = False  # the list's weights tell the upstreams' sizes
     zones: list[str] = field(default_factory=list)  # names, in the order of their numbers
     kinds: list[str] = field(default_factory=list)
-    idle_us: int = 0  # an upstream closes a connection that has stood idle for this long; 0 = never
+    idle_us: int = 0  # an upstream closes connections idle for this long; 0 = never
     probe_timeout_us: int = 250_000
-    is_successor: bool = False  # another process of this sidecar serves: no fleet starts with this one
+    is_successor: bool = False  # it takes over from another process of this sidecar, alone
     max_upstreams: int = 0  # upstreams that one sidecar may use together, of a larger fleet; 0 = any number
 
     def __post_init__(self) -> None:
@@ -181,6 +181,8 @@
 
 @dataclass(slots=True)
 class UpstreamsUpdated:
+    """The endpoint list, or changes of it; or that a call for it failed."""
+
     kind: ListKind
     upstreams: list[Upstream] = field(default_factory=list)
     version: int = 0
@@ -188,37 +190,43 @@
 
 @dataclass(slots=True)
 class RequestArrived:
+    """A client sends a request."""
+
     request: int
     due_us: int  # when the client stops waiting
     class_index: int = 0
     tenant: int = 0
     key: int = 0  # 0 = none
     cost_us: int = 0  # expected work on a standard core; 0 = not known
-    retried: bool = False  # the client sends it again
+    retried: bool = False  # the client has sent it before
     write: bool = False
-    retry_due_us: int = 0  # when its client was told to come back; 0 = it was not
+    retry_due_us: int = 0  # the time by Retry-After of an earlier rejection; 0 = none
 
 
 @dataclass(slots=True)
 class RequestGone:
-    """The client has quit; no answer is owed any more."""
+    """The client has gone away; no answer is due any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt has an outcome."""
+
     request: int
     attempt: int
     upstream: int
     outcome: Outcome
     elapsed_us: int = 0
-    final: bool = False  # the request has ended; otherwise an answer is still owed
+    final: bool = False  # the request is answered; otherwise an answer is still due
     report: list[float] = field(default_factory=list)  # values in the order of `report_names`
 
 
 @dataclass(slots=True)
 class StreamStarted:
+    """The client has begun to receive a streamed answer."""
+
     request: int
     attempt: int
     upstream: int
@@ -227,6 +235,8 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
+    """A load probe has an outcome, with a load report if one came."""
+
     upstream: int
     outcome: Outcome
     elapsed_us: int = 0
@@ -238,31 +248,31 @@
     """What another process of this sidecar has seen of one upstream since it started."""
 
     upstream: int
-    concurrency_limit: float  # its open slots
+    concurrency_limit: float
     failure_rate: float  # share of its last attempts that failed, 0 to 1
-    response_time_us: float  # its usual answer; 0 = none seen
+    response_time_us: float  # smoothed; 0 = no answer was seen
 
 
 @dataclass(slots=True)
 class WarmStartState:
-    """What the process before this one has learnt; told before the first request."""
+    """What the previous process of this sidecar has seen; comes before the first request."""
 
-    response_times_us: list[float]  # by class, the usual answer; 0 = not known
-    total_limit_ratio: float  # slots of all upstreams together, as a multiple of the first ones
+    response_times_us: list[float]  # by class; 0 = unknown
+    total_limit_ratio: float  # the total limit over its initial value
     upstreams: list[WarmStartUpstream]
 
 
 @dataclass(slots=True)
 class OutlierReported:
-    """What the other sidecars have seen of an upstream, in place of what was told of it before."""
+    """What the other sidecars have seen of an upstream; replaces an earlier report on it."""
 
     upstream: int
-    weight: float  # 0 to 1; 0 = nothing speaks against it
+    weight: float  # 0 to 1; 0 = healthy
 
 
 @dataclass(slots=True)
 class FleetResized:
-    """How many sidecars there are now; in place of the settings' `instances` and `self_index`."""
+    """The number of sidecars has changed; replaces the settings' `instances` and `self_index`."""
 
     instances: int
     self_index: int
@@ -270,26 +280,30 @@
 
 @dataclass(slots=True)
 class OverloadUpdated:
-    """What all sidecars together have settled on; in place of what was told before."""
-
-    budget_share: float  # of the fleet's budgets, that this sidecar may spend: 0 to 1
-    admitted_shares: list[float]  # by class, the share of its requests that fits, 0 to 1
-    returning_shares: list[float]  # the same of those that come back when they were told to
-    generation: int  # of the cut: which requests of a class those are
-    retry_after_us: int  # in which refused clients are told to come back; 0 = as usual
-    valid_until_us: int  # all this counts until then
-    retries_per_s: float  # of this sidecar, as the two below
+    """The limits that all sidecars have agreed on; replaces earlier ones."""
+
+    budget_share: float  # of the fleet's budgets, for this sidecar: 0 to 1
+    admitted_shares: list[float]  # by class, the share of requests to admit: 0 to 1
+    returning_shares: list[float]  # the same of those that come back as Retry-After asked
+    generation: int  # of the threshold: selects the keys that are admitted
+    retry_after_us: int  # for rejections; 0 = the sidecar's own value
+    valid_until_us: int  # the limits apply until then
+    retries_per_s: float  # of this sidecar, as is probes_per_s
     probes_per_s: float
-    attempts_per_s: float  # at each upstream that fails
+    attempts_per_s: float  # of this sidecar at each failing upstream
 
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer that SetTimer set has fired."""
+
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
+    """A message of another sidecar has arrived."""
+
     sender: int
     payload: bytes
 
@@ -320,7 +334,7 @@
     request: int
     upstream: int
     timeout_us: int = 0  # 0 = until the client quits
-    until_us: int = 0  # rule 2: not whole with the upstream by then, it is given up; 0 = whenever it is
+    until_us: int = 0  # rule 2: give up unless completely sent by then; 0 = no bound
 
 
 @dataclass(slots=True)
@@ -329,7 +343,7 @@
 
     request: int
     retry_after_us: int = 0  # 0 = no advice
-    shed: bool = False  # by what all sidecars have settled on, not for want of a slot
+    shed: bool = False  # by the fleet's threshold, not for want of a slot
 
 
 @dataclass(slots=True)
@@ -341,38 +355,50 @@
 
 @dataclass(slots=True)
 class Cancel:
+    """Abandon an attempt that is in flight."""
+
     request: int
     attempt: int
 
 
 @dataclass(slots=True)
 class Probe:
+    """Ask an upstream for a load report."""
+
     upstream: int
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Deliver TimerFired at this time."""
+
     at_us: int
     token: int = 0
 
 
 @dataclass(slots=True)
 class Subscribe:
+    """Ask for the endpoint list and for its changes, or stop doing so."""
+
     active: bool = True
 
 
 @dataclass(slots=True)
 class FetchList:
-    pass
+    """Ask for the endpoint list once."""
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close idle connections to an upstream that is not used any more."""
+
     upstream: int
 
 
 @dataclass(slots=True)
 class SendPeerMessage:
+    """Send a message of at most 256 bytes to another sidecar."""
+
     payload: bytes
     to: int | None = None  # None = every peer
 
@@ -382,6 +408,8 @@
 
 @dataclass(slots=True)
 class Log:
+    """Write a log line."""
+
     text: str
 
 
--- a/sidecar_proxy/balancer/settings.py
+++ b/sidecar_proxy/balancer/settings.py
@@ -1,5 +1,6 @@
-"""An instance's settings as text, `path=value` a line in the simulator's names, to typed values; and what
-those permit. Pure.
+"""The settings of one sidecar: `path=value` lines in the platform's names to typed values. Pure.
+
+Also what the settings permit, and load reports in the order that they name. Errors are `SettingsError`.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 
 from sidecar_proxy.balancer import events as api
 
-# Load report values: the wire's names and ours; a name not known here is kept as it is.
+# The values of a load report: the platform's names and those of the code. Unknown names stay as they are.
 REPORT_NAMES = {
     "rif": "in_flight",
     "q": "queued",
@@ -18,7 +19,7 @@
     "rate": "served_per_s",
     "fail_rate": "errors_per_s",
 }
-# The same values as an upstream's JSON names them.
+# The same values under the names of an upstream's JSON report, and those above.
 REPORT_FIELDS = {
     "inflight": "in_flight",
     "queue": "queued",
@@ -29,33 +30,33 @@
 
 
 class SettingsError(Exception):
-    """A setting that cannot be read; one line."""
+    """A setting that cannot be read; the message is one line that names it."""
 
 
-# Actions that need a permission, and the setting that gives it.
-PERMITS = {api.Probe: "probes", api.Cancel: "cancel", api.SendPeerMessage: "peers"}
+# Actions that need a permission, and the setting that grants it.
+REQUIRED_SETTINGS = {api.Probe: "probes", api.Cancel: "cancel", api.SendPeerMessage: "peers"}
 
 
 def check_allowed(settings: api.Settings, action: api.Action) -> None:
-    """Raise for an action that the settings forbid, so that it is never sent."""
-    permit = PERMITS.get(type(action))
-    if permit is not None and not getattr(settings, permit):
+    """Raise ValueError for an action that the settings forbid, so that it is never carried out."""
+    setting = REQUIRED_SETTINGS.get(type(action))
+    if setting is not None and not getattr(settings, setting):
         raise ValueError(f"{type(action).__name__} where the settings forbid it")
 
 
 def parse_report(text: bytes, names: list[str]) -> list[float]:
-    """A load report's values in the order of `names`; none if it is not whole and finite."""
+    """Return a load report's values in the order of `names`; empty unless all are there and finite."""
     try:
-        told = json.loads(text) if text else {}
-        values = {REPORT_FIELDS.get(name, name): float(value) for name, value in told.items()}
+        report = json.loads(text) if text else {}
+        values = {REPORT_FIELDS.get(name, name): float(value) for name, value in report.items()}
     except (ValueError, TypeError, AttributeError, OverflowError, RecursionError):
         return []
-    report = [values.get(name, math.nan) for name in names]
-    return report if all(map(math.isfinite, report)) else []
+    ordered = [values.get(name, math.nan) for name in names]
+    return ordered if all(map(math.isfinite, ordered)) else []
 
 
-class Options:
-    """The start-up settings' path=value pairs, read with checks."""
+class SettingsReader:
+    """Reads typed values from `path=value` lines; each method raises SettingsError."""
 
     def __init__(self, text: str) -> None:
         self.pairs: dict[str, str] = {}
@@ -68,15 +69,18 @@
             self.pairs[path] = value
 
     def text(self, path: str, default: str | None = None) -> str:
+        """Return a value as it stands; without a default it must be set."""
         value = self.pairs.get(path, default)
         if value is None:
             raise SettingsError(f"setting {path} is missing")
         return value
 
     def names(self, path: str) -> list[str]:
+        """Return a comma-separated list, empty if it is not set."""
         return [name for name in self.text(path, "").split(",") if name]
 
     def number(self, path: str, default: str | None = None) -> float:
+        """Return a finite number."""
         value = self.text(path, default)
         try:
             number = float(value)
@@ -86,79 +90,92 @@
             raise SettingsError(f"setting {path}: expected a number, got {value!r}")
         return number
 
-    def whole(self, path: str, default: str | None = None) -> int:
+    def integer(self, path: str, default: str | None = None) -> int:
+        """Return a whole number."""
         number = self.number(path, default)
         if number != int(number):
             raise SettingsError(f"setting {path}: expected a whole number, got {self.text(path, default)!r}")
         return int(number)
 
     def choice(self, path: str, choices: tuple[str, ...], default: str | None = None) -> str:
+        """Return one of the values permitted."""
         value = self.text(path, default)
         if value not in choices:
             raise SettingsError(f"setting {path}: expected one of {', '.join(choices)}, got {value!r}")
         return value
 
     def flag(self, path: str, default: str | None = None) -> bool:
+        """Return a truth value, written as true or false."""
         return self.choice(path, ("true", "false"), default) == "true"
 
 
-def class_of(options: Options, at: str) -> api.RequestClass:
+def read_request_class(reader: SettingsReader, prefix: str) -> api.RequestClass:
+    """Return the request class whose settings begin with a prefix."""
     return api.RequestClass(
-        name=options.text(at + "name"),
-        latency_objective_us=options.whole(at + "aim"),
-        deadline_us=options.whole(at + "deadline"),
-        priority_weight=options.number(at + "worth"),
-        late_weight=options.number(at + "late-worth", "0"),
-        objective_stretch=options.number(at + "aim-stretch", "0"),
-        effect=options.choice(at + "effect", api.EFFECTS),
-        group=options.choice(at + "group", api.GROUPS, "all"),
-        deduplication_window_us=options.whole(at + "memory-span", "0"),
-        stream=options.flag(at + "stream", "false"),
+        name=reader.text(prefix + "name"),
+        latency_objective_us=reader.integer(prefix + "aim"),
+        deadline_us=reader.integer(prefix + "deadline"),
+        priority_weight=reader.number(prefix + "worth"),
+        late_weight=reader.number(prefix + "late-worth", "0"),
+        objective_stretch=reader.number(prefix + "aim-stretch", "0"),
+        effect=reader.choice(prefix + "effect", api.EFFECTS),
+        group=reader.choice(prefix + "group", api.GROUPS, "all"),
+        deduplication_window_us=reader.integer(prefix + "memory-span", "0"),
+        stream=reader.flag(prefix + "stream", "false"),
     )
 
 
-def tenant_of(options: Options, at: str) -> api.Tenant:
+def read_tenant(reader: SettingsReader, prefix: str) -> api.Tenant:
+    """Return the tenant whose settings begin with a prefix."""
     return api.Tenant(
-        options.text(at + "name"), options.number(at + "allowance-per-s"), options.number(at + "share", "0")
+        reader.text(prefix + "name"),
+        reader.number(prefix + "allowance-per-s"),
+        reader.number(prefix + "share", "0"),
     )
 
 
 def parse_settings(text: str) -> api.Settings:
-    """The settings of one instance; keys that are not known are skipped."""
-    o = Options(text)
+    """Return the settings of one sidecar; unknown keys are ignored. Raises SettingsError."""
+    reader = SettingsReader(text)
     try:
         return api.Settings(
-            classes=[class_of(o, f"request-classes.{i}.") for i in range(o.whole("request-classes.count"))],
-            tenants=[tenant_of(o, f"accounts.{i}.") for i in range(o.whole("accounts.count", "0"))],
-            over_quota_weight=o.number("over-share-worth", "1"),
-            weight_by_work=o.choice("value-by", ("request", "work"), "request") == "work",
-            instances=o.whole("instances"),
-            self_index=o.whole("self-index", "0"),
-            zone=o.whole("locality", "0"),
-            tick_us=o.whole("granularity"),
-            max_attempts=o.whole("bounds.most-tries"),
-            max_retry_after_us=o.whole("bounds.max-retry-after", "0"),
-            connect_timeout_us=o.whole("bounds.dial-timeout", "0"),
-            retry_after=o.flag("bounds.retry-after"),
-            cancel=o.flag("bounds.cancel"),
-            probes=o.flag("bounds.probes"),
-            peers=o.flag("bounds.peers", "false"),
-            hedging_allowed=o.flag("bounds.second-copies"),
-            list_on_request=o.choice("registry-mode", ("pushed", "on_request")) == "on_request",
-            max_poll_interval_us=o.whole("invariants.ask-within", "0"),
-            cold_share=o.number("invariants.cold-share"),
-            warm_up_us=o.whole("invariants.warm-up"),
-            overload_factor=o.number("invariants.overload-factor"),
-            fall_us=o.whole("invariants.fall"),
-            cross_zone_fee=o.number("fees.cross-zone", "0"),
-            probe_fee=o.number("fees.probe", "0"),
-            key_affinity=o.flag("specifics.warm-keys", "false"),
-            report_names=[REPORT_NAMES.get(name, name) for name in o.names("report.names")],
-            weighted=o.text("weights", "none") in ("nominal", "rough"),
-            zones=o.names("areas"),
-            kinds=o.names("kinds"),
-            idle_us=o.whole("bounds.conn-idle", "0"),
-            probe_timeout_us=o.whole("bounds.probe-timeout", "250000"),
+            classes=[
+                read_request_class(reader, f"request-classes.{index}.")
+                for index in range(reader.integer("request-classes.count"))
+            ],
+            tenants=[
+                read_tenant(reader, f"accounts.{index}.")
+                for index in range(reader.integer("accounts.count", "0"))
+            ],
+            over_quota_weight=reader.number("over-share-worth", "1"),
+            weight_by_work=reader.choice("value-by", ("request", "work"), "request") == "work",
+            instances=reader.integer("instances"),
+            self_index=reader.integer("self-index", "0"),
+            zone=reader.integer("locality", "0"),
+            tick_us=reader.integer("granularity"),
+            max_attempts=reader.integer("bounds.most-tries"),
+            max_retry_after_us=reader.integer("bounds.max-retry-after", "0"),
+            connect_timeout_us=reader.integer("bounds.dial-timeout", "0"),
+            retry_after=reader.flag("bounds.retry-after"),
+            cancel=reader.flag("bounds.cancel"),
+            probes=reader.flag("bounds.probes"),
+            peers=reader.flag("bounds.peers", "false"),
+            hedging_allowed=reader.flag("bounds.second-copies"),
+            list_on_request=reader.choice("registry-mode", ("pushed", "on_request")) == "on_request",
+            max_poll_interval_us=reader.integer("invariants.ask-within", "0"),
+            cold_share=reader.number("invariants.cold-share"),
+            warm_up_us=reader.integer("invariants.warm-up"),
+            overload_factor=reader.number("invariants.overload-factor"),
+            fall_us=reader.integer("invariants.fall"),
+            cross_zone_fee=reader.number("fees.cross-zone", "0"),
+            probe_fee=reader.number("fees.probe", "0"),
+            key_affinity=reader.flag("specifics.warm-keys", "false"),
+            report_names=[REPORT_NAMES.get(name, name) for name in reader.names("report.names")],
+            weighted=reader.text("weights", "none") in ("nominal", "rough"),
+            zones=reader.names("areas"),
+            kinds=reader.names("kinds"),
+            idle_us=reader.integer("bounds.conn-idle", "0"),
+            probe_timeout_us=reader.integer("bounds.probe-timeout", "250000"),
         )
     except ValueError as error:
         raise SettingsError(f"settings: {error}") from error
