--- a/tests/balancer/test_endpoint_list_updates.py
+++ b/tests/balancer/test_endpoint_list_updates.py
@@ -16,66 +16,68 @@
     UpstreamState,
     UpstreamsUpdated,
 )
+from tests.balancer.steps import READ, listed_world
 from tests.balancer.world import START_US, World, settings, upstreams
 
 
-def asking_world() -> World:
+def polling_world() -> World:
     world = World(settings(list_on_request=True, max_poll_interval_us=10_000_000))
     world.tell_list(upstreams(4), ListKind.CACHED)
     return world
 
 
-def asks(world: World) -> list[int]:
+def list_polls(world: World) -> list[int]:
     """When the world's balancer asked, seen by stepping through time."""
     return [i for i, action in enumerate(world.log) if isinstance(action, Subscribe)]
 
 
-def test_a_list_that_must_be_asked_for_is_subscribed_to() -> None:
-    world = asking_world()
+def test_list_that_is_not_pushed_is_subscribed_to() -> None:
+    world = polling_world()
     world.advance(2_000_000)
-    assert len(asks(world)) >= 1
+    assert len(list_polls(world)) >= 1
 
 
-def test_a_pushed_list_is_never_asked_for() -> None:
+def test_pushed_list_is_never_polled() -> None:
     world = World()
     world.tell_list(upstreams(4), ListKind.CACHED)
     world.advance(60_000_000)
-    assert not asks(world)
+    assert not list_polls(world)
 
 
-def test_a_failed_list_call_is_repeated_with_growing_waits_inside_ask_within() -> None:
-    world = asking_world()
+def test_failed_list_call_backs_off_within_the_poll_interval() -> None:
+    world = polling_world()
     world.advance(2_000_000)
     waits = []
     for _ in range(12):
-        before = len(asks(world))
+        before = len(list_polls(world))
         world.tell(UpstreamsUpdated(ListKind.FAILED))
         start_us = world.now_us
-        while len(asks(world)) == before:
+        while len(list_polls(world)) == before:
             world.advance(10_000)
             assert world.now_us - start_us < 10_000_000
         waits.append(world.now_us - start_us)
-    assert waits[0] < 500_000 and waits[-1] > 1_000_000
+    assert waits[0] < 500_000
+    assert waits[-1] > 1_000_000
 
 
-def test_a_second_failure_before_the_repeat_does_not_double_the_calls() -> None:
-    world = asking_world()
+def test_second_failure_before_the_next_poll_does_not_double_the_calls() -> None:
+    world = polling_world()
     world.advance(2_000_000)
-    before = len(asks(world))
+    before = len(list_polls(world))
     world.tell(UpstreamsUpdated(ListKind.FAILED))
     world.tell(UpstreamsUpdated(ListKind.FAILED))
     world.advance(4_000_000)
     world.tell_list(upstreams(4), ListKind.DELTA)
-    assert len(asks(world)) == before + 1
+    assert len(list_polls(world)) == before + 1
 
 
-def test_a_call_that_is_never_answered_is_made_again_within_ask_within() -> None:
-    world = asking_world()
+def test_unanswered_call_is_repeated_within_the_poll_interval() -> None:
+    world = polling_world()
     world.advance(10_000_000)
-    assert len(asks(world)) >= 2
+    assert len(list_polls(world)) >= 2
 
 
-def listed_us(instances: int, all_calls_us: int, patience_us: int, seed: int) -> list[int]:
+def first_list_times_us(instances: int, all_calls_us: int, patience_us: int, seed: int) -> list[int]:
     """When each of a fleet that starts together has its first list, in microseconds, 0 = not within 30 s.
 
     Discovery works through calls in turn and could take one of each sidecar in `all_calls_us`. One that would
@@ -116,15 +118,15 @@
     return found
 
 
-def test_a_fleet_that_starts_together_does_not_keep_discovery_from_answering() -> None:
+def test_fleet_that_starts_together_does_not_overload_discovery() -> None:
     for instances in (40, 200):
         for seed in range(3):
-            found = listed_us(instances, all_calls_us=6_000_000, patience_us=2_000_000, seed=seed)
+            found = first_list_times_us(instances, all_calls_us=6_000_000, patience_us=2_000_000, seed=seed)
             assert min(found) > 0, (instances, seed, found.count(0))
             assert max(found) < 12_000_000, (instances, seed, max(found))
 
 
-def test_a_sidecar_of_a_large_fleet_that_knows_no_upstream_asks_at_once() -> None:
+def test_sidecar_of_large_fleet_without_any_upstream_polls_at_once() -> None:
     asked = []
     for known in ([], upstreams(4)):
         worlds = [
@@ -134,18 +136,19 @@
         for world in worlds:
             world.tell_list(known, ListKind.CACHED)
             world.advance(100_000)
-        asked.append(sum(len(asks(world)) for world in worlds))
+        asked.append(sum(len(list_polls(world)) for world in worlds))
         for world in worlds:
             world.advance(4_000_000)
-            assert len(asks(world)) == 1
-    assert asked[0] == 10 and asked[1] <= 3
+            assert len(list_polls(world)) == 1
+    assert asked[0] == 10
+    assert asked[1] <= 3
 
 
-def test_a_few_sidecars_ask_at_once() -> None:
-    assert max(listed_us(8, all_calls_us=1_000_000, patience_us=2_000_000, seed=1)) <= 1_100_000
+def test_few_sidecars_poll_at_once() -> None:
+    assert max(first_list_times_us(8, all_calls_us=1_000_000, patience_us=2_000_000, seed=1)) <= 1_100_000
 
 
-def test_a_delta_changes_only_what_it_names() -> None:
+def test_delta_changes_only_its_entries() -> None:
     world = World()
     world.tell_list(upstreams(2))
     world.tell_list([Upstream(100, UpstreamState.DRAINING)], ListKind.DELTA)
@@ -154,7 +157,7 @@
     assert {s.upstream for s in world.sends()} == {101}
 
 
-def test_what_a_full_list_leaves_out_is_gone_and_may_come_back() -> None:
+def test_upstream_missing_from_full_list_is_gone_and_may_return() -> None:
     world = World()
     world.tell_list(upstreams(2))
     world.tell_list(upstreams(1))
@@ -167,7 +170,7 @@
     assert {s.upstream for s in world.sends()} == {100, 101}
 
 
-def test_a_restart_under_the_same_id_is_cold_again() -> None:
+def test_restarted_upstream_of_the_same_id_warms_up_again() -> None:
     world = World()
     world.tell_list(upstreams(3))
     world.tell_list([Upstream(100, started_us=START_US)], ListKind.DELTA)
@@ -178,7 +181,7 @@
     assert sum(1 for s in world.sends() if s.upstream == 100) <= 8  # a third would be its share when warm
 
 
-def test_an_empty_list_and_an_empty_delta_are_taken_calmly() -> None:
+def test_empty_list_and_empty_delta_are_accepted() -> None:
     world = World()
     world.tell_list(upstreams(2))
     world.tell_list([], ListKind.DELTA)
@@ -188,3 +191,11 @@
     world.advance(2_000_000)
     assert world.answer(request) is not None
     assert all(t.at_us > START_US for t in world.log if isinstance(t, SetTimer))
+
+
+def test_draining_upstreams_get_nothing() -> None:
+    world = listed_world(2)
+    world.tell_list([Upstream(100, UpstreamState.DRAINING), Upstream(101, UpstreamState.GONE)])
+    request = world.arrive(READ)
+    world.advance(1_000_000)
+    assert not world.sends(request)
--- a/tests/balancer/test_endpoint_pool.py
+++ b/tests/balancer/test_endpoint_pool.py
@@ -24,26 +24,26 @@
 FAR_OFF = 6.0  # standard deviations: with fixed seeds the verdict is always the same, and chance gives no 6
 
 
-def new_fleet(**changes: object) -> EndpointPool:
+def new_pool(**changes: object) -> EndpointPool:
     return EndpointPool(settings(**changes), 1 if changes.get("cross_zone_fee") else -1, START_US)
 
 
-def add(
-    fleet: EndpointPool, ident: int, dice: random.Random, now_us: int = START_US, **entry: Any
+def add_endpoint(
+    fleet: EndpointPool, ident: int, rng: random.Random, now_us: int = START_US, **entry: Any
 ) -> Endpoint:
-    server = Endpoint(Upstream(ident, **entry), dice.expovariate(1.0), 1.0)
+    server = Endpoint(Upstream(ident, **entry), rng.expovariate(1.0), 1.0)
     fleet.place(server, now_us)
     return server
 
 
-class IndexMachine(RuleBasedStateMachine):
+class PoolMachine(RuleBasedStateMachine):
     """Any order of what happens to upstreams."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_us = START_US
-        self.dice = random.Random(11)
-        self.fleet = new_fleet(cross_zone_fee=0.1)
+        self.rng = random.Random(11)
+        self.fleet = new_pool(cross_zone_fee=0.1)
         self.gone: list[Endpoint] = []
 
     def one(self, number: int) -> Endpoint:
@@ -56,7 +56,7 @@
     def listed(self, ident: int, zone: int, age: int) -> None:
         started = 0 if age < 0 else self.now_us - age
         entry = Upstream(ident, zone=zone, started_us=started)
-        server = self.fleet.endpoints.get(ident) or Endpoint(entry, self.dice.expovariate(1.0), 1.0)
+        server = self.fleet.endpoints.get(ident) or Endpoint(entry, self.rng.expovariate(1.0), 1.0)
         server.entry = entry
         self.fleet.place(server, self.now_us)
 
@@ -139,24 +139,26 @@
                 assert [seat.item for seat in fleet.warm.iterate_open(first, most)] == wanted
 
 
-TestIndex = IndexMachine.TestCase
-TestIndex.settings = hypothesis_settings(
+TestPool = PoolMachine.TestCase
+TestPool.settings = hypothesis_settings(
     derandomize=True, deadline=None, max_examples=60, stateful_step_count=50
 )
 
 
-def varied(count: int, instances: int, seed: int, ill: float = 0.2) -> tuple[EndpointPool, list[Endpoint]]:
+def varied_pool(
+    count: int, instances: int, seed: int, ill: float = 0.2
+) -> tuple[EndpointPool, list[Endpoint]]:
     """A fleet in all states: sizes, zones, windows, rests, sends out, failing shares."""
-    dice = random.Random(seed)
-    fleet = new_fleet(instances=instances, cross_zone_fee=0.1)
+    rng = random.Random(seed)
+    fleet = new_pool(instances=instances, cross_zone_fee=0.1)
     servers = []
     for ident in range(1, count + 1):
-        server = add(fleet, ident, dice, zone=dice.randrange(3))
-        server.weight = dice.choice([0.5, 1.0, 3.0])
-        server.failure_rate = dice.random() if dice.random() < ill else dice.random() * 0.05
-        server.limiter.limit = dice.choice([0.3, 1.0, 2.0, 5.0])
-        server.limiter.in_flight = dice.randrange(3)
-        server.limiter.paused_until_us = START_US + dice.choice([0, 50_000])
+        server = add_endpoint(fleet, ident, rng, zone=rng.randrange(3))
+        server.weight = rng.choice([0.5, 1.0, 3.0])
+        server.failure_rate = rng.random() if rng.random() < ill else rng.random() * 0.05
+        server.limiter.limit = rng.choice([0.3, 1.0, 2.0, 5.0])
+        server.limiter.in_flight = rng.randrange(3)
+        server.limiter.paused_until_us = START_US + rng.choice([0, 50_000])
         fleet.place(server, START_US)
         servers.append(server)
     fleet.refresh_order(START_US)
@@ -167,17 +169,17 @@
 @pytest.mark.parametrize("ill", [0.1, 0.98, 1.0])
 @pytest.mark.parametrize(("count", "first"), [(5, 5), (30, 30), (30, 7), (300, 300), (300, 40)])
 @pytest.mark.parametrize("instances", [3, 9])
-def test_draws_have_the_chances_of_a_list_of_all(
+def test_samples_have_the_distribution_of_a_plain_scan(
     instances: int, count: int, first: int, ill: float, seed: int
 ) -> None:
-    fleet, servers = varied(count, instances, seed, ill)
-    barred = servers[:2]
+    fleet, servers = varied_pool(count, instances, seed, ill)
+    excluded = servers[:2]
     most = 0.1 + plain.failure_rate_quantile(fleet, START_US, 4)
-    expected = plain.chances(fleet, START_US, first, barred, most)
-    dice = random.Random(seed)
+    expected = plain.chances(fleet, START_US, first, excluded, most)
+    rng = random.Random(seed)
     counts: Counter[int] = Counter()
     for _ in range(DRAWS):
-        drawn = fleet.sample(dice, first, barred, most)
+        drawn = fleet.sample(rng, first, excluded, most)
         if drawn is None:
             assert not expected
             return
@@ -185,13 +187,13 @@
     assert plain.unlikely(counts, expected) < FAR_OFF
 
 
-def test_a_wrong_weight_would_be_noticed() -> None:
+def test_chi_square_statistic_detects_wrong_weights() -> None:
     """The statistic can fail: the same draws against chances that are a little off."""
-    fleet, _ = varied(30, 3, 1)
+    fleet, _ = varied_pool(30, 3, 1)
     expected = plain.chances(fleet, START_US, 30, [], math.inf)
-    dice = random.Random(1)
+    rng = random.Random(1)
     counts = Counter(
-        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.sample(dice, 30, [], math.inf)) is not None
+        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.sample(rng, 30, [], math.inf)) is not None
     )
     off = {one: expected[one] * (1.5 if number % 2 else 1.0) for number, one in enumerate(expected)}
     whole = math.fsum(off.values())
@@ -199,32 +201,32 @@
     assert plain.unlikely(counts, {one: chance / whole for one, chance in off.items()}) > FAR_OFF
 
 
-def test_cold_ones_are_drawn_by_size_and_warmth() -> None:
-    fleet, dice = new_fleet(), random.Random(4)
+def test_warming_endpoints_are_sampled_by_weight_and_slow_start_weight() -> None:
+    fleet, rng = new_pool(), random.Random(4)
     for ident in range(1, 9):
-        server = add(fleet, ident, dice, started_us=START_US - ident * 2_000_000)
+        server = add_endpoint(fleet, ident, rng, started_us=START_US - ident * 2_000_000)
         server.weight = 1.0 + ident % 3
         fleet.place(server, START_US)
     shares = {s.entry.id: s.weight * fleet.slow_start_weight(s, START_US) for s in fleet.warming.items()}
     whole = math.fsum(shares.values())
     counts = Counter(
-        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.sample_warming(dice, START_US)) is not None
+        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.sample_warming(rng, START_US)) is not None
     )
     assert sum(counts.values()) > DRAWS * 0.99
     assert plain.unlikely(counts, {one: share / whole for one, share in shares.items()}) < FAR_OFF
 
 
-def test_a_cold_one_that_has_just_begun_is_drawn_rarely_rather_than_always() -> None:
+def test_endpoint_that_has_just_started_is_sampled_rarely() -> None:
     """Rule 4: where chance takes none in many tries, none is taken."""
-    fleet, dice = new_fleet(cold_share=0.0001), random.Random(4)
-    add(fleet, 1, dice, started_us=START_US)
-    drawn = sum(fleet.sample_warming(dice, START_US) is not None for _ in range(200))
+    fleet, rng = new_pool(cold_share=0.0001), random.Random(4)
+    add_endpoint(fleet, 1, rng, started_us=START_US)
+    drawn = sum(fleet.sample_warming(rng, START_US) is not None for _ in range(200))
     assert drawn < 10
 
 
 @pytest.mark.parametrize("near", [True, False])
-def test_where_next_to_none_fit_they_are_found_without_a_long_search(near: bool) -> None:
-    fleet, servers = varied(2000, 3, 5, ill=0.0)
+def test_single_fitting_endpoint_is_found_among_many(near: bool) -> None:
+    fleet, servers = varied_pool(2000, 3, 5, ill=0.0)
     for server in servers:
         server.failure_rate = 0.9
     servers[1234].failure_rate, servers[1234].limiter.in_flight = 0.0, 0
@@ -238,13 +240,13 @@
     assert drawn == {servers[1234]}
 
 
-def test_events_cost_steps_by_the_logarithm_of_the_fleet() -> None:
+def test_entry_depth_grows_with_the_logarithm_of_the_index() -> None:
     """Counted, not timed: how many seats an event passes on its way up."""
     depths = {}
     for count in (100, 10_000):
         shelf: OrderedIndex[int] = OrderedIndex()
-        dice = random.Random(6)
-        seats = [shelf.insert(n, dice.random(), n) for n in range(count)]
+        rng = random.Random(6)
+        seats = [shelf.insert(n, rng.random(), n) for n in range(count)]
         total = 0
         for seat in seats:
             while seat.parent is not None and seat.parent.item is not None:
@@ -254,22 +256,24 @@
     assert depths[10_000] < 3 * depths[100]
 
 
-def test_sorted_blocks_agree_with_a_sorted_list() -> None:
-    dice = random.Random(8)
+def test_sorted_multiset_agrees_with_sorted_list() -> None:
+    rng = random.Random(8)
     blocks: SortedMultiset[int] = SortedMultiset()
     listed: list[int] = []
     for _ in range(6 * MAX_BLOCK_ITEMS):
-        if listed and dice.random() < 0.3:
-            value = dice.choice(listed)
+        if listed and rng.random() < 0.3:
+            value = rng.choice(listed)
             listed.remove(value)
             blocks.remove(value)
         else:
-            value = dice.randrange(300)
+            value = rng.randrange(300)
             listed.append(value)
             blocks.add(value)
     listed.sort()
-    assert [blocks.at(rank) for rank in range(len(listed))] == listed and len(blocks) == len(listed)
-    assert all(len(block) <= MAX_BLOCK_ITEMS for block in blocks.blocks) and len(blocks.blocks) > 2
+    assert [blocks.at(rank) for rank in range(len(listed))] == listed
+    assert len(blocks) == len(listed)
+    assert all(len(block) <= MAX_BLOCK_ITEMS for block in blocks.blocks)
+    assert len(blocks.blocks) > 2
     for start in (0, 1, len(listed) // 2, len(listed) - 1):
         assert list(blocks.cycle_from(start)) == listed[start:] + listed[:start]
     with pytest.raises(ValueError, match="is not in it"):
@@ -278,21 +282,26 @@
         blocks.at(len(listed))
 
 
-def test_nothing_is_left_of_those_that_were_replaced() -> None:
-    fleet, dice = new_fleet(), random.Random(3)
+def test_replaced_endpoints_leave_no_state() -> None:
+    fleet, rng = new_pool(), random.Random(3)
     for ident in range(1, 2001):
-        server = add(fleet, ident, dice, started_us=START_US - 1_000 if ident % 3 else 0)
+        server = add_endpoint(fleet, ident, rng, started_us=START_US - 1_000 if ident % 3 else 0)
         server.limiter.limit = 0.5
         fleet.update(server, START_US)
         if ident > 20:
             fleet.forget(fleet.endpoints[ident - 20])
     left = len(fleet.endpoints)
-    assert left == 20 and len(fleet.warm) + len(fleet.warming) == 20 and len(fleet.order_changed) <= 20
+    assert left == 20
+    assert len(fleet.warm) + len(fleet.warming) == 20
+    assert len(fleet.order_changed) <= 20
     assert len(fleet.failure_rates) == len(fleet.warm)
     fleet.refresh_order(START_US + WARM_UP_US)
     fleet.reopen_due(START_US + WARM_UP_US)
-    assert not fleet.warm_up_ends and not fleet.reopen_times and len(fleet.warm) == 20
-    assert fleet.warming_weight == 0.0 and math.isclose(fleet.warm_weight, 20.0)
+    assert not fleet.warm_up_ends
+    assert not fleet.reopen_times
+    assert len(fleet.warm) == 20
+    assert fleet.warming_weight == 0.0
+    assert math.isclose(fleet.warm_weight, 20.0)
 
 
 @pytest.mark.parametrize(
@@ -307,10 +316,10 @@
         (8, 19_999_999, 1),
     ],
 )
-def test_an_upstream_that_warms_up_has_slots_by_its_warmth(instances: int, age_us: int, slots: int) -> None:
+def test_warming_endpoint_has_slots_by_its_slow_start_weight(instances: int, age_us: int, slots: int) -> None:
     """Rule 4: all sidecars together have no more out at a cold one than its share, or one each."""
-    fleet = new_fleet(instances=instances, cold_share=0.3, warm_up_us=WARM_UP_US)
-    server = add(fleet, 1, random.Random(1), started_us=START_US - age_us)
+    fleet = new_pool(instances=instances, cold_share=0.3, warm_up_us=WARM_UP_US)
+    server = add_endpoint(fleet, 1, random.Random(1), started_us=START_US - age_us)
     server.limiter.limit = 5.0
     now_us = START_US
     assert fleet.open_slots(server, now_us) == slots
--- a/tests/balancer/test_outlier_reports.py
+++ b/tests/balancer/test_outlier_reports.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import itertools
+
 import pytest
 from hypothesis import given
 from hypothesis import settings as settings_of
@@ -15,13 +17,13 @@
 GAP_US = 50_000
 
 
-def world(**changes: object) -> World:
+def listed_world(**changes: object) -> World:
     one = World(settings(**changes))
     one.tell_list(upstreams(6))
     return one
 
 
-def play(one: World, seconds: float, silent: bool = False, gap_us: int = GAP_US) -> list[int]:
+def run_requests(one: World, seconds: float, silent: bool = False, gap_us: int = GAP_US) -> list[int]:
     """Requests in turn, each answered in 10 ms, but by one that is silent; when that one was sent to."""
     found: list[int] = []
     end_us = one.now_us + int(seconds * 1e6)
@@ -37,42 +39,46 @@
     return found
 
 
-def test_a_suspected_upstream_gets_one_trial_after_a_rest_and_all_again_once_it_answers() -> None:
-    one = world(instances=4)
+def test_reported_upstream_gets_one_trial_after_a_pause_and_is_reinstated_by_an_answer() -> None:
+    one = listed_world(instances=4)
     one.tell(OutlierReported(BAD, 1.0))
     begin_us = one.now_us
-    found = play(one, 20.0)
+    found = run_requests(one, 20.0)
     rest_us = found[0] - begin_us
     assert TRIAL_INTERVAL_US * 4 // 2 <= rest_us <= TRIAL_INTERVAL_US * 4 * 1.5 + 1_000_000
     after = [at for at in found if at > found[0]]
-    assert len(after) > 10 and after[0] - found[0] < 2_000_000
+    assert len(after) > 10
+    assert after[0] - found[0] < 2_000_000
     told = one.tell(OutlierReported(BAD, 1.0))
-    assert not told and one.balancer.endpoints[BAD].limit_before_probation == 0.0  # its own answers are fresh
+    assert not told
+    assert one.balancer.endpoints[BAD].limit_before_probation == 0.0
 
 
-def test_a_silent_one_is_tried_seldom_while_it_is_suspected() -> None:
-    one = world(instances=50)
+def test_silent_upstream_on_probation_is_tried_seldom() -> None:
+    one = listed_world(instances=50)
     one.tell(OutlierReported(BAD, 0.8))
-    assert len(play(one, 30.0, silent=True)) <= 30.0 * 1e6 / (MAX_TRIAL_INTERVAL_US / 2) + 1
+    assert len(run_requests(one, 30.0, silent=True)) <= 30.0 * 1e6 / (MAX_TRIAL_INTERVAL_US / 2) + 1
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.1, 0.49])
-def test_little_against_it_changes_nothing_and_less_than_before_ends_a_trial(weight: float) -> None:
-    one = world(instances=50)
+def test_low_weight_has_no_effect_and_ends_probation(weight: float) -> None:
+    one = listed_world(instances=50)
     one.tell(OutlierReported(BAD, weight))
     server = one.balancer.endpoints[BAD]
     assert (server.limit_before_probation, server.limiter.limit) == (0.0, 1.0)
     one.tell(OutlierReported(BAD, 1.0))
-    assert server.limit_before_probation == 1.0 and server.limiter.limit < 1.0
+    assert server.limit_before_probation == 1.0
+    assert server.limiter.limit < 1.0
     one.tell(OutlierReported(BAD, weight))
     assert (server.limit_before_probation, server.limiter.limit) == (0.0, 1.0)
 
 
-def test_one_that_is_suspected_keeps_its_place_in_the_order_of_a_large_fleet() -> None:
-    """Hazard: with 50 sidecars each uses the first few in its own order; moved down it, a falsely suspected
-    one would never have the trial that clears it.
+def test_upstream_on_probation_keeps_its_place_in_the_order() -> None:
+    """Each of 50 sidecars uses the first few upstreams in its own order.
+
+    Moved down in it, a falsely reported upstream would never have the trial that reinstates it.
     """
-    one = world(instances=50)
+    one = listed_world(instances=50)
     servers = one.balancer.endpoints
     first = min(servers.values(), key=one.balancer.pool.order_key).entry.id
     one.tell(OutlierReported(first, 1.0))
@@ -83,9 +89,9 @@
     assert one.sends(request)[0].upstream == first
 
 
-def test_where_most_are_suspected_most_are_used_as_before() -> None:
+def test_only_a_quarter_of_the_upstreams_is_put_on_probation() -> None:
     """Hazard: one bad second of a network would close a fleet's every upstream at every sidecar."""
-    one = world(instances=4)
+    one = listed_world(instances=4)
     for number in range(6):
         one.tell(OutlierReported(100 + number, 1.0))
     assert [server.limit_before_probation > 0.0 for server in one.balancer.endpoints.values()].count(
@@ -96,8 +102,8 @@
     assert one.balancer.endpoints[101].limit_before_probation
 
 
-def test_hearsay_opens_nothing_that_own_experience_has_closed() -> None:
-    one = world(instances=50)
+def test_reports_do_not_raise_a_limit_that_own_failures_lowered() -> None:
+    one = listed_world(instances=50)
     server = one.balancer.endpoints[BAD]
     server.limiter.limit = 1 / 32
     for weight in (1.0, 0.0, 0.7, 0.2):
@@ -105,23 +111,24 @@
         assert server.limiter.limit <= 1 / 32
 
 
-def test_no_lie_however_long_takes_an_upstream_from_a_sidecar_that_uses_it() -> None:
+def test_false_reports_cost_one_pause_at_most() -> None:
     """The bound of docs/design/gossip.md: one rest at first, nothing after it."""
-    one, fair = world(instances=4), world(instances=4)
-    fair_count = len(play(fair, 40.0))
+    one, fair = listed_world(instances=4), listed_world(instances=4)
+    fair_count = len(run_requests(fair, 40.0))
     begin_us = one.now_us
     found: list[int] = []
     while one.now_us < begin_us + 40_000_000:
         one.tell(OutlierReported(BAD, 1.0))
-        found += play(one, 0.5)
+        found += run_requests(one, 0.5)
     rest_us = int(min(TRIAL_INTERVAL_US * 4, MAX_TRIAL_INTERVAL_US) * 1.5)
-    gaps = [b - a for a, b in zip(found, found[1:], strict=False)]
-    assert found[0] - begin_us <= rest_us + 1_000_000 and max(gaps) < OWN_ANSWER_US
+    gaps = [b - a for a, b in itertools.pairwise(found)]
+    assert found[0] - begin_us <= rest_us + 1_000_000
+    assert max(gaps) < OWN_ANSWER_US
     assert len(found) >= fair_count * (1 - rest_us / 40e6) * 0.8
 
 
-def test_a_new_start_is_not_held_to_what_was_said_of_the_last_one() -> None:
-    one = world(instances=50)
+def test_restarted_upstream_is_not_on_probation() -> None:
+    one = listed_world(instances=50)
     one.tell(OutlierReported(BAD, 1.0))
     entry = one.balancer.entries[BAD]
     one.tell_list(
@@ -132,11 +139,12 @@
     assert (server.limit_before_probation, server.limiter.limit) == (0.0, 1.0)
 
 
-def test_the_number_of_sidecars_moves_what_a_cold_upstream_may_be_given() -> None:
-    one = world(instances=2)
+def test_number_of_sidecars_changes_slots_at_warming_upstreams() -> None:
+    one = listed_world(instances=2)
     before = one.balancer.pool.warming_slots
     one.tell(FleetResized(20, 3))
-    assert one.balancer.pool.sidecars_per_endpoint == 20.0 and one.balancer.pool.warming_slots == before / 10
+    assert one.balancer.pool.sidecars_per_endpoint == 20.0
+    assert one.balancer.pool.warming_slots == before / 10
     assert (one.balancer.endpoint_list.subset.index, one.balancer.endpoint_list.subset.instances) == (3, 20)
     one.tell(OutlierReported(999, 1.0))  # of an upstream that nobody lists
 
@@ -153,16 +161,17 @@
         max_size=80,
     )
 )
-def test_whatever_is_said_the_rules_hold_and_nothing_opens(told: list[tuple[str, int, float]]) -> None:
+def test_any_reports_keep_the_rules_and_raise_no_limit(told: list[tuple[str, int, float]]) -> None:
     """World checks the rules at each action; what is said opens no slot and closes none for good."""
-    one = world(instances=4)
+    one = listed_world(instances=4)
     servers = one.balancer.endpoints
     for what, number, part in told:
         if what == "suspect":
             server = servers[100 + number]
             before = server.ordinary_limit()
             one.tell(OutlierReported(100 + number, part))
-            assert server.limiter.limit <= before and server.ordinary_limit() == before
+            assert server.limiter.limit <= before
+            assert server.ordinary_limit() == before
             if server.limit_before_probation and server.failure_rate == 0.0:
                 assert server.limiter.paused_until_us - one.now_us <= MAX_TRIAL_INTERVAL_US * 1.5
         elif what == "size":
--- a/tests/balancer/test_service_rules.py
+++ b/tests/balancer/test_service_rules.py
@@ -16,7 +16,6 @@
     RequestArrived,
     RequestClass,
     Send,
-    TimerFired,
     Upstream,
     UpstreamState,
     UpstreamsUpdated,
@@ -52,7 +51,7 @@
 )
 
 
-def many_classes() -> list[RequestClass]:
+def all_kinds_of_classes() -> list[RequestClass]:
     return [
         *classes(),
         RequestClass(
@@ -64,15 +63,26 @@
     ]
 
 
-def play(world: World, step: tuple[str, int, object]) -> None:
+def apply_step(world: World, step: tuple[str, int, object]) -> None:
     what, number, extra = step
-    open_tries = [(ident, n) for ident, owed in world.owed.items() for n in owed.out()]
     if what == "arrive":
         assert isinstance(extra, int)
         world.arrive(number, patience_us=extra)
     elif what == "advance":
         world.advance(number)
-    elif what in ("list", "restart"):
+    elif what in ("list", "restart", "full", "fail"):
+        apply_list_step(world, step)
+    elif what == "quit" and world.owed:
+        ident = list(world.owed)[number % len(world.owed)]
+        if not world.owed[ident].closed:
+            world.quit(ident)
+    elif what in ("end", "stream"):
+        apply_attempt_step(world, step)
+
+
+def apply_list_step(world: World, step: tuple[str, int, object]) -> None:
+    what, number, extra = step
+    if what in ("list", "restart"):
         started = world.now_us - extra if isinstance(extra, int) else 0
         state = extra if isinstance(extra, UpstreamState) else UpstreamState.READY
         entry = Upstream(100 + number, state, number // 2, 0, number // 2, 1.0, started)
@@ -80,66 +90,68 @@
     elif what == "full":
         assert isinstance(extra, ListKind)
         world.tell_list(upstreams(number), extra)
-    elif what == "fail" and world.settings.list_on_request:
+    elif world.settings.list_on_request:
         world.tell(UpstreamsUpdated(ListKind.FAILED))
-    elif what == "quit" and world.owed:
-        ident = list(world.owed)[number % len(world.owed)]
-        if not world.owed[ident].closed:
-            world.quit(ident)
-    elif what == "end" and open_tries:
-        assert isinstance(extra, Outcome)
-        world.end(*open_tries[number % len(open_tries)], extra)
-    elif what == "stream":
-        streams = [
-            (i, n)
-            for i, n in open_tries
-            if world.settings.classes[world.owed[i].event.class_index].stream
-            and not world.owed[i].stream
-            and not world.owed[i].closed
-        ]
-        if streams:
-            world.begin_stream(*streams[number % len(streams)])
+
+
+def apply_attempt_step(world: World, step: tuple[str, int, object]) -> None:
+    what, number, extra = step
+    open_tries = [(ident, n) for ident, owed in world.owed.items() for n in owed.out()]
+    if what == "end":
+        if open_tries:
+            assert isinstance(extra, Outcome)
+            world.end(*open_tries[number % len(open_tries)], extra)
+        return
+    streams = [
+        (i, n)
+        for i, n in open_tries
+        if world.settings.classes[world.owed[i].event.class_index].stream
+        and not world.owed[i].stream
+        and not world.owed[i].closed
+    ]
+    if streams:
+        world.begin_stream(*streams[number % len(streams)])
 
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
 @given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
-def test_no_rule_is_broken_whatever_happens(
+def test_any_legal_events_keep_the_rules(
     config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
 ) -> None:
-    world = World(settings(classes=many_classes(), **config), seed)
+    world = World(settings(classes=all_kinds_of_classes(), **config), seed)
     world.tell_list(upstreams(6), ListKind.CACHED)
     for step in steps:
-        play(world, step)
+        apply_step(world, step)
     world.advance(5_000_000)  # everything is answered by its due time
 
 
-def busy_day(config: dict[str, object], seed: int) -> list[object]:
+def run_busy_day(config: dict[str, object], seed: int) -> list[object]:
     """Heavy use with every kind of fault, so that slots run out and requests wait and are reissued."""
-    dice = random.Random(seed)
-    world = World(settings(classes=many_classes(), **config), seed)
+    rng = random.Random(seed)
+    world = World(settings(classes=all_kinds_of_classes(), **config), seed)
     world.tell_list(upstreams(6), ListKind.CACHED)
     for _ in range(1500):
-        kind = dice.choices(
+        kind = rng.choices(
             ["arrive", "end", "advance", "list", "restart", "quit", "stream", "fail"],
             [50, 40, 10, 1, 1, 1, 1, 1],
         )[0]
         extra: object = 0
-        number = dice.randrange(50)
+        number = rng.randrange(50)
         if kind == "arrive":
-            number, extra = dice.randrange(5), dice.randrange(1_000, 2_000_000)
+            number, extra = rng.randrange(5), rng.randrange(1_000, 2_000_000)
         elif kind == "end":
-            extra = dice.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1])[0]
+            extra = rng.choices(FAULTS, [20, 2, 2, 2, 1, 1, 1])[0]
         elif kind == "advance":
-            number = dice.randrange(60_000)
+            number = rng.randrange(60_000)
         elif kind in ("list", "restart"):
-            number = dice.randrange(8)
-            extra = dice.choice(list(UpstreamState)) if kind == "list" else dice.randrange(30_000_000)
-        play(world, (kind, number, extra))
+            number = rng.randrange(8)
+            extra = rng.choice(list(UpstreamState)) if kind == "list" else rng.randrange(30_000_000)
+        apply_step(world, (kind, number, extra))
     world.advance(5_000_000)
     return list(world.log)
 
 
-def test_busy_days_break_no_rule_and_are_decided_alike_each_time() -> None:
+def test_busy_days_keep_the_rules_and_are_deterministic() -> None:
     for seed in range(12):
         config: dict[str, object] = {
             "hedging_allowed": seed % 2 == 0,
@@ -148,76 +160,104 @@
             "report_names": [["utilization"], [], ["queued", "in_flight"]][seed % 3],
             "probes": seed % 4 == 0,
         }
-        assert busy_day(config, seed) == busy_day(config, seed)
+        assert run_busy_day(config, seed) == run_busy_day(config, seed)
 
 
-def pushed_share(skew: list[int], outcome: Outcome, new: int = 1) -> float:
-    """The most work that sidecars together send one cold upstream in any `fall_us`, over its budget there.
+class WarmingFleet:
+    """Sidecars that send to ten upstreams of one core each, of which the first `new` have just started.
 
-    Of ten upstreams it and others, `new` together, have just started; each has one core and serves in turn;
-    requests take 40 ms when it is warm. Each sidecar gets `skew` requests a tick of 4 ms.
+    Upstreams serve in turn; requests take 40 ms when an upstream is warm. Upstream 1 ends all its attempts
+    with `outcome`, the others serve them.
     """
-    config = settings(instances=len(skew), classes=[RequestClass("read", 300_000, 1_500_000)])
-    balancers = [Balancer(config, n, START_US) for n in range(len(skew))]
-    listed = [Upstream(n, started_us=START_US if n <= new else 0) for n in range(1, 11)]
 
-    def warmth(at_us: int) -> float:
+    WORK_US = 40_000
+
+    def __init__(self, sidecars: int, outcome: Outcome, new: int) -> None:
+        self.config = settings(instances=sidecars, classes=[RequestClass("read", 300_000, 1_500_000)])
+        self.outcome = outcome
+        self.new = new
+        self.balancers = [Balancer(self.config, n, START_US) for n in range(sidecars)]
+        self.free_us = dict.fromkeys(range(1, 11), START_US)
+        self.sent: list[int] = []  # when upstream 1 got a request
+        self.ends: list[tuple[int, int, int, int, int, int]] = []
+        self.attempts: dict[int, int] = {}
+        self.now_us = START_US
+        listed = [Upstream(n, started_us=START_US if n <= new else 0) for n in range(1, 11)]
+        for balancer in self.balancers:
+            balancer.handle(self.now_us, UpstreamsUpdated(ListKind.FULL, listed))
+
+    def slow_start_weight(self, at_us: int) -> float:
+        config = self.config
         return config.cold_share + (1 - config.cold_share) * (at_us - START_US) / config.warm_up_us
 
-    free_us = dict.fromkeys(range(1, 11), START_US)
-    sent: list[int] = []
-    ends: list[tuple[int, int, int, int, int, int]] = []
-    tries: dict[int, int] = {}
-    timers: list[tuple[int, int]] = []
-    now_us, request = START_US, 0
-    for balancer in balancers:
-        balancer.handle(now_us, UpstreamsUpdated(ListKind.FULL, listed))
-    while now_us < START_US + 8_000_000:
-        events: list[tuple[int, object]] = []
-        for number, rate in enumerate(skew):
+    def due_events(self) -> list[tuple[int, AttemptEnded]]:
+        events = []
+        for end in [e for e in self.ends if e[0] <= self.now_us]:
+            self.ends.remove(end)
+            _, number, request, upstream, attempt, sent_us = end
+            how = self.outcome if upstream == 1 else Outcome.OK
+            took_us = self.now_us - sent_us
+            events.append((number, AttemptEnded(request, attempt, upstream, how, took_us, how is Outcome.OK)))
+        return events
+
+    def handle(self, number: int, event: RequestArrived | AttemptEnded) -> None:
+        for action in self.balancers[number].handle(self.now_us, event):
+            if isinstance(action, Send):
+                self.send(number, action)
+
+    def send(self, number: int, action: Send) -> None:
+        attempt = self.attempts.get(action.request, 0)
+        self.attempts[action.request] = attempt + 1
+        upstream, ready_us = action.upstream, self.now_us + self.WORK_US
+        if upstream > 1 or self.outcome is Outcome.OK:
+            weight = self.slow_start_weight(self.now_us) if upstream <= self.new else 1.0
+            ready_us = max(self.free_us[upstream], self.now_us) + int(self.WORK_US / weight)
+            self.free_us[upstream] = ready_us
+        self.ends.append((ready_us, number, action.request, upstream, attempt, self.now_us))
+        if upstream == 1:
+            self.sent.append(self.now_us)
+
+    def worst_share(self) -> float:
+        """Return the most work that upstream 1 got in any `fall_us`, over its budget there."""
+        worst = 0.0
+        for start in self.sent:
+            pushed = self.WORK_US * sum(start <= at < start + self.config.fall_us for at in self.sent)
+            budget = self.config.overload_factor * self.slow_start_weight(start) * self.config.fall_us
+            worst = max(worst, pushed / budget)
+        return worst
+
+
+def worst_overload_share(rates: list[int], outcome: Outcome, new: int = 1) -> float:
+    """Return the most work that upstream 1 gets in any `fall_us`, over its budget there.
+
+    Each sidecar gets its number of requests per tick of 4 ms.
+    """
+    fleet = WarmingFleet(len(rates), outcome, new)
+    request = 0
+    while fleet.now_us < START_US + 8_000_000:
+        events: list[tuple[int, RequestArrived | AttemptEnded]] = []
+        for number, rate in enumerate(rates):
             for _ in range(rate):
                 request += 1
-                events.append((number, RequestArrived(request, now_us + 1_500_000)))
-        for end in [e for e in ends if e[0] <= now_us]:
-            ends.remove(end)
-            how = outcome if end[3] == 1 else Outcome.OK
-            events.append(
-                (end[1], AttemptEnded(end[2], end[4], end[3], how, now_us - end[5], how is Outcome.OK))
-            )
-        for timer in [t for t in timers if t[0] <= now_us]:
-            timers.remove(timer)
-            events.append((timer[1], TimerFired(0)))
+                events.append((number, RequestArrived(request, fleet.now_us + 1_500_000)))
+        events += fleet.due_events()
         for number, event in events:
-            for action in balancers[number].handle(now_us, event):  # type: ignore[arg-type]
-                if isinstance(action, Send):
-                    nth = tries.get(action.request, 0)
-                    tries[action.request] = nth + 1
-                    ready_us = now_us + 40_000
-                    if action.upstream > 1 or outcome is Outcome.OK:
-                        took_us = int(40_000 / (warmth(now_us) if action.upstream <= new else 1.0))
-                        ready_us = free_us[action.upstream] = max(free_us[action.upstream], now_us) + took_us
-                    ends.append((ready_us, number, action.request, action.upstream, nth, now_us))
-                    if action.upstream == 1:
-                        sent.append(now_us)
-        now_us += 4_000
-    worst = 0.0
-    for start in sent:
-        pushed = 40_000 * sum(1 for at in sent if start <= at < start + config.fall_us)
-        worst = max(worst, pushed / (config.overload_factor * warmth(start) * config.fall_us))
-    return worst
-
-
-def test_a_cold_upstream_is_not_pushed_over_by_all_sidecars_together() -> None:
+            fleet.handle(number, event)
+        fleet.now_us += 4_000
+    return fleet.worst_share()
+
+
+def test_warming_upstream_is_not_overloaded_by_all_sidecars_together() -> None:
     for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1], [1] * 200):
         for outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED):
-            assert 0 < pushed_share(skew, outcome) <= 1, (skew, outcome)
+            assert 0 < worst_overload_share(skew, outcome) <= 1, (skew, outcome)
 
 
-def test_a_fleet_that_starts_all_cold_is_not_pushed_over_by_what_it_bears_when_warm() -> None:
-    assert 0 < pushed_share([1], Outcome.OK, new=10) <= 1
+def test_fleet_that_starts_as_a_whole_is_not_overloaded() -> None:
+    assert 0 < worst_overload_share([1], Outcome.OK, new=10) <= 1
 
 
-def test_those_that_take_the_places_of_most_of_a_fleet_are_not_pushed_over() -> None:
+def test_replacements_of_most_of_a_fleet_are_not_overloaded() -> None:
     for skew in ([1, 1, 1], [1] * 6, [1] * 8, [2] * 8, [1] * 10, [1] * 40, [1] * 200):
         for outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR):
-            assert 0 < pushed_share(skew, outcome, new=6) <= 1, (skew, outcome)
+            assert 0 < worst_overload_share(skew, outcome, new=6) <= 1, (skew, outcome)
--- a/tests/balancer/test_steady_state.py
+++ b/tests/balancer/test_steady_state.py
@@ -23,7 +23,7 @@
 from tests.balancer.world import START_US, World, settings, upstreams
 
 
-def test_events_about_what_is_unknown_change_nothing() -> None:
+def test_events_about_unknown_ids_are_ignored() -> None:
     world = World()
     world.tell_list(upstreams(3))
     for event in (
@@ -39,7 +39,7 @@
     assert world.sends(world.arrive(0))
 
 
-def test_outcomes_after_the_answer_and_gone_after_the_end_are_ignored() -> None:
+def test_events_after_the_final_answer_are_ignored() -> None:
     world = World()
     world.tell_list(upstreams(3))
     request = world.arrive(0)
@@ -52,24 +52,25 @@
     assert world.tell(RequestGone(served)) == []
 
 
-def test_an_outcome_of_an_attempt_never_made_is_ignored() -> None:
+def test_outcome_of_unknown_attempt_is_ignored() -> None:
     world = World()
     world.tell_list(upstreams(3))
     request = world.arrive(0)
     assert world.tell(AttemptEnded(request, 9, 100, Outcome.OK, 5, False)) == []
 
 
-def test_a_stream_that_breaks_is_not_sent_again() -> None:
+def test_broken_stream_is_not_retried() -> None:
     world = World(settings(classes=[RequestClass("feed", 100_000, 500_000, stream=True)]))
     world.tell_list(upstreams(3))
     request = world.arrive(0)
     world.begin_stream(request, 0)
     world.advance(3_000_000)
     world.end(request, 0, Outcome.RESET)
-    assert len(world.sends(request)) == 1 and not isinstance(world.answer(request), Fail)
+    assert len(world.sends(request)) == 1
+    assert not isinstance(world.answer(request), Fail)
 
 
-def test_a_stream_that_has_begun_is_not_presumed_lost() -> None:
+def test_stream_that_has_begun_is_not_presumed_lost() -> None:
     feed = RequestClass("feed", 100_000, 500_000, stream=True, effect="at_most_once", late_weight=0.5)
     world = World(settings(classes=[feed]))
     world.tell_list(upstreams(3))
@@ -78,10 +79,11 @@
     world.advance(3_000_000)
     assert world.balancer.total_limiter.in_flight == 1
     world.end(request, 0, Outcome.OK)
-    assert world.balancer.total_limiter.in_flight == 0 and not world.balancer.requests
+    assert world.balancer.total_limiter.in_flight == 0
+    assert not world.balancer.requests
 
 
-def test_the_same_events_and_seed_give_the_same_actions() -> None:
+def test_same_events_and_seed_give_the_same_actions() -> None:
     first, second, other = (Balancer(settings(), seed, START_US) for seed in (5, 5, 6))
     told = []
     for balancer in (first, second, other):
@@ -108,7 +110,7 @@
         (lambda: settings(classes=[]), "at least one request class"),
     ],
 )
-def test_misuse_says_what_was_expected(make: object, words: str) -> None:
+def test_invalid_settings_raise_with_what_was_expected(make: object, words: str) -> None:
     with pytest.raises(ValueError, match="expected") as caught:
         make()  # type: ignore[operator]
     assert words in str(caught.value)
