--- a/sidecar_proxy/balancer/attempts.py
+++ b/sidecar_proxy/balancer/attempts.py
@@ -14,7 +14,7 @@
 from sidecar_proxy.balancer.request import Attempt, Request
 from sidecar_proxy.balancer.response_times import ResponseTimes
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
-from sidecar_proxy.balancer.wakeups import ATTEMPT_OVERDUE, Wakeups
+from sidecar_proxy.balancer.wakeups import WakeupKind, Wakeups
 
 RESPONSE_TIME_SMOOTHING: Final = 8  # answers over which an endpoint's response time is averaged
 LOST_FACTOR: Final = 3  # times its endpoint's response time, from which an attempt may be lost
@@ -76,7 +76,7 @@
             timeout_us = min(timeout_us, usual_us)
         self.context.actions.append(api.Send(request.id, endpoint.entry.id, timeout_us, send_deadline_us))
         if usual_us < timeout_us:
-            self.wakeups.schedule(now_us + usual_us, ATTEMPT_OVERDUE, request.id)
+            self.wakeups.schedule(now_us + usual_us, WakeupKind.ATTEMPT_OVERDUE, request.id)
 
     def end(self, request: Request, attempt: Attempt, event: api.AttemptEnded) -> None:
         """Record the outcome of an attempt, and free its slot unless that was done before."""
@@ -120,7 +120,9 @@
         remaining_us = max(usual_us, int(LOST_FACTOR * endpoint.response_time_us)) - elapsed_us
         if remaining_us > 0 or not self.outliers.may_presume_lost(attempt):
             interval_us = self.response_times.half_objectives_us[request.class_index] // 4
-            self.wakeups.schedule(now_us + max(remaining_us, interval_us), ATTEMPT_OVERDUE, request.id)
+            self.wakeups.schedule(
+                now_us + max(remaining_us, interval_us), WakeupKind.ATTEMPT_OVERDUE, request.id
+            )
             return
         attempt.is_presumed_lost = True
         endpoint.presumed_lost += 1
--- a/sidecar_proxy/balancer/balancer.py
+++ b/sidecar_proxy/balancer/balancer.py
@@ -29,14 +29,7 @@
 from sidecar_proxy.balancer.response_times import ResponseTimes
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
 from sidecar_proxy.balancer.slow_start import SlowStart
-from sidecar_proxy.balancer.wakeups import (
-    ATTEMPT_OVERDUE,
-    BUFFER_DEADLINE,
-    LIST_POLL,
-    PROBE_DEADLINE,
-    Wakeup,
-    Wakeups,
-)
+from sidecar_proxy.balancer.wakeups import Wakeup, WakeupKind, Wakeups
 from sidecar_proxy.balancer.warm_start import WarmStart
 
 REFRESH_INTERVAL_US: Final = 1_000_000  # between renewals of the order: some answers of a small sidecar
@@ -50,57 +43,31 @@
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         self.settings = settings
         self.context = context = DecisionContext(settings, seed, now_us)
-        self.pool = EndpointPool(settings, context.home_zone, now_us)
-        self.endpoint_list = EndpointList(context, self.pool)
-        self.entries = self.endpoint_list.entries  # the endpoint list
-        self.endpoints = self.pool.endpoints  # those in use
+        self.pool = pool = EndpointPool(settings, context.home_zone, now_us)
+        self.endpoint_list = endpoint_list = EndpointList(context, pool)
+        self.entries = endpoint_list.entries  # the endpoint list
+        self.endpoints = pool.endpoints  # those in use
         self.requests: dict[int, Request] = {}
-        self.overload = FleetOverload(now_us)
-        self.response_times = ResponseTimes(settings.classes)
+        self.overload = overload = FleetOverload(now_us)
+        self.response_times = times = ResponseTimes(settings.classes)
         # of all endpoints together, this sidecar's share of the fleet's
-        self.total_limiter = ConcurrencyLimiter(1.0)
-        self.retry_policy = RetryPolicy(context, self.overload)
-        self.shedder = LoadShedder(context, self.overload, self.response_times, self.total_limiter)
-        self.outliers = OutlierDetector(context, self.pool, self.overload, self.response_times)
-        self.slow_start = SlowStart(context, self.pool, self.retry_policy)
-        self.prober = LoadProber(context, self.pool, self.overload, self.response_times, self.retry_policy)
-        self.picker = Picker(
-            context,
-            self.pool,
-            self.endpoint_list,
-            self.retry_policy,
-            self.shedder,
-            self.outliers,
-            self.slow_start,
-            self.total_limiter,
-        )
+        self.total_limiter = total = ConcurrencyLimiter(1.0)
+        self.retry_policy = policy = RetryPolicy(context, overload)
+        self.shedder = shedder = LoadShedder(context, overload, times, total)
+        self.outliers = outliers = OutlierDetector(context, pool, overload, times)
+        self.slow_start = slow_start = SlowStart(context, pool, policy)
+        self.prober = prober = LoadProber(context, pool, overload, times, policy)
+        self.picker = Picker(context, pool, endpoint_list, policy, shedder, outliers, slow_start, total)
         recorder = OutcomeRecorder(
-            context,
-            self.pool,
-            self.endpoint_list,
-            self.overload,
-            self.response_times,
-            self.shedder,
-            self.outliers,
-            self.slow_start,
-            self.total_limiter,
+            context, pool, endpoint_list, overload, times, shedder, outliers, slow_start, total
         )
-        self.wakeups = Wakeups(context)
+        self.wakeups = wakeups = Wakeups(context)
         self.attempts = AttemptTracker(
-            context,
-            self.pool,
-            self.endpoint_list,
-            self.retry_policy,
-            self.response_times,
-            self.outliers,
-            self.prober,
-            recorder,
-            self.total_limiter,
-            self.wakeups,
+            context, pool, endpoint_list, policy, times, outliers, prober, recorder, total, wakeups
         )
-        self.warm_start = WarmStart(context, self.pool, self.response_times, self.total_limiter)
+        self.warm_start = WarmStart(context, pool, times, total)
         self.next_refresh_us = now_us
-        self.poller = ListPoller(context, self.endpoint_list.subset, self.wakeups)
+        self.poller = ListPoller(context, endpoint_list.subset, wakeups)
 
     # The interface
 
@@ -236,7 +203,7 @@
         if endpoint is not None:
             if self.should_poll_load(endpoint):
                 deadline_us = self.prober.begin(request, candidates[:LOAD_CANDIDATES])
-                self.wakeups.schedule(deadline_us, PROBE_DEADLINE, request.id)
+                self.wakeups.schedule(deadline_us, WakeupKind.PROBE_DEADLINE, request.id)
                 self.continue_polling(request, may_wait=True)
             else:
                 self.send(request, endpoint)
@@ -277,7 +244,7 @@
             self.complete(displaced)
         half_objective_us = self.response_times.half_objectives_us[request.class_index]
         until_us = min(self.context.now_us + half_objective_us, self.response_times.latest_start_us(request))
-        self.wakeups.schedule(until_us, BUFFER_DEADLINE, request.id)
+        self.wakeups.schedule(until_us, WakeupKind.BUFFER_DEADLINE, request.id)
 
     def dispatch_waiting(self) -> None:
         """Send the waiting request if a slot is free by now.
@@ -349,11 +316,11 @@
         """Run one wake-up; one whose request has gone on is ignored."""
         request_id = wakeup.request_id
         waiting = self.shedder.waiting
-        if wakeup.kind == LIST_POLL:
+        if wakeup.kind is WakeupKind.LIST_POLL:
             self.poller.poll_if_due()
-        elif wakeup.kind == PROBE_DEADLINE and request_id in self.prober.waiting:
+        elif wakeup.kind is WakeupKind.PROBE_DEADLINE and request_id in self.prober.waiting:
             self.continue_polling(self.prober.waiting[request_id], may_wait=False)
-        elif wakeup.kind == ATTEMPT_OVERDUE and request_id in self.requests:
+        elif wakeup.kind is WakeupKind.ATTEMPT_OVERDUE and request_id in self.requests:
             self.attempts.presume_lost(self.requests[request_id])
-        elif wakeup.kind == BUFFER_DEADLINE and waiting is not None and waiting.id == request_id:
+        elif wakeup.kind is WakeupKind.BUFFER_DEADLINE and waiting is not None and waiting.id == request_id:
             self.complete(waiting)
--- a/sidecar_proxy/balancer/endpoint.py
+++ b/sidecar_proxy/balancer/endpoint.py
@@ -26,7 +26,7 @@
         self.last_success_us = 0  # when an attempt last ended well; 0 = none has
         self.limit_before_probation = 0.0  # 0 = not on probation
         self.is_logged_closed = False  # the last log line said so
-        # kept by EndpointPool alone
+        # maintained by EndpointPool alone
         self.index: OrderedIndex[Endpoint] | None = None
         self.index_entry: IndexEntry[Endpoint] | None = None
         self.ranked_failure_rate = 0.0  # the failure rate under which it is ranked
--- a/sidecar_proxy/balancer/list_polling.py
+++ b/sidecar_proxy/balancer/list_polling.py
@@ -5,7 +5,7 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.context import DecisionContext
 from sidecar_proxy.balancer.subsetting import Subset
-from sidecar_proxy.balancer.wakeups import LIST_POLL, NO_REQUEST, Wakeups
+from sidecar_proxy.balancer.wakeups import NO_REQUEST, WakeupKind, Wakeups
 
 MIN_BACKOFF_US: Final = 250_000  # long beside one call, short beside a drain
 MAX_BACKOFF_DOUBLINGS: Final = 20
@@ -42,7 +42,7 @@
         """Ask for the list then, if it has to be asked for at all."""
         if self.context.settings.list_on_request:
             self.next_poll_us = at_us
-            self.wakeups.schedule(at_us, LIST_POLL, NO_REQUEST)
+            self.wakeups.schedule(at_us, WakeupKind.LIST_POLL, NO_REQUEST)
 
     def poll_if_due(self) -> None:
         """Ask for the list if that is due; a call that is lost is made again."""
--- a/sidecar_proxy/balancer/load_shedding.py
+++ b/sidecar_proxy/balancer/load_shedding.py
@@ -13,7 +13,7 @@
 MAX_RESERVED_SLOTS: Final = 3  # of the total limit, for the class that is worth most
 RESERVATION_US: Final = 1_000_000  # slots stay reserved so long after capacity was exhausted
 SHEDDING_US: Final = 3_000_000  # the fleet's threshold applies so long after capacity was exhausted here
-RETRY_TOLERANCE_US: Final = 20_000  # a client may come back so much earlier than it was told
+RETRY_TOLERANCE_US: Final = 20_000  # a client may come back so much earlier than Retry-After asked
 SHARE_STEPS: Final = 2**20  # resolution of the share of keys that is admitted
 
 
@@ -39,7 +39,7 @@
 
         It applies only while capacity is exhausted at this sidecar too. Clients that come back too early
         are rejected, and of each class the keys beyond the admitted share, so that a repeat is decided
-        alike at all sidecars. Clients that come back when they were told to have a share of their own.
+        alike at all sidecars. Clients that come back as Retry-After asked have a share of their own.
         """
         now_us = self.context.now_us
         overload = self.overload.current(now_us)
--- a/sidecar_proxy/balancer/outcome_recorder.py
+++ b/sidecar_proxy/balancer/outcome_recorder.py
@@ -22,7 +22,7 @@
 MAX_LOAD: Final = 2.0  # of one attempt, in slow answers' times; failures count as much
 NEED_FACTOR: Final = 4  # slow answers' times for which slots go on opening after capacity was exhausted
 MIN_JUDGED_LIMIT: Final = 0.5  # attempts at endpoints with less say nothing of the total limit
-MIN_LOG_INTERVAL_US: Final = 1_000_000  # between log lines, so that they are few on the worst day
+MIN_LOG_INTERVAL_US: Final = 1_000_000  # between log lines, so that a bad day does not flood the log
 CLOSED_LOG_SHARE: Final = 4  # an endpoint is logged as closed below this part of its initial limit
 
 
--- a/sidecar_proxy/balancer/retry_policy.py
+++ b/sidecar_proxy/balancer/retry_policy.py
@@ -66,7 +66,7 @@
         return first.sent_us + request_class.deduplication_window_us
 
     def is_safe_to_reject(self, request: Request) -> bool:
-        """Whether the client may be told that nothing was done, or that sending it again is harmless."""
+        """Whether a rejection is true: nothing was done, or sending the request again is harmless."""
         request_class = request.request_class
         if request_class.effect == "idempotent" or request.first_that_may_have_run() is None:
             return True
--- a/sidecar_proxy/balancer/wakeups.py
+++ b/sidecar_proxy/balancer/wakeups.py
@@ -1,23 +1,28 @@
 """The balancer's own timers: many wake-ups on the one timer that the engine sets. Pure."""
 
+import enum
 import heapq
 from typing import Final
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.context import DecisionContext
 
-# The kinds of wake-ups; of those due at the same time, the lower kind comes first.
-PROBE_DEADLINE: Final = 0  # a request has waited long enough for load reports
-BUFFER_DEADLINE: Final = 1  # the waiting request has waited long enough for a slot
-LIST_POLL: Final = 2  # the endpoint list is to be asked for
-ATTEMPT_OVERDUE: Final = 3  # an attempt takes longer than usual
 NO_REQUEST: Final = 0
 
 
+class WakeupKind(enum.IntEnum):
+    """What a wake-up is for; of those due at the same time, the lower kind comes first."""
+
+    PROBE_DEADLINE = 0  # a request has waited long enough for load reports
+    BUFFER_DEADLINE = 1  # the waiting request has waited long enough for a slot
+    LIST_POLL = 2  # the endpoint list is to be asked for
+    ATTEMPT_OVERDUE = 3  # an attempt takes longer than usual
+
+
 class Wakeup:
     """One wake-up that is due."""
 
-    def __init__(self, kind: int, request_id: int) -> None:
+    def __init__(self, kind: WakeupKind, request_id: int) -> None:
         self.kind = kind
         self.request_id = request_id
 
@@ -27,10 +32,10 @@
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
-        self.heap: list[tuple[int, int, int]] = []  # (when, kind, request)
+        self.heap: list[tuple[int, WakeupKind, int]] = []  # (when, kind, request)
         self.timer_us = 0  # the next timer that was set; 0 = none
 
-    def schedule(self, at_us: int, kind: int, request_id: int) -> None:
+    def schedule(self, at_us: int, kind: WakeupKind, request_id: int) -> None:
         """Add a wake-up, at the next microsecond at the earliest."""
         heapq.heappush(self.heap, (max(at_us, self.context.now_us + 1), kind, request_id))
 
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -29,7 +29,7 @@
 
 
 def test_many_sidecars_keep_slots_open_for_longer_answers() -> None:
-    """At 0.78 of the slow time, from which a few sidecars refuse and many do not yet."""
+    """At 0.78 of a slow answer's time a few sidecars close slots and many do not."""
     held_by = []
     for instances in (8, 40):
         world = World(settings(instances=instances))
@@ -86,7 +86,7 @@
 
 
 def test_slow_answers_lower_the_total_limit_of_a_small_sidecar() -> None:
-    """Hundreds of sidecars crowd a fleet, each a stranger at every single upstream."""
+    """Hundreds of sidecars overload a fleet, each too seldom at one upstream to notice it there."""
     world = listed_world(60, instances=1000)
     for _ in range(12):
         run_steps(world, 1, took_us=290_000, class_index=PAY)
--- a/tests/balancer/test_endpoint_list_updates.py
+++ b/tests/balancer/test_endpoint_list_updates.py
@@ -82,19 +82,19 @@
 
     Discovery works through calls in turn and could take one of each sidecar in `all_calls_us`. One that would
     wait longer than `patience_us` is turned away; one that nearly does waits so long all the same, behind
-    what is told of changes: it fails, and its work has been done.
+    changes that are sent first: it fails, and its work has been done.
     """
     config = settings(instances=instances, list_on_request=True, max_poll_interval_us=10_000_000)
     cost_us, busy_us, now_us = all_calls_us // instances, START_US, START_US
     fleet = [Balancer(config, seed * 1000 + n, now_us) for n in range(instances)]
-    found = [0] * instances
+    first_list_us = [0] * instances
     cached = UpstreamsUpdated(ListKind.CACHED, upstreams(4))
     queue: list[tuple[int, int, int, Event]] = [(now_us, n, n, cached) for n in range(instances)]
     order = instances
     while queue and queue[0][0] < START_US + 30_000_000:
         now_us, _, n, event = heapq.heappop(queue)
         if isinstance(event, UpstreamsUpdated) and event.kind is ListKind.FULL:
-            found[n] = found[n] or now_us - START_US
+            first_list_us[n] = first_list_us[n] or now_us - START_US
         for action in fleet[n].handle(now_us, event):
             answer: tuple[int, Event] | None = None
             if isinstance(action, SetTimer):
@@ -106,7 +106,7 @@
                     answer = now_us + 1_000, UpstreamsUpdated(ListKind.FAILED)
                 else:
                     busy_us += cost_us
-                    late = wait_us > patience_us * 0.7  # changes are told meanwhile, and come before it
+                    late = wait_us > patience_us * 0.7  # changes are sent meanwhile, and come before it
                     answer = (
                         (now_us + patience_us, UpstreamsUpdated(ListKind.FAILED))
                         if late
@@ -115,15 +115,17 @@
             if answer is not None:
                 order += 1
                 heapq.heappush(queue, (answer[0], order, n, answer[1]))
-    return found
+    return first_list_us
 
 
 def test_fleet_that_starts_together_does_not_overload_discovery() -> None:
     for instances in (40, 200):
         for seed in range(3):
-            found = first_list_times_us(instances, all_calls_us=6_000_000, patience_us=2_000_000, seed=seed)
-            assert min(found) > 0, (instances, seed, found.count(0))
-            assert max(found) < 12_000_000, (instances, seed, max(found))
+            first_list_us = first_list_times_us(
+                instances, all_calls_us=6_000_000, patience_us=2_000_000, seed=seed
+            )
+            assert min(first_list_us) > 0, (instances, seed, first_list_us.count(0))
+            assert max(first_list_us) < 12_000_000, (instances, seed, max(first_list_us))
 
 
 def test_sidecar_of_large_fleet_without_any_upstream_polls_at_once() -> None:
--- a/tests/balancer/test_endpoint_pool.py
+++ b/tests/balancer/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The index of the fleet against plain scans: after any events the same sets, ranks and chances."""
+"""The endpoint pool against plain scans: after any events the same sets, ranks and distributions."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 def add_endpoint(
-    fleet: EndpointPool, ident: int, rng: random.Random, now_us: int = START_US, **entry: Any
+    pool: EndpointPool, ident: int, rng: random.Random, now_us: int = START_US, **entry: Any
 ) -> Endpoint:
-    server = Endpoint(Upstream(ident, **entry), rng.expovariate(1.0), 1.0)
-    fleet.place(server, now_us)
-    return server
+    endpoint = Endpoint(Upstream(ident, **entry), rng.expovariate(1.0), 1.0)
+    pool.place(endpoint, now_us)
+    return endpoint
 
 
 class PoolMachine(RuleBasedStateMachine):
@@ -43,43 +43,46 @@
         super().__init__()
         self.now_us = START_US
         self.rng = random.Random(11)
-        self.fleet = new_pool(cross_zone_fee=0.1)
+        self.pool = new_pool(cross_zone_fee=0.1)
         self.gone: list[Endpoint] = []
 
     def one(self, number: int) -> Endpoint:
-        return list(self.fleet.endpoints.values())[number % len(self.fleet.endpoints)]
+        return list(self.pool.endpoints.values())[number % len(self.pool.endpoints)]
 
     def some(self) -> bool:
-        return bool(self.fleet.endpoints)
+        return bool(self.pool.endpoints)
 
     @rule(ident=st.integers(1, 40), zone=st.integers(0, 2), age=st.integers(-1, 30_000_000))
     def listed(self, ident: int, zone: int, age: int) -> None:
         started = 0 if age < 0 else self.now_us - age
         entry = Upstream(ident, zone=zone, started_us=started)
-        server = self.fleet.endpoints.get(ident) or Endpoint(entry, self.rng.expovariate(1.0), 1.0)
-        server.entry = entry
-        self.fleet.place(server, self.now_us)
+        endpoint = self.pool.endpoints.get(ident) or Endpoint(entry, self.rng.expovariate(1.0), 1.0)
+        endpoint.entry = entry
+        self.pool.place(endpoint, self.now_us)
 
     @precondition(some)
     @rule(number=st.integers(0, 99))
     def drains(self, number: int) -> None:
-        server = self.one(number)
-        server.entry = Upstream(
-            server.entry.id, UpstreamState.DRAINING, server.entry.zone, started_us=server.entry.started_us
+        endpoint = self.one(number)
+        endpoint.entry = Upstream(
+            endpoint.entry.id,
+            UpstreamState.DRAINING,
+            endpoint.entry.zone,
+            started_us=endpoint.entry.started_us,
         )
-        self.fleet.place(server, self.now_us)
+        self.pool.place(endpoint, self.now_us)
 
     @precondition(some)
     @rule(number=st.integers(0, 99))
     def leaves(self, number: int) -> None:
-        self.fleet.forget(self.one(number))
+        self.pool.forget(self.one(number))
 
     @precondition(some)
     @rule(number=st.integers(0, 99), more=st.booleans())
     def used(self, number: int, more: bool) -> None:
-        server = self.one(number)
-        server.limiter.in_flight = max(0, server.limiter.in_flight + (1 if more else -1))
-        self.fleet.update(server, self.now_us)
+        endpoint = self.one(number)
+        endpoint.limiter.in_flight = max(0, endpoint.limiter.in_flight + (1 if more else -1))
+        self.pool.update(endpoint, self.now_us)
 
     @precondition(some)
     @rule(
@@ -89,16 +92,16 @@
         failing=st.floats(0, 1),
     )
     def judged(self, number: int, window: float, rest: int, failing: float) -> None:
-        server = self.one(number)
-        server.limiter.limit, server.failure_rate = window, failing
-        server.limiter.paused_until_us = self.now_us + rest
-        self.fleet.update(server, self.now_us)
+        endpoint = self.one(number)
+        endpoint.limiter.limit, endpoint.failure_rate = window, failing
+        endpoint.limiter.paused_until_us = self.now_us + rest
+        self.pool.update(endpoint, self.now_us)
 
     @precondition(some)
     @rule(number=st.integers(0, 99), size=st.floats(0.1, 9))
     def resized(self, number: int, size: float) -> None:
         self.one(number).weight = size
-        self.fleet.place(self.one(number), self.now_us)
+        self.pool.place(self.one(number), self.now_us)
 
     @rule(by=st.integers(1, 9_000_000))
     def time_passes(self, by: int) -> None:
@@ -106,37 +109,37 @@
 
     @invariant()
     def agrees(self) -> None:
-        fleet, now_us = self.fleet, self.now_us
-        fleet.reopen_due(now_us)
-        fleet.refresh_order(now_us)
-        warm = plain.in_order(fleet, now_us)
-        assert list(fleet.warm.items()) == warm
-        assert set(fleet.warming.items()) == set(plain.ready(fleet)) - set(warm)
-        open_now = [server for server in warm if plain.free(fleet, server, now_us) > 0]
-        assert [seat.item for seat in fleet.warm.iterate_open(len(warm))] == open_now
-        assert fleet.warm.root.open_count == len(open_now)
+        pool, now_us = self.pool, self.now_us
+        pool.reopen_due(now_us)
+        pool.refresh_order(now_us)
+        warm = plain.in_order(pool, now_us)
+        assert list(pool.warm.items()) == warm
+        assert set(pool.warming.items()) == set(plain.ready(pool)) - set(warm)
+        open_now = [endpoint for endpoint in warm if plain.free(pool, endpoint, now_us) > 0]
+        assert [entry.item for entry in pool.warm.iterate_open(len(warm))] == open_now
+        assert pool.warm.root.open_count == len(open_now)
         for part in (2, 4):
-            assert fleet.failure_rate_quantile(part) == plain.failure_rate_quantile(fleet, now_us, part)
-        idle = [s for s in open_now if s.entry.zone == fleet.home_zone and s.limiter.in_flight == 0]
-        assert [seat.item for seat in fleet.warm.iterate_open(len(warm), is_preferred=True)] == idle
+            assert pool.failure_rate_quantile(part) == plain.failure_rate_quantile(pool, now_us, part)
+        idle = [s for s in open_now if s.entry.zone == pool.home_zone and s.limiter.in_flight == 0]
+        assert [entry.item for entry in pool.warm.iterate_open(len(warm), is_preferred=True)] == idle
         assert math.isclose(
-            fleet.warm.root.total_weight,
-            math.fsum(s.weight * plain.free(fleet, s, now_us) for s in open_now),
+            pool.warm.root.total_weight,
+            math.fsum(s.weight * plain.free(pool, s, now_us) for s in open_now),
             abs_tol=1e-9,
         )
-        assert math.isclose(fleet.warm_weight, math.fsum(s.weight for s in warm), rel_tol=1e-9, abs_tol=1e-9)
+        assert math.isclose(pool.warm_weight, math.fsum(s.weight for s in warm), rel_tol=1e-9, abs_tol=1e-9)
         rests = [
             s.limiter.paused_until_us
-            for s in plain.ready(fleet)
+            for s in plain.ready(pool)
             if s.limiter.limit < 1.0 and s.limiter.paused_until_us > now_us
         ]
-        assert fleet.next_reopen_us() == min(rests, default=0)
-        shares = math.fsum(s.weight * fleet.slow_start_weight(s, now_us) for s in fleet.warming.items())
-        assert math.isclose(fleet.warming_capacity(now_us), shares, rel_tol=1e-6, abs_tol=1e-9)
+        assert pool.next_reopen_us() == min(rests, default=0)
+        shares = math.fsum(s.weight * pool.slow_start_weight(s, now_us) for s in pool.warming.items())
+        assert math.isclose(pool.warming_capacity(now_us), shares, rel_tol=1e-6, abs_tol=1e-9)
         for first in (1, 3, len(warm)):
             for most in (0.3, math.inf):
                 wanted = [s for s in open_now[:first] if s.failure_rate <= most]
-                assert [seat.item for seat in fleet.warm.iterate_open(first, most)] == wanted
+                assert [entry.item for entry in pool.warm.iterate_open(first, most)] == wanted
 
 
 TestPool = PoolMachine.TestCase
@@ -146,40 +149,40 @@
 
 
 def varied_pool(
-    count: int, instances: int, seed: int, ill: float = 0.2
+    count: int, instances: int, seed: int, failing_share: float = 0.2
 ) -> tuple[EndpointPool, list[Endpoint]]:
-    """A fleet in all states: sizes, zones, windows, rests, sends out, failing shares."""
+    """A pool in all states: sizes, zones, windows, rests, sends out, failing shares."""
     rng = random.Random(seed)
-    fleet = new_pool(instances=instances, cross_zone_fee=0.1)
-    servers = []
+    pool = new_pool(instances=instances, cross_zone_fee=0.1)
+    endpoints = []
     for ident in range(1, count + 1):
-        server = add_endpoint(fleet, ident, rng, zone=rng.randrange(3))
-        server.weight = rng.choice([0.5, 1.0, 3.0])
-        server.failure_rate = rng.random() if rng.random() < ill else rng.random() * 0.05
-        server.limiter.limit = rng.choice([0.3, 1.0, 2.0, 5.0])
-        server.limiter.in_flight = rng.randrange(3)
-        server.limiter.paused_until_us = START_US + rng.choice([0, 50_000])
-        fleet.place(server, START_US)
-        servers.append(server)
-    fleet.refresh_order(START_US)
-    return fleet, servers
+        endpoint = add_endpoint(pool, ident, rng, zone=rng.randrange(3))
+        endpoint.weight = rng.choice([0.5, 1.0, 3.0])
+        endpoint.failure_rate = rng.random() if rng.random() < failing_share else rng.random() * 0.05
+        endpoint.limiter.limit = rng.choice([0.3, 1.0, 2.0, 5.0])
+        endpoint.limiter.in_flight = rng.randrange(3)
+        endpoint.limiter.paused_until_us = START_US + rng.choice([0, 50_000])
+        pool.place(endpoint, START_US)
+        endpoints.append(endpoint)
+    pool.refresh_order(START_US)
+    return pool, endpoints
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("ill", [0.1, 0.98, 1.0])
+@pytest.mark.parametrize("failing_share", [0.1, 0.98, 1.0])
 @pytest.mark.parametrize(("count", "first"), [(5, 5), (30, 30), (30, 7), (300, 300), (300, 40)])
 @pytest.mark.parametrize("instances", [3, 9])
 def test_samples_have_the_distribution_of_a_plain_scan(
-    instances: int, count: int, first: int, ill: float, seed: int
+    instances: int, count: int, first: int, failing_share: float, seed: int
 ) -> None:
-    fleet, servers = varied_pool(count, instances, seed, ill)
-    excluded = servers[:2]
-    most = 0.1 + plain.failure_rate_quantile(fleet, START_US, 4)
-    expected = plain.chances(fleet, START_US, first, excluded, most)
+    pool, endpoints = varied_pool(count, instances, seed, failing_share)
+    excluded = endpoints[:2]
+    most = 0.1 + plain.failure_rate_quantile(pool, START_US, 4)
+    expected = plain.chances(pool, START_US, first, excluded, most)
     rng = random.Random(seed)
     counts: Counter[int] = Counter()
     for _ in range(DRAWS):
-        drawn = fleet.sample(rng, first, excluded, most)
+        drawn = pool.sample(rng, first, excluded, most)
         if drawn is None:
             assert not expected
             return
@@ -189,11 +192,11 @@
 
 def test_chi_square_statistic_detects_wrong_weights() -> None:
     """The statistic can fail: the same draws against chances that are a little off."""
-    fleet, _ = varied_pool(30, 3, 1)
-    expected = plain.chances(fleet, START_US, 30, [], math.inf)
+    pool, _ = varied_pool(30, 3, 1)
+    expected = plain.chances(pool, START_US, 30, [], math.inf)
     rng = random.Random(1)
     counts = Counter(
-        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.sample(rng, 30, [], math.inf)) is not None
+        drawn.entry.id for _ in range(DRAWS) if (drawn := pool.sample(rng, 30, [], math.inf)) is not None
     )
     off = {one: expected[one] * (1.5 if number % 2 else 1.0) for number, one in enumerate(expected)}
     whole = math.fsum(off.values())
@@ -202,15 +205,15 @@
 
 
 def test_warming_endpoints_are_sampled_by_weight_and_slow_start_weight() -> None:
-    fleet, rng = new_pool(), random.Random(4)
+    pool, rng = new_pool(), random.Random(4)
     for ident in range(1, 9):
-        server = add_endpoint(fleet, ident, rng, started_us=START_US - ident * 2_000_000)
-        server.weight = 1.0 + ident % 3
-        fleet.place(server, START_US)
-    shares = {s.entry.id: s.weight * fleet.slow_start_weight(s, START_US) for s in fleet.warming.items()}
+        endpoint = add_endpoint(pool, ident, rng, started_us=START_US - ident * 2_000_000)
+        endpoint.weight = 1.0 + ident % 3
+        pool.place(endpoint, START_US)
+    shares = {s.entry.id: s.weight * pool.slow_start_weight(s, START_US) for s in pool.warming.items()}
     whole = math.fsum(shares.values())
     counts = Counter(
-        drawn.entry.id for _ in range(DRAWS) if (drawn := fleet.sample_warming(rng, START_US)) is not None
+        drawn.entry.id for _ in range(DRAWS) if (drawn := pool.sample_warming(rng, START_US)) is not None
     )
     assert sum(counts.values()) > DRAWS * 0.99
     assert plain.unlikely(counts, {one: share / whole for one, share in shares.items()}) < FAR_OFF
@@ -218,40 +221,40 @@
 
 def test_endpoint_that_has_just_started_is_sampled_rarely() -> None:
     """Rule 4: where chance takes none in many tries, none is taken."""
-    fleet, rng = new_pool(cold_share=0.0001), random.Random(4)
-    add_endpoint(fleet, 1, rng, started_us=START_US)
-    drawn = sum(fleet.sample_warming(rng, START_US) is not None for _ in range(200))
+    pool, rng = new_pool(cold_share=0.0001), random.Random(4)
+    add_endpoint(pool, 1, rng, started_us=START_US)
+    drawn = sum(pool.sample_warming(rng, START_US) is not None for _ in range(200))
     assert drawn < 10
 
 
 @pytest.mark.parametrize("near", [True, False])
 def test_single_fitting_endpoint_is_found_among_many(near: bool) -> None:
-    fleet, servers = varied_pool(2000, 3, 5, ill=0.0)
-    for server in servers:
-        server.failure_rate = 0.9
-    servers[1234].failure_rate, servers[1234].limiter.in_flight = 0.0, 0
-    servers[1234].limiter.limit = 1.0
-    for server in servers:
-        fleet.place(server, START_US)
+    pool, endpoints = varied_pool(2000, 3, 5, failing_share=0.0)
+    for endpoint in endpoints:
+        endpoint.failure_rate = 0.9
+    endpoints[1234].failure_rate, endpoints[1234].limiter.in_flight = 0.0, 0
+    endpoints[1234].limiter.limit = 1.0
+    for endpoint in endpoints:
+        pool.place(endpoint, START_US)
     drawn = {
-        fleet.warm.sample(random.Random(n), 10**9, [], 0.5, near and servers[1234].entry.zone == 1)
+        pool.warm.sample(random.Random(n), 10**9, [], 0.5, near and endpoints[1234].entry.zone == 1)
         for n in range(20)
     }
-    assert drawn == {servers[1234]}
+    assert drawn == {endpoints[1234]}
 
 
 def test_entry_depth_grows_with_the_logarithm_of_the_index() -> None:
-    """Counted, not timed: how many seats an event passes on its way up."""
+    """Counted, not timed: how many entries an event passes on its way up."""
     depths = {}
     for count in (100, 10_000):
-        shelf: OrderedIndex[int] = OrderedIndex()
+        index: OrderedIndex[int] = OrderedIndex()
         rng = random.Random(6)
-        seats = [shelf.insert(n, rng.random(), n) for n in range(count)]
+        entries = [index.insert(n, rng.random(), n) for n in range(count)]
         total = 0
-        for seat in seats:
-            while seat.parent is not None and seat.parent.item is not None:
+        for entry in entries:
+            while entry.parent is not None and entry.parent.item is not None:
                 total += 1
-                seat = seat.parent
+                entry = entry.parent
         depths[count] = total / count
     assert depths[10_000] < 3 * depths[100]
 
@@ -283,25 +286,25 @@
 
 
 def test_replaced_endpoints_leave_no_state() -> None:
-    fleet, rng = new_pool(), random.Random(3)
+    pool, rng = new_pool(), random.Random(3)
     for ident in range(1, 2001):
-        server = add_endpoint(fleet, ident, rng, started_us=START_US - 1_000 if ident % 3 else 0)
-        server.limiter.limit = 0.5
-        fleet.update(server, START_US)
+        endpoint = add_endpoint(pool, ident, rng, started_us=START_US - 1_000 if ident % 3 else 0)
+        endpoint.limiter.limit = 0.5
+        pool.update(endpoint, START_US)
         if ident > 20:
-            fleet.forget(fleet.endpoints[ident - 20])
-    left = len(fleet.endpoints)
+            pool.forget(pool.endpoints[ident - 20])
+    left = len(pool.endpoints)
     assert left == 20
-    assert len(fleet.warm) + len(fleet.warming) == 20
-    assert len(fleet.order_changed) <= 20
-    assert len(fleet.failure_rates) == len(fleet.warm)
-    fleet.refresh_order(START_US + WARM_UP_US)
-    fleet.reopen_due(START_US + WARM_UP_US)
-    assert not fleet.warm_up_ends
-    assert not fleet.reopen_times
-    assert len(fleet.warm) == 20
-    assert fleet.warming_weight == 0.0
-    assert math.isclose(fleet.warm_weight, 20.0)
+    assert len(pool.warm) + len(pool.warming) == 20
+    assert len(pool.order_changed) <= 20
+    assert len(pool.failure_rates) == len(pool.warm)
+    pool.refresh_order(START_US + WARM_UP_US)
+    pool.reopen_due(START_US + WARM_UP_US)
+    assert not pool.warm_up_ends
+    assert not pool.reopen_times
+    assert len(pool.warm) == 20
+    assert pool.warming_weight == 0.0
+    assert math.isclose(pool.warm_weight, 20.0)
 
 
 @pytest.mark.parametrize(
@@ -317,15 +320,15 @@
     ],
 )
 def test_warming_endpoint_has_slots_by_its_slow_start_weight(instances: int, age_us: int, slots: int) -> None:
-    """Rule 4: all sidecars together have no more out at a cold one than its share, or one each."""
-    fleet = new_pool(instances=instances, cold_share=0.3, warm_up_us=WARM_UP_US)
-    server = add_endpoint(fleet, 1, random.Random(1), started_us=START_US - age_us)
-    server.limiter.limit = 5.0
+    """Rule 4: all sidecars together have no more in flight at a warming one than its share, or one each."""
+    pool = new_pool(instances=instances, cold_share=0.3, warm_up_us=WARM_UP_US)
+    endpoint = add_endpoint(pool, 1, random.Random(1), started_us=START_US - age_us)
+    endpoint.limiter.limit = 5.0
     now_us = START_US
-    assert fleet.open_slots(server, now_us) == slots
-    server.limiter.in_flight = slots
-    assert fleet.open_slots(server, now_us) <= 0
+    assert pool.open_slots(endpoint, now_us) == slots
+    endpoint.limiter.in_flight = slots
+    assert pool.open_slots(endpoint, now_us) <= 0
     if age_us < WARM_UP_US:
         assert slots * instances <= max(
-            MAX_SLOTS_WHILE_WARMING * fleet.slow_start_weight(server, now_us), instances
+            MAX_SLOTS_WHILE_WARMING * pool.slow_start_weight(endpoint, now_us), instances
         )
--- a/tests/balancer/test_load_probes.py
+++ b/tests/balancer/test_load_probes.py
@@ -31,10 +31,10 @@
 
 
 def answer_probes(world: World) -> None:
-    told = 0
-    while told < len(world.log):
-        action = world.log[told]
-        told += 1
+    position = 0
+    while position < len(world.log):
+        action = world.log[position]
+        position += 1
         if isinstance(action, Probe):
             held = world.reports[action.upstream]
             world.tell(ProbeEnded(action.upstream, Outcome.OK, 500, [] if held is None else [held]))
--- a/tests/balancer/test_load_shedding.py
+++ b/tests/balancer/test_load_shedding.py
@@ -75,10 +75,10 @@
 
     def taken(class_index: int) -> list[int]:
         """How many find a slot, till one finds none."""
-        found = []
+        requests = []
         while world.sends(request := world.arrive(class_index)):
-            found.append(request)
-        return found
+            requests.append(request)
+        return requests
 
     def end(requests: list[int]) -> None:
         world.advance(100_000)
--- a/tests/balancer/test_outlier_detection.py
+++ b/tests/balancer/test_outlier_detection.py
@@ -23,7 +23,7 @@
 
 
 def end_all_with(world: World, outcome: Outcome) -> None:
-    """A few requests, and one outcome for all that is out."""
+    """Send requests, and end all attempts in flight with one outcome."""
     for _ in range(20):
         world.arrive(PAY)
     world.advance(10_000)
@@ -125,7 +125,7 @@
 
 
 def test_lost_answers_overtaken_by_later_ones_close_no_slots() -> None:
-    """Hazard: fewer slots only refuse those that would be answered at once."""
+    """Fewer slots would only reject requests that would be answered at once."""
     world = grown_world()
     world.advance(1_000_000)
     limiter = world.balancer.endpoints[100].limiter
@@ -140,7 +140,7 @@
 
 
 def test_nothing_is_presumed_lost_where_other_answers_are_slow_too() -> None:
-    """Hazard: in an overload more than the slots hold would lengthen the queues."""
+    """In an overload, sends beyond the limit would lengthen the queues."""
     world = listed_world(1, instances=2)
     for _ in range(12):
         request = world.arrive(PAY, patience_us=9_000_000)
--- a/tests/balancer/test_steady_state.py
+++ b/tests/balancer/test_steady_state.py
@@ -1,4 +1,4 @@
-"""Odd but legal events are taken calmly; direct misuse is told plainly."""
+"""Unusual but legal events are ignored or handled; invalid settings raise errors."""
 
 from __future__ import annotations
 
@@ -85,13 +85,13 @@
 
 def test_same_events_and_seed_give_the_same_actions() -> None:
     first, second, other = (Balancer(settings(), seed, START_US) for seed in (5, 5, 6))
-    told = []
+    results = []
     for balancer in (first, second, other):
         actions = balancer.handle(START_US, UpstreamsUpdated(Kind.FULL, upstreams(9)))
         for n in range(20):
             actions += balancer.handle(START_US, RequestArrived(n, START_US + 900_000))
-        told.append(actions)
-    assert told[0] == told[1] != told[2]
+        results.append(actions)
+    assert results[0] == results[1] != results[2]
 
 
 @pytest.mark.parametrize(
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -1,4 +1,4 @@
-"""The subset of a large fleet: even over the fleet, steady when lists change, wider when members are ill."""
+"""Subsets of a large fleet: even over the fleet, stable, and wider when members are degraded."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 def new_subset(
     index: int, instances: int, count: int, most: int = 104, zones: int = 1, home: int = -1
 ) -> Subset:
-    one = Subset(index, instances, most, home, zones)
+    subset = Subset(index, instances, most, home, zones)
     for ident in range(count):
-        one.add(ident * 7919 + 3, ident % zones)
-    return one
+        subset.add(ident * 7919 + 3, ident % zones)
+    return subset
 
 
-def select_members(one: Subset, now_us: int = 0) -> set[int]:
-    one.select(now_us, lambda ident: True)
-    return set(one.members)
+def select_members(subset: Subset, now_us: int = 0) -> set[int]:
+    subset.select(now_us, lambda ident: True)
+    return set(subset.members)
 
 
 @pytest.mark.parametrize(
@@ -41,24 +41,24 @@
 )
 def test_every_upstream_is_in_equally_many_subsets(instances: int, count: int, size: int) -> None:
     counts: Counter[int] = Counter()
-    one = new_subset(0, instances, count)
-    one.target_size = size
+    subset = new_subset(0, instances, count)
+    subset.target_size = size
     for index in range(instances):
-        one.index = index
-        counts.update(select_members(one))
+        subset.index = index
+        counts.update(select_members(subset))
     assert len(counts) == count
     assert max(counts.values()) - min(counts.values()) <= 1
 
 
 def test_join_or_leave_moves_at_most_two_members() -> None:
-    one, rng = new_subset(17, 300, 5000), random.Random(2)
-    before = select_members(one)
+    subset, rng = new_subset(17, 300, 5000), random.Random(2)
+    before = select_members(subset)
     for _ in range(50):
         if rng.random() < 0.5:
-            one.remove(rng.choice(list(one.zones)))
+            subset.remove(rng.choice(list(subset.zones)))
         else:
-            one.add(rng.randrange(10**9, 2 * 10**9), 0)
-        after = select_members(one)
+            subset.add(rng.randrange(10**9, 2 * 10**9), 0)
+        after = select_members(subset)
         assert len(before ^ after) <= 4  # one off either end, and the one itself
         before = after
 
@@ -72,51 +72,51 @@
 
 
 def test_home_zone_is_preferred_and_replaced_when_unusable() -> None:
-    one = new_subset(3, 300, 5000, zones=5, home=2)
-    one.target_size = 40
-    well = select_members(one)
-    assert 30 <= sum(one.zones[ident] == 2 for ident in well) < len(well)
-    one.select(0, lambda ident: one.zones[ident] != 2)
-    usable = [ident for ident in one.members if one.zones[ident] != 2]
+    subset = new_subset(3, 300, 5000, zones=5, home=2)
+    subset.target_size = 40
+    well = select_members(subset)
+    assert 30 <= sum(subset.zones[ident] == 2 for ident in well) < len(well)
+    subset.select(0, lambda ident: subset.zones[ident] != 2)
+    usable = [ident for ident in subset.members if subset.zones[ident] != 2]
     assert len(usable) >= 40
-    assert len(one.members) <= one.max_members
+    assert len(subset.members) <= subset.max_members
 
 
 def test_home_zone_is_covered_evenly_by_any_numbering_of_sidecars() -> None:
     for indexes in (range(75), range(0, 300, 4)):
         counts: Counter[int] = Counter()
-        one = new_subset(0, 300, 4000, zones=4, home=0)
-        one.target_size = 52
+        subset = new_subset(0, 300, 4000, zones=4, home=0)
+        subset.target_size = 52
         for index in indexes:
-            one.index = index
-            counts.update(ident for ident in select_members(one) if one.zones[ident] == 0)
+            subset.index = index
+            counts.update(ident for ident in select_members(subset) if subset.zones[ident] == 0)
         assert len(counts) == 1000
         assert max(counts.values()) <= 3 * min(counts.values())
 
 
 def test_size_grows_at_once_and_shrinks_after_a_delay() -> None:
-    one = new_subset(0, 300, 5000)
-    assert one.resize(0, 30)
-    assert one.target_size == 52
-    assert not one.resize(1_000_000, 1)
-    assert one.resize(SHRINK_DELAY_US, 1)
-    assert one.target_size == 26
-    assert not one.resize(SHRINK_DELAY_US + 1_000_000, 1)
-    assert one.resize(2 * SHRINK_DELAY_US, 1)
-    assert one.target_size == 13
+    subset = new_subset(0, 300, 5000)
+    assert subset.resize(0, 30)
+    assert subset.target_size == 52
+    assert not subset.resize(1_000_000, 1)
+    assert subset.resize(SHRINK_DELAY_US, 1)
+    assert subset.target_size == 26
+    assert not subset.resize(SHRINK_DELAY_US + 1_000_000, 1)
+    assert subset.resize(2 * SHRINK_DELAY_US, 1)
+    assert subset.target_size == 13
 
 
 def test_unusable_fleet_is_not_walked_through() -> None:
-    one = new_subset(0, 300, 50_000)
+    subset = new_subset(0, 300, 50_000)
     asked: list[int] = []
 
     def usable(ident: int) -> bool:
         asked.append(ident)
         return False
 
-    one.select(0, usable)
-    assert len(asked) <= 20 * one.max_members
-    assert 0 < len(one.members) <= one.max_members
+    subset.select(0, usable)
+    assert len(asked) <= 20 * subset.max_members
+    assert 0 < len(subset.members) <= subset.max_members
 
 
 # In the decisions
@@ -296,8 +296,8 @@
 
 @pytest.mark.parametrize("home", [-1, 0, 1])
 def test_single_zone_with_or_without_home_zone_makes_a_subset(home: int) -> None:
-    one = new_subset(5, 300, 1000, zones=1, home=home)
-    assert len(select_members(one)) >= one.target_size
-    for ident in list(one.zones)[:-1]:
-        one.remove(ident)
-    assert len(select_members(one)) == 1
+    subset = new_subset(5, 300, 1000, zones=1, home=home)
+    assert len(select_members(subset)) >= subset.target_size
+    for ident in list(subset.zones)[:-1]:
+        subset.remove(ident)
+    assert len(select_members(subset)) == 1
--- a/tests/balancer/test_wakeups.py
+++ b/tests/balancer/test_wakeups.py
@@ -4,7 +4,7 @@
 
 from sidecar_proxy.balancer.context import DecisionContext
 from sidecar_proxy.balancer.events import SetTimer
-from sidecar_proxy.balancer.wakeups import ATTEMPT_OVERDUE, LIST_POLL, PROBE_DEADLINE, Wakeups
+from sidecar_proxy.balancer.wakeups import WakeupKind, Wakeups
 from tests.balancer.world import settings
 
 
@@ -15,20 +15,24 @@
 
 def test_wakeups_are_popped_by_time_and_kind_once_due() -> None:
     context, wakeups = new_wakeups()
-    wakeups.schedule(1_500, ATTEMPT_OVERDUE, 1)
-    wakeups.schedule(1_500, PROBE_DEADLINE, 2)
-    wakeups.schedule(1_400, LIST_POLL, 0)
+    wakeups.schedule(1_500, WakeupKind.ATTEMPT_OVERDUE, 1)
+    wakeups.schedule(1_500, WakeupKind.PROBE_DEADLINE, 2)
+    wakeups.schedule(1_400, WakeupKind.LIST_POLL, 0)
     assert wakeups.pop_due() is None
     context.now_us = 1_500
     popped = []
     while (wakeup := wakeups.pop_due()) is not None:
         popped.append((wakeup.kind, wakeup.request_id))
-    assert popped == [(LIST_POLL, 0), (PROBE_DEADLINE, 2), (ATTEMPT_OVERDUE, 1)]
+    assert popped == [
+        (WakeupKind.LIST_POLL, 0),
+        (WakeupKind.PROBE_DEADLINE, 2),
+        (WakeupKind.ATTEMPT_OVERDUE, 1),
+    ]
 
 
 def test_wakeup_in_the_past_is_due_at_the_next_microsecond() -> None:
     context, wakeups = new_wakeups()
-    wakeups.schedule(10, LIST_POLL, 0)
+    wakeups.schedule(10, WakeupKind.LIST_POLL, 0)
     assert wakeups.pop_due() is None
     context.now_us += 1
     assert wakeups.pop_due() is not None
@@ -36,7 +40,7 @@
 
 def test_timer_is_set_only_for_what_comes_before_the_one_set() -> None:
     context, wakeups = new_wakeups()
-    wakeups.schedule(2_000, LIST_POLL, 0)
+    wakeups.schedule(2_000, WakeupKind.LIST_POLL, 0)
     wakeups.set_timer(0)
     wakeups.set_timer(3_000)
     wakeups.set_timer(1_700)
@@ -45,7 +49,7 @@
 
 def test_stale_timer_does_not_clear_a_later_one() -> None:
     context, wakeups = new_wakeups()
-    wakeups.schedule(2_000, LIST_POLL, 0)
+    wakeups.schedule(2_000, WakeupKind.LIST_POLL, 0)
     wakeups.set_timer(0)
     wakeups.timer_fired()
     assert wakeups.timer_us == 2_000
