--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -3,7 +3,7 @@
     python -m benchmarks.decisions [--requests 2000] [--old FILE]
 
 CPU time, and each size against 16 upstreams in the same run, so that a busy machine says little. `--old`
-times another balance.py (as of an earlier commit, say) beside this one.
+times another balancer.py (of an earlier commit, say, in one file) beside this one.
 """
 
 from __future__ import annotations
@@ -26,7 +26,8 @@
 START_US = 1_000_000_000
 
 
-def settings(instances: int, most: int = 0) -> api.Settings:
+def settings(instances: int, max_upstreams: int = 0) -> api.Settings:
+    """Return the settings of a fleet of so many sidecars."""
     return api.Settings(
         [
             api.RequestClass("buy", 400_000, 1_200_000, 10.0, 0.3, effect="at_most_once"),
@@ -48,11 +49,12 @@
         overload_factor=2.5,
         fall_us=2_000_000,
         max_retry_after_us=2_000_000,
-        max_upstreams=most,
+        max_upstreams=max_upstreams,
     )
 
 
 def entries(count: int) -> list[api.Upstream]:
+    """Return a list of ready upstreams, in five zones and in cells of six."""
     return [api.Upstream(7919 * n + 13, zone=n % 5, cell=n // 6) for n in range(count)]
 
 
@@ -60,7 +62,7 @@
     make: Callable[[api.Settings, int, int], Any], count: int, instances: int, requests: int, most: int = 0
 ) -> float:
     """CPU microseconds a request, with a few out at any time and one failure in 50."""
-    dice, now_us = random.Random(5), START_US
+    rng, now_us = random.Random(5), START_US
     balancer = make(settings(instances, most), 3, now_us)
     balancer.handle(now_us, api.UpstreamsUpdated(api.ListKind.FULL, entries(count)))
     out: list[tuple[int, int, int]] = []
@@ -68,11 +70,11 @@
     warm_up = min(300, requests // 3)
     for ident in range(1, requests + warm_up + 1):
         now_us += 3_000
-        arrival = api.RequestArrived(ident, now_us + 1_000_000, dice.randrange(2))
+        arrival = api.RequestArrived(ident, now_us + 1_000_000, rng.randrange(2))
         ended = None
         if len(out) >= 4:
             request, upstream, sent_us = out.pop(0)
-            outcome = api.Outcome.ERROR if dice.random() < 0.02 else api.Outcome.OK
+            outcome = api.Outcome.ERROR if rng.random() < 0.02 else api.Outcome.OK
             ended = api.AttemptEnded(request, 0, upstream, outcome, now_us - sent_us, True)
         begin = time.process_time_ns()
         actions = balancer.handle(now_us, arrival)
@@ -90,9 +92,9 @@
     balancer, now_us = Balancer(settings(3 if not most else 300, most), 3, START_US), START_US
     listed = entries(count)
     balancer.handle(now_us, api.UpstreamsUpdated(api.ListKind.FULL, listed))
-    dice, spent = random.Random(9), 0
+    rng, spent = random.Random(9), 0
     for _ in range(changes):
-        one = listed[dice.randrange(count)]
+        one = listed[rng.randrange(count)]
         for state in (api.UpstreamState.DRAINING, api.UpstreamState.READY):
             now_us += 10_000
             entry = api.Upstream(one.id, state, one.zone, one.kind, one.cell)
@@ -120,19 +122,21 @@
 
 
 def load(path: str) -> Callable[[api.Settings, int, int], Any]:
-    spec = importlib.util.spec_from_file_location("old_balance", path)
+    """Return the Balancer class of a source file."""
+    spec = importlib.util.spec_from_file_location("old_balancer", path)
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
-    sys.modules["old_balance"] = module
+    sys.modules["old_balancer"] = module
     spec.loader.exec_module(module)
     made: Callable[[api.Settings, int, int], Any] = module.Balancer
     return made
 
 
 def main() -> int:
+    """Print the tables."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--requests", type=int, default=2000)
-    parser.add_argument("--old", help="an earlier balance.py, timed in the same run")
+    parser.add_argument("--old", help="an earlier balancer.py, timed in the same run")
     arguments = parser.parse_args()
     makes: dict[str, Callable[[api.Settings, int, int], Any]] = {"now": Balancer}
     if arguments.old:
@@ -161,8 +165,8 @@
         cells = []
         for title, instances, name, most in columns:
             # what grows with the square of the fleet is timed on fewer requests
-            few = max(3, 60_000 // size // size * 3)
-            requests = arguments.requests if name == "now" or size <= 64 else few
+            fewer_requests = max(3, 60_000 // size // size * 3)
+            requests = arguments.requests if name == "now" or size <= 64 else fewer_requests
             cost = time_requests(makes[name], size, instances(size), requests, most)
             if size == 16:
                 base[title] = cost
--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -50,12 +50,12 @@
     def __init__(self, scene: Scene, registry: Registry, seed: int) -> None:
         self.scene = scene
         self.registry = registry
-        self.dice = random.Random(seed)
+        self.rng = random.Random(seed)
         self.free = list(scene.nodes)
         self.drains: list[Drain] = []
 
     def drain(self, why: str) -> tuple[Node, Drain]:
-        node = self.free.pop(self.dice.randrange(len(self.free)))
+        node = self.free.pop(self.rng.randrange(len(self.free)))
         one = Drain(why, node.name, now_us())
         self.registry.put(node.entry() | {"health": "terminating"})
         self.drains.append(one)
@@ -72,7 +72,7 @@
         async def worker() -> None:
             for _ in numbers:
                 node, one = self.drain("no fault")
-                await asyncio.sleep(OUT_S * (0.5 + self.dice.random()))
+                await asyncio.sleep(OUT_S * (0.5 + self.rng.random()))
                 self.restore(node, one)
 
         await asyncio.gather(*[worker() for _ in range(TOGETHER)])
@@ -100,7 +100,7 @@
             await self.registry.down(True)
             self.registry.is_down = False  # who writes is not away; only its readers are
         if kind != "compacted while away":
-            await asyncio.sleep(0.8 * self.dice.random())
+            await asyncio.sleep(0.8 * self.rng.random())
         node, one = self.drain(kind)
         if kind == "compacted while away":
             self.registry.store.compact()
