--- a/tests/plain.py
+++ b/tests/plain.py
@@ -1,4 +1,4 @@
-"""Plain scans of a whole fleet: what the index must agree with. As slow as they are short."""
+"""Plain scans of a complete pool: what the index must agree with. As slow as they are short."""
 
 from __future__ import annotations
 
@@ -12,43 +12,43 @@
 ASKED = 3
 
 
-def ready(fleet: EndpointPool) -> list[Endpoint]:
-    return [server for server in fleet.endpoints.values() if server.entry.state is UpstreamState.READY]
+def ready(pool: EndpointPool) -> list[Endpoint]:
+    return [endpoint for endpoint in pool.endpoints.values() if endpoint.entry.state is UpstreamState.READY]
 
 
-def free(fleet: EndpointPool, server: Endpoint, now_us: int) -> int:
-    limiter = server.limiter
+def free(pool: EndpointPool, endpoint: Endpoint, now_us: int) -> int:
+    limiter = endpoint.limiter
     count = int(limiter.limit) if limiter.limit >= 1.0 else int(now_us >= limiter.paused_until_us)
     count -= limiter.in_flight
-    return count if is_warm(fleet, server, now_us) else min(count, 1 - limiter.in_flight)
+    return count if is_warm(pool, endpoint, now_us) else min(count, 1 - limiter.in_flight)
 
 
-def is_warm(fleet: EndpointPool, server: Endpoint, now_us: int) -> bool:
-    started = server.entry.started_us
-    return started == 0 or now_us - started >= fleet.settings.warm_up_us
+def is_warm(pool: EndpointPool, endpoint: Endpoint, now_us: int) -> bool:
+    started = endpoint.entry.started_us
+    return started == 0 or now_us - started >= pool.settings.warm_up_us
 
 
-def in_order(fleet: EndpointPool, now_us: int) -> list[Endpoint]:
+def in_order(pool: EndpointPool, now_us: int) -> list[Endpoint]:
     """The warm in the sidecar's own order."""
-    warm = [server for server in ready(fleet) if is_warm(fleet, server, now_us)]
-    return sorted(warm, key=lambda server: (fleet.order_key(server), server.entry.id))
+    warm = [endpoint for endpoint in ready(pool) if is_warm(pool, endpoint, now_us)]
+    return sorted(warm, key=lambda endpoint: (pool.order_key(endpoint), endpoint.entry.id))
 
 
-def failure_rate_quantile(fleet: EndpointPool, now_us: int, part: int) -> float:
-    shares = sorted(server.failure_rate for server in in_order(fleet, now_us))
+def failure_rate_quantile(pool: EndpointPool, now_us: int, part: int) -> float:
+    shares = sorted(endpoint.failure_rate for endpoint in in_order(pool, now_us))
     return shares[(len(shares) - 1) // part] if shares else 0.0
 
 
 def chances(
-    fleet: EndpointPool, now_us: int, first: int, barred: list[Endpoint], most: float
+    pool: EndpointPool, now_us: int, first: int, excluded: list[Endpoint], most: float
 ) -> dict[int, float]:
     """With which chance each upstream is drawn, by listing them all."""
-    found = [server for server in in_order(fleet, now_us) if free(fleet, server, now_us) > 0][:first]
-    found = [server for server in found if server not in barred]
-    found = [server for server in found if server.failure_rate <= most] or found
-    best = [s for s in found if s.entry.zone == fleet.home_zone and s.limiter.in_flight == 0] or found
-    few = fleet.settings.instances <= FEW_SIDECARS
-    sizes = [s.weight * free(fleet, s, now_us) if few else 1.0 for s in best]
+    found = [endpoint for endpoint in in_order(pool, now_us) if free(pool, endpoint, now_us) > 0][:first]
+    found = [endpoint for endpoint in found if endpoint not in excluded]
+    found = [endpoint for endpoint in found if endpoint.failure_rate <= most] or found
+    best = [s for s in found if s.entry.zone == pool.home_zone and s.limiter.in_flight == 0] or found
+    few = pool.settings.instances <= FEW_SIDECARS
+    sizes = [s.weight * free(pool, s, now_us) if few else 1.0 for s in best]
     return {s.entry.id: size / math.fsum(sizes) for s, size in zip(best, sizes, strict=True)}
 
 
