--- a/tests/balancer/world.py
+++ b/tests/balancer/world.py
@@ -1,7 +1,7 @@
-"""A stand-in for the sidecar around a Balancer: carries out its actions and checks the contract.
+"""A test double of the sidecar around a Balancer: carries out its actions and checks the four rules.
 
-It is no simulator: tests say what happens and when. Every action is checked against the four rules as
-the contract words them, from records kept here and not from the module's own.
+It is no simulator: tests say what happens and when. Every action is checked against the rules as the contract
+states them, from records made here and not from the balancer's own.
 """
 
 from __future__ import annotations
@@ -121,11 +121,11 @@
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.owed: dict[int, Owed] = {}
         self.known: dict[int, Upstream] = {}
-        self.refused_us: dict[int, int] = {}  # upstreams told draining or gone: since when
+        self.refused_us: dict[int, int] = {}  # draining or removed upstreams, and since when
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
         self.next_id = 1
-        self.reports: dict[int, float | None] = {}  # what upstreams tell when probed, for tests that use it
+        self.reports: dict[int, float | None] = {}  # loads that upstreams report when probed
 
     # Events
 
@@ -238,7 +238,7 @@
             assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
             if kind.effect == "deduplicated":
                 assert self.now_us - earlier.sent_us <= kind.deduplication_window_us, (
-                    "rule 2: past the memory"
+                    "rule 2: past the deduplication window"
                 )
                 assert kind.group != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
                 assert kind.group != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
