--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -40,7 +40,7 @@
 RECOVERY_S = 2  # after the return of the upstreams, before goodput is measured
 GOODPUT_WINDOW_S = 10
 SECOND_US = 1_000_000
-EARLY_US = 20_000  # a retry that comes earlier than advised by more has not followed the advice
+RETRY_TOLERANCE_US = 20_000  # a retry that comes earlier than advised by more has not followed the advice
 BURST_LOAD = 0.75
 BURST_FACTOR = 1.2  # of the load, in addition to it
 BURST_START_S = 5.0
@@ -153,7 +153,7 @@
     early_requests: set[str] = set()
     for record in ledger:
         if isinstance(record, Asked):
-            if record.at_us < retry_due_us.get(record.operation, 0) - EARLY_US:
+            if record.at_us < retry_due_us.get(record.operation, 0) - RETRY_TOLERANCE_US:
                 early_requests.add(record.request)
         elif isinstance(record, Answered) and record.request in attempts:
             attempt = attempts[record.request]
--- a/benchmarks/same.py
+++ b/benchmarks/same.py
@@ -146,7 +146,7 @@
         elif chance < 0.999:
             self.tell(self.list_of(api.ListKind.FULL, dice.randrange(1, 30)))
         else:
-            self.tell(self.balancer.learnt())
+            self.tell(self.balancer.export_warm_start_state())
 
 
 def play(events: int, seed: int) -> str:
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -148,7 +148,7 @@
 
 def measure(old: Process, seed: int, options: argparse.Namespace, seconds: float, is_warm: bool) -> Result:
     """Run a process that replaces `old`, with its state or without."""
-    state = old.balancer.learnt() if is_warm else None
+    state = old.balancer.export_warm_start_state() if is_warm else None
     process = start_process(seed, options.instances, old.now_us, state)
     process.run(seconds, options.rate)
     count = max(1, len(process.requests))
--- a/sidecar_proxy/admin/warm_start.py
+++ b/sidecar_proxy/admin/warm_start.py
@@ -47,7 +47,7 @@
 
         self.file.write(
             encode(
-                self.engine.balancer.learnt(),
+                self.engine.balancer.export_warm_start_state(),
                 self.engine.clock.now_us(),
                 self.class_names,
                 self.directory.names,
--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -209,7 +209,7 @@
             upstream.entry.state is not api.UpstreamState.GONE
             for upstream in self.transport.upstreams.values()
         )
-        return listed, self.balancer.avoided()
+        return listed, self.balancer.count_avoided()
 
     # Events and actions
 
--- a/sidecar_proxy/engine/interfaces.py
+++ b/sidecar_proxy/engine/interfaces.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.balancer.endpoint_pool import Endpoint
+from sidecar_proxy.balancer.endpoint import Endpoint
 from sidecar_proxy.engine.address import Address
 from sidecar_proxy.engine.body_buffers import ClientStreamOpener, ResponseSink, ResponseSource, Upload
 
@@ -225,13 +225,13 @@
     """The part of the balancer that the engine calls, and nobody else."""
 
     entries: dict[int, api.Upstream]  # the endpoint list
-    servers: dict[int, Endpoint]  # those in use
+    endpoints: dict[int, Endpoint]  # those in use
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
         """Return the actions that an event calls for, in order."""
 
-    def avoided(self) -> int:
+    def count_avoided(self) -> int:
         """Return how many listed upstreams get nothing now, or next to nothing."""
 
-    def learnt(self) -> api.WarmStartState:
+    def export_warm_start_state(self) -> api.WarmStartState:
         """Return what a next process of this sidecar may begin with."""
--- a/sidecar_proxy/overload_control/load_measurement.py
+++ b/sidecar_proxy/overload_control/load_measurement.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from sidecar_proxy.balancer.balancer import EARLY_US
+from sidecar_proxy.balancer.load_shedding import RETRY_TOLERANCE_US
 from sidecar_proxy.overload_control.messages import ClassLoad
 from sidecar_proxy.overload_control.smoothed_rate import SmoothedRate
 
@@ -82,7 +82,7 @@
     def record_arrival(self, class_index: int, is_retry: bool, retry_due_us: int, now_us: int) -> None:
         """Counts a request; `retry_due_us` is when its Retry-After expires, 0 without one."""
         self.attempts.count += 1
-        if retry_due_us and retry_due_us <= now_us + EARLY_US:
+        if retry_due_us and retry_due_us <= now_us + RETRY_TOLERANCE_US:
             if class_index < len(self.classes):
                 self.classes[class_index].returning.count += 1
         elif is_retry or retry_due_us:
--- a/sidecar_proxy/overload_control/retry_after.py
+++ b/sidecar_proxy/overload_control/retry_after.py
@@ -8,7 +8,7 @@
 
 from collections import OrderedDict
 
-from sidecar_proxy.balancer.balancer import EARLY_US
+from sidecar_proxy.balancer.load_shedding import RETRY_TOLERANCE_US
 from sidecar_proxy.overload_control.shedding_threshold import SheddingThreshold
 
 MAX_SCHEDULED_RETRIES = 20_000
@@ -37,7 +37,7 @@
         A client that comes at its time has used its entry; the entry of one that comes too early stays.
         """
         due_us = self.due_us_by_key.get(key, 0)
-        if not due_us or now_us < due_us - EARLY_US:
+        if not due_us or now_us < due_us - RETRY_TOLERANCE_US:
             return due_us
         del self.due_us_by_key[key]
         return due_us if now_us <= due_us + MAX_LATENESS_US else 0
--- a/sidecar_proxy/testbed/client_fleet.py
+++ b/sidecar_proxy/testbed/client_fleet.py
@@ -11,8 +11,8 @@
 
 from nacl.signing import SigningKey
 
-from sidecar_proxy.balancer.balancer import BELIEVED
 from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.balancer.outlier_detection import MIN_REPORT_WEIGHT
 from sidecar_proxy.gossip.codec import Certificate
 from sidecar_proxy.gossip.effects import Address
 from sidecar_proxy.gossip.instance import (
@@ -163,7 +163,7 @@
 
     def suspect(self, member: Member, one: OutlierWeight) -> None:
         member.weights[one.upstream] = one.weight
-        if one.weight >= BELIEVED:
+        if one.weight >= MIN_REPORT_WEIGHT:
             member.heard_us.setdefault(one.upstream, self.now_us)
 
     def post(self, source: Address, target: Address, data: bytes) -> None:
--- a/tests/admin/test_warm_start_codec.py
+++ b/tests/admin/test_warm_start_codec.py
@@ -135,7 +135,7 @@
     for seed in range(20):
         predecessor = new_balancer(seed)
         run_requests(predecessor, 400, faulty, START_US)
-        state = predecessor.learnt()
+        state = predecessor.export_warm_start_state()
         attempts_without_state += count_faulty_attempts(seed + 100, None, faulty)
         attempts_with_state += count_faulty_attempts(seed + 100, state, faulty)
         after_recovery = run_requests(new_balancer(seed + 100, state), 2_000, set(), START_US + 4_000_000)
--- a/tests/golden/make_recordings.py
+++ b/tests/golden/make_recordings.py
@@ -217,7 +217,7 @@
     """A sidecar that has learnt from the process before it, and hears suspicions."""
     upstreams, seconds = (24, 40.0) if large else (8, 6.0)
     before = RecordedFleet(fleet_plan(upstreams, 3, 0.7))
-    learnt = play_faults(before, 10.0).balancer.learnt()
+    learnt = play_faults(before, 10.0).balancer.export_warm_start_state()
     told = fleet_plan(upstreams, 3, 0.7)
     fleet = RecordedFleet(replace(told, settings=replace(told.settings, is_successor=True)), 0.02)
     fleet.handle(0, learnt)
@@ -368,7 +368,7 @@
     def rare(self) -> api.Event:
         kinds: list[Callable[[], api.Event]] = [
             self.overload,
-            self.recorded.balancer.learnt,
+            self.recorded.balancer.export_warm_start_state,
             self.probe,
             self.suspicion,
             lambda: api.FleetResized(self.random.randrange(2, 30), self.random.randrange(2)),
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -486,7 +486,7 @@
         self.settings = SimpleNamespace(classes=[SimpleNamespace(name=name) for name in told["classes"]])
         self.loop = SimpleNamespace(time=time.monotonic)
         self.clock = SimpleNamespace(now_us=lambda: WALL_US)
-        self.balancer = SimpleNamespace(learnt=lambda: self.learnt)
+        self.balancer = SimpleNamespace(export_warm_start_state=lambda: self.learnt)
         self.hosts = {
             int(number): SimpleNamespace(entry=api.Upstream(int(number), started_us=started_us))
             for number, started_us in told["started_us"].items()
--- a/tests/gossip/test_core.py
+++ b/tests/gossip/test_core.py
@@ -5,8 +5,8 @@
 import pytest
 from nacl.signing import SigningKey
 
-from sidecar_proxy.balancer.balancer import BELIEVED
 from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.balancer.outlier_detection import MIN_REPORT_WEIGHT
 from sidecar_proxy.gossip import codec
 from sidecar_proxy.gossip.dissemination import BroadcastKind
 from sidecar_proxy.gossip.fleet_size import SHRINK_DELAY_US, FleetSizeEstimator
@@ -148,7 +148,7 @@
         for _ in range(2):
             fleet.attempt(member, upstream, Outcome.TIMEOUT)
     fleet.run(2.0)
-    assert all(member.weights.get(upstream, 0.0) >= BELIEVED for member in fleet.all()), stage
+    assert all(member.weights.get(upstream, 0.0) >= MIN_REPORT_WEIGHT for member in fleet.all()), stage
     for member in fleet.all():
         fleet.attempt(member, upstream, Outcome.OK)
     fleet.run(2.0)
--- a/tests/gossip/test_outlier_reports.py
+++ b/tests/gossip/test_outlier_reports.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sidecar_proxy.balancer.balancer import BELIEVED
 from sidecar_proxy.balancer.events import Outcome
+from sidecar_proxy.balancer.outlier_detection import MIN_REPORT_WEIGHT
 from sidecar_proxy.gossip.broadcasts import MAX_PIGGYBACKED_BYTES, encoded_size
 from sidecar_proxy.gossip.codec import (
     MAX_INTEGER,
@@ -80,7 +80,7 @@
 
 
 def test_three_liars_of_the_own_site_are_outweighed_by_one_success() -> None:
-    assert weight_of({"here": [report_on(1000)] * 3 + [report_on(0, 3)]}) < BELIEVED
+    assert weight_of({"here": [report_on(1000)] * 3 + [report_on(0, 3)]}) < MIN_REPORT_WEIGHT
 
 
 def test_three_liars_of_one_other_site_weigh_nothing() -> None:
@@ -171,7 +171,7 @@
         fleet.run(0.02)
         fleet.attempt(fleet.at(number), "n1", Outcome.TIMEOUT)
     fleet.run(2.0)
-    assert all(member.weights.get("n1", 0.0) >= BELIEVED for member in fleet.all())
+    assert all(member.weights.get("n1", 0.0) >= MIN_REPORT_WEIGHT for member in fleet.all())
     assert max(member.heard_us["n1"] for member in fleet.all()) - begin_us < 3_000_000
     for number in range(16):
         fleet.attempt(fleet.at(number), "n1", Outcome.OK)
