--- a/tests/overload_control/test_subsystem_wiring.py
+++ b/tests/overload_control/test_subsystem_wiring.py
@@ -96,7 +96,7 @@
         cast(Engine, engine),
         cast(GossipSubsystem, gossip),
         1,
-        cast(AdminServer, SimpleNamespace(calls=commands)),
+        cast(AdminServer, SimpleNamespace(commands=commands)),
     )
     subsystem.start()
     yield Wiring(engine, gossip, commands, subsystem)
