--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -54,8 +54,8 @@
     told.max_upstreams = 104
     pool = Pool(0.2, 5.0, 104)
     discovery = PlatformDiscoveryClient(("127.0.0.1", 1), EndpointDirectory(told), 0, pushed=False)
-    discovery.collector = GcController()
-    discovery.sink = engine = Engine(told, 1, Clock(), pool, discovery)
+    discovery.gc_controller = GcController()
+    discovery.listener = engine = Engine(told, 1, Clock(), pool, discovery)
 
     def text(first: int, seq: int) -> bytes:
         return json.dumps(
@@ -84,11 +84,11 @@
         ("a list of others", text(count, 3)),
     ):
         longest, begin, before = 0.0, time.perf_counter(), time.perf_counter()
-        discovery.told(data)
+        discovery.enqueue(data)
         while True:
             now = time.perf_counter()
             longest, before = max(longest, now - before), now
-            if not discovery.working:
+            if not discovery.is_reading:
                 break
             await asyncio.sleep(0)
         print(
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -135,7 +135,7 @@
     while state.state == "watch":
         await asyncio.sleep(0.005)
     left = time.monotonic() - began
-    while state.state != "watch" or state.unheard or state.tries:
+    while state.state != "watch" or state.is_watch_unanswered or state.failed_tries:
         await asyncio.sleep(0.005)
     found["to leave a silent member and to hear the next, s"] = [
         round(left, 2),
--- a/benchmarks/reconnect.py
+++ b/benchmarks/reconnect.py
@@ -15,7 +15,7 @@
 from collections import Counter
 
 from sidecar_proxy.discovery.etcd import api_pb2 as pb
-from sidecar_proxy.discovery.etcd.follower import Action, Ask, Dial, Follower, Watch
+from sidecar_proxy.discovery.etcd.follower import Action, Dial, EtcdFollower, SendRange, SendWatch
 
 TRIP_US = 1000
 ENDPOINTS = 3
@@ -25,7 +25,7 @@
     """Dials in each second of the absence; seconds from the return till each watches; dials and lists in each
     tenth of a second after it."""
     dice = random.Random(seed)
-    followers = [Follower("/n/", ENDPOINTS, False, random.Random(dice.random())) for _ in range(sidecars)]
+    followers = [EtcdFollower("/n/", ENDPOINTS, False, random.Random(dice.random())) for _ in range(sidecars)]
     header = pb.ResponseHeader(cluster_id=7, revision=10)
     queue: list[tuple[int, int, str]] = []
     away_us, dials, after, back = int(away_s * 1e6), Counter[int](), Counter[int](), dict[int, float]()
@@ -40,21 +40,21 @@
                 else:
                     after[(now_us - away_us) // 100_000] += 1
                     heapq.heappush(queue, (now_us + TRIP_US, number, "up"))
-            elif isinstance(action, Watch) and now_us >= away_us:
+            elif isinstance(action, SendWatch) and now_us >= away_us:
                 back.setdefault(number, (now_us + TRIP_US - away_us) / 1e6)
-            elif isinstance(action, Ask) and not action.request.count_only and now_us >= away_us:
+            elif isinstance(action, SendRange) and not action.request.count_only and now_us >= away_us:
                 raise AssertionError("a list, though nothing was compacted")
         heapq.heappush(queue, (one.due_us, number, "tick"))
 
     for number, one in enumerate(followers):
         one.start(-3)
-        one.up(-2)
-        one.listed(-1, pb.RangeResponse(header=header))
+        one.connected(-2)
+        one.range_received(-1, pb.RangeResponse(header=header))
         perform(number, 0, one.failed(0, "reset"))
     while queue and len(back) < sidecars:
         now_us, number, what = heapq.heappop(queue)
         one = followers[number]
-        perform(number, now_us, one.up(now_us) if what == "up" else one.tick(now_us))
+        perform(number, now_us, one.connected(now_us) if what == "up" else one.tick(now_us))
     return (
         [dials[at] for at in range(int(away_s))],
         sorted(back.values()),
--- a/sidecar_proxy/cli/members.py
+++ b/sidecar_proxy/cli/members.py
@@ -9,13 +9,13 @@
 from datetime import UTC, datetime
 from typing import Any, TextIO
 
-from sidecar_proxy.discovery.status_socket import TIMEOUT_S
+from sidecar_proxy.discovery.status_socket import STATUS_TIMEOUT_S
 
 
 def read(path: str) -> Iterator[dict[str, Any]]:
     """What a sidecar tells. Raises OSError, and ValueError where it stops short."""
     with socket.socket(socket.AF_UNIX) as one:
-        one.settimeout(TIMEOUT_S)
+        one.settimeout(STATUS_TIMEOUT_S)
         one.connect(path)
         with one.makefile("rb") as file:
             for text in file:
--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -49,7 +49,7 @@
 async def serve(config: configuration.PlatformConfig, operator: Operator | None) -> None:
     settings, clock = config.settings, Clock()
     directory = EndpointDirectory(settings)
-    version, _, known = directory.read(config.cached_endpoint_list)
+    version, _, known = directory.parse_list(config.cached_endpoint_list)
     share = max(1, (config.max_file_descriptors - OWN_DESCRIPTORS) // 2)
     operated = config.admin_address is not None or config.accept_fd is not None
     hot_restart = HotRestart.from_environment(os.environ) if operated else None
@@ -63,7 +63,7 @@
         config.discovery, directory, version, pushed=not settings.list_on_request
     )
     engine = Engine(settings, config.seed, clock, pool, discovery)
-    discovery.sink = engine
+    discovery.listener = engine
     server = Server(engine, share, BodyMemoryBudget(spool_bytes(config.memory_mb)))
     admin_commands, admin_server = None, None
     overrides = (
@@ -82,8 +82,8 @@
             Context(config, operator, engine, directory, server, discovery, admin_server, overrides)
         )
     log.info("runs %s", compiled.state)
-    assert discovery.sink is not None
-    discovery.sink.list_changed(api.ListKind.CACHED, known, version)
+    assert discovery.listener is not None
+    discovery.listener.list_changed(api.ListKind.CACHED, known, version)
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         engine.loop.add_signal_handler(number, stop.set)
@@ -98,7 +98,7 @@
     host, port = server.listen(config.listen, config.accept_fd)
     if admin_commands is not None:
         admin_commands.is_serving = True
-    discovery.collector = GcController()
+    discovery.gc_controller = GcController()
     log.info("%s listens on %s:%d", config.name, host, port)
     await stop.wait()
     await server.stop()
@@ -122,7 +122,7 @@
         return
     engine.metrics.config_reloads += 1
     log.info("the configuration is read again; discovery is at %s:%d", *address)
-    discovery.move(address)
+    discovery.set_address(address)
 
 
 def main() -> int:
--- a/sidecar_proxy/daemon/subsystems.py
+++ b/sidecar_proxy/daemon/subsystems.py
@@ -72,7 +72,7 @@
         context.operator.membership, context.engine, context.directory, context.config.seed
     )
     await sources.start()
-    context.discovery.sink = sources.feed
+    context.discovery.listener = sources.feed
     return sources
 
 
--- a/sidecar_proxy/discovery/endpoint_list.py
+++ b/sidecar_proxy/discovery/endpoint_list.py
@@ -112,7 +112,7 @@
         if name is not None:
             del self.numbers[name]
 
-    def read(self, told: Any) -> tuple[int, bool, list[ListedUpstream]]:
+    def parse_list(self, told: Any) -> tuple[int, bool, list[ListedUpstream]]:
         """The version, whether it is the whole list, and the entries, in one go."""
         reading = Reading(self, json.dumps(told))
         for _ in reading.steps():
--- a/sidecar_proxy/discovery/etcd/follower.py
+++ b/sidecar_proxy/discovery/etcd/follower.py
@@ -38,25 +38,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Dial:
-    """Open a connection to the endpoint of this number; `up` or `failed` follows."""
+    """Open a connection to the endpoint of this number; `connected` or `failed` follows."""
 
     endpoint: int
 
 
 @dataclass(slots=True, frozen=True)
 class Authenticate:
-    """Ask for a token; `authenticated` or `failed` follows."""
+    """SendRange for a token; `authenticated` or `failed` follows."""
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
-    """A Range call; `listed` or `failed` follows."""
+class SendRange:
+    """A Range call; `range_received` or `failed` follows."""
 
     request: pb.RangeRequest
 
 
 @dataclass(slots=True, frozen=True)
-class Watch:
+class SendWatch:
     """The first request of a new watch stream, or a further one on it; `watched` follows, often."""
 
     request: pb.WatchRequest
@@ -92,8 +92,8 @@
     text: str
 
 
-Action = Dial | Authenticate | Ask | Watch | Drop | Listed | Changed | Complain
-PROGRESS = Watch(pb.WatchRequest(progress_request=pb.WatchProgressRequest()))
+Action = Dial | Authenticate | SendRange | SendWatch | Drop | Listed | Changed | Complain
+PROGRESS = SendWatch(pb.WatchRequest(progress_request=pb.WatchProgressRequest()))
 
 
 def end_of(prefix: bytes) -> bytes:
@@ -102,7 +102,7 @@
     return cut[:-1] + bytes([cut[-1] + 1]) if cut else b"\0"
 
 
-class Follower:
+class EtcdFollower:
     """One prefix, over several members."""
 
     def __init__(self, prefix: str, endpoints: int, auth: bool, dice: random.Random) -> None:
@@ -114,7 +114,7 @@
         self.at = 0
         self.state = "idle"  # dial, auth, list, watch, wait
         self.due_us = 0  # when `tick` has something to do
-        self.tries = 0  # that failed since something was last heard
+        self.failed_tries = 0  # that failed since something was last heard
         self.epoch = ""
         self.revision = -1  # all up to it has been told
         self.must_list = True
@@ -126,7 +126,9 @@
         self.events: list[pb.Event] = []  # of a fragmented answer
         self.check_us = 0  # when the watch is checked next
         self.answer_us = 0  # till when the last check is to be answered
-        self.unheard = self.unread = False  # the watch, and the read beside it, since the last check
+        self.is_watch_unanswered = self.is_read_unanswered = (
+            False  # the watch, and the read beside it, since the last check
+        )
         self.behind_us = 0  # since when the member has told less than there is; 0 = it has not
         self.wanted = 0  # the revision that it is to tell
         self.good: dict[str, Entry] = {}  # the last good value of each node
@@ -136,7 +138,7 @@
     def start(self, now_us: int) -> list[Action]:
         return self.dial(now_us)
 
-    def up(self, now_us: int) -> list[Action]:
+    def connected(self, now_us: int) -> list[Action]:
         """The connection stands."""
         if self.state != "dial":
             return []
@@ -150,7 +152,7 @@
 
     def read_at(self, now_us: int, answer: pb.RangeResponse) -> list[Action]:
         """The answer to the read beside a watch: how far the cluster is."""
-        self.unread = False
+        self.is_read_unanswered = False
         if str(answer.header.cluster_id) != self.epoch:
             return [Complain("it is another cluster: listed anew"), *self.relist(now_us)]
         if self.behind_us or answer.header.revision <= self.revision:
@@ -162,7 +164,7 @@
         self.behind_us, self.wanted = now_us, wanted
         self.due_us = min(self.due_us, now_us + ANSWER_US)
 
-    def listed(self, now_us: int, answer: pb.RangeResponse) -> list[Action]:
+    def range_received(self, now_us: int, answer: pb.RangeResponse) -> list[Action]:
         if self.state == "watch":
             return self.read_at(now_us, answer)
         if self.state != "list":
@@ -193,7 +195,7 @@
     def watched(self, now_us: int, answer: pb.WatchResponse) -> list[Action]:
         if self.state != "watch":
             return []
-        self.unheard = False
+        self.is_watch_unanswered = False
         if answer.compact_revision > 0:
             text = f"compacted up to revision {answer.compact_revision}, after {self.revision}: listed anew"
             return [Complain(text), *self.relist(now_us)]
@@ -201,7 +203,7 @@
             return self.fail(now_us, f"the watch was cancelled: {short(answer.cancel_reason)}")
         if answer.header.cluster_id and str(answer.header.cluster_id) != self.epoch:
             return [Complain("it is another cluster: listed anew"), *self.relist(now_us)]
-        self.tries = 0
+        self.failed_tries = 0
         found: list[Action] = []
         self.events.extend(answer.events)
         if not answer.fragment:  # all of a revision is told together
@@ -235,8 +237,10 @@
         if self.state == "wait":
             return self.dial(now_us)
         if self.state == "watch":
-            if (self.unheard or self.unread) and now_us >= self.answer_us:
-                return self.fail(now_us, "silence" if self.unheard else "a read that is not answered")
+            if (self.is_watch_unanswered or self.is_read_unanswered) and now_us >= self.answer_us:
+                return self.fail(
+                    now_us, "silence" if self.is_watch_unanswered else "a read that is not answered"
+                )
             if self.behind_us and now_us - self.behind_us >= ANSWER_US:
                 return self.fail(now_us, f"a member that stays behind revision {self.wanted}")
             return self.check(now_us, PROGRESS) if now_us >= self.check_us else self.wait(now_us)
@@ -256,9 +260,9 @@
         self.pages, self.read, self.events = {}, 0, []
         return [self.page(self.prefix, 0)]
 
-    def page(self, key: bytes, revision: int) -> Ask:
+    def page(self, key: bytes, revision: int) -> SendRange:
         # linearizable: a member that is cut off from the others can't answer it
-        return Ask(pb.RangeRequest(key=key, range_end=self.end, limit=self.limit, revision=revision))
+        return SendRange(pb.RangeRequest(key=key, range_end=self.end, limit=self.limit, revision=revision))
 
     def relist(self, now_us: int) -> list[Action]:
         """On a connection of its own: the watch stream may hold more of what is of no use now."""
@@ -269,7 +273,7 @@
         self.state, self.behind_us, self.wanted, self.events = "watch", 0, 0, []
         return self.check(
             now_us,
-            Watch(
+            SendWatch(
                 pb.WatchRequest(
                     create_request=pb.WatchCreateRequest(
                         key=self.prefix,
@@ -282,16 +286,16 @@
             ),
         )
 
-    def check(self, now_us: int, asked: Watch) -> list[Action]:
+    def check(self, now_us: int, asked: SendWatch) -> list[Action]:
         """Something that the watch answers at once, and a read that only a member in touch can answer."""
-        self.unheard = self.unread = True
+        self.is_watch_unanswered = self.is_read_unanswered = True
         self.check_us, self.answer_us = now_us + ASK_US, now_us + ANSWER_US
         self.wait(now_us)
-        return [asked, Ask(pb.RangeRequest(key=self.prefix, count_only=True))]
+        return [asked, SendRange(pb.RangeRequest(key=self.prefix, count_only=True))]
 
     def wait(self, now_us: int) -> list[Action]:
         times = [self.check_us]
-        if self.unheard or self.unread:
+        if self.is_watch_unanswered or self.is_read_unanswered:
             times.append(self.answer_us)
         if self.behind_us:
             times.append(self.behind_us + ANSWER_US)
@@ -301,8 +305,8 @@
     def fail(self, now_us: int, why: str) -> list[Action]:
         """The next member, after a while."""
         self.at = (self.at + 1) % len(self.order)
-        wait_us = min(FIRST_WAIT_US << min(self.tries, 20), LONGEST_WAIT_US)
-        self.tries += 1
+        wait_us = min(FIRST_WAIT_US << min(self.failed_tries, 20), LONGEST_WAIT_US)
+        self.failed_tries += 1
         self.state = "wait"
         self.due_us = now_us + int(wait_us * (0.5 + self.dice.random() / 2))
         self.pages, self.read, self.events = {}, 0, []
--- a/sidecar_proxy/discovery/etcd/source.py
+++ b/sidecar_proxy/discovery/etcd/source.py
@@ -1,4 +1,4 @@
-"""The shell round a Follower: connections, timers, the password file. It decides nothing."""
+"""The shell round a EtcdFollower: connections, timers, the password file. It decides nothing."""
 
 from __future__ import annotations
 
@@ -159,7 +159,7 @@
     """etcd as it is followed, and who is told."""
 
     def __init__(
-        self, told: Etcd, follower: following.Follower, sink: Sink, now_us: Callable[[], int]
+        self, told: Etcd, follower: following.EtcdFollower, sink: Sink, now_us: Callable[[], int]
     ) -> None:
         self.told = told
         self.follower = follower
@@ -197,9 +197,9 @@
                 self.dialling = self.loop.create_task(self.dial(self.endpoints[action.endpoint]))
             case following.Authenticate():
                 self.authenticate()
-            case following.Ask():
+            case following.SendRange():
                 self.ask(action.request)
-            case following.Watch():
+            case following.SendWatch():
                 self.send_watch(action.request)
             case following.Drop():
                 self.drop()
@@ -219,7 +219,7 @@
             self.perform(self.follower.failed(self.now_us(), f"{link.host}: {error}"))
             return
         self.dialling, self.link = None, link
-        self.perform(self.follower.up(self.now_us()))
+        self.perform(self.follower.connected(self.now_us()))
 
     def authenticate(self) -> None:
         with open(self.told.password_file, "rb") as file:  # read anew: it may have been changed
@@ -238,7 +238,7 @@
 
     def ask(self, request: pb.RangeRequest) -> None:
         def message(data: bytes) -> None:
-            self.perform(self.follower.listed(self.now_us(), pb.RangeResponse.FromString(data)))
+            self.perform(self.follower.range_received(self.now_us(), pb.RangeResponse.FromString(data)))
 
         self.call("/etcdserverpb.KV/Range", request, self.metadata(), message)
 
--- a/sidecar_proxy/discovery/platform_client.py
+++ b/sidecar_proxy/discovery/platform_client.py
@@ -33,7 +33,7 @@
 ANSWER_S = 4.5  # a call's first word: calls wait in turn, for some seconds
 # A heartbeat of 2 s and a half. Hazard: what a silent watch does not tell counts as told 6 s after its last
 # word; in what is left, many sidecars' calls come in turn.
-SILENCE_S = 3.0
+WATCH_IDLE_TIMEOUT_S = 3.0
 AGENT_CONNECT_S = 0.5  # where lists are pushed: the agent is on this machine, and answers at once
 AGENT_ANSWER_S = 1.0
 MAX_LINE = 4 * 1024 * 1024
@@ -51,7 +51,7 @@
         self.directory = directory
         self.version = version
         self.pushed = pushed
-        self.sink: EndpointListListener | None = None
+        self.listener: EndpointListListener | None = None
         self.watch: Call | None = None
         self.wanted = pushed  # a watch is asked for
         self.closed = False
@@ -62,15 +62,15 @@
         self.jobs: deque[tuple[Call | None, bytes | None]] = deque()
         self.job: tuple[Call | None, bytes | None] = None, b""
         self.steps: Iterator[None] | None = None  # of the one that is being read
-        self.working = False
-        self.collector: GcController | None = None
+        self.is_reading = False
+        self.gc_controller: GcController | None = None
         self.leaving: dict[int, None] = {}  # gone, and something is out to it
         self.next_complaint = 0.0
         self.loop = asyncio.get_running_loop()
         if pushed:
             self.loop.call_soon(self.subscribe, True)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Discovery is elsewhere now; what is under way is asked for there at once."""
         if self.closed or address == self.address:
             return
@@ -99,18 +99,18 @@
     def fetch(self) -> None:
         Call(self, b"")
 
-    def told(self, text: bytes | None, call: Call | None = None) -> None:
+    def enqueue(self, text: bytes | None, call: Call | None = None) -> None:
         """One JSON object of discovery's, or an empty line that only says the watch is alive. What is told
         while a large list is being read waits behind it, so that the order stays: the call's failure too.
         Hazard: what was told counts, whatever becomes of the call that told it."""
         self.jobs.append((call, text))
-        if not self.working:
+        if not self.is_reading:
             self.work()
 
     def work(self) -> None:
         """Read on, for no longer than a step."""
         end = self.loop.time() + STEP_S
-        self.working = True
+        self.is_reading = True
         while not self.closed and (self.steps is not None or self.jobs):
             if self.steps is None:
                 self.job = self.jobs.popleft()
@@ -125,7 +125,7 @@
             except EndpointListError as error:
                 self.steps = None
                 if call is None:  # told by hand
-                    self.working = False
+                    self.is_reading = False
                     raise
                 call.fail(f"bad list: {error}")
             except Exception:
@@ -135,13 +135,13 @@
                 if call is not None:
                     call.fail("a list could not be taken")
             if self.steps is not None and self.loop.time() >= end:
-                if self.collector is not None:
-                    self.collector.pause()
+                if self.gc_controller is not None:
+                    self.gc_controller.pause()
                 self.loop.call_soon(self.work)
                 return
-        self.working = False
-        if self.collector is not None and self.sink is not None:
-            self.collector.resume(len(self.sink.listed_upstreams()))
+        self.is_reading = False
+        if self.gc_controller is not None and self.listener is not None:
+            self.gc_controller.resume(len(self.listener.listed_upstreams()))
 
     def take(self, call: Call | None, text: bytes | None) -> Iterator[None]:
         """Read one object whole, then tell what it says: nothing is told of a bad one."""
@@ -166,20 +166,20 @@
                 version, whole, hosts = self.version, False, []
         if call is not None:
             call.fresh = False
-        if self.sink is None:
+        if self.listener is None:
             self.learn(call, version)
             return
-        known = self.sink.listed_upstreams()
+        known = self.listener.listed_upstreams()
         if max(len(hosts), len(known) if whole else 0) <= SLICE:
-            self.sink.list_changed(api.ListKind.FULL if whole else api.ListKind.DELTA, hosts, version)
+            self.listener.list_changed(api.ListKind.FULL if whole else api.ListKind.DELTA, hosts, version)
         else:
             # one whole list would hold the loop for long; told as changes it is the same
             for part in changes(dict(known) if whole else known, hosts, whole):
                 if part:
-                    self.sink.list_changed(api.ListKind.DELTA, part, version)
+                    self.listener.list_changed(api.ListKind.DELTA, part, version)
                     self.forget([host.entry.id for host in part])
                 yield
-            self.sink.list_changed(api.ListKind.DELTA, [], version)
+            self.listener.list_changed(api.ListKind.DELTA, [], version)
             self.learn(call, version)
             return
         self.learn(call, version)
@@ -192,8 +192,8 @@
 
     def forget(self, numbers: Iterable[int]) -> None:
         """Names of those that are gone go once nothing is out to them."""
-        assert self.sink is not None
-        known = self.sink.listed_upstreams()
+        assert self.listener is not None
+        known = self.listener.listed_upstreams()
         self.leaving.update(
             dict.fromkeys(
                 one for one in numbers if one not in known or known[one].entry.state is api.UpstreamState.GONE
@@ -216,8 +216,8 @@
         if current:
             self.watch = None
         if not self.pushed:
-            if self.sink is not None:
-                self.sink.list_failed()
+            if self.listener is not None:
+                self.listener.list_failed()
         elif current and self.retry is None and not self.closed:
             self.retry = self.loop.call_later(RETRY_S, self.subscribe, True)
 
@@ -312,7 +312,7 @@
         """Hazard: a peer that tells faster than we read is not read from meanwhile."""
         self.answered = self.waiting = True
         self.silence.cancel()
-        self.owner.told(text, self)
+        self.owner.enqueue(text, self)
         if self.waiting and self.transport is not None and not self.over:
             self.transport.pause_reading()
 
@@ -333,7 +333,7 @@
         """Hazard: where lists are pushed the agent is silent while discovery is down; it costs nothing to be
         asked again, and what a broken watch misses counts as told all the same."""
         if self.answered and self.watching:
-            return SILENCE_S
+            return WATCH_IDLE_TIMEOUT_S
         return AGENT_ANSWER_S if self.agent else ANSWER_S
 
     def listen(self) -> None:
@@ -365,7 +365,7 @@
             self.close()
             if self.wanted:
                 self.owner.complain(why)
-                self.owner.told(None, self)
+                self.owner.enqueue(None, self)
 
     def end(self) -> None:
         """It is not wanted any more. Hazard: what has come and is not read yet has been told."""
@@ -384,7 +384,7 @@
         with contextlib.suppress(EndpointListError):
             while (found := self.next()) is not None:
                 self.answered = True
-                self.owner.told(found, self)
+                self.owner.enqueue(found, self)
 
     def close(self) -> None:
         if not self.over:
--- a/sidecar_proxy/discovery/status_socket.py
+++ b/sidecar_proxy/discovery/status_socket.py
@@ -18,7 +18,7 @@
 from sidecar_proxy.discovery.endpoint_list import SLICE
 from sidecar_proxy.discovery.feed import Feed
 
-TIMEOUT_S = 10.0
+STATUS_TIMEOUT_S = 10.0
 MOST_READERS = 4
 
 
@@ -36,7 +36,7 @@
 
     async def open(self) -> None:
         """Raises OSError: among others where another process listens there."""
-        self.server = await listen(self.path, self.tell)
+        self.server = await serve_unix_socket(self.path, self.tell)
 
     async def tell(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.readers >= MOST_READERS:
@@ -44,7 +44,7 @@
             return
         self.readers += 1
         try:
-            async with asyncio.timeout(TIMEOUT_S):
+            async with asyncio.timeout(STATUS_TIMEOUT_S):
                 await self.write(writer)
             writer.close()
         except (OSError, TimeoutError):
@@ -106,7 +106,7 @@
     writer.write(json.dumps(told).encode() + b"\n")
 
 
-async def listen(path: str, tell: Tell) -> asyncio.Server:
+async def serve_unix_socket(path: str, tell: Tell) -> asyncio.Server:
     """On a socket that only its owner may open. Raises OSError: among others where another process listens
     there."""
     clear(path)
--- a/sidecar_proxy/discovery/subsystem.py
+++ b/sidecar_proxy/discovery/subsystem.py
@@ -22,11 +22,13 @@
         self.etcd = None
         if told.etcd.endpoints:
             # hazard: the libraries take memory; without etcd nothing of them is imported
-            from sidecar_proxy.discovery.etcd.follower import Follower
+            from sidecar_proxy.discovery.etcd.follower import EtcdFollower
             from sidecar_proxy.discovery.etcd.source import Source
 
             etcd = told.etcd
-            follower = Follower(etcd.prefix, len(etcd.endpoints), bool(etcd.username), random.Random(seed))
+            follower = EtcdFollower(
+                etcd.prefix, len(etcd.endpoints), bool(etcd.username), random.Random(seed)
+            )
             try:
                 self.etcd = Source(etcd, follower, self.feed, engine.clock.now_us)
             except OSError as error:  # among them ssl.SSLError
--- a/sidecar_proxy/gossip/subsystem.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -13,7 +13,7 @@
 from sidecar_proxy.config.errors import OperatorError
 from sidecar_proxy.config.schema import Gossip
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
-from sidecar_proxy.discovery.status_socket import listen
+from sidecar_proxy.discovery.status_socket import serve_unix_socket
 from sidecar_proxy.engine.address import parse_address
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.gossip.credentials import Credentials, CredentialsWatcher
@@ -78,7 +78,7 @@
         instance.set_address(advertised)
         try:
             if self._config.socket:
-                self._status_server = await listen(self._config.socket, self._serve_status)
+                self._status_server = await serve_unix_socket(self._config.socket, self._serve_status)
         except OSError as error:
             raise OperatorError(f"gossip.socket: {error}") from error
         log.info(
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -20,7 +20,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
-from sidecar_proxy.discovery.platform_client import SILENCE_S
+from sidecar_proxy.discovery.platform_client import WATCH_IDLE_TIMEOUT_S
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient as Watcher
 from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.upstream import input_poll
@@ -147,7 +147,7 @@
     async def test(listener: socket.socket) -> None:
         sink, loop = Sink(), asyncio.get_running_loop()
         watcher = Watcher(listener.getsockname(), EndpointDirectory(told), 0, pushed=False)
-        watcher.sink = sink
+        watcher.listener = sink
         watcher.subscribe(True)
         agent, _ = await loop.sock_accept(listener)
         agent.setblocking(True)
@@ -164,12 +164,12 @@
         def hold_up() -> None:
             loop.remove_reader(other)
             tell()
-            time.sleep(SILENCE_S + 0.1)
+            time.sleep(WATCH_IDLE_TIMEOUT_S + 0.1)
 
         if left != "presumed silent":
             tell()
         if left == "moved":
-            watcher.move(("127.0.0.1", 1))
+            watcher.set_address(("127.0.0.1", 1))
         elif left == "asked again":
             watcher.subscribe(True)
         else:
--- a/tests/discovery/test_etcd.py
+++ b/tests/discovery/test_etcd.py
@@ -15,7 +15,7 @@
 
 from sidecar_proxy.balancer.events import UpstreamState
 from sidecar_proxy.config.schema import Etcd
-from sidecar_proxy.discovery.etcd.follower import Follower
+from sidecar_proxy.discovery.etcd.follower import EtcdFollower
 from sidecar_proxy.discovery.etcd.source import Source
 from sidecar_proxy.discovery.merge import Merge
 from sidecar_proxy.discovery.model import Entry
@@ -73,7 +73,7 @@
             [await member.serve(0, tls) for member, tls in zip(self.members, self.tls, strict=True)]
         )
         told = Etcd(endpoints=addresses, prefix="/n/", **self.more)
-        follower = Follower("/n/", len(addresses), bool(told.username), random.Random(3))
+        follower = EtcdFollower("/n/", len(addresses), bool(told.username), random.Random(3))
         self.follower = follower
         self.source = Source(told, follower, self.told, now_us)
         self.source.start()
@@ -173,7 +173,7 @@
                 member.limit = scene.store.revision - 1
         scene.follower.must_list = True  # it has to list, and the other one has less
         old.stop()
-        await until(lambda: scene.follower.tries >= 3)
+        await until(lambda: scene.follower.failed_tries >= 3)
         assert scene.told.state("s-1") is DRAINING and scene.told.lists == 1
 
     play(test, members=2)
@@ -342,7 +342,7 @@
         member.users["side"] = "second"
         for peer in list(member.peers):
             peer.abort()
-        await until(lambda: scene.follower.tries >= 2)
+        await until(lambda: scene.follower.failed_tries >= 2)
         secret.write_text("second\n")
         scene.store.commit(("/n/s-1", value("terminating")))
         await until(lambda: scene.told.state("s-1") is DRAINING)
--- a/tests/discovery/test_follower.py
+++ b/tests/discovery/test_follower.py
@@ -14,15 +14,15 @@
     FIRST_WAIT_US,
     LONGEST_WAIT_US,
     Action,
-    Ask,
     Authenticate,
     Changed,
     Complain,
     Dial,
     Drop,
-    Follower,
+    EtcdFollower,
     Listed,
-    Watch,
+    SendRange,
+    SendWatch,
     end_of,
 )
 from sidecar_proxy.grpc.status import Code
@@ -61,33 +61,33 @@
     return [one for one in actions if isinstance(one, kind)]
 
 
-def follower(endpoints: int = 3, auth: bool = False) -> Follower:
-    return Follower("/n/", endpoints, auth, random.Random(5))
+def follower(endpoints: int = 3, auth: bool = False) -> EtcdFollower:
+    return EtcdFollower("/n/", endpoints, auth, random.Random(5))
 
 
-def watching(revision: int = 10) -> Follower:
+def watching(revision: int = 10) -> EtcdFollower:
     one = follower()
     one.start(0)
-    one.up(0)
-    found = one.listed(0, answer(revision, kv("a", 3), kv("b", 4)))
+    one.connected(0)
+    found = one.range_received(0, answer(revision, kv("a", 3), kv("b", 4)))
     assert isinstance(found[0], Listed) and [e.name for e in found[0].entries] == ["a", "b"]
     watch, read = found[1:]
-    assert isinstance(watch, Watch) and watch.request.create_request.start_revision == revision + 1
-    assert isinstance(read, Ask) and read.request.count_only and not read.request.serializable
+    assert isinstance(watch, SendWatch) and watch.request.create_request.start_revision == revision + 1
+    assert isinstance(read, SendRange) and read.request.count_only and not read.request.serializable
     return one
 
 
-def answered(one: Follower, now_us: int, revision: int = 10) -> None:
+def answered(one: EtcdFollower, now_us: int, revision: int = 10) -> None:
     """The watch and the read beside it."""
     one.watched(now_us, pb.WatchResponse(header=header(revision), watch_id=-1))
-    one.listed(now_us, answer(revision))
+    one.range_received(now_us, answer(revision))
 
 
-def again(one: Follower, now_us: int) -> list[Action]:
+def again(one: EtcdFollower, now_us: int) -> list[Action]:
     """It waits; the next dial succeeds."""
     assert one.state == "wait" and one.due_us <= now_us
     assert isinstance(one.tick(now_us)[0], Dial)
-    return one.up(now_us)
+    return one.connected(now_us)
 
 
 def test_the_end_of_a_prefix() -> None:
@@ -97,15 +97,17 @@
 def test_a_list_is_read_page_by_page_at_one_revision() -> None:
     one = follower()
     assert isinstance(one.start(0)[0], Dial)
-    ask = one.up(0)[0]
-    assert isinstance(ask, Ask) and ask.request.key == b"/n/" and ask.request.revision == 0
+    ask = one.connected(0)[0]
+    assert isinstance(ask, SendRange) and ask.request.key == b"/n/" and ask.request.revision == 0
     assert not ask.request.serializable
-    second = one.listed(0, answer(10, kv("a", 3), more=True))[0]
-    assert isinstance(second, Ask)
+    second = one.range_received(0, answer(10, kv("a", 3), more=True))[0]
+    assert isinstance(second, SendRange)
     assert second.request.key == b"/n/a\0" and second.request.revision == 10
-    found = one.listed(0, answer(12, kv("b", 4)))  # the header is the store's; the keys are those of 10
+    found = one.range_received(
+        0, answer(12, kv("b", 4))
+    )  # the header is the store's; the keys are those of 10
     assert isinstance(found[0], Listed) and found[0].revision == 10 and len(found[0].entries) == 2
-    assert isinstance(found[1], Watch) and found[1].request.create_request.start_revision == 11
+    assert isinstance(found[1], SendWatch) and found[1].request.create_request.start_revision == 11
 
 
 def test_events_of_one_transaction_are_told_together_and_in_order() -> None:
@@ -133,7 +135,7 @@
     found = one.failed(2, "reset")
     assert isinstance(found[0], Drop) and isinstance(found[1], Complain)
     actions = again(one, one.due_us)
-    assert isinstance(actions[0], Watch) and actions[0].request.create_request.start_revision == 15
+    assert isinstance(actions[0], SendWatch) and actions[0].request.create_request.start_revision == 15
 
 
 def test_progress_moves_the_revision_from_which_a_watch_is_resumed() -> None:
@@ -141,7 +143,7 @@
     one.watched(1, pb.WatchResponse(header=header(500), watch_id=-1))
     one.failed(2, "reset")
     actions = again(one, one.due_us)
-    assert isinstance(actions[0], Watch) and actions[0].request.create_request.start_revision == 501
+    assert isinstance(actions[0], SendWatch) and actions[0].request.create_request.start_revision == 501
 
 
 def test_what_was_heard_twice_is_told_once() -> None:
@@ -154,21 +156,21 @@
     one = watching()
     found = one.watched(1, pb.WatchResponse(header=header(90), canceled=True, compact_revision=80))
     assert only(Drop, found) and only(Dial, found)
-    ask = one.up(2)[0]
-    assert isinstance(ask, Ask) and ask.request.revision == 0
-    listed = one.listed(3, answer(91, kv("a", 85, value("terminating"))))[0]
+    ask = one.connected(2)[0]
+    assert isinstance(ask, SendRange) and ask.request.revision == 0
+    listed = one.range_received(3, answer(91, kv("a", 85, value("terminating"))))[0]
     assert isinstance(listed, Listed) and listed.epoch == "7" and listed.revision == 91
 
 
 def test_a_member_with_less_than_was_heard_is_not_listened_to() -> None:
     one = watching(revision=10)
     one.watched(1, pb.WatchResponse(header=header(20), canceled=True, compact_revision=15))
-    one.up(2)
-    one.listed(3, answer(30, kv("a", 3)))
+    one.connected(2)
+    one.range_received(3, answer(30, kv("a", 3)))
     one.must_list = True
     one.failed(4, "reset")
     again(one, one.due_us)
-    found = one.listed(5, answer(25, kv("a", 3)))
+    found = one.range_received(5, answer(25, kv("a", 3)))
     assert not only(Listed, found) and only(Drop, found) and one.revision == 30
 
 
@@ -178,9 +180,9 @@
     now_us = 0
     while one.state == "watch" and now_us < 10 * ASK_US:
         now_us = one.due_us
-        if only(Watch, one.tick(now_us)):
+        if only(SendWatch, one.tick(now_us)):
             one.watched(now_us, pb.WatchResponse(header=header(9), watch_id=-1))
-            one.listed(now_us, answer(10))
+            one.range_received(now_us, answer(10))
     assert one.state == "wait" and now_us == ASK_US + ANSWER_US
 
 
@@ -189,9 +191,9 @@
     one = watching(revision=10)
     answered(one, 0)
     now_us = ASK_US
-    assert only(Watch, one.tick(now_us))
+    assert only(SendWatch, one.tick(now_us))
     one.watched(now_us, pb.WatchResponse(header=header(10), watch_id=-1))
-    assert only(Watch, one.listed(now_us, answer(14))), "its progress is asked for at once"
+    assert only(SendWatch, one.range_received(now_us, answer(14))), "its progress is asked for at once"
     one.watched(now_us + 1, pb.WatchResponse(header=header(11), watch_id=-1))
     assert one.tick(now_us + ANSWER_US - 1) == [] and only(Drop, one.tick(now_us + ANSWER_US))
 
@@ -201,9 +203,9 @@
     answered(one, 0)
     for _ in range(100):
         now_us = one.due_us
-        if only(Watch, one.tick(now_us)):
+        if only(SendWatch, one.tick(now_us)):
             one.watched(now_us, pb.WatchResponse(header=header(revision + 3), watch_id=-1))
-            if only(Watch, one.listed(now_us + 1, answer(revision + 9))):
+            if only(SendWatch, one.range_received(now_us + 1, answer(revision + 9))):
                 one.watched(now_us + 2, events(revision + 12, put("a", revision + 12)))
             revision += 12
     assert one.state == "watch" and one.revision == revision
@@ -213,8 +215,8 @@
     one = watching()
     found = one.watched(1, pb.WatchResponse(header=header(4, cluster=8), created=True))
     assert only(Drop, found) and only(Dial, found)
-    one.up(2)
-    listed = one.listed(3, answer(4, kv("a", 2), cluster=8))[0]
+    one.connected(2)
+    listed = one.range_received(3, answer(4, kv("a", 2), cluster=8))[0]
     assert isinstance(listed, Listed) and (listed.epoch, listed.revision) == ("8", 4)
 
 
@@ -224,7 +226,7 @@
     asked = 0
     while one.state == "watch":
         now_us = one.due_us
-        asked += len(only(Watch, one.tick(now_us)))
+        asked += len(only(SendWatch, one.tick(now_us)))
     assert asked == 1 and one.state == "wait" and now_us == ASK_US + ANSWER_US
 
 
@@ -236,7 +238,7 @@
         if half == "watch":
             one.watched(now_us, pb.WatchResponse(header=header(10), watch_id=-1))
         else:
-            one.listed(now_us, answer(10))
+            one.range_received(now_us, answer(10))
         one.tick(now_us)
     assert now_us == ANSWER_US
 
@@ -246,7 +248,7 @@
     answered(one, 0)
     for _ in range(100):
         now_us = one.due_us
-        if only(Watch, one.tick(now_us)):
+        if only(SendWatch, one.tick(now_us)):
             answered(one, now_us + 1)
     assert one.state == "watch"
 
@@ -262,15 +264,15 @@
     ]
     assert len(only(Complain, found)) == 1
     one.watched(2, pb.WatchResponse(header=header(90), canceled=True, compact_revision=80))
-    one.up(3)
-    listed = one.listed(4, answer(91, kv("a", 85, data), kv("d", 86, data)))[0]
+    one.connected(3)
+    listed = one.range_received(4, answer(91, kv("a", 85, data), kv("d", 86, data)))[0]
     assert isinstance(listed, Listed) and [e.name for e in listed.entries] == ["a"]
 
 
 def test_waits_grow_to_a_bound_and_are_spread() -> None:
     waits = []
     for seed in range(200):
-        one = Follower("/n/", 3, False, random.Random(seed))
+        one = EtcdFollower("/n/", 3, False, random.Random(seed))
         one.start(0)
         dialled = set()
         for number in range(12):
@@ -290,7 +292,7 @@
     for _ in range(9):
         one.failed(0, "reset")
         one.tick(one.due_us)
-    one.up(0)
+    one.connected(0)
     one.watched(0, events(11, put("a", 11)))
     one.failed(0, "reset")
     assert one.due_us <= FIRST_WAIT_US
@@ -299,26 +301,26 @@
 def test_a_token_is_asked_for_on_every_connection() -> None:
     one = follower(auth=True)
     one.start(0)
-    assert isinstance(one.up(0)[0], Authenticate)
-    assert isinstance(one.authenticated(0)[0], Ask)
-    one.listed(0, answer(10))
+    assert isinstance(one.connected(0)[0], Authenticate)
+    assert isinstance(one.authenticated(0)[0], SendRange)
+    one.range_received(0, answer(10))
     one.failed(1, "etcdserver: invalid auth token", Code.UNAUTHENTICATED)
     one.tick(one.due_us)
-    assert isinstance(one.up(2)[0], Authenticate)
+    assert isinstance(one.connected(2)[0], Authenticate)
 
 
 def test_an_answer_too_large_is_asked_for_in_smaller_pages() -> None:
     one = follower()
     one.start(0)
-    first = one.up(0)[0]
+    first = one.connected(0)[0]
     one.failed(1, "too large", Code.RESOURCE_EXHAUSTED)
     second = again(one, one.due_us)[0]
-    assert isinstance(first, Ask) and isinstance(second, Ask)
+    assert isinstance(first, SendRange) and isinstance(second, SendRange)
     assert second.request.limit == first.request.limit // 4
 
 
 def test_late_answers_of_a_dropped_connection_do_nothing() -> None:
     one = watching()
     one.failed(1, "reset")
-    assert one.watched(2, events(11, put("a", 11))) == [] == one.listed(2, answer(12))
-    assert one.up(2) == [] == one.authenticated(2) == one.failed(2, "again")
+    assert one.watched(2, events(11, put("a", 11))) == [] == one.range_received(2, answer(12))
+    assert one.connected(2) == [] == one.authenticated(2) == one.failed(2, "again")
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -644,7 +644,7 @@
     assert (found.seed, found.memory_mb) == (0x8C1F30D27A5BE964, 160)
     assert (found.discovery, found.admin_address) == (("127.0.0.1", 7000), ("127.0.0.1", 7001))
     directory = EndpointDirectory(found.settings)
-    version, whole, hosts = directory.read(found.cached_endpoint_list)
+    version, whole, hosts = directory.parse_list(found.cached_endpoint_list)
     told = {
         "version": version,
         "whole": whole,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -164,11 +164,11 @@
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
         directory = EndpointDirectory(told)
         discovery = Watcher(("127.0.0.1", 1), directory, 0, pushed=False)
-        discovery.sink = engine = Engine(told, 1, Clock(), pool, discovery)
+        discovery.listener = engine = Engine(told, 1, Clock(), pool, discovery)
 
         def tell(name: str, health: str) -> int:
             entry = {"host": name, "dial": "127.0.0.1:1", "site": "a", "block": 0, "health": health}
-            discovery.told(json.dumps({"seq": 1, "whole": False, "hosts": [entry]}).encode())
+            discovery.enqueue(json.dumps({"seq": 1, "whole": False, "hosts": [entry]}).encode())
             return directory.numbers.get(name, 0)
 
         for number in range(50):
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -82,14 +82,14 @@
 
 def watcher() -> tuple[Watcher, Sink]:
     one, sink = Watcher(("127.0.0.1", 1), EndpointDirectory(settings()), 0, pushed=False), Sink()
-    one.sink = sink
+    one.listener = sink
     return one, sink
 
 
 async def settled(one: Watcher) -> int:
     """Wait until all that was told is read; how many turns of the loop it took."""
     turns = 0
-    while one.working:
+    while one.is_reading:
         turns += 1
         await asyncio.sleep(0)
     return turns
@@ -201,13 +201,13 @@
 def test_a_large_list_is_told_in_slices_over_many_turns_and_a_later_line_waits_behind_it() -> None:
     async def test() -> None:
         one, sink = watcher()
-        one.told(text([entry(n) for n in range(MANY)], 5).encode())
-        one.told(text([entry(3, health="terminating")], 6, False).encode())
+        one.enqueue(text([entry(n) for n in range(MANY)], 5).encode())
+        one.enqueue(text([entry(3, health="terminating")], 6, False).encode())
         assert await settled(one) >= 5
         assert len(sink.hosts) == MANY and max(len(entries) for _, entries, _ in sink.events) <= SLICE
         assert sink.hosts[one.directory.numbers["s-3"]].entry.state is api.UpstreamState.DRAINING
         assert sink.events[-1][2] == one.version == 6
-        one.told(text([], 7).encode())  # all are gone
+        one.enqueue(text([], 7).encode())  # all are gone
         await settled(one)
         assert not sink.hosts and not one.directory.numbers and not one.leaving
 
@@ -217,7 +217,7 @@
 def test_a_bad_large_list_leaves_the_last_good_one() -> None:
     async def test() -> None:
         one, sink = watcher()
-        one.told(text([entry(n) for n in range(300)], 5).encode())
+        one.enqueue(text([entry(n) for n in range(300)], 5).encode())
         await settled(one)
         before = len(sink.events)
         bad = [entry(n, health="?" if n == 9_000 else "in_service") for n in range(MANY)]
@@ -238,15 +238,15 @@
 
     async def test() -> None:
         one, sink = watcher()
-        one.told(text([entry(1), entry(2)], 5).encode())
-        one.told(text([entry(1, health="terminating")], 6, False).encode())
-        one.told(text([entry(1), entry(2)], 5).encode())
+        one.enqueue(text([entry(1), entry(2)], 5).encode())
+        one.enqueue(text([entry(1, health="terminating")], 6, False).encode())
+        one.enqueue(text([entry(1), entry(2)], 5).encode())
         assert sink.hosts[one.directory.numbers["s-1"]].entry.state is api.UpstreamState.DRAINING
         assert len(sink.events) == 3 and one.version == 6  # each call has its answer
-        one.told(text([entry(1)], 6, False).encode())  # the same version twice is no older one
+        one.enqueue(text([entry(1)], 6, False).encode())  # the same version twice is no older one
         assert sink.hosts[one.directory.numbers["s-1"]].entry.state is api.UpstreamState.READY
         fresh = Call(one, b"?stream=1&index=6")  # a new watch that begins with less: discovery was begun anew
-        one.told(text([entry(3)], 1).encode(), fresh)
+        one.enqueue(text([entry(3)], 1).encode(), fresh)
         assert one.version == 1 and len(sink.hosts) == 1
         one.close()
 
@@ -262,8 +262,8 @@
         told = settings(max_upstreams=64)
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
         one = Watcher(("127.0.0.1", 1), EndpointDirectory(told), 0, pushed=False)
-        one.sink = engine = Engine(told, 1, Clock(), pool, one)
-        one.told(text([entry(n) for n in range(3000)], 5).encode())
+        one.listener = engine = Engine(told, 1, Clock(), pool, one)
+        one.enqueue(text([entry(n) for n in range(3000)], 5).encode())
         await settled(one)
         assert len(pool.upstreams) == 3000 and len(engine.balancer.endpoints) <= 64
         looked: list[int] = []
@@ -279,8 +279,8 @@
                 return super().__getitem__(ident)
 
         pool.upstreams = Watched(pool.upstreams)
-        one.told(text([entry(9, health="terminating")], 6, False).encode())
-        one.told(text([entry(9, health="terminated")], 7, False).encode())
+        one.enqueue(text([entry(9, health="terminating")], 6, False).encode())
+        one.enqueue(text([entry(9, health="terminated")], 7, False).encode())
         assert len(pool.upstreams) == 2999 and len(set(looked)) == 1
         one.close()
 
