--- a/sidecar_proxy/discovery/__init__.py
+++ b/sidecar_proxy/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Who is a member of the fleet, by the words of several sources. Pure; the sources' sockets are elsewhere."""
+"""Endpoint discovery: the platform's list and further sources, and their merge into one view of the fleet."""
--- a/sidecar_proxy/discovery/endpoint_list.py
+++ b/sidecar_proxy/discovery/endpoint_list.py
@@ -1,7 +1,8 @@
-"""The list of upstreams as discovery words it: JSON to typed entries, a little at a time.
+"""Parses the platform's endpoint list: JSON to typed entries, in steps.
 
-Pure: text in, entries out. A whole list of 10,000 is some 1.6 MB; read at once it would hold the loop for
-over 100 ms, so `Reading` goes on in steps, and `changes` cuts what is new into slices.
+Pure: text in, entries out. A full list of 10,000 endpoints is about 1.6 MB, and parsing it in one go would
+block the event loop for over 100 ms. `EndpointListParser` therefore parses in steps, and `changes` splits
+what is new into slices.
 """
 
 from __future__ import annotations
@@ -18,63 +19,68 @@
 from sidecar_proxy.engine.address import parse_address
 from sidecar_proxy.engine.interfaces import ListedUpstream
 
-SLICE = 64  # entries that are read, or told to the decisions, in one go
-MOST_HOSTS = 50_000  # entries of one list
+SLICE_ENTRIES = 64  # entries that are parsed, or passed to the balancer, in one step
+MAX_LIST_ENTRIES = 50_000
 
-STATES = {
+STATE_BY_HEALTH = {
     "in_service": api.UpstreamState.READY,
     "terminating": api.UpstreamState.DRAINING,
     "terminated": api.UpstreamState.GONE,
 }
-# A name listed twice has the state of the more careful entry. Hazard: to refuse such a list would leave a
-# drain that it tells unheard.
-CARE = {api.UpstreamState.READY: 0, api.UpstreamState.DRAINING: 1, api.UpstreamState.GONE: 2}
-DECODER = json.JSONDecoder()
-SPACE = " \t\r\n"
-MOST_STRING = 64 * 1024  # bytes; one that is cut off is looked at again with each piece that comes
-# A string, the beginning of one that is not whole, a brace, the end of a line.
-TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\n]', re.DOTALL)
+# If a name is listed twice, the entry with the higher value wins. Rejecting such a list instead would lose a
+# drain that it contains.
+STATE_PRECEDENCE = {api.UpstreamState.READY: 0, api.UpstreamState.DRAINING: 1, api.UpstreamState.GONE: 2}
+JSON_DECODER = json.JSONDecoder()
+JSON_WHITESPACE = " \t\r\n"
+MAX_STRING_BYTES = 64 * 1024  # an incomplete string is scanned again with each piece that arrives
+# A complete string, the start of an incomplete one, a brace or the end of a line.
+JSON_TOKEN = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"|["{}\n]', re.DOTALL)
 
 
 class EndpointListError(Exception):
-    """What discovery sent can't be used."""
+    """An endpoint list is malformed and can't be used."""
 
 
-class Objects:
-    """Cuts a stream into its JSON objects, which may be one a line or take many lines. Pure.
+class JsonObjectSplitter:
+    """Splits a byte stream into JSON objects, each on one line or on several. Pure.
 
-    What stands between objects is cut at the ends of its lines: empty ones are heartbeats, others no list.
-    Each byte is looked at once."""
+    Text between objects is split at line ends: an empty line is a heartbeat, any other is an invalid list.
+    Each byte is scanned once, except for those of a string that is still incomplete.
+    """
 
     def __init__(self) -> None:
-        self.text = bytearray()
-        self.at = 0  # looked at so far
-        self.depth = 0  # braces that are open there
+        self.buffer = bytearray()
+        self.scanned_bytes = 0
+        self.depth = 0  # open braces after the scanned bytes
 
     def __len__(self) -> int:
-        return len(self.text)
+        return len(self.buffer)
 
-    def put(self, data: bytes) -> None:
-        self.text += data
+    def append(self, data: bytes) -> None:
+        """Add received bytes."""
+        self.buffer += data
 
-    def next(self) -> bytes | None:
-        """The next object, or line without one; None if it is not whole. Raises ListError."""
-        end = self.look()
+    def next_object(self) -> bytes | None:
+        """Remove and return the next object, or the next line outside of objects; None if it is incomplete.
+
+        Raises EndpointListError if a string is too long.
+        """
+        end = self.find_end()
         if end is None:
             return None
-        found = bytes(self.text[:end]).strip()
-        del self.text[:end]
-        self.at = self.depth = 0
-        return found
-
-    def look(self) -> int | None:
-        """Where the next one ends."""
-        for token in TOKEN.finditer(self.text, self.at):
+        text = bytes(self.buffer[:end]).strip()
+        del self.buffer[:end]
+        self.scanned_bytes = self.depth = 0
+        return text
+
+    def find_end(self) -> int | None:
+        """Return the offset behind the next object or line; None if it is incomplete."""
+        for token in JSON_TOKEN.finditer(self.buffer, self.scanned_bytes):
             mark = token.group()
             if mark == b'"':
-                if len(self.text) - token.start() > MOST_STRING:
-                    raise EndpointListError("a string too long")
-                self.at = token.start()
+                if len(self.buffer) - token.start() > MAX_STRING_BYTES:
+                    raise EndpointListError(f"a string is longer than {MAX_STRING_BYTES} bytes")
+                self.scanned_bytes = token.start()
                 return None
             if mark == b"{":
                 self.depth += 1
@@ -82,12 +88,15 @@
                 self.depth -= 1
             if self.depth <= 0 and mark in (b"}", b"\n"):
                 return token.end()
-        self.at = len(self.text)
+        self.scanned_bytes = len(self.buffer)
         return None
 
 
 class EndpointDirectory:
-    """Names to the numbers that the decisions use, the same for the process's life."""
+    """Maps the names of endpoints, zones and machine kinds to the numbers that the balancer uses.
+
+    A zone or kind keeps its number for the life of the process, an endpoint until it is removed.
+    """
 
     def __init__(self, settings: api.Settings) -> None:
         self.zones = {name: number for number, name in enumerate(settings.zones)}
@@ -95,8 +104,12 @@
         self.numbers: dict[str, int] = {}
         self.names: dict[int, str] = {}
 
-    def number(self, name: str) -> int:
-        """By a digest: alike in all sidecars, as in the simulator, and not by order of arrival."""
+    def number_of(self, name: str) -> int:
+        """Return the number of an endpoint, assigning one to a new name.
+
+        The number is a digest of the name, so that it doesn't depend on the order of arrival and is the same
+        in all sidecars and in the simulator.
+        """
         number = self.numbers.get(name)
         if number is None:
             number = int.from_bytes(hashlib.blake2b(name.encode(), digest_size=4).digest(), "little")
@@ -106,73 +119,87 @@
             self.numbers[name] = number
         return number
 
-    def forget(self, number: int) -> None:
-        """Upstreams are replaced all day, by new ones under new names."""
+    def remove(self, number: int) -> None:
+        """Remove an endpoint. Endpoints are replaced all day by new ones with new names."""
         name = self.names.pop(number, None)
         if name is not None:
             del self.numbers[name]
 
-    def parse_list(self, told: Any) -> tuple[int, bool, list[ListedUpstream]]:
-        """The version, whether it is the whole list, and the entries, in one go."""
-        reading = Reading(self, json.dumps(told))
-        for _ in reading.steps():
+    def parse_list(self, document: Any) -> tuple[int, bool, list[ListedUpstream]]:
+        """Parse a decoded list in one go; return its version, whether it is complete, and its entries.
+
+        Raises EndpointListError.
+        """
+        parser = EndpointListParser(self, json.dumps(document))
+        for _ in parser.steps():
             pass
-        return reading.version, reading.whole, reading.hosts
+        return parser.version, parser.is_complete, parser.upstreams
 
-    def entry(self, told: dict[str, Any], fresh: list[int]) -> ListedUpstream:
-        """One entry; a number that is given for it is added to `fresh`."""
-        name, state = told["host"], STATES.get(told["health"])
+    def parse_entry(self, fields: dict[str, Any], new_numbers: list[int]) -> ListedUpstream:
+        """Parse one entry; if its name is new, append the assigned number to `new_numbers`."""
+        name, state = fields["host"], STATE_BY_HEALTH.get(fields["health"])
         if not isinstance(name, str) or not name:
-            raise EndpointListError(f"a host named {name!r}")
+            raise EndpointListError(f"host is {name!r}, expected a name")
         if state is None:
-            raise EndpointListError(f"{name}: unknown health {told['health']!r}")
-        weight, born_ms, cell = float(told.get("share", 1.0)), int(told.get("born_ms", 0)), int(told["block"])
+            raise EndpointListError(f"{name}: unknown health {fields['health']!r}")
+        weight, born_ms, cell = (
+            float(fields.get("share", 1.0)),
+            int(fields.get("born_ms", 0)),
+            int(fields["block"]),
+        )
         if not math.isfinite(weight) or born_ms < 0:
-            raise EndpointListError(f"{name}: share {weight}, born_ms {born_ms}")
-        gone = state is api.UpstreamState.GONE
-        dial = ("", 0) if gone else parse_address(told["dial"])
-        grpc = None if gone or "dial_grpc" not in told else parse_address(told["dial_grpc"])
-        known = name in self.numbers
-        number = self.number(name)
-        if not known:
-            fresh.append(number)
+            raise EndpointListError(
+                f"{name}: share is {weight}, born_ms is {born_ms}; expected a finite share and born_ms >= 0"
+            )
+        is_gone = state is api.UpstreamState.GONE
+        address = ("", 0) if is_gone else parse_address(fields["dial"])
+        grpc_address = None if is_gone or "dial_grpc" not in fields else parse_address(fields["dial_grpc"])
+        is_known = name in self.numbers
+        number = self.number_of(name)
+        if not is_known:
+            new_numbers.append(number)
         return ListedUpstream(
             api.Upstream(
                 number,
                 state,
-                self.zones.setdefault(str(told["site"]).replace(" ", "_"), len(self.zones)),
-                self.kinds.setdefault(str(told.get("class", "")).replace(" ", "_"), len(self.kinds)),
+                self.zones.setdefault(str(fields["site"]).replace(" ", "_"), len(self.zones)),
+                self.kinds.setdefault(str(fields.get("class", "")).replace(" ", "_"), len(self.kinds)),
                 cell,
                 weight,
-                born_ms * 1000,  # our clock counts from Unix time
+                born_ms * 1000,  # the balancer's clock is Unix time in microseconds
             ),
-            dial,
-            grpc,
+            address,
+            grpc_address,
         )
 
 
-class Reading:
-    """One JSON object of discovery's, read in steps. Nothing is kept of one that is bad: its new names are
-    forgotten again."""
+class EndpointListParser:
+    """Parses one JSON object of the platform's discovery service in steps.
+
+    An invalid list leaves nothing behind: the numbers assigned to its new names are removed again.
+    """
 
     def __init__(self, directory: EndpointDirectory, text: str) -> None:
         self.directory = directory
         self.text = text
-        self.at = 0
+        self.offset = 0
         self.version = 0
-        self.whole = False
-        self.hosts: list[ListedUpstream] = []
-        self.places: dict[int, int] = {}  # of each number in `hosts`
-        self.found: set[str] = set()  # keys
-        self.fresh: list[int] = []  # numbers given for new names
+        self.is_complete = False
+        self.upstreams: list[ListedUpstream] = []
+        self.positions: dict[int, int] = {}  # index in `upstreams` of each number
+        self.seen_keys: set[str] = set()
+        self.new_numbers: list[int] = []  # numbers assigned to new names
 
     def steps(self) -> Iterator[None]:
-        """Read on with each step; the fields are whole when it ends. Raises ListError."""
+        """Parse a part of the text in each step; the fields are valid after the last one.
+
+        Raises EndpointListError.
+        """
         try:
-            yield from self.read()
+            yield from self.parse()
         except Exception as error:
-            for number in self.fresh:
-                self.directory.forget(number)
+            for number in self.new_numbers:
+                self.directory.remove(number)
             if isinstance(error, EndpointListError):
                 raise
             if isinstance(error, KeyError):
@@ -181,110 +208,119 @@
                 raise EndpointListError(" ".join(str(error).split())[:200]) from error
             raise
 
-    def read(self) -> Iterator[None]:
+    def parse(self) -> Iterator[None]:
+        """Parse the object, one slice of entries in each step."""
         self.expect("{")
         while self.peek() != "}":
-            key, self.at = DECODER.raw_decode(self.text, self.at)
-            if not isinstance(key, str) or key in self.found:
-                raise EndpointListError(f"the key {key!r}")
-            self.found.add(key)
+            key, self.offset = JSON_DECODER.raw_decode(self.text, self.offset)
+            if not isinstance(key, str) or key in self.seen_keys:
+                raise EndpointListError(f"key {key!r} is repeated or not a string")
+            self.seen_keys.add(key)
             self.expect(":")
             if key == "hosts" and self.peek() == "[":
-                yield from self.read_hosts()
+                yield from self.parse_hosts()
             else:
                 self.peek()
-                value, self.at = DECODER.raw_decode(self.text, self.at)
-                self.field(key, value)
-            self.pass_comma("}")
-        self.at += 1
+                value, self.offset = JSON_DECODER.raw_decode(self.text, self.offset)
+                self.set_field(key, value)
+            self.skip_comma("}")
+        self.offset += 1
         if self.peek():
-            raise EndpointListError("more behind the list")
-        for wanted in ("hosts", "whole", "seq"):
-            if wanted not in self.found:
-                raise KeyError(wanted)
+            raise EndpointListError("unexpected text after the list")
+        for required_key in ("hosts", "whole", "seq"):
+            if required_key not in self.seen_keys:
+                raise KeyError(required_key)
 
-    def field(self, key: str, value: object) -> None:
+    def set_field(self, key: str, value: object) -> None:
+        """Check and store a field other than the entries; unknown fields are ignored."""
         if key == "hosts":
             raise EndpointListError("'hosts' is not a list")
         if key == "whole":
             if not isinstance(value, bool):
                 raise EndpointListError("'whole' is not true or false")
-            self.whole = value
+            self.is_complete = value
         elif key == "seq":
             if isinstance(value, bool) or not isinstance(value, int):
-                raise EndpointListError(f"'seq' is not a whole number: {str(value)[:40]!r}")
+                raise EndpointListError(f"'seq' is not an integer: {str(value)[:40]!r}")
             self.version = value
 
-    def read_hosts(self) -> Iterator[None]:
+    def parse_hosts(self) -> Iterator[None]:
+        """Parse the entries, one slice in each step."""
         self.expect("[")
         count = 0
         while self.peek() != "]":
-            told, self.at = DECODER.raw_decode(self.text, self.at)
-            self.add(self.directory.entry(told, self.fresh))
+            fields, self.offset = JSON_DECODER.raw_decode(self.text, self.offset)
+            self.add(self.directory.parse_entry(fields, self.new_numbers))
             count += 1
-            if count > MOST_HOSTS:
-                raise EndpointListError(f"over {MOST_HOSTS} hosts")
-            if count % SLICE == 0:
+            if count > MAX_LIST_ENTRIES:
+                raise EndpointListError(f"more than {MAX_LIST_ENTRIES} hosts")
+            if count % SLICE_ENTRIES == 0:
                 yield
-            self.pass_comma("]")
-        self.at += 1
+            self.skip_comma("]")
+        self.offset += 1
 
-    def add(self, host: ListedUpstream) -> None:
-        place = self.places.setdefault(host.entry.id, len(self.hosts))
-        if place == len(self.hosts):
-            self.hosts.append(host)
-        elif CARE[host.entry.state] >= CARE[self.hosts[place].entry.state]:
-            self.hosts[place] = host
+    def add(self, upstream: ListedUpstream) -> None:
+        """Add an entry; of two entries of one name the one whose state has precedence is kept."""
+        position = self.positions.setdefault(upstream.entry.id, len(self.upstreams))
+        if position == len(self.upstreams):
+            self.upstreams.append(upstream)
+        elif STATE_PRECEDENCE[upstream.entry.state] >= STATE_PRECEDENCE[self.upstreams[position].entry.state]:
+            self.upstreams[position] = upstream
 
     def peek(self) -> str:
-        """The next character that is no space; empty at the end."""
-        while self.at < len(self.text) and self.text[self.at] in SPACE:
-            self.at += 1
-        return self.text[self.at : self.at + 1]
+        """Skip whitespace and return the next character without consuming it; empty at the end."""
+        while self.offset < len(self.text) and self.text[self.offset] in JSON_WHITESPACE:
+            self.offset += 1
+        return self.text[self.offset : self.offset + 1]
 
-    def pass_comma(self, end: str) -> None:
-        """Behind an element: a comma and another one, or the end, which stays."""
+    def skip_comma(self, end: str) -> None:
+        """Consume the comma after an element; the end of the object or array is not consumed."""
         if self.peek() == ",":
-            self.at += 1
+            self.offset += 1
             if self.peek() == end:
-                raise EndpointListError(f"byte {self.at}: a comma before {end!r}")
+                raise EndpointListError(f"character {self.offset}: unexpected comma before {end!r}")
         elif self.peek() != end:
-            raise EndpointListError(f"byte {self.at}: expected a comma or {end!r}")
+            raise EndpointListError(f"character {self.offset}: expected a comma or {end!r}")
 
     def expect(self, mark: str) -> None:
+        """Consume this character, or raise EndpointListError if another one is next."""
         if self.peek() != mark:
             raise EndpointListError(
-                f"byte {self.at}: expected {mark!r}, got {self.text[self.at : self.at + 20]!r}"
+                f"character {self.offset}: expected {mark!r}, "
+                f"got {self.text[self.offset : self.offset + 20]!r}"
             )
-        self.at += 1
+        self.offset += 1
 
 
 def changes(
-    known: dict[int, ListedUpstream], told: list[ListedUpstream], whole: bool
+    known: dict[int, ListedUpstream], listed: list[ListedUpstream], is_complete: bool
 ) -> Iterator[list[ListedUpstream]]:
-    """What a large list says anew, in slices: who is not to be used any more comes first (rule 3). An empty
-    slice only ends a step."""
-    listed = {host.entry.id for host in told}
+    """Yield in slices what a large list changes.
+
+    Endpoints that may get no new requests come first (rule 3). An empty slice only ends a step.
+    """
+    listed_ids = {upstream.entry.id for upstream in listed}
     leaving: list[ListedUpstream] = []
     others: list[ListedUpstream] = []
-    for number, host in enumerate(told, 1):
-        old = known.get(host.entry.id)
+    for number, upstream in enumerate(listed, 1):
+        old = known.get(upstream.entry.id)
         if (
             old is None
-            or old.entry != host.entry
-            or (old.address, old.grpc_address) != (host.address, host.grpc_address)
+            or old.entry != upstream.entry
+            or (old.address, old.grpc_address) != (upstream.address, upstream.grpc_address)
         ):
-            (others if host.entry.state is api.UpstreamState.READY else leaving).append(host)
-        if number % (8 * SLICE) == 0:
+            (others if upstream.entry.state is api.UpstreamState.READY else leaving).append(upstream)
+        if number % (8 * SLICE_ENTRIES) == 0:
             yield []
-    for number, (ident, host) in enumerate(known.items() if whole else (), 1):
-        if ident not in listed and host.entry.state is not api.UpstreamState.GONE:
-            leaving.append(ListedUpstream(replace(host.entry, state=api.UpstreamState.GONE), ("", 0)))
-        if number % (8 * SLICE) == 0:
+    for number, (upstream_id, upstream) in enumerate(known.items() if is_complete else (), 1):
+        if upstream_id not in listed_ids and upstream.entry.state is not api.UpstreamState.GONE:
+            leaving.append(ListedUpstream(replace(upstream.entry, state=api.UpstreamState.GONE), ("", 0)))
+        if number % (8 * SLICE_ENTRIES) == 0:
             yield []
-    yield from cut(leaving)
-    yield from cut(others)
+    yield from split(leaving)
+    yield from split(others)
 
 
-def cut(hosts: list[ListedUpstream]) -> Iterable[list[ListedUpstream]]:
-    return (hosts[at : at + SLICE] for at in range(0, len(hosts), SLICE))
+def split(upstreams: list[ListedUpstream]) -> Iterable[list[ListedUpstream]]:
+    """Split a list into slices of SLICE_ENTRIES."""
+    return (upstreams[start : start + SLICE_ENTRIES] for start in range(0, len(upstreams), SLICE_ENTRIES))
--- a/sidecar_proxy/discovery/etcd/source.py
+++ b/sidecar_proxy/discovery/etcd/source.py
@@ -1,4 +1,7 @@
-"""The shell round a EtcdFollower: connections, timers, the password file. It decides nothing."""
+"""Carries out the actions of an EtcdFollower: connections, gRPC calls, timers and the password file.
+
+All decisions are the follower's.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +17,8 @@
 
 from sidecar_proxy.config.schema import Etcd
 from sidecar_proxy.discovery.etcd import api_pb2 as pb
-from sidecar_proxy.discovery.etcd import follower as following
-from sidecar_proxy.discovery.model import Entry
+from sidecar_proxy.discovery.etcd import follower as actions
+from sidecar_proxy.discovery.model import EndpointEntry
 from sidecar_proxy.engine.address import Address, parse_address
 from sidecar_proxy.grpc.message import PREFIX, first_size, framed
 from sidecar_proxy.grpc.status import Code, parse
@@ -38,44 +41,53 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-MOST_MESSAGE = 16 * 1024 * 1024  # bytes of one answer
-MOST_PASSWORD = 4096
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # of one answer
+MAX_PASSWORD_BYTES = 4096
 LIMITS = Limits(
     streams=0, window=1024 * 1024, connection_window=4 * 1024 * 1024, rates=Rates(windows=20_000.0)
 )
 
 
-class Sink(Protocol):
-    """Who is told what the prefix holds."""
+class SourceListener(Protocol):
+    """Receives the contents of the prefix and its changes."""
 
-    def listed(self, source: str, epoch: str, revision: int, entries: tuple[Entry, ...]) -> None: ...
+    def list_received(
+        self, source: str, epoch: str, revision: int, entries: tuple[EndpointEntry, ...]
+    ) -> None:
+        """Take the complete prefix at one revision."""
 
-    def changed(
-        self, source: str, epoch: str, revision: int, changes: tuple[tuple[str, Entry | None], ...]
-    ) -> None: ...
+    def changes_received(
+        self, source: str, epoch: str, revision: int, changes: tuple[tuple[str, EndpointEntry | None], ...]
+    ) -> None:
+        """Take the changes of one revision in order; None = deleted."""
 
 
 @dataclass(slots=True, eq=False)
-class Call:
-    """One gRPC call of ours: each message that comes, and its one end."""
+class GrpcCall:
+    """One gRPC call in flight."""
 
-    message: Callable[[bytes], None]
-    ended: Callable[[Code, str], None]
-    data: bytearray = field(default_factory=bytearray)
+    on_message: Callable[[bytes], None]  # called with each complete message
+    on_end: Callable[[Code, str], None]  # called once, with the status and its message
+    buffer: bytearray = field(default_factory=bytearray)
     headers: dict[bytes, bytes] = field(default_factory=dict)
 
 
-class Link(Endpoint, asyncio.Protocol):
-    """A connection to one member."""
+class MemberConnection(Endpoint, asyncio.Protocol):
+    """An HTTP/2 connection to one member of the cluster."""
 
-    def __init__(self, source: Source, host: str) -> None:
+    def __init__(self, source: EtcdSource, host: str) -> None:
         super().__init__(Connection(True, LIMITS, source.now_us()), source.loop)
         self.source = source
         self.host = host
-        self.calls: dict[int, Call] = {}
+        self.calls: dict[int, GrpcCall] = {}
 
-    def call(self, path: str, request: Message, metadata: Headers, call: Call, more: bool = False) -> int:
-        """Begin a call; `more` messages may follow. Raises StreamError."""
+    def start_call(
+        self, path: str, request: Message, metadata: Headers, call: GrpcCall, is_streaming: bool = False
+    ) -> int:
+        """Start a call and return its stream id. Raises StreamError.
+
+        With `is_streaming` further requests may follow on the stream.
+        """
         headers = [
             (b":method", b"POST"),
             (b":scheme", b"http" if self.source.tls is None else b"https"),
@@ -87,23 +99,28 @@
         ]
         stream = self.http2.open_stream(headers)
         if stream is None:
-            raise StreamError("the member takes no more calls")
+            raise StreamError("member accepts no further streams")
         self.calls[stream] = call
-        self.send(stream, request, ended=not more)
+        self.send(stream, request, ended=not is_streaming)
         return stream
 
     def send(self, stream: int, request: Message, ended: bool = False) -> None:
+        """Send one request message."""
         self.http2.send_data(stream, framed(request.SerializeToString()), ended=ended)
         self.schedule()
 
     def data_received(self, data: bytes) -> None:
+        """Handle received bytes."""
         for event in self.http2.receive(data, self.source.now_us()):
-            self.take(event)
+            self.handle(event)
         self.schedule()
 
-    def take(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
+        """Handle one HTTP/2 event."""
         if isinstance(event, Ended | GoawayReceived):
-            self.source.broken(self, f"the connection ends: {getattr(event, 'why', 'a GOAWAY')}")
+            self.source.connection_broken(
+                self, f"connection closed: {getattr(event, 'why', 'GOAWAY received')}"
+            )
             return
         call = self.calls.get(event.stream)
         if isinstance(event, DataReceived):
@@ -114,147 +131,171 @@
             case HeadersReceived():
                 call.headers = dict(event.headers)
                 if event.ended:
-                    self.end(event.stream, call, call.headers)
+                    self.end_call(event.stream, call, call.headers)
             case DataReceived():
-                call.data += event.data
-                self.messages(event.stream, call)
+                call.buffer += event.data
+                self.read_messages(event.stream, call)
                 if event.ended and event.stream in self.calls:
-                    self.end(event.stream, call, {})
+                    self.end_call(event.stream, call, {})
             case TrailersReceived():
-                self.end(event.stream, call, dict(event.headers))
+                self.end_call(event.stream, call, dict(event.headers))
             case StreamReset():
                 del self.calls[event.stream]
-                call.ended(Code.UNAVAILABLE, f"the stream was reset: {event.code}")
+                call.on_end(Code.UNAVAILABLE, f"stream was reset with HTTP/2 error code {event.code}")
 
-    def messages(self, stream: int, call: Call) -> None:
-        while stream in self.calls and (size := first_size(call.data)) is not None:
-            if size > MOST_MESSAGE + PREFIX or call.data[0]:
+    def read_messages(self, stream: int, call: GrpcCall) -> None:
+        """Pass on the messages that are complete."""
+        while stream in self.calls and (size := first_size(call.buffer)) is not None:
+            if size > MAX_MESSAGE_BYTES + PREFIX or call.buffer[0]:
                 del self.calls[stream]
                 self.http2.reset(stream, CANCEL)
-                call.ended(Code.RESOURCE_EXHAUSTED, "an answer too large, or compressed")
+                call.on_end(
+                    Code.RESOURCE_EXHAUSTED, f"answer is compressed or larger than {MAX_MESSAGE_BYTES} bytes"
+                )
                 return
-            if len(call.data) < size:
+            if len(call.buffer) < size:
                 return
-            message = bytes(call.data[PREFIX:size])
-            del call.data[:size]
-            call.message(message)
+            message = bytes(call.buffer[PREFIX:size])
+            del call.buffer[:size]
+            call.on_message(message)
 
-    def end(self, stream: int, call: Call, trailers: dict[bytes, bytes]) -> None:
+    def end_call(self, stream: int, call: GrpcCall, trailers: dict[bytes, bytes]) -> None:
+        """End a call with the status in its trailers."""
         del self.calls[stream]
         if call.headers.get(b":status") != b"200":
-            call.ended(Code.UNAVAILABLE, f"HTTP status {call.headers.get(b':status', b'')!r}")
+            call.on_end(Code.UNAVAILABLE, f"HTTP status {call.headers.get(b':status', b'')!r}, expected 200")
             return
-        said = unquote_to_bytes(trailers.get(b"grpc-message", b"").decode("latin-1"))
-        call.ended(parse(trailers.get(b"grpc-status")), said.decode("utf-8", "replace")[:200])
+        message = unquote_to_bytes(trailers.get(b"grpc-message", b"").decode("latin-1"))
+        call.on_end(parse(trailers.get(b"grpc-status")), message.decode("utf-8", "replace")[:200])
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.source.broken(self, str(error or "closed"))
+        """Report that the connection is closed."""
+        self.source.connection_broken(self, str(error or "connection closed"))
 
     def close(self) -> None:
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
-class Source:
-    """etcd as it is followed, and who is told."""
+class EtcdSource:
+    """Follows a prefix of etcd and passes its contents to a listener.
+
+    The constructor raises OSError if a TLS file can't be used.
+    """
 
     def __init__(
-        self, told: Etcd, follower: following.EtcdFollower, sink: Sink, now_us: Callable[[], int]
+        self,
+        config: Etcd,
+        follower: actions.EtcdFollower,
+        listener: SourceListener,
+        now_us: Callable[[], int],
     ) -> None:
-        self.told = told
+        self.config = config
         self.follower = follower
-        self.sink = sink
+        self.listener = listener
         self.now_us = now_us
         self.loop = asyncio.get_running_loop()
-        self.endpoints: list[Address] = [parse_address(one) for one in told.endpoints]
-        self.tls = tls_of(told)
-        self.link: Link | None = None
-        self.dialling: asyncio.Task[None] | None = None
-        self.watch: int | None = None  # the stream of the watch
+        self.endpoints: list[Address] = [parse_address(endpoint) for endpoint in config.endpoints]
+        self.tls = tls_context(config)
+        self.connection: MemberConnection | None = None
+        self.dial_task: asyncio.Task[None] | None = None
+        self.watch_stream: int | None = None
         self.token = b""
         self.timer: asyncio.TimerHandle | None = None
-        self.next_complaint = 0.0
-        self.closed = False
+        self.next_warning_s = 0.0  # loop time before which no further warning is logged
+        self.is_closed = False
 
     def start(self) -> None:
+        """Start to follow the prefix."""
         self.perform(self.follower.start(self.now_us()))
 
     # Actions
 
-    def perform(self, actions: list[following.Action]) -> None:
-        for action in actions:
-            if self.closed:
+    def perform(self, new_actions: list[actions.Action]) -> None:
+        """Carry out actions of the follower, then set the timer for its next tick."""
+        for action in new_actions:
+            if self.is_closed:
                 return
             try:
                 self.carry_out(action)
             except (StreamError, OSError) as error:
                 self.perform(self.follower.failed(self.now_us(), str(error)))
-        self.arm()
+        self.set_timer()
 
-    def carry_out(self, action: following.Action) -> None:
+    def carry_out(self, action: actions.Action) -> None:
+        """Carry out one action. Raises StreamError and OSError."""
         match action:
-            case following.Dial():
-                self.dialling = self.loop.create_task(self.dial(self.endpoints[action.endpoint]))
-            case following.Authenticate():
+            case actions.Dial():
+                self.dial_task = self.loop.create_task(self.dial(self.endpoints[action.endpoint]))
+            case actions.Authenticate():
                 self.authenticate()
-            case following.SendRange():
-                self.ask(action.request)
-            case following.SendWatch():
+            case actions.SendRange():
+                self.send_range(action.request)
+            case actions.SendWatch():
                 self.send_watch(action.request)
-            case following.Drop():
-                self.drop()
-            case following.Listed():
-                self.sink.listed("etcd", action.epoch, action.revision, action.entries)
-            case following.Changed():
-                self.sink.changed("etcd", action.epoch, action.revision, action.changes)
-            case following.Complain():
-                self.complain(action.text)
+            case actions.CloseConnection():
+                self.close_connection()
+            case actions.ListRead():
+                self.listener.list_received("etcd", action.epoch, action.revision, action.entries)
+            case actions.RevisionRead():
+                self.listener.changes_received("etcd", action.epoch, action.revision, action.changes)
+            case actions.LogWarning():
+                self.warn(action.text)
 
     async def dial(self, address: Address) -> None:
-        link = Link(self, f"{address[0]}:{address[1]}")
+        """Connect to one member."""
+        connection = MemberConnection(self, f"{address[0]}:{address[1]}")
         try:
-            await self.loop.create_connection(lambda: link, *address, ssl=self.tls)
+            await self.loop.create_connection(lambda: connection, *address, ssl=self.tls)
         except OSError as error:
-            self.dialling = None
-            self.perform(self.follower.failed(self.now_us(), f"{link.host}: {error}"))
+            self.dial_task = None
+            self.perform(self.follower.failed(self.now_us(), f"{connection.host}: {error}"))
             return
-        self.dialling, self.link = None, link
+        self.dial_task, self.connection = None, connection
         self.perform(self.follower.connected(self.now_us()))
 
     def authenticate(self) -> None:
-        with open(self.told.password_file, "rb") as file:  # read anew: it may have been changed
-            password = file.read(MOST_PASSWORD).decode("utf-8", "replace").rstrip("\r\n")
+        """Request a token, with the password file read again: it may have changed."""
+        with open(self.config.password_file, "rb") as file:
+            password = file.read(MAX_PASSWORD_BYTES).decode("utf-8", "replace").rstrip("\r\n")
 
-        def message(data: bytes) -> None:
+        def on_message(data: bytes) -> None:
             self.token = pb.AuthenticateResponse.FromString(data).token.encode()
             self.perform(self.follower.authenticated(self.now_us()))
 
         self.call(
             "/etcdserverpb.Auth/Authenticate",
-            pb.AuthenticateRequest(name=self.told.username, password=password),
+            pb.AuthenticateRequest(name=self.config.username, password=password),
             [],
-            message,
+            on_message,
         )
 
-    def ask(self, request: pb.RangeRequest) -> None:
-        def message(data: bytes) -> None:
+    def send_range(self, request: pb.RangeRequest) -> None:
+        """Make a Range call."""
+
+        def on_message(data: bytes) -> None:
             self.perform(self.follower.range_received(self.now_us(), pb.RangeResponse.FromString(data)))
 
-        self.call("/etcdserverpb.KV/Range", request, self.metadata(), message)
+        self.call("/etcdserverpb.KV/Range", request, self.metadata(), on_message)
 
     def send_watch(self, request: pb.WatchRequest) -> None:
-        if self.watch is not None and self.link is not None:
-            self.link.send(self.watch, request)
+        """Start a watch, or send a further request on its stream."""
+        if self.watch_stream is not None and self.connection is not None:
+            self.connection.send(self.watch_stream, request)
             return
 
-        def message(data: bytes) -> None:
-            self.perform(self.follower.watched(self.now_us(), pb.WatchResponse.FromString(data)))
+        def on_message(data: bytes) -> None:
+            self.perform(self.follower.watch_received(self.now_us(), pb.WatchResponse.FromString(data)))
 
-        # without it a member that is cut off from the others would keep the watch open and silent
+        # Without `hasleader`, a member that is cut off from the cluster would keep the watch open and silent.
         metadata = [*self.metadata(), (b"hasleader", b"true")]
-        self.watch = self.call("/etcdserverpb.Watch/Watch", request, metadata, message, more=True)
+        self.watch_stream = self.call(
+            "/etcdserverpb.Watch/Watch", request, metadata, on_message, is_streaming=True
+        )
 
     def metadata(self) -> Headers:
+        """Return the metadata of a call: the token, if there is one."""
         return [(b"token", self.token)] if self.token else []
 
     def call(
@@ -262,68 +303,82 @@
         path: str,
         request: Message,
         metadata: Headers,
-        message: Callable[[bytes], None],
-        more: bool = False,
+        on_message: Callable[[bytes], None],
+        is_streaming: bool = False,
     ) -> int:
-        link = self.link
-        if link is None:
-            raise StreamError("no connection")
+        """Start a call on the current connection; the follower gets its failure. Raises StreamError."""
+        connection = self.connection
+        if connection is None:
+            raise StreamError("not connected to a member")
 
-        def guarded(data: bytes) -> None:
-            if self.link is not link:
+        def handle_message(data: bytes) -> None:
+            if self.connection is not connection:
                 return
             try:
-                message(data)
+                on_message(data)
             except DecodeError as error:
-                self.perform(self.follower.failed(self.now_us(), f"a malformed answer: {error}"))
+                self.perform(self.follower.failed(self.now_us(), f"malformed answer: {error}"))
 
-        def ended(code: Code, why: str) -> None:
-            if self.link is link and (code is not Code.OK or more):
-                self.perform(self.follower.failed(self.now_us(), f"{link.host}: {code.name}: {why}", code))
+        def handle_end(code: Code, reason: str) -> None:
+            if self.connection is connection and (code is not Code.OK or is_streaming):
+                self.perform(
+                    self.follower.failed(self.now_us(), f"{connection.host}: {code.name}: {reason}", code)
+                )
 
-        return link.call(path, request, metadata, Call(guarded, ended), more)
+        return connection.start_call(
+            path, request, metadata, GrpcCall(handle_message, handle_end), is_streaming
+        )
 
-    def drop(self) -> None:
-        link, self.link, self.watch, self.token = self.link, None, None, b""
-        if self.dialling is not None and self.dialling is not asyncio.current_task():
-            self.dialling.cancel()
-        self.dialling = None
-        if link is not None:
-            link.close()
+    def close_connection(self) -> None:
+        """Close the connection, or give up the dial that is in progress."""
+        connection, self.connection, self.watch_stream, self.token = self.connection, None, None, b""
+        if self.dial_task is not None and self.dial_task is not asyncio.current_task():
+            self.dial_task.cancel()
+        self.dial_task = None
+        if connection is not None:
+            connection.close()
 
-    def broken(self, link: Link, why: str) -> None:
-        if link is self.link:
-            self.perform(self.follower.failed(self.now_us(), f"{link.host}: {why}"))
+    def connection_broken(self, connection: MemberConnection, reason: str) -> None:
+        """Report to the follower that the current connection has ended."""
+        if connection is self.connection:
+            self.perform(self.follower.failed(self.now_us(), f"{connection.host}: {reason}"))
 
     # Time
 
-    def arm(self) -> None:
+    def set_timer(self) -> None:
+        """Set the timer for the follower's next tick."""
         if self.timer is not None:
             self.timer.cancel()
         wait_us = max(0, self.follower.due_us - self.now_us())
         self.timer = self.loop.call_later(wait_us / 1e6 + 0.001, self.tick)
 
     def tick(self) -> None:
+        """Let the follower do what is due."""
         self.perform(self.follower.tick(self.now_us()))
 
-    def complain(self, text: str) -> None:
-        if self.loop.time() >= self.next_complaint:
-            self.next_complaint = self.loop.time() + 1.0
+    def warn(self, text: str) -> None:
+        """Log a warning, at most one a second."""
+        if self.loop.time() >= self.next_warning_s:
+            self.next_warning_s = self.loop.time() + 1.0
             log.warning("etcd: %s", text)
 
     def close(self) -> None:
-        self.closed = True
+        """Stop following for good."""
+        self.is_closed = True
         if self.timer is not None:
             self.timer.cancel()
-        self.drop()
+        self.close_connection()
+
 
+def tls_context(config: Etcd) -> ssl.SSLContext | None:
+    """Return the TLS context; None if TLS is not configured.
 
-def tls_of(told: Etcd) -> ssl.SSLContext | None:
-    """None where nothing of TLS is set. Raises OSError and ssl.SSLError for files that can't be used."""
-    if not (told.tls_ca or told.tls_cert):
+    Raises OSError and ssl.SSLError if a file can't be used.
+    """
+    if not (config.tls_ca or config.tls_cert):
         return None
-    context = ssl.create_default_context(cafile=told.tls_ca or None)
+    context = ssl.create_default_context(cafile=config.tls_ca or None)
     context.set_alpn_protocols(["h2"])
-    if told.tls_cert:
-        context.load_cert_chain(told.tls_cert, told.tls_key or None)
+    if config.tls_cert:
+        context.load_cert_chain(config.tls_cert, config.tls_key or None)
     return context
--- a/sidecar_proxy/discovery/feed.py
+++ b/sidecar_proxy/discovery/feed.py
@@ -1,8 +1,8 @@
-"""From the sources through the merge to the decisions: a thin shell, in the place of discovery's sink.
+"""Passes the reports of all discovery sources through the merge to the balancer.
 
-The roster's words come as discovery reads them; a further source's as it likes. What the merge makes of a
-node is asked for when its turn comes, so an older word can't overtake a newer one; who may not be used any
-more comes before all others (rule 3).
+The feed takes the engine's place as the listener of the platform's list; further sources call it directly.
+The merged state of an endpoint is read when it is sent, so an older state can't overtake a newer one.
+Endpoints that may get no new requests are sent before all others (rule 3).
 """
 
 from __future__ import annotations
@@ -12,131 +12,147 @@
 from itertools import islice
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.discovery.endpoint_list import SLICE, EndpointDirectory
-from sidecar_proxy.discovery.merge import Merge
-from sidecar_proxy.discovery.model import Entry
+from sidecar_proxy.discovery.endpoint_list import SLICE_ENTRIES, EndpointDirectory
+from sidecar_proxy.discovery.merge import MembershipMerge
+from sidecar_proxy.discovery.model import EndpointEntry
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.engine.interfaces import ListedUpstream
 
 READY, GONE = api.UpstreamState.READY, api.UpstreamState.GONE
-HEALTH = {READY: "in_service", api.UpstreamState.DRAINING: "terminating"}
+HEALTH_BY_STATE = {READY: "in_service", api.UpstreamState.DRAINING: "terminating"}
 
 
-class Feed:
-    """All sources, and what the decisions have been told of them."""
+class MembershipFeed:
+    """Merges the reports of all sources and sends the changes to the balancer.
+
+    The platform's list is the source named "roster".
+    """
 
     def __init__(self, engine: Engine, directory: EndpointDirectory, sources: list[str]) -> None:
         self.engine = engine
         self.directory = directory
-        self.merge = Merge(["roster", *sources])
-        self.count = 0  # the roster's messages, which discovery has put in order
-        self.waiting: dict[str, None] = {}  # names of which the decisions are still to be told
-        self.working = False
-        self.since: dict[tuple[str, str], float] = {}  # Unix time of a source's present word for a node
-
-    # In discovery's place
-
-    def list_changed(self, kind: api.ListKind, hosts: list[ListedUpstream], version: int) -> None:
-        self.count += 1
-        words = [
-            (name, None if host.entry.state is GONE else self.entry_of(name, host))
-            for host in hosts
-            if (name := self.directory.names.get(host.entry.id))
+        self.merge = MembershipMerge(["roster", *sources])
+        self.roster_revision = 0  # counts the platform's lists, which its client has put in order
+        self.pending: dict[str, None] = {}  # names of endpoints that are still to be sent, in order
+        self.is_sending = False
+        # Unix time at which a source's report about an endpoint last changed, by source and name.
+        self.changed_at_s: dict[tuple[str, str], float] = {}
+
+    # The listener of the platform's list
+
+    def list_changed(self, kind: api.ListKind, upstreams: list[ListedUpstream], version: int) -> None:
+        """Take a list of the platform, or changes of it."""
+        self.roster_revision += 1
+        changes = [
+            (name, None if upstream.entry.state is GONE else self.entry_of(name, upstream))
+            for upstream in upstreams
+            if (name := self.directory.names.get(upstream.entry.id))
         ]
         if kind is api.ListKind.DELTA:
-            changed = self.merge.changed("roster", "", self.count, words)
+            changed = self.merge.apply_changes("roster", "", self.roster_revision, changes)
         else:
-            changed = self.merge.listed("roster", "", self.count, [word for _, word in words if word])
-        answered = kind in (api.ListKind.FULL, api.ListKind.DELTA)
-        self.mark("roster", changed, answered)
+            changed = self.merge.apply_list(
+                "roster", "", self.roster_revision, [entry for _, entry in changes if entry]
+            )
+        is_response = kind in (api.ListKind.FULL, api.ListKind.DELTA)
+        self.update("roster", changed, is_response)
 
     def list_failed(self) -> None:
+        """Note that a call failed or a watch broke."""
         self.engine.list_failed()
 
     def listed_upstreams(self) -> dict[int, ListedUpstream]:
+        """Return the upstreams by number."""
         return self.engine.listed_upstreams()
 
-    def entry_of(self, name: str, host: ListedUpstream) -> Entry:
-        """The roster's word for a node, as the other sources would say it."""
-        entry = host.entry
-        return Entry(
+    def entry_of(self, name: str, upstream: ListedUpstream) -> EndpointEntry:
+        """Return the platform's entry in the form in which the other sources report theirs."""
+        entry = upstream.entry
+        return EndpointEntry(
             name,
             entry.state,
-            address(host.address),
-            address(host.grpc_address) if host.grpc_address else "",
-            named(self.directory.zones, entry.zone),
-            named(self.directory.kinds, entry.kind),
+            format_address(upstream.address),
+            format_address(upstream.grpc_address) if upstream.grpc_address else "",
+            name_of(self.directory.zones, entry.zone),
+            name_of(self.directory.kinds, entry.kind),
             entry.cell,
             entry.weight,
             entry.started_us // 1000,
         )
 
-    # Further sources
+    # The listener of further sources
 
-    def listed(self, source: str, epoch: str, revision: int, entries: tuple[Entry, ...]) -> None:
-        self.mark(source, self.merge.listed(source, epoch, revision, entries))
+    def list_received(
+        self, source: str, epoch: str, revision: int, entries: tuple[EndpointEntry, ...]
+    ) -> None:
+        """Take a complete list of a source at one revision."""
+        self.update(source, self.merge.apply_list(source, epoch, revision, entries))
 
-    def changed(
-        self, source: str, epoch: str, revision: int, changes: tuple[tuple[str, Entry | None], ...]
+    def changes_received(
+        self, source: str, epoch: str, revision: int, changes: tuple[tuple[str, EndpointEntry | None], ...]
     ) -> None:
-        self.mark(source, self.merge.changed(source, epoch, revision, changes))
+        """Take the changes of one revision of a source; None = deleted."""
+        self.update(source, self.merge.apply_changes(source, epoch, revision, changes))
 
-    def note(self, source: str, names: Iterable[str]) -> None:
-        """When a source's word for these has changed; nothing is kept of those that have gone."""
-        now = self.engine.clock.now_us() / 1e6
+    def note_change_times(self, source: str, names: Iterable[str]) -> None:
+        """Store when a source's report about these endpoints changed; drop the times of removed ones."""
+        now_s = self.engine.clock.now_us() / 1e6
         for name in names:
-            if self.merge.member(name) is not None:
-                self.since[source, name] = now
+            if self.merge.endpoint(name) is not None:
+                self.changed_at_s[source, name] = now_s
             else:
-                for known in self.merge.sources:
-                    self.since.pop((known, name), None)
+                for known_source in self.merge.sources:
+                    self.changed_at_s.pop((known_source, name), None)
+
+    # Sending to the balancer
 
-    # To the decisions
+    def update(self, source: str, names: set[str], is_response: bool = False) -> None:
+        """Send changed endpoints: at once those that may get no new requests, the others in slices.
 
-    def mark(self, source: str, names: set[str], answered: bool = False) -> None:
-        """A source's word for these has changed, and the decisions are to be told: at once who leaves, the
-        others a slice at a time."""
-        self.note(source, names)
+        `is_response` says that the platform has answered a call, with or without changes.
+        """
+        self.note_change_times(source, names)
         leaving: list[str] = []
         others: list[str] = []
         for name in names:
-            member = self.merge.member(name)
-            (others if member is not None and member.entry.state is READY else leaving).append(name)
-        for at in range(0, len(leaving), SLICE):
-            self.tell(leaving[at : at + SLICE])
-        self.waiting.update(dict.fromkeys(others))
-        if answered:  # discovery has answered, whether anything is new or not
+            endpoint = self.merge.endpoint(name)
+            (others if endpoint is not None and endpoint.entry.state is READY else leaving).append(name)
+        for start in range(0, len(leaving), SLICE_ENTRIES):
+            self.send(leaving[start : start + SLICE_ENTRIES])
+        self.pending.update(dict.fromkeys(others))
+        if is_response:  # the balancer waits for the answer to its call, even if nothing has changed
             self.engine.list_changed(api.ListKind.DELTA, [], 0)
-        if not self.working:
-            self.work()
+        if not self.is_sending:
+            self.send_next_slice()
 
-    def work(self) -> None:
-        """The next slice."""
-        names = list(islice(self.waiting, SLICE))
+    def send_next_slice(self) -> None:
+        """Send the next slice of pending endpoints; the one after it follows in the next turn of the loop."""
+        names = list(islice(self.pending, SLICE_ENTRIES))
         for name in names:
-            del self.waiting[name]
-        self.working = bool(self.waiting)
+            del self.pending[name]
+        self.is_sending = bool(self.pending)
         if names:
-            self.tell(names)
-        if self.working:
-            self.engine.loop.call_soon(self.work)
-
-    def tell(self, names: list[str]) -> None:
-        hosts = [host for name in names if (host := self.host_of(name)) is not None]
-        if hosts:
-            self.engine.list_changed(api.ListKind.HELD, hosts, 0)
-
-    def host_of(self, name: str) -> ListedUpstream | None:
-        """What a node is now, in the decisions' terms; None for one that they never heard of."""
-        member = self.merge.member(name)
-        if member is None:
+            self.send(names)
+        if self.is_sending:
+            self.engine.loop.call_soon(self.send_next_slice)
+
+    def send(self, names: list[str]) -> None:
+        """Send the current merged state of these endpoints to the balancer."""
+        upstreams = [upstream for name in names if (upstream := self.upstream_of(name)) is not None]
+        if upstreams:
+            self.engine.list_changed(api.ListKind.HELD, upstreams, 0)
+
+    def upstream_of(self, name: str) -> ListedUpstream | None:
+        """Return the merged state of an endpoint as the balancer takes it; None if it never knew it."""
+        endpoint = self.merge.endpoint(name)
+        if endpoint is None:
             number = self.directory.numbers.get(name)
             known = self.engine.listed_upstreams().get(number) if number is not None else None
             return None if known is None else ListedUpstream(replace(known.entry, state=GONE), ("", 0))
-        entry = member.entry
-        told = {
+        entry = endpoint.entry
+        fields = {
             "host": name,
-            "health": HEALTH[entry.state],
+            "health": HEALTH_BY_STATE[entry.state],
             "dial": entry.dial,
             "site": entry.site,
             "class": entry.kind,
@@ -145,14 +161,15 @@
             "born_ms": entry.born_ms,
         }
         if entry.dial_grpc:
-            told["dial_grpc"] = entry.dial_grpc
-        return self.directory.entry(told, [])
+            fields["dial_grpc"] = entry.dial_grpc
+        return self.directory.parse_entry(fields, [])
 
 
-def address(dial: tuple[str, int]) -> str:
-    return f"{dial[0]}:{dial[1]}"
+def format_address(address: tuple[str, int]) -> str:
+    """Return an address as HOST:PORT."""
+    return f"{address[0]}:{address[1]}"
 
 
-def named(numbers: dict[str, int], number: int) -> str:
-    """The name that a zone or kind has; the tables are short."""
-    return next((name for name, one in numbers.items() if one == number), "")
+def name_of(numbers: dict[str, int], number: int) -> str:
+    """Return the name of a zone or kind. These tables are short, so a linear search is enough."""
+    return next((name for name, assigned in numbers.items() if assigned == number), "")
--- a/sidecar_proxy/discovery/merge.py
+++ b/sidecar_proxy/discovery/merge.py
@@ -1,7 +1,7 @@
-"""Several sources' words of each node, and what they come to. Pure: the table of docs/design/discovery.md.
+"""Merges what several sources report about each endpoint. Pure; docs/design/discovery.md has the rules.
 
-Each source has an epoch and a revision; within an epoch revisions only grow, and what is older than what the
-source has told already is passed over. Nothing is decided by the clock.
+Each source has an epoch and a revision. Within an epoch revisions only grow, and a report that is older than
+what the source has reported already is ignored. No decision depends on the clock.
 """
 
 from __future__ import annotations
@@ -10,165 +10,187 @@
 from dataclasses import dataclass, field, replace
 
 from sidecar_proxy.balancer.events import UpstreamState
-from sidecar_proxy.discovery.model import Entry
+from sidecar_proxy.discovery.model import EndpointEntry
 
 READY, DRAINING, GONE = UpstreamState.READY, UpstreamState.DRAINING, UpstreamState.GONE
-LOST_SHARE = 0.5  # of a source's nodes left out of one whole list, from which it is not believed at once
-LEAST = 10  # nodes; fewer may go together
+# Share of a source's endpoints that may be missing from a complete list. If more are missing, a second list
+# has to confirm it.
+MAX_MISSING_SHARE = 0.5
+MIN_ENDPOINTS_FOR_SHARE = 10  # a list from a source with fewer is suspect only if all of them are missing
 
 
 @dataclass(slots=True, frozen=True)
-class Word:
-    """What one source says of one node."""
+class SourceRecord:
+    """The last report of one source about one endpoint."""
 
     state: UpstreamState
-    entry: Entry  # as it last was
+    entry: EndpointEntry  # the last one that the source reported
     revision: int
-    held: bool = False  # a drain of an earlier epoch: no list takes it back
+    is_carried_over: bool = False  # a drain of an earlier epoch, which no list of a later epoch ends
 
 
 @dataclass(slots=True)
-class Source:
-    """A source and all of its words."""
+class SourceState:
+    """A source and its records."""
 
     name: str
     epoch: str = ""
     revision: int = -1
-    words: dict[str, Word] = field(default_factory=dict)
-    doubted: frozenset[str] = frozenset()  # left out of a whole list that was not believed
+    records: dict[str, SourceRecord] = field(default_factory=dict)
+    unconfirmed_missing: frozenset[str] = frozenset()  # missing from the last list, if that was suspect
 
 
 @dataclass(slots=True, frozen=True)
-class Member:
-    """What the words come to."""
+class MergedEndpoint:
+    """The result of the merge for one endpoint."""
 
-    entry: Entry
-    why: str  # the source whose word counts
+    entry: EndpointEntry
+    deciding_source: str  # the source whose record decides the state
 
 
-class Merge:
-    """The words of all sources. Every method returns the names whose member may have changed."""
+class MembershipMerge:
+    """The records of all sources.
+
+    Methods that take reports return the names of the endpoints whose merged state may have changed.
+    """
 
     def __init__(self, sources: Iterable[str]) -> None:
-        self.sources = {name: Source(name) for name in sources}  # the one named first counts first
-        self.starts: dict[str, int] = {}  # of nodes: told by a source that has no opinion now
+        self.sources = {name: SourceState(name) for name in sources}  # in order of precedence
+        # Latest start of an endpoint (Unix time) among those reported by sources whose record was dropped.
+        self.dropped_starts_ms: dict[str, int] = {}
 
-    # What sources tell
+    # Reports of the sources
 
-    def listed(self, source: str, epoch: str, revision: int, entries: Iterable[Entry]) -> set[str]:
-        """A whole list at one revision."""
-        found = self.sources[source]
-        if epoch == found.epoch and revision < found.revision:
+    def apply_list(
+        self, source: str, epoch: str, revision: int, entries: Iterable[EndpointEntry]
+    ) -> set[str]:
+        """Apply a complete list at one revision."""
+        source_state = self.sources[source]
+        if epoch == source_state.epoch and revision < source_state.revision:
             return set()
-        fresh = epoch != found.epoch
-        told = {entry.name: entry for entry in entries}
-        known = {name for name, word in found.words.items() if word.state is not GONE}
-        missing = frozenset(known - told.keys())
-        many = self.many(missing, len(known))
-        # hazard: the same answer at the same revision, heard twice, is no second word
-        doubted = many and (missing != found.doubted or revision <= found.revision)
-        found.doubted = missing if doubted else frozenset()
+        is_new_epoch = epoch != source_state.epoch
+        listed = {entry.name: entry for entry in entries}
+        known = {name for name, record in source_state.records.items() if record.state is not GONE}
+        missing = frozenset(known - listed.keys())
+        is_mass_removal = self.is_mass_removal(missing, len(known))
+        # The same list received twice at the same revision is no confirmation.
+        is_unconfirmed = is_mass_removal and (
+            missing != source_state.unconfirmed_missing or revision <= source_state.revision
+        )
+        source_state.unconfirmed_missing = missing if is_unconfirmed else frozenset()
         changed = set()
-        for name, entry in told.items():
-            if self.say(found, name, entry, revision, listed=True, fresh=fresh):
+        for name, entry in listed.items():
+            if self.record(source_state, name, entry, revision, is_list=True, is_new_epoch=is_new_epoch):
                 changed.add(name)
-        if not doubted:
+        if not is_unconfirmed:
             for name in missing:
-                if many and self.elsewhere(found, name):
-                    # hazard: one source alone would empty the fleet; it has no opinion, but its drains stay
-                    if found.words[name].state is READY:
-                        born_ms = found.words.pop(name).entry.born_ms
-                        # hazard: with its word a start would be forgotten, and an older drain would count
-                        self.starts[name] = max(born_ms, self.starts.get(name, 0))
+                if is_mass_removal and self.is_in_other_source(source_state, name):
+                    # One faulty source must not empty the fleet. Its READY records are dropped, as if it had
+                    # never listed the endpoint; its drains stay.
+                    if source_state.records[name].state is READY:
+                        born_ms = source_state.records.pop(name).entry.born_ms
+                        # Without the start time of the dropped record, the drain of an earlier start in
+                        # another source would take effect again.
+                        self.dropped_starts_ms[name] = max(born_ms, self.dropped_starts_ms.get(name, 0))
                         changed.add(name)
-                elif self.say(found, name, None, revision, listed=True, fresh=fresh):
+                elif self.record(source_state, name, None, revision, is_list=True, is_new_epoch=is_new_epoch):
                     changed.add(name)
-        found.epoch, found.revision = epoch, revision
-        return changed | self.forget(changed)
+        source_state.epoch, source_state.revision = epoch, revision
+        return changed | self.remove_deleted(changed)
 
-    def changed(
-        self, source: str, epoch: str, revision: int, changes: Iterable[tuple[str, Entry | None]]
+    def apply_changes(
+        self, source: str, epoch: str, revision: int, changes: Iterable[tuple[str, EndpointEntry | None]]
     ) -> set[str]:
-        """What one revision changed, in order; None = deleted. The last word of a name counts."""
-        found = self.sources[source]
-        if epoch != found.epoch or revision <= found.revision:
+        """Apply the changes of one revision in order; None = deleted. The last change of a name wins."""
+        source_state = self.sources[source]
+        if epoch != source_state.epoch or revision <= source_state.revision:
             return set()
-        changed = {name for name, entry in changes if self.say(found, name, entry, revision)}
-        found.revision = revision
-        return changed | self.forget(changed)
+        changed = {name for name, entry in changes if self.record(source_state, name, entry, revision)}
+        source_state.revision = revision
+        return changed | self.remove_deleted(changed)
+
+    def is_mass_removal(self, missing: frozenset[str], known_count: int) -> bool:
+        """Say whether a list lacks so many endpoints that it needs confirmation.
 
-    def many(self, missing: frozenset[str], known: int) -> bool:
-        """Hazard: an emptied or half-restored source would take the fleet away in one answer."""
-        if not missing or known < LEAST and len(missing) < known:
+        A source that was emptied, or restored in part, would otherwise remove the fleet with one list.
+        """
+        if not missing or (known_count < MIN_ENDPOINTS_FOR_SHARE and len(missing) < known_count):
             return False
-        return len(missing) == known or len(missing) > LOST_SHARE * known
+        return len(missing) == known_count or len(missing) > MAX_MISSING_SHARE * known_count
 
-    def elsewhere(self, source: Source, name: str) -> bool:
-        """Another source has it."""
+    def is_in_other_source(self, source: SourceState, name: str) -> bool:
+        """Say whether another source lists the endpoint."""
         return any(
-            name in other.words and other.words[name].state is not GONE
+            name in other.records and other.records[name].state is not GONE
             for other in self.sources.values()
             if other is not source
         )
 
-    def say(
+    def record(
         self,
-        source: Source,
+        source: SourceState,
         name: str,
-        entry: Entry | None,
+        entry: EndpointEntry | None,
         revision: int,
-        listed: bool = False,
-        fresh: bool = False,
+        is_list: bool = False,
+        is_new_epoch: bool = False,
     ) -> bool:
-        """One word. True if it is another one than before."""
-        old = source.words.get(name)
+        """Store a source's report about an endpoint; return whether it differs from the one before."""
+        old = source.records.get(name)
         if entry is None or entry.state is GONE:
             if old is None:
                 return False
-            word = Word(GONE, old.entry, revision)
+            record = SourceRecord(GONE, old.entry, revision)
         else:
-            held = False
-            if listed and old is not None and old.state is DRAINING:
-                taken_back = entry.state is READY and (
-                    entry.born_ms > old.entry.born_ms or not (fresh or old.held)
+            is_carried_over = False
+            if is_list and old is not None and old.state is DRAINING:
+                ends_drain = entry.state is READY and (
+                    entry.born_ms > old.entry.born_ms or not (is_new_epoch or old.is_carried_over)
                 )
-                held = not taken_back and (entry.state is READY or old.held)
-            word = Word(DRAINING if held else entry.state, entry, revision, held)
-        source.words[name] = word
-        return old is None or replace(word, revision=old.revision) != old
-
-    def forget(self, names: set[str]) -> set[str]:
-        """Those of these names of which every word is a deletion: nothing is left to be said of them."""
-        gone = set()
+                is_carried_over = not ends_drain and (entry.state is READY or old.is_carried_over)
+            record = SourceRecord(
+                DRAINING if is_carried_over else entry.state, entry, revision, is_carried_over
+            )
+        source.records[name] = record
+        return old is None or replace(record, revision=old.revision) != old
+
+    def remove_deleted(self, names: set[str]) -> set[str]:
+        """Remove those of these endpoints that every source has deleted; return their names."""
+        deleted = set()
         for name in names:
             if all(
-                source.words[name].state is GONE for source in self.sources.values() if name in source.words
+                source.records[name].state is GONE
+                for source in self.sources.values()
+                if name in source.records
             ):
-                gone.add(name)
-                self.starts.pop(name, None)
+                deleted.add(name)
+                self.dropped_starts_ms.pop(name, None)
                 for source in self.sources.values():
-                    source.words.pop(name, None)
-        return gone
+                    source.records.pop(name, None)
+        return deleted
 
-    # What they come to
+    # Results
 
-    def member(self, name: str) -> Member | None:
-        """One node; None if no source has a word of it."""
-        words = [(source, source.words[name]) for source in self.sources.values() if name in source.words]
-        if not words:
+    def endpoint(self, name: str) -> MergedEndpoint | None:
+        """Return the merged state of an endpoint; None if no source has a record of it."""
+        records = [
+            (source, source.records[name]) for source in self.sources.values() if name in source.records
+        ]
+        if not records:
             return None
-        latest_ms = max(self.starts.get(name, 0), *(word.entry.born_ms for _, word in words))
-        # a word of an earlier start speaks of a process that is no more
-        live = [(source, word) for source, word in words if word.entry.born_ms == latest_ms]
-        if not live:  # the start was told by a source that has no opinion now
-            source, word = max(words, key=lambda pair: pair[1].entry.born_ms)
-            state = DRAINING if word.state is GONE else READY
-            return Member(replace(word.entry, state=state, born_ms=latest_ms), source.name)
-        careful, word = next((pair for pair in live if pair[1].state is not READY), live[0])
-        state = DRAINING if word.state is not READY else READY
-        return Member(replace(live[0][1].entry, state=state), careful.name)
-
-    def members(self) -> dict[str, Member]:
-        names = {name for source in self.sources.values() for name in source.words}
-        found = {name: self.member(name) for name in names}
-        return {name: member for name, member in found.items() if member is not None}
+        latest_ms = max(self.dropped_starts_ms.get(name, 0), *(record.entry.born_ms for _, record in records))
+        # A record of an earlier start is about a process that no longer runs.
+        current = [(source, record) for source, record in records if record.entry.born_ms == latest_ms]
+        if not current:  # the latest start was reported by a source whose record was dropped
+            source, record = max(records, key=lambda pair: pair[1].entry.born_ms)
+            state = DRAINING if record.state is GONE else READY
+            return MergedEndpoint(replace(record.entry, state=state, born_ms=latest_ms), source.name)
+        deciding_source, record = next((pair for pair in current if pair[1].state is not READY), current[0])
+        state = DRAINING if record.state is not READY else READY
+        return MergedEndpoint(replace(current[0][1].entry, state=state), deciding_source.name)
+
+    def endpoints(self) -> dict[str, MergedEndpoint]:
+        """Return the merged state of all endpoints by name."""
+        names = {name for source in self.sources.values() for name in source.records}
+        merged = {name: self.endpoint(name) for name in names}
+        return {name: endpoint for name, endpoint in merged.items() if endpoint is not None}
--- a/sidecar_proxy/discovery/platform_client.py
+++ b/sidecar_proxy/discovery/platform_client.py
@@ -1,4 +1,4 @@
-"""The calls that ask for the list of upstreams and watch it; large lists are read a little at a time."""
+"""Fetches and watches the platform's endpoint list over HTTP/1.1. Large lists are parsed in steps."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.discovery.endpoint_list import (
-    SLICE,
+    SLICE_ENTRIES,
     EndpointDirectory,
     EndpointListError,
-    Objects,
-    Reading,
+    EndpointListParser,
+    JsonObjectSplitter,
     changes,
 )
 from sidecar_proxy.engine.address import Address
@@ -29,22 +29,26 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-CONNECT_S = 2.0
-ANSWER_S = 4.5  # a call's first word: calls wait in turn, for some seconds
-# A heartbeat of 2 s and a half. Hazard: what a silent watch does not tell counts as told 6 s after its last
-# word; in what is left, many sidecars' calls come in turn.
+CONNECT_TIMEOUT_S = 2.0
+RESPONSE_TIMEOUT_S = 4.5  # until the first data of a call; discovery queues calls for some seconds
+# 1.5 heartbeat intervals of 2 s. What a silent watch fails to deliver counts as delivered 6 s after its last
+# data; the rest of that time is left for the new calls of many sidecars, which discovery queues.
 WATCH_IDLE_TIMEOUT_S = 3.0
-AGENT_CONNECT_S = 0.5  # where lists are pushed: the agent is on this machine, and answers at once
-AGENT_ANSWER_S = 1.0
-MAX_LINE = 4 * 1024 * 1024
-MOST_READ = 256 * 1024
-STEP_S = 0.003  # a large list holds the loop for about so long before others have their turn
-RETRY_S = 0.25  # where lists are pushed, the agent is on this machine and costs nothing to ask
+# Timeouts where lists are pushed: the agent runs on this machine and answers at once.
+AGENT_CONNECT_TIMEOUT_S = 0.5
+AGENT_RESPONSE_TIMEOUT_S = 1.0
+MAX_BUFFERED_BYTES = 4 * 1024 * 1024  # of one list, or of what a watch has sent and is not parsed yet
+MAX_FINAL_READ_BYTES = 256 * 1024  # read from the socket when a call is replaced
+STEP_S = 0.003  # time for which a large list may block the event loop before others have a turn
+RETRY_S = 0.25  # where lists are pushed: polling the agent on this machine is cheap
 
 
 class PlatformDiscoveryClient:
-    """Carries out Subscribe and FetchList: each call is answered by one event. When a call is made anew is
-    for the decisions to say, but where lists are pushed: there no call is theirs."""
+    """Fetches and watches the platform's endpoint list; each call is answered by one event.
+
+    The balancer decides when to call again, except where lists are pushed: there the client keeps the watch
+    open by itself and reports no failures.
+    """
 
     def __init__(self, address: Address, directory: EndpointDirectory, version: int, pushed: bool) -> None:
         self.address = address
@@ -52,346 +56,396 @@
         self.version = version
         self.pushed = pushed
         self.listener: EndpointListListener | None = None
-        self.watch: Call | None = None
-        self.wanted = pushed  # a watch is asked for
-        self.closed = False
-        self.calls: set[Call] = set()
-        self.era = 0  # counts the addresses
-        self.retry: asyncio.TimerHandle | None = None
-        # what was told and is not read yet; None in place of a text: the call has failed
-        self.jobs: deque[tuple[Call | None, bytes | None]] = deque()
-        self.job: tuple[Call | None, bytes | None] = None, b""
-        self.steps: Iterator[None] | None = None  # of the one that is being read
+        self.watch: DiscoveryCall | None = None
+        self.is_watch_wanted = pushed
+        self.is_closed = False
+        self.calls: set[DiscoveryCall] = set()
+        self.address_generation = 0  # counts changes of the address
+        self.retry_timer: asyncio.TimerHandle | None = None
+        # Received objects that are not parsed yet. None in place of the text means that the call has failed.
+        self.queue: deque[tuple[DiscoveryCall | None, bytes | None]] = deque()
+        self.current_item: tuple[DiscoveryCall | None, bytes | None] = None, b""
+        self.steps: Iterator[None] | None = None  # remaining steps of the current item
         self.is_reading = False
         self.gc_controller: GcController | None = None
-        self.leaving: dict[int, None] = {}  # gone, and something is out to it
-        self.next_complaint = 0.0
+        self.leaving: dict[int, None] = {}  # GONE endpoints that still have attempts in flight
+        self.next_warning_s = 0.0  # loop time before which no further warning is logged
         self.loop = asyncio.get_running_loop()
         if pushed:
             self.loop.call_soon(self.subscribe, True)
 
     def set_address(self, address: Address) -> None:
-        """Discovery is elsewhere now; what is under way is asked for there at once."""
-        if self.closed or address == self.address:
+        """Switch to another discovery address and repeat the calls in flight there at once."""
+        if self.is_closed or address == self.address:
             return
-        fetches = [call for call in self.calls if not call.watching]
+        fetches = [call for call in self.calls if not call.is_watch]
         for call in list(self.calls):
-            call.end()
+            call.cancel()
         self.watch = None
-        # hazard: versions are the old one's own; by them the new one might leave out what we don't know
+        # Versions belong to one discovery service. Given a version of the old one, the new one could leave
+        # out entries that this sidecar doesn't know.
         self.address, self.version = address, 0
-        self.era += 1
-        self.subscribe(self.wanted)
+        self.address_generation += 1
+        self.subscribe(self.is_watch_wanted)
         for _ in fetches:
             self.fetch()
 
     def subscribe(self, active: bool) -> None:
-        self.wanted = active
-        if self.retry is not None:
-            self.retry.cancel()
-            self.retry = None
+        """Open a watch in place of the current one, or only close the current one."""
+        self.is_watch_wanted = active
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
+            self.retry_timer = None
         if self.watch is not None:
-            self.watch.end()  # the new call gives the answer
+            self.watch.cancel()  # the new watch is answered in its place
             self.watch = None
         if active:
-            self.watch = Call(self, b"?stream=1&index=%d" % self.version)
+            self.watch = DiscoveryCall(self, b"?stream=1&index=%d" % self.version)
 
     def fetch(self) -> None:
-        Call(self, b"")
+        """Request the complete list once."""
+        DiscoveryCall(self, b"")
+
+    def enqueue(self, text: bytes | None, call: DiscoveryCall | None = None) -> None:
+        """Queue one received JSON object, an empty line (a heartbeat), or None for the failure of the call.
 
-    def enqueue(self, text: bytes | None, call: Call | None = None) -> None:
-        """One JSON object of discovery's, or an empty line that only says the watch is alive. What is told
-        while a large list is being read waits behind it, so that the order stays: the call's failure too.
-        Hazard: what was told counts, whatever becomes of the call that told it."""
-        self.jobs.append((call, text))
+        While a large list is being parsed, later objects and failures wait behind it, so that the order is
+        kept. A received object takes effect even if its call has failed since: discovery has sent it, and it
+        may contain a drain that is not sent again.
+        """
+        self.queue.append((call, text))
         if not self.is_reading:
-            self.work()
+            self.process_queue()
 
-    def work(self) -> None:
-        """Read on, for no longer than a step."""
-        end = self.loop.time() + STEP_S
+    def process_queue(self) -> None:
+        """Parse and apply queued objects for at most one step, then continue in the next turn of the loop."""
+        end_s = self.loop.time() + STEP_S
         self.is_reading = True
-        while not self.closed and (self.steps is not None or self.jobs):
+        while not self.is_closed and (self.steps is not None or self.queue):
             if self.steps is None:
-                self.job = self.jobs.popleft()
-                self.steps = self.take(*self.job)
-            call = self.job[0]
+                self.current_item = self.queue.popleft()
+                self.steps = self.apply(*self.current_item)
+            call = self.current_item[0]
             try:
                 next(self.steps)
             except StopIteration:
                 self.steps = None
                 if call is not None:
-                    call.read_on()
+                    call.resume()
             except EndpointListError as error:
                 self.steps = None
-                if call is None:  # told by hand
+                if call is None:  # the object was passed in directly, not received
                     self.is_reading = False
                     raise
-                call.fail(f"bad list: {error}")
+                call.fail(f"endpoint list rejected: {error}")
             except Exception:
-                # hazard: a fault in one list must not end the reading of all later ones
+                # A fault in one list must not stop the processing of all later ones.
                 self.steps = None
-                log.exception("a list could not be taken")
+                log.exception("an endpoint list could not be processed")
                 if call is not None:
-                    call.fail("a list could not be taken")
-            if self.steps is not None and self.loop.time() >= end:
+                    call.fail("an endpoint list could not be processed")
+            if self.steps is not None and self.loop.time() >= end_s:
                 if self.gc_controller is not None:
                     self.gc_controller.pause()
-                self.loop.call_soon(self.work)
+                self.loop.call_soon(self.process_queue)
                 return
         self.is_reading = False
         if self.gc_controller is not None and self.listener is not None:
             self.gc_controller.resume(len(self.listener.listed_upstreams()))
 
-    def take(self, call: Call | None, text: bytes | None) -> Iterator[None]:
-        """Read one object whole, then tell what it says: nothing is told of a bad one."""
-        hosts: list[ListedUpstream] = []
-        version, whole = self.version, False
+    def apply(self, call: DiscoveryCall | None, text: bytes | None) -> Iterator[None]:
+        """Parse one object completely, then pass it to the listener; nothing of an invalid one is passed."""
+        upstreams: list[ListedUpstream] = []
+        version, is_complete = self.version, False
         if text is None:
             assert call is not None
-            self.failed(call)
+            self.call_failed(call)
             return
         if text:
             try:
-                reading = Reading(self.directory, text.decode())
+                parser = EndpointListParser(self.directory, text.decode())
             except UnicodeDecodeError as error:
                 raise EndpointListError(str(error)) from error
-            yield from reading.steps()
-            version, whole, hosts = reading.version, reading.whole, reading.hosts
-            # hazard: a fetch may be answered with what was so before the watch told more; its drains would
-            # be forgotten. A new watch that begins with less has been begun anew by discovery itself.
-            elsewhere = call is not None and call.era != self.era
-            if version < self.version and not elsewhere and not (whole and call is not None and call.fresh):
-                self.complain(f"what is told of version {version} is older than {self.version}: passed over")
-                version, whole, hosts = self.version, False, []
+            yield from parser.steps()
+            version, is_complete, upstreams = parser.version, parser.is_complete, parser.upstreams
+            # A fetch may be answered with a state older than what the watch has sent since, which would undo
+            # a drain. A new watch that starts with a lower version is accepted: discovery was restarted.
+            is_from_old_address = call is not None and call.address_generation != self.address_generation
+            if (
+                version < self.version
+                and not is_from_old_address
+                and not (is_complete and call is not None and call.is_first_object)
+            ):
+                self.warn(f"ignoring endpoint list version {version}: older than version {self.version}")
+                version, is_complete, upstreams = self.version, False, []
         if call is not None:
-            call.fresh = False
+            call.is_first_object = False
         if self.listener is None:
-            self.learn(call, version)
+            self.set_version(call, version)
             return
         known = self.listener.listed_upstreams()
-        if max(len(hosts), len(known) if whole else 0) <= SLICE:
-            self.listener.list_changed(api.ListKind.FULL if whole else api.ListKind.DELTA, hosts, version)
+        if max(len(upstreams), len(known) if is_complete else 0) <= SLICE_ENTRIES:
+            self.listener.list_changed(
+                api.ListKind.FULL if is_complete else api.ListKind.DELTA, upstreams, version
+            )
         else:
-            # one whole list would hold the loop for long; told as changes it is the same
-            for part in changes(dict(known) if whole else known, hosts, whole):
+            # A complete list in one event would block the loop for long; as a series of changes it has the
+            # same effect.
+            for part in changes(dict(known) if is_complete else known, upstreams, is_complete):
                 if part:
                     self.listener.list_changed(api.ListKind.DELTA, part, version)
-                    self.forget([host.entry.id for host in part])
+                    self.remove_gone([upstream.entry.id for upstream in part])
                 yield
             self.listener.list_changed(api.ListKind.DELTA, [], version)
-            self.learn(call, version)
+            self.set_version(call, version)
             return
-        self.learn(call, version)
-        self.forget(list(self.directory.names) if whole else [host.entry.id for host in hosts])
+        self.set_version(call, version)
+        self.remove_gone(
+            list(self.directory.names) if is_complete else [upstream.entry.id for upstream in upstreams]
+        )
+
+    def set_version(self, call: DiscoveryCall | None, version: int) -> None:
+        """Store the version of the list, unless it comes from an address that was replaced meanwhile.
 
-    def learn(self, call: Call | None, version: int) -> None:
-        """Hazard: versions of an address that was left are no other's."""
-        if call is None or call.era == self.era:
+        A version of another discovery service would be meaningless to the current one.
+        """
+        if call is None or call.address_generation == self.address_generation:
             self.version = version
 
-    def forget(self, numbers: Iterable[int]) -> None:
-        """Names of those that are gone go once nothing is out to them."""
+    def remove_gone(self, numbers: Iterable[int]) -> None:
+        """Remove the names of GONE endpoints from the directory, each once it has no attempts in flight."""
         assert self.listener is not None
         known = self.listener.listed_upstreams()
         self.leaving.update(
             dict.fromkeys(
-                one for one in numbers if one not in known or known[one].entry.state is api.UpstreamState.GONE
+                number
+                for number in numbers
+                if number not in known or known[number].entry.state is api.UpstreamState.GONE
             )
         )
         for number in list(self.leaving):
             if number not in known:
-                self.directory.forget(number)
+                self.directory.remove(number)
                 del self.leaving[number]
             elif known[number].entry.state is not api.UpstreamState.GONE:
                 del self.leaving[number]
 
-    def complain(self, text: str) -> None:
-        if self.loop.time() >= self.next_complaint:
-            self.next_complaint = self.loop.time() + 1.0
+    def warn(self, text: str) -> None:
+        """Log a warning, at most one a second."""
+        if self.loop.time() >= self.next_warning_s:
+            self.next_warning_s = self.loop.time() + 1.0
             log.warning("discovery: %s", text)
 
-    def failed(self, call: Call) -> None:
-        current = call is self.watch
-        if current:
+    def call_failed(self, call: DiscoveryCall) -> None:
+        """Report a failed call to the listener; where lists are pushed, schedule a new watch instead."""
+        is_current_watch = call is self.watch
+        if is_current_watch:
             self.watch = None
         if not self.pushed:
             if self.listener is not None:
                 self.listener.list_failed()
-        elif current and self.retry is None and not self.closed:
-            self.retry = self.loop.call_later(RETRY_S, self.subscribe, True)
+        elif is_current_watch and self.retry_timer is None and not self.is_closed:
+            self.retry_timer = self.loop.call_later(RETRY_S, self.subscribe, True)
 
     def close(self) -> None:
-        self.closed = True
-        if self.retry is not None:
-            self.retry.cancel()
+        """Close all calls for good."""
+        self.is_closed = True
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         for call in list(self.calls):
             call.close()
 
 
-class Call(asyncio.Protocol):
-    """One call: a watch, read object by object as it comes, or a fetch of the whole list."""
+class DiscoveryCall(asyncio.Protocol):
+    """One HTTP call to discovery: a watch, whose objects are processed as they arrive, or a fetch."""
 
-    def __init__(self, owner: PlatformDiscoveryClient, query: bytes) -> None:
-        self.owner = owner
+    def __init__(self, client: PlatformDiscoveryClient, query: bytes) -> None:
+        self.client = client
         self.query = query
-        self.era = owner.era
-        self.watching = bool(query)
-        self.agent = owner.pushed and self.watching
-        self.answered = self.over = False
-        self.fresh = self.watching  # a watch that has told nothing yet
-        self.waiting = False  # what it has told is not read yet
-        self.ended = False  # a fetch is whole
-        self.wanted = True
+        self.address_generation = client.address_generation
+        self.is_watch = bool(query)
+        self.is_to_agent = client.pushed and self.is_watch
+        self.has_answered = self.is_closed = False
+        self.is_first_object = self.is_watch  # nothing of this watch has been processed yet
+        self.is_paused = False  # an object of this call is queued and not processed yet
+        self.is_complete = False  # the response to a fetch is complete
+        self.is_wanted = True
         self.transport: asyncio.Transport | None = None
-        self.objects = Objects()
-        self.head = MAX_HEAD  # bytes that it may still take
+        self.splitter = JsonObjectSplitter()
+        self.head_bytes_left = MAX_HEAD
         self.parser = httptools.HttpResponseParser(self)
-        self.silence = owner.loop.call_later(self.patience_s(), self.silent)
-        owner.calls.add(self)
-        self.task = owner.loop.create_task(self.connect())
+        self.idle_timer = client.loop.call_later(self.idle_timeout_s(), self.idle_timeout)
+        client.calls.add(self)
+        self.task = client.loop.create_task(self.connect())
 
     async def connect(self) -> None:
+        """Open the connection."""
         try:
-            async with asyncio.timeout(AGENT_CONNECT_S if self.agent else CONNECT_S):
-                await self.owner.loop.create_connection(lambda: self, *self.owner.address)
+            async with asyncio.timeout(AGENT_CONNECT_TIMEOUT_S if self.is_to_agent else CONNECT_TIMEOUT_S):
+                await self.client.loop.create_connection(lambda: self, *self.client.address)
         except (OSError, TimeoutError) as error:
-            self.fail(str(error) or "no connection in time")
+            self.fail(str(error) or "connection attempt timed out")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        host = b"%s:%d" % (self.owner.address[0].encode(), self.owner.address[1])
+        """Send the request."""
+        # uvloop's transport has all methods of asyncio.Transport, but is not derived from it.
+        self.transport = cast(asyncio.Transport, transport)
+        host = b"%s:%d" % (self.client.address[0].encode(), self.client.address[1])
         self.transport.write(b"GET /v1/endpoints%s HTTP/1.1\r\nHost: %s\r\n\r\n" % (self.query, host))
-        if self.over:
+        if self.is_closed:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        if self.over:
+        """Parse received bytes and queue the complete objects among them."""
+        if self.is_closed:
             return
-        self.listen()
-        self.feed(data)
-        self.lines()
+        self.restart_idle_timer()
+        self.parse(data)
+        self.enqueue_objects()
 
-    def feed(self, data: bytes) -> None:
-        self.head -= len(data)
+    def parse(self, data: bytes) -> None:
+        """Pass received bytes to the HTTP parser."""
+        self.head_bytes_left -= len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.fail(f"bad answer: {error.__context__ or error}")
-        if self.head < 0:  # hazard: the parser keeps a header to itself until it is whole
-            self.fail("a head too long")
+            self.fail(f"malformed HTTP response: {error.__context__ or error}")
+        if self.head_bytes_left < 0:  # the parser buffers an incomplete header line without a limit
+            self.fail(f"response head is larger than {MAX_HEAD} bytes")
 
     def on_headers_complete(self) -> None:
-        self.head = sys.maxsize
+        """Check the status (called by the HTTP parser)."""
+        self.head_bytes_left = sys.maxsize
         if self.parser.get_status_code() != 200:
-            self.fail(f"status {self.parser.get_status_code()}")
+            self.fail(f"HTTP status {self.parser.get_status_code()}, expected 200")
 
     def on_body(self, body: bytes) -> None:
-        if not self.over:
-            self.objects.put(body)
-            if len(self.objects) > MAX_LINE:
-                self.fail("a line too long")
-
-    def next(self) -> bytes | None:
-        """The next object that a watch has told whole, or an empty line that is its first word."""
-        while self.watching:
-            found = self.objects.next()
-            if found is None or found or not self.answered:
-                return found
+        """Buffer a part of the body (called by the HTTP parser)."""
+        if not self.is_closed:
+            self.splitter.append(body)
+            if len(self.splitter) > MAX_BUFFERED_BYTES:
+                self.fail(f"endpoint list is larger than {MAX_BUFFERED_BYTES} bytes")
+
+    def next_object(self) -> bytes | None:
+        """Return the next complete object of a watch, or an empty line if that is its first data."""
+        while self.is_watch:
+            text = self.splitter.next_object()
+            if text is None or text or not self.has_answered:
+                return text
         return None
 
-    def lines(self) -> None:
-        # hazard: chunks and lines need not end together, and an object may take many
+    def enqueue_objects(self) -> None:
+        """Queue the complete objects, up to the first one that is not processed at once.
+
+        Chunks and lines need not end together, and an object may take many lines.
+        """
         try:
-            while not self.over and not self.waiting and (found := self.next()) is not None:
-                self.tell(found)
+            while not self.is_closed and not self.is_paused and (text := self.next_object()) is not None:
+                self.enqueue(text)
         except EndpointListError as error:
-            self.fail(f"bad list: {error}")
-
-    def tell(self, text: bytes) -> None:
-        """Hazard: a peer that tells faster than we read is not read from meanwhile."""
-        self.answered = self.waiting = True
-        self.silence.cancel()
-        self.owner.enqueue(text, self)
-        if self.waiting and self.transport is not None and not self.over:
+            self.fail(f"endpoint list rejected: {error}")
+
+    def enqueue(self, text: bytes) -> None:
+        """Queue one object, and stop reading from the connection until it is processed.
+
+        Without this backpressure a server that sends faster than lists are processed would fill the memory.
+        """
+        self.has_answered = self.is_paused = True
+        self.idle_timer.cancel()
+        self.client.enqueue(text, self)
+        if self.is_paused and self.transport is not None and not self.is_closed:
             self.transport.pause_reading()
 
-    def read_on(self) -> None:
-        """What was told is read."""
-        self.waiting = False
-        if self.over:
+    def resume(self) -> None:
+        """Read on after the queued object has been processed; close a completed fetch."""
+        self.is_paused = False
+        if self.is_closed:
             return
-        if self.ended:
+        if self.is_complete:
             self.close()
             return
         if self.transport is not None:
             self.transport.resume_reading()
-        self.listen()
-        self.owner.loop.call_soon(self.lines)
+        self.restart_idle_timer()
+        self.client.loop.call_soon(self.enqueue_objects)
+
+    def idle_timeout_s(self) -> float:
+        """Return how long to wait for the next data.
 
-    def patience_s(self) -> float:
-        """Hazard: where lists are pushed the agent is silent while discovery is down; it costs nothing to be
-        asked again, and what a broken watch misses counts as told all the same."""
-        if self.answered and self.watching:
+        Where lists are pushed, the agent is silent while discovery is down. What a broken watch misses counts
+        as delivered all the same, and calling the agent again is cheap, so the timeouts for it are short.
+        """
+        if self.has_answered and self.is_watch:
             return WATCH_IDLE_TIMEOUT_S
-        return AGENT_ANSWER_S if self.agent else ANSWER_S
+        return AGENT_RESPONSE_TIMEOUT_S if self.is_to_agent else RESPONSE_TIMEOUT_S
 
-    def listen(self) -> None:
-        self.silence.cancel()
-        self.silence = self.owner.loop.call_later(self.patience_s(), self.silent)
+    def restart_idle_timer(self) -> None:
+        """Start waiting for the next data."""
+        self.idle_timer.cancel()
+        self.idle_timer = self.client.loop.call_later(self.idle_timeout_s(), self.idle_timeout)
 
-    def silent(self) -> None:
-        """Hazard: a loop that was held up meets its timers before what has come meanwhile."""
+    def idle_timeout(self) -> None:
+        """Fail the call, unless data is waiting in the socket.
+
+        After a turn of the loop that took long, timers run before the data that arrived in the meantime.
+        """
         transport = self.transport
         if transport is not None and not transport.is_closing() and input_poll(transport).poll(0):
-            self.listen()
+            self.restart_idle_timer()
         else:
-            self.fail("silence")
+            self.fail("idle timeout: no data received")
 
     def on_message_complete(self) -> None:
-        if not self.watching and not self.over:
-            self.ended = True
-            self.tell(bytes(self.objects.text).strip())
+        """Queue the list that was fetched, or fail a watch that has ended (called by the HTTP parser)."""
+        if not self.is_watch and not self.is_closed:
+            self.is_complete = True
+            self.enqueue(bytes(self.splitter.buffer).strip())
         else:
-            self.fail("the watch has ended")
+            self.fail("the server ended the watch")
 
     def connection_lost(self, error: Exception | None) -> None:
-        if not self.ended:
-            self.fail(str(error or "closed"))
+        """Fail the call unless its response was complete."""
+        if not self.is_complete:
+            self.fail(str(error or "connection closed"))
 
-    def fail(self, why: str) -> None:
-        """It ends by itself; the decisions hear of it behind all that it has told."""
-        if not self.over:
+    def fail(self, reason: str) -> None:
+        """Close the call; its failure is processed after all objects that it has received."""
+        if not self.is_closed:
             self.close()
-            if self.wanted:
-                self.owner.complain(why)
-                self.owner.enqueue(None, self)
+            if self.is_wanted:
+                self.client.warn(reason)
+                self.client.enqueue(None, self)
+
+    def cancel(self) -> None:
+        """Close a call that is replaced, without reporting a failure.
 
-    def end(self) -> None:
-        """It is not wanted any more. Hazard: what has come and is not read yet has been told."""
-        if self.over:
+        Bytes that are in the socket and were not read yet take effect: discovery has sent them, and the call
+        that takes the place of this one may not repeat them.
+        """
+        if self.is_closed:
             return
-        self.wanted, data = False, None
+        self.is_wanted, data = False, None
         if self.transport is not None and not self.transport.is_closing():
-            with contextlib.suppress(OSError):  # nothing is there, or it has broken
-                data = os.read(self.transport.get_extra_info("socket").fileno(), MOST_READ)
+            with contextlib.suppress(OSError):  # the socket is empty or its connection is broken
+                data = os.read(self.transport.get_extra_info("socket").fileno(), MAX_FINAL_READ_BYTES)
         if data:
-            self.feed(data)
+            self.parse(data)
         self.close()
 
-    def rest(self) -> None:
-        """What a watch has told whole, and is not handed on yet."""
+    def enqueue_remaining(self) -> None:
+        """Queue the objects of a watch that were received completely."""
         with contextlib.suppress(EndpointListError):
-            while (found := self.next()) is not None:
-                self.answered = True
-                self.owner.enqueue(found, self)
+            while (text := self.next_object()) is not None:
+                self.has_answered = True
+                self.client.enqueue(text, self)
 
     def close(self) -> None:
-        if not self.over:
-            self.over = True
-            self.rest()
-        self.silence.cancel()
-        self.owner.calls.discard(self)
+        """Close the connection and queue what was received completely."""
+        if not self.is_closed:
+            self.is_closed = True
+            self.enqueue_remaining()
+        self.idle_timer.cancel()
+        self.client.calls.discard(self)
         if self.transport is not None:
             self.transport.abort()
         elif self.task is not asyncio.current_task():
--- a/sidecar_proxy/discovery/status_socket.py
+++ b/sidecar_proxy/discovery/status_socket.py
@@ -1,6 +1,6 @@
-"""Serves, on a local socket, what each discovery source says of each upstream, since when, and the outcome.
+"""Serves, on a local socket, what each discovery source reports about each endpoint, and the merged state.
 
-A connection gets JSON objects, one a line: first `{"sources": …}`, then one for each upstream, then
+A connection gets JSON objects, one a line: first `{"sources": …}`, then one for each endpoint, then
 `{"end": COUNT}`. Nothing is read from it.
 """
 
@@ -15,46 +15,47 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from sidecar_proxy.discovery.endpoint_list import SLICE
-from sidecar_proxy.discovery.feed import Feed
+from sidecar_proxy.discovery.endpoint_list import SLICE_ENTRIES
+from sidecar_proxy.discovery.feed import MembershipFeed
 
 STATUS_TIMEOUT_S = 10.0
-MOST_READERS = 4
+MAX_READERS = 4
 
 
-Tell = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class Window:
-    """The socket, which only its owner may open."""
+class StatusServer:
+    """The status socket, which only its owner may open."""
 
-    def __init__(self, feed: Feed, path: str) -> None:
+    def __init__(self, feed: MembershipFeed, path: str) -> None:
         self.feed = feed
         self.path = path
-        self.readers = 0
+        self.reader_count = 0
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
-        """Raises OSError: among others where another process listens there."""
-        self.server = await serve_unix_socket(self.path, self.tell)
+        """Start to listen. Raises OSError, for example if another process listens on the path."""
+        self.server = await serve_unix_socket(self.path, self.handle_connection)
 
-    async def tell(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.readers >= MOST_READERS:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Write the status to one reader; close the connection of one too many."""
+        if self.reader_count >= MAX_READERS:
             writer.transport.abort()
             return
-        self.readers += 1
+        self.reader_count += 1
         try:
             async with asyncio.timeout(STATUS_TIMEOUT_S):
-                await self.write(writer)
+                await self.write_status(writer)
             writer.close()
         except (OSError, TimeoutError):
-            writer.transport.abort()  # it has gone, or does not read
+            writer.transport.abort()  # the reader has closed the connection or doesn't read
         finally:
-            self.readers -= 1
+            self.reader_count -= 1
 
-    async def write(self, writer: asyncio.StreamWriter) -> None:
-        """Hazard: ten thousand nodes in one go would hold the loop for a tenth of a second."""
-        line(
+    async def write_status(self, writer: asyncio.StreamWriter) -> None:
+        """Write all lines in slices: 10,000 endpoints in one go would block the loop for 100 ms."""
+        write_line(
             writer,
             {
                 "sources": {
@@ -63,68 +64,75 @@
                 }
             },
         )
-        names = sorted({name for source in self.feed.merge.sources.values() for name in source.words})
-        for at in range(0, len(names), SLICE):
-            for name in names[at : at + SLICE]:
-                line(writer, self.node(name))
+        names = sorted({name for source in self.feed.merge.sources.values() for name in source.records})
+        for start in range(0, len(names), SLICE_ENTRIES):
+            for name in names[start : start + SLICE_ENTRIES]:
+                write_line(writer, self.describe_endpoint(name))
             await writer.drain()
             await asyncio.sleep(0)
-        line(writer, {"end": len(names)})
+        write_line(writer, {"end": len(names)})
         await writer.drain()
 
-    def node(self, name: str) -> dict[str, Any]:
-        member = self.feed.merge.member(name)
+    def describe_endpoint(self, name: str) -> dict[str, Any]:
+        """Return the line of one endpoint."""
+        endpoint = self.feed.merge.endpoint(name)
         number = self.feed.directory.numbers.get(name)
-        host = self.feed.listed_upstreams().get(number) if number is not None else None
+        upstream = self.feed.listed_upstreams().get(number) if number is not None else None
         return {
             "name": name,
-            "state": "gone" if member is None else member.entry.state.value,
-            "because": "" if member is None else member.why,
-            "dial": "" if member is None else member.entry.dial,
-            "decisions": "gone" if host is None else host.entry.state.value,  # suspended by hand, it drains
+            "state": "gone" if endpoint is None else endpoint.entry.state.value,
+            "because": "" if endpoint is None else endpoint.deciding_source,
+            "dial": "" if endpoint is None else endpoint.entry.dial,
+            # The balancer's state; it is "draining" if an operator's override suspends the endpoint.
+            "decisions": "gone" if upstream is None else upstream.entry.state.value,
             "words": {
                 source.name: {
-                    "state": word.state.value,
-                    "revision": word.revision,
-                    "held": word.held,
-                    "born_ms": word.entry.born_ms,
-                    "since": self.feed.since.get((source.name, name), 0.0),
+                    "state": record.state.value,
+                    "revision": record.revision,
+                    "held": record.is_carried_over,
+                    "born_ms": record.entry.born_ms,
+                    "since": self.feed.changed_at_s.get((source.name, name), 0.0),
                 }
                 for source in self.feed.merge.sources.values()
-                if (word := source.words.get(name)) is not None
+                if (record := source.records.get(name)) is not None
             },
         }
 
     def close(self) -> None:
+        """Stop listening and remove the socket file."""
         if self.server is not None:
             self.server.close()
             with contextlib.suppress(OSError):
                 os.unlink(self.path)
 
 
-def line(writer: asyncio.StreamWriter, told: dict[str, Any]) -> None:
-    writer.write(json.dumps(told).encode() + b"\n")
+def write_line(writer: asyncio.StreamWriter, document: dict[str, Any]) -> None:
+    """Write one JSON object as a line."""
+    writer.write(json.dumps(document).encode() + b"\n")
 
 
-async def serve_unix_socket(path: str, tell: Tell) -> asyncio.Server:
-    """On a socket that only its owner may open. Raises OSError: among others where another process listens
-    there."""
-    clear(path)
-    mask = os.umask(0o177)  # hazard: set after the bind, the mode would leave a moment for others
+async def serve_unix_socket(path: str, handler: ConnectionHandler) -> asyncio.Server:
+    """Listen on a socket that only its owner may open.
+
+    Raises OSError, for example if another process listens on the path.
+    """
+    remove_stale_socket(path)
+    # With a mode set after the bind, other users could connect in between.
+    mask = os.umask(0o177)
     try:
-        return await asyncio.start_unix_server(tell, path)
+        return await asyncio.start_unix_server(handler, path)
     finally:
         os.umask(mask)
 
 
-def clear(path: str) -> None:
-    """A socket that a killed process left is taken away; anything else stays, and the bind fails."""
+def remove_stale_socket(path: str) -> None:
+    """Remove a socket that a killed process left; anything else stays, and the bind fails."""
     with contextlib.suppress(FileNotFoundError):
         if not stat.S_ISSOCK(os.stat(path).st_mode):
             return
-        with socket.socket(socket.AF_UNIX) as one:
-            one.settimeout(1.0)
+        with socket.socket(socket.AF_UNIX) as probe:
+            probe.settimeout(1.0)
             try:
-                one.connect(path)
+                probe.connect(path)
             except ConnectionRefusedError:
                 os.unlink(path)
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -211,7 +211,9 @@
                 discovery.line(discovery.watches[0], text[at : at + 7])
             eventually(lambda: spared(sidecar, one, two))
             alone(sidecar, left, one, two)
-            assert len(discovery.calls) == 1 and not [text for text in sidecar.lines if "bad list" in text]
+            assert len(discovery.calls) == 1 and not [
+                text for text in sidecar.lines if "endpoint list rejected" in text
+            ]
 
 
 def test_a_pushed_watch_that_falls_silent_is_opened_anew() -> None:
@@ -221,5 +223,5 @@
         sidecar.discovery.hosts = [one.entry(health="terminating"), left.entry()]  # told on no open watch
         sidecar.discovery.seq = 2
         eventually(lambda: spared(sidecar, one))
-        assert [text for text in sidecar.lines if "silence" in text]
+        assert [text for text in sidecar.lines if "idle timeout" in text]
         alone(sidecar, left, one)
--- a/tests/discovery/test_etcd.py
+++ b/tests/discovery/test_etcd.py
@@ -16,9 +16,9 @@
 from sidecar_proxy.balancer.events import UpstreamState
 from sidecar_proxy.config.schema import Etcd
 from sidecar_proxy.discovery.etcd.follower import EtcdFollower
-from sidecar_proxy.discovery.etcd.source import Source
-from sidecar_proxy.discovery.merge import Merge
-from sidecar_proxy.discovery.model import Entry
+from sidecar_proxy.discovery.etcd.source import EtcdSource
+from sidecar_proxy.discovery.merge import MembershipMerge
+from sidecar_proxy.discovery.model import EndpointEntry
 from sidecar_proxy.testbed.etcd import Member, Store, cluster
 from sidecar_proxy.testbed.history import now_us
 from tests.discovery.test_follower import value
@@ -31,22 +31,24 @@
     """In the feed's place: the merge alone."""
 
     def __init__(self) -> None:
-        self.merge = Merge(["etcd"])
+        self.merge = MembershipMerge(["etcd"])
         self.lists = 0
         self.revisions: list[int] = []
 
-    def listed(self, source: str, epoch: str, revision: int, entries: tuple[Entry, ...]) -> None:
+    def list_received(
+        self, source: str, epoch: str, revision: int, entries: tuple[EndpointEntry, ...]
+    ) -> None:
         self.lists += 1
-        self.merge.listed(source, epoch, revision, entries)
+        self.merge.apply_list(source, epoch, revision, entries)
 
-    def changed(
-        self, source: str, epoch: str, revision: int, changes: tuple[tuple[str, Entry | None], ...]
+    def changes_received(
+        self, source: str, epoch: str, revision: int, changes: tuple[tuple[str, EndpointEntry | None], ...]
     ) -> None:
         self.revisions.append(revision)
-        self.merge.changed(source, epoch, revision, changes)
+        self.merge.apply_changes(source, epoch, revision, changes)
 
     def state(self, name: str) -> UpstreamState | None:
-        member = self.merge.member(name)
+        member = self.merge.endpoint(name)
         return member.entry.state if member is not None else None
 
 
@@ -75,11 +77,11 @@
         told = Etcd(endpoints=addresses, prefix="/n/", **self.more)
         follower = EtcdFollower("/n/", len(addresses), bool(told.username), random.Random(3))
         self.follower = follower
-        self.source = Source(told, follower, self.told, now_us)
+        self.source = EtcdSource(told, follower, self.told, now_us)
         self.source.start()
 
     async def listed(self, nodes: int = 5) -> None:
-        await until(lambda: len(self.told.merge.members()) == nodes and self.follower.state == "watch")
+        await until(lambda: len(self.told.merge.endpoints()) == nodes and self.follower.state == "watch")
         await until(lambda: any(member.watchers for member in self.members))
 
     def current(self) -> Member:
@@ -140,7 +142,7 @@
         assert scene.told.state("s-1") is READY  # the last that is known stays
         await scene.members[0].serve(port)
         await until(lambda: scene.told.state("s-1") is DRAINING)
-        assert scene.told.lists == 2 and len(scene.told.merge.members()) == 5
+        assert scene.told.lists == 2 and len(scene.told.merge.endpoints()) == 5
 
     play(test)
 
--- a/tests/discovery/test_sidecar.py
+++ b/tests/discovery/test_sidecar.py
@@ -172,10 +172,10 @@
     path = tmp_path / "members"
     with socket.socket(socket.AF_UNIX) as left:
         left.bind(str(path))
-    status_socket.clear(str(path))
+    status_socket.remove_stale_socket(str(path))
     assert not path.exists()
     path.write_text("mine")
-    status_socket.clear(str(path))
+    status_socket.remove_stale_socket(str(path))
     assert path.read_text() == "mine"
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -87,7 +87,7 @@
     with Upstream(body=b"ok") as one, Sidecar([one]) as sidecar:
         eventually(lambda: sidecar.discovery.watches)
         eventually(lambda: len(sidecar.discovery.calls) >= 2)
-        assert [line for line in sidecar.lines if "silence" in line]
+        assert [line for line in sidecar.lines if "idle timeout" in line]
 
 
 def test_an_empty_line_alone_answers_the_call() -> None:
@@ -97,7 +97,9 @@
         with Sidecar([one], discovery) as sidecar:
             eventually(lambda: discovery.calls)
             assert served_by(sidecar, one)
-            assert len(discovery.calls) == 1 and not [line for line in sidecar.lines if "bad list" in line]
+            assert len(discovery.calls) == 1 and not [
+                line for line in sidecar.lines if "endpoint list rejected" in line
+            ]
 
 
 def test_a_new_configuration_moves_the_watch_and_the_old_version_does_not_go_along() -> None:
@@ -196,6 +198,6 @@
     with Upstream(body=b"ok") as old, Upstream(body=b"ok") as new, Discovery([new.entry()]) as discovery:
         discovery.reply = b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000
         with Sidecar([old], discovery) as sidecar:
-            eventually(lambda: [line for line in sidecar.lines if "a head too long" in line])
+            eventually(lambda: [line for line in sidecar.lines if "response head is larger than" in line])
             discovery.reply = None
             eventually(lambda: served_by(sidecar, new))
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -14,13 +14,13 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.discovery.endpoint_list import (
-    SLICE,
+    SLICE_ENTRIES,
     EndpointDirectory,
     EndpointListError,
-    Reading,
+    EndpointListParser,
     changes,
 )
-from sidecar_proxy.discovery.platform_client import Call
+from sidecar_proxy.discovery.platform_client import DiscoveryCall
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient as Watcher
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.interfaces import ListedUpstream
@@ -48,8 +48,8 @@
     return json.dumps({"seq": seq, "whole": whole, "hosts": hosts})
 
 
-def read(told: str, directory: EndpointDirectory | None = None) -> Reading:
-    reading = Reading(directory or EndpointDirectory(settings()), told)
+def read(told: str, directory: EndpointDirectory | None = None) -> EndpointListParser:
+    reading = EndpointListParser(directory or EndpointDirectory(settings()), told)
     for _ in reading.steps():
         pass
     return reading
@@ -96,9 +96,9 @@
 
 
 def test_a_list_of_ten_thousand_is_read_in_many_steps() -> None:
-    reading = Reading(EndpointDirectory(settings()), text([entry(n) for n in range(MANY)]))
+    reading = EndpointListParser(EndpointDirectory(settings()), text([entry(n) for n in range(MANY)]))
     steps = sum(1 for _ in reading.steps())
-    assert steps == MANY // SLICE and len(reading.hosts) == MANY and reading.whole
+    assert steps == MANY // SLICE_ENTRIES and len(reading.upstreams) == MANY and reading.is_complete
 
 
 def test_a_list_of_which_one_in_a_hundred_is_bad_is_refused_whole_and_leaves_nothing() -> None:
@@ -169,7 +169,7 @@
     hosts = " , ".join(json.dumps(entry(n)) for n in range(3))
     told = ' { "hosts" : [ ' + hosts + ' ] , "x" : [1,{}] ,\n"whole":false,"seq":7}  '
     reading = read(told)
-    assert (reading.version, reading.whole, len(reading.hosts)) == (7, False, 3)
+    assert (reading.version, reading.is_complete, len(reading.upstreams)) == (7, False, 3)
 
 
 @pytest.mark.parametrize(
@@ -181,21 +181,21 @@
     ],
 )
 def test_of_a_name_that_is_listed_twice_the_more_careful_entry_holds(states: list[str]) -> None:
-    hosts = read(text([entry(1, health=state) for state in states])).hosts
+    hosts = read(text([entry(1, health=state) for state in states])).upstreams
     assert len(hosts) == 1 and hosts[0].entry.state is not api.UpstreamState.READY
 
 
 def test_changes_hold_what_is_new_and_those_that_leave_come_first() -> None:
     directory = EndpointDirectory(settings())
-    old = read(text([entry(n) for n in range(1000)]), directory).hosts
+    old = read(text([entry(n) for n in range(1000)]), directory).upstreams
     known = {host.entry.id: host for host in old}
     hosts = [entry(n) for n in range(1, 1200)]
     hosts[499]["health"], hosts[6]["dial"] = "terminating", "127.0.0.1:9"
     new = read(text(hosts), directory)
-    told = [host.entry for part in changes(known, new.hosts, True) for host in part]
+    told = [host.entry for part in changes(known, new.upstreams, True) for host in part]
     assert [e.state for e in told[:2]] == [api.UpstreamState.DRAINING, api.UpstreamState.GONE]
     assert len(told) == 2 + 1 + 200
-    assert all(len(part) <= SLICE for part in changes(known, new.hosts, True))
+    assert all(len(part) <= SLICE_ENTRIES for part in changes(known, new.upstreams, True))
 
 
 def test_a_large_list_is_told_in_slices_over_many_turns_and_a_later_line_waits_behind_it() -> None:
@@ -204,7 +204,7 @@
         one.enqueue(text([entry(n) for n in range(MANY)], 5).encode())
         one.enqueue(text([entry(3, health="terminating")], 6, False).encode())
         assert await settled(one) >= 5
-        assert len(sink.hosts) == MANY and max(len(entries) for _, entries, _ in sink.events) <= SLICE
+        assert len(sink.hosts) == MANY and max(len(entries) for _, entries, _ in sink.events) <= SLICE_ENTRIES
         assert sink.hosts[one.directory.numbers["s-3"]].entry.state is api.UpstreamState.DRAINING
         assert sink.events[-1][2] == one.version == 6
         one.enqueue(text([], 7).encode())  # all are gone
@@ -221,10 +221,10 @@
         await settled(one)
         before = len(sink.events)
         bad = [entry(n, health="?" if n == 9_000 else "in_service") for n in range(MANY)]
-        call = Call(one, b"?stream=1&index=5")
+        call = DiscoveryCall(one, b"?stream=1&index=5")
         one.watch = call
-        call.objects.put(text(bad, 6).encode() + b"\n")
-        call.lines()
+        call.splitter.append(text(bad, 6).encode() + b"\n")
+        call.enqueue_objects()
         await settled(one)
         assert sink.failures == 1 and len(sink.events) == before and len(sink.hosts) == 300
         assert one.version == 5 and len(one.directory.numbers) == 300
@@ -245,14 +245,16 @@
         assert len(sink.events) == 3 and one.version == 6  # each call has its answer
         one.enqueue(text([entry(1)], 6, False).encode())  # the same version twice is no older one
         assert sink.hosts[one.directory.numbers["s-1"]].entry.state is api.UpstreamState.READY
-        fresh = Call(one, b"?stream=1&index=6")  # a new watch that begins with less: discovery was begun anew
+        fresh = DiscoveryCall(
+            one, b"?stream=1&index=6"
+        )  # a new watch that begins with less: discovery was begun anew
         one.enqueue(text([entry(3)], 1).encode(), fresh)
         assert one.version == 1 and len(sink.hosts) == 1
         one.close()
 
     with caplog.at_level(logging.WARNING, "sidecar_proxy"):
         asyncio.run(asyncio.wait_for(test(), LONG_S))
-    assert "of version 5 is older than 6" in caplog.text
+    assert "version 5: older than version 6" in caplog.text
 
 
 def test_a_change_of_one_among_many_looks_at_one() -> None:
@@ -304,5 +306,5 @@
         body = text([entry(n, site="x" * 400) for n in range(MANY)]).encode()
         discovery.reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n" % (len(body) + 1, body)
         with Sidecar([old], discovery) as sidecar:
-            eventually(lambda: [line for line in sidecar.lines if "a line too long" in line])
+            eventually(lambda: [line for line in sidecar.lines if "endpoint list is larger than" in line])
             assert sidecar.request("POST", "/pay/7", b"x").status == 200
