--- a/tests/discovery/test_follower.py
+++ b/tests/discovery/test_follower.py
@@ -1,4 +1,4 @@
-"""Following a prefix, step by step and without a socket: answers in, actions out."""
+"""The etcd follower step by step, without sockets: answers in, actions out."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return json.dumps({"health": health, "dial": "10.0.0.1:1", "site": "a", "block": 1} | more).encode()
 
 
-def kv(name: str, revision: int, data: bytes | None = None) -> pb.KeyValue:
+def key_value(name: str, revision: int, data: bytes | None = None) -> pb.KeyValue:
     data = value() if data is None else data
     return pb.KeyValue(key=b"/n/" + name.encode(), value=data, mod_revision=revision)
 
@@ -45,46 +45,46 @@
     return pb.RangeResponse(header=header(revision, cluster), kvs=kvs, more=more)
 
 
-def events(revision: int, *told: pb.Event, fragment: bool = False) -> pb.WatchResponse:
-    return pb.WatchResponse(header=header(revision), events=told, fragment=fragment)
+def events(revision: int, *received: pb.Event, fragment: bool = False) -> pb.WatchResponse:
+    return pb.WatchResponse(header=header(revision), events=received, fragment=fragment)
 
 
 def put(name: str, revision: int, data: bytes | None = None) -> pb.Event:
-    return pb.Event(type=pb.Event.PUT, kv=kv(name, revision, data))
+    return pb.Event(type=pb.Event.PUT, kv=key_value(name, revision, data))
 
 
-def gone(name: str, revision: int) -> pb.Event:
+def delete(name: str, revision: int) -> pb.Event:
     return pb.Event(type=pb.Event.DELETE, kv=pb.KeyValue(key=b"/n/" + name.encode(), mod_revision=revision))
 
 
-def of_type(kind: type, actions: list[Action]) -> list[Action]:
-    return [follower for follower in actions if isinstance(follower, kind)]
+def of_type(action_type: type, actions: list[Action]) -> list[Action]:
+    return [action for action in actions if isinstance(action, action_type)]
 
 
 def new_follower(endpoints: int = 3, auth: bool = False) -> EtcdFollower:
     return EtcdFollower("/n/", endpoints, auth, random.Random(5))
 
 
-def watching(revision: int = 10) -> EtcdFollower:
+def watching_follower(revision: int = 10) -> EtcdFollower:
     follower = new_follower()
     follower.start(0)
     follower.connected(0)
-    found = follower.range_received(0, answer(revision, kv("a", 3), kv("b", 4)))
-    assert isinstance(found[0], ListRead) and [e.name for e in found[0].entries] == ["a", "b"]
-    watch, read = found[1:]
+    actions = follower.range_received(0, answer(revision, key_value("a", 3), key_value("b", 4)))
+    assert isinstance(actions[0], ListRead) and [e.name for e in actions[0].entries] == ["a", "b"]
+    watch, read = actions[1:]
     assert isinstance(watch, SendWatch) and watch.request.create_request.start_revision == revision + 1
     assert isinstance(read, SendRange) and read.request.count_only and not read.request.serializable
     return follower
 
 
-def answered(follower: EtcdFollower, now_us: int, revision: int = 10) -> None:
-    """The watch and the read beside it."""
+def answer_check(follower: EtcdFollower, now_us: int, revision: int = 10) -> None:
+    """Answer both parts of a check: on the watch and to the read."""
     follower.watch_received(now_us, pb.WatchResponse(header=header(revision), watch_id=-1))
     follower.range_received(now_us, answer(revision))
 
 
-def again(follower: EtcdFollower, now_us: int) -> list[Action]:
-    """It waits; the next dial succeeds."""
+def redial(follower: EtcdFollower, now_us: int) -> list[Action]:
+    """The backoff has passed, and the next dial succeeds."""
     assert follower.state == "wait" and follower.due_us <= now_us
     assert isinstance(follower.tick(now_us)[0], Dial)
     return follower.connected(now_us)
@@ -99,88 +99,91 @@
 def test_a_list_is_read_page_by_page_at_one_revision() -> None:
     follower = new_follower()
     assert isinstance(follower.start(0)[0], Dial)
-    ask = follower.connected(0)[0]
-    assert isinstance(ask, SendRange) and ask.request.key == b"/n/" and ask.request.revision == 0
-    assert not ask.request.serializable
-    second = follower.range_received(0, answer(10, kv("a", 3), more=True))[0]
+    range_call = follower.connected(0)[0]
+    assert (
+        isinstance(range_call, SendRange)
+        and range_call.request.key == b"/n/"
+        and range_call.request.revision == 0
+    )
+    assert not range_call.request.serializable
+    second = follower.range_received(0, answer(10, key_value("a", 3), more=True))[0]
     assert isinstance(second, SendRange)
     assert second.request.key == b"/n/a\0" and second.request.revision == 10
-    found = follower.range_received(
-        0, answer(12, kv("b", 4))
-    )  # the header is the store's; the keys are those of 10
-    assert isinstance(found[0], ListRead) and found[0].revision == 10 and len(found[0].entries) == 2
-    assert isinstance(found[1], SendWatch) and found[1].request.create_request.start_revision == 11
+    # The header has the current revision of the store; the keys are those of revision 10.
+    actions = follower.range_received(0, answer(12, key_value("b", 4)))
+    assert isinstance(actions[0], ListRead) and actions[0].revision == 10 and len(actions[0].entries) == 2
+    assert isinstance(actions[1], SendWatch) and actions[1].request.create_request.start_revision == 11
 
 
-def test_events_of_one_transaction_are_told_together_and_in_order() -> None:
-    follower = watching()
-    found = follower.watch_received(
-        1, events(12, put("a", 11, value("terminating")), gone("b", 11), put("b", 11), put("c", 12))
+def test_events_of_one_transaction_are_reported_together_and_in_order() -> None:
+    follower = watching_follower()
+    actions = follower.watch_received(
+        1, events(12, put("a", 11, value("terminating")), delete("b", 11), put("b", 11), put("c", 12))
     )
-    first, second = of_type(RevisionRead, found)
+    first, second = of_type(RevisionRead, actions)
     assert isinstance(first, RevisionRead) and isinstance(second, RevisionRead)
     deleted = [(name, entry is None) for name, entry in first.changes]
     assert deleted == [("a", False), ("b", True), ("b", False)]
     assert (first.revision, second.revision) == (11, 12)
 
 
-def test_fragments_are_told_when_the_last_is_there() -> None:
-    follower = watching()
+def test_fragments_are_reported_after_the_last_one() -> None:
+    follower = watching_follower()
     assert follower.watch_received(1, events(11, put("a", 11), fragment=True)) == []
-    found = follower.watch_received(1, events(11, put("b", 11)))
-    assert len(of_type(RevisionRead, found)) == 1 and len(found[0].changes) == 2  # type: ignore[union-attr]
+    actions = follower.watch_received(1, events(11, put("b", 11)))
+    assert len(of_type(RevisionRead, actions)) == 1 and len(actions[0].changes) == 2  # type: ignore[union-attr]
 
 
-def test_after_a_break_the_watch_goes_on_from_what_was_heard() -> None:
-    follower = watching()
+def test_after_a_failure_the_watch_resumes_from_the_last_revision_received() -> None:
+    follower = watching_follower()
     follower.watch_received(1, events(14, put("a", 14)))
-    found = follower.failed(2, "reset")
-    assert isinstance(found[0], CloseConnection) and isinstance(found[1], LogWarning)
-    actions = again(follower, follower.due_us)
+    actions = follower.failed(2, "reset")
+    assert isinstance(actions[0], CloseConnection) and isinstance(actions[1], LogWarning)
+    actions = redial(follower, follower.due_us)
     assert isinstance(actions[0], SendWatch) and actions[0].request.create_request.start_revision == 15
 
 
-def test_progress_moves_the_revision_from_which_a_watch_is_resumed() -> None:
-    follower = watching()
+def test_a_progress_notification_advances_the_revision_from_which_a_watch_resumes() -> None:
+    follower = watching_follower()
     follower.watch_received(1, pb.WatchResponse(header=header(500), watch_id=-1))
     follower.failed(2, "reset")
-    actions = again(follower, follower.due_us)
+    actions = redial(follower, follower.due_us)
     assert isinstance(actions[0], SendWatch) and actions[0].request.create_request.start_revision == 501
 
 
-def test_what_was_heard_twice_is_told_once() -> None:
-    follower = watching()
+def test_an_event_received_twice_is_reported_once() -> None:
+    follower = watching_follower()
     follower.watch_received(1, events(11, put("a", 11)))
     assert of_type(RevisionRead, follower.watch_received(2, events(11, put("a", 11)))) == []
 
 
 def test_compaction_leads_to_a_new_list() -> None:
-    follower = watching()
-    found = follower.watch_received(
+    follower = watching_follower()
+    actions = follower.watch_received(
         1, pb.WatchResponse(header=header(90), canceled=True, compact_revision=80)
     )
-    assert of_type(CloseConnection, found) and of_type(Dial, found)
-    ask = follower.connected(2)[0]
-    assert isinstance(ask, SendRange) and ask.request.revision == 0
-    listed = follower.range_received(3, answer(91, kv("a", 85, value("terminating"))))[0]
+    assert of_type(CloseConnection, actions) and of_type(Dial, actions)
+    range_call = follower.connected(2)[0]
+    assert isinstance(range_call, SendRange) and range_call.request.revision == 0
+    listed = follower.range_received(3, answer(91, key_value("a", 85, value("terminating"))))[0]
     assert isinstance(listed, ListRead) and listed.epoch == "7" and listed.revision == 91
 
 
-def test_a_member_with_less_than_was_heard_is_not_listened_to() -> None:
-    follower = watching(revision=10)
+def test_a_list_of_a_member_at_an_older_revision_is_ignored() -> None:
+    follower = watching_follower(revision=10)
     follower.watch_received(1, pb.WatchResponse(header=header(20), canceled=True, compact_revision=15))
     follower.connected(2)
-    follower.range_received(3, answer(30, kv("a", 3)))
+    follower.range_received(3, answer(30, key_value("a", 3)))
     follower.must_list = True
     follower.failed(4, "reset")
-    again(follower, follower.due_us)
-    found = follower.range_received(5, answer(25, kv("a", 3)))
-    assert not of_type(ListRead, found) and of_type(CloseConnection, found) and follower.revision == 30
+    redial(follower, follower.due_us)
+    actions = follower.range_received(5, answer(25, key_value("a", 3)))
+    assert not of_type(ListRead, actions) and of_type(CloseConnection, actions) and follower.revision == 30
 
 
-def test_a_watch_on_a_member_that_stays_behind_is_left() -> None:
-    follower = watching(revision=10)
-    answered(follower, 0)
+def test_a_member_whose_watch_stays_behind_is_left() -> None:
+    follower = watching_follower(revision=10)
+    answer_check(follower, 0)
     now_us = 0
     while follower.state == "watch" and now_us < 10 * CHECK_INTERVAL_US:
         now_us = follower.due_us
@@ -190,15 +193,15 @@
     assert follower.state == "wait" and now_us == CHECK_INTERVAL_US + CHECK_TIMEOUT_US
 
 
-def test_a_watch_that_tells_less_than_a_read_has_shown_is_left() -> None:
-    """Hazard: a member that is far behind answers on the watch, and so looks well."""
-    follower = watching(revision=10)
-    answered(follower, 0)
+def test_a_watch_that_stays_behind_the_revision_of_a_read_is_left() -> None:
+    """A member that is far behind answers progress requests, and so would pass for healthy."""
+    follower = watching_follower(revision=10)
+    answer_check(follower, 0)
     now_us = CHECK_INTERVAL_US
     assert of_type(SendWatch, follower.tick(now_us))
     follower.watch_received(now_us, pb.WatchResponse(header=header(10), watch_id=-1))
     assert of_type(SendWatch, follower.range_received(now_us, answer(14))), (
-        "its progress is asked for at once"
+        "a progress notification is requested at once"
     )
     follower.watch_received(now_us + 1, pb.WatchResponse(header=header(11), watch_id=-1))
     assert follower.tick(now_us + CHECK_TIMEOUT_US - 1) == [] and of_type(
@@ -206,9 +209,9 @@
     )
 
 
-def test_writes_that_go_on_between_read_and_watch_leave_no_member_behind() -> None:
-    follower, revision = watching(revision=10), 10
-    answered(follower, 0)
+def test_writes_between_the_read_and_the_watch_do_not_make_a_member_seem_behind() -> None:
+    follower, revision = watching_follower(revision=10), 10
+    answer_check(follower, 0)
     for _ in range(100):
         now_us = follower.due_us
         if of_type(SendWatch, follower.tick(now_us)):
@@ -219,28 +222,30 @@
     assert follower.state == "watch" and follower.revision == revision
 
 
-def test_another_cluster_is_listed_under_another_epoch() -> None:
-    follower = watching()
-    found = follower.watch_received(1, pb.WatchResponse(header=header(4, cluster=8), created=True))
-    assert of_type(CloseConnection, found) and of_type(Dial, found)
+def test_another_cluster_is_listed_under_a_new_epoch() -> None:
+    follower = watching_follower()
+    actions = follower.watch_received(1, pb.WatchResponse(header=header(4, cluster=8), created=True))
+    assert of_type(CloseConnection, actions) and of_type(Dial, actions)
     follower.connected(2)
-    listed = follower.range_received(3, answer(4, kv("a", 2), cluster=8))[0]
+    listed = follower.range_received(3, answer(4, key_value("a", 2), cluster=8))[0]
     assert isinstance(listed, ListRead) and (listed.epoch, listed.revision) == ("8", 4)
 
 
-def test_a_silent_watch_is_asked_and_then_left() -> None:
-    follower = watching()
-    answered(follower, 0)
-    asked = 0
+def test_a_silent_watch_is_checked_and_then_left() -> None:
+    follower = watching_follower()
+    answer_check(follower, 0)
+    progress_requests = 0
     while follower.state == "watch":
         now_us = follower.due_us
-        asked += len(of_type(SendWatch, follower.tick(now_us)))
-    assert asked == 1 and follower.state == "wait" and now_us == CHECK_INTERVAL_US + CHECK_TIMEOUT_US
+        progress_requests += len(of_type(SendWatch, follower.tick(now_us)))
+    assert (
+        progress_requests == 1 and follower.state == "wait" and now_us == CHECK_INTERVAL_US + CHECK_TIMEOUT_US
+    )
 
 
 @pytest.mark.parametrize("half", ["watch", "read"])
-def test_a_member_that_answers_half_of_a_check_is_left(half: str) -> None:
-    follower = watching()
+def test_a_member_that_answers_only_half_of_a_check_is_left(half: str) -> None:
+    follower = watching_follower()
     while follower.state == "watch":
         now_us = follower.due_us
         if half == "watch":
@@ -251,34 +256,34 @@
     assert now_us == CHECK_TIMEOUT_US
 
 
-def test_one_that_answers_is_never_left() -> None:
-    follower = watching()
-    answered(follower, 0)
+def test_a_member_that_answers_its_checks_is_never_left() -> None:
+    follower = watching_follower()
+    answer_check(follower, 0)
     for _ in range(100):
         now_us = follower.due_us
         if of_type(SendWatch, follower.tick(now_us)):
-            answered(follower, now_us + 1)
+            answer_check(follower, now_us + 1)
     assert follower.state == "watch"
 
 
 @pytest.mark.parametrize("data", [b"no JSON", b"x" * 1_000_000, b"[]", b'{"health":"odd"}', b""])
-def test_a_value_that_cannot_be_used_leaves_the_last_good_one(data: bytes) -> None:
-    follower = watching()
-    found = follower.watch_received(1, events(12, put("a", 11, data), put("c", 12)))
-    changes = [change for action in of_type(RevisionRead, found) for change in action.changes]  # type: ignore[union-attr]
+def test_an_invalid_value_leaves_the_last_valid_one_in_use(data: bytes) -> None:
+    follower = watching_follower()
+    actions = follower.watch_received(1, events(12, put("a", 11, data), put("c", 12)))
+    changes = [change for action in of_type(RevisionRead, actions) for change in action.changes]  # type: ignore[union-attr]
     assert [(name, entry is not None and entry.dial) for name, entry in changes] == [
         ("a", "10.0.0.1:1"),
         ("c", "10.0.0.1:1"),
     ]
-    assert len(of_type(LogWarning, found)) == 1
+    assert len(of_type(LogWarning, actions)) == 1
     follower.watch_received(2, pb.WatchResponse(header=header(90), canceled=True, compact_revision=80))
     follower.connected(3)
-    listed = follower.range_received(4, answer(91, kv("a", 85, data), kv("d", 86, data)))[0]
+    listed = follower.range_received(4, answer(91, key_value("a", 85, data), key_value("d", 86, data)))[0]
     assert isinstance(listed, ListRead) and [e.name for e in listed.entries] == ["a"]
 
 
-def test_waits_grow_to_a_bound_and_are_spread() -> None:
-    waits = []
+def test_backoff_grows_to_a_bound_and_is_jittered() -> None:
+    backoffs_us = []
     for seed in range(200):
         follower = EtcdFollower("/n/", 3, False, random.Random(seed))
         follower.start(0)
@@ -286,17 +291,18 @@
         for number in range(12):
             follower.failed(0, "refused")
             if number == 11:
-                waits.append(follower.due_us)
+                backoffs_us.append(follower.due_us)
             dial = follower.tick(follower.due_us)[0]
             assert isinstance(dial, Dial)
             dialled.add(dial.endpoint)
         assert dialled == {0, 1, 2}
-    assert max(waits) <= MAX_BACKOFF_US and min(waits) >= MAX_BACKOFF_US // 2
-    assert len({wait // 50_000 for wait in waits}) > 12  # a thousand that lost it at once come back apart
+    assert max(backoffs_us) <= MAX_BACKOFF_US and min(backoffs_us) >= MAX_BACKOFF_US // 2
+    # Sidecars that lose etcd at the same time dial again at different times.
+    assert len({backoff_us // 50_000 for backoff_us in backoffs_us}) > 12
 
 
-def test_the_first_wait_is_short_and_hearing_something_makes_it_short_again() -> None:
-    follower = watching()
+def test_backoff_starts_short_and_is_reset_by_an_answer_on_the_watch() -> None:
+    follower = watching_follower()
     for _ in range(9):
         follower.failed(0, "reset")
         follower.tick(follower.due_us)
@@ -306,7 +312,7 @@
     assert follower.due_us <= MIN_BACKOFF_US
 
 
-def test_a_token_is_asked_for_on_every_connection() -> None:
+def test_a_token_is_requested_on_every_connection() -> None:
     follower = new_follower(auth=True)
     follower.start(0)
     assert isinstance(follower.connected(0)[0], Authenticate)
@@ -317,18 +323,18 @@
     assert isinstance(follower.connected(2)[0], Authenticate)
 
 
-def test_an_answer_too_large_is_asked_for_in_smaller_pages() -> None:
+def test_a_page_that_is_too_large_is_requested_again_with_fewer_keys() -> None:
     follower = new_follower()
     follower.start(0)
     first = follower.connected(0)[0]
     follower.failed(1, "too large", Code.RESOURCE_EXHAUSTED)
-    second = again(follower, follower.due_us)[0]
+    second = redial(follower, follower.due_us)[0]
     assert isinstance(first, SendRange) and isinstance(second, SendRange)
     assert second.request.limit == first.request.limit // 4
 
 
-def test_late_answers_of_a_dropped_connection_do_nothing() -> None:
-    follower = watching()
+def test_late_answers_of_a_closed_connection_are_ignored() -> None:
+    follower = watching_follower()
     follower.failed(1, "reset")
     assert (
         follower.watch_received(2, events(11, put("a", 11))) == [] == follower.range_received(2, answer(12))
--- a/tests/discovery/test_merge.py
+++ b/tests/discovery/test_merge.py
@@ -1,4 +1,4 @@
-"""The merge's table, row by row, and any interleaving of sources against a few plain sentences."""
+"""The rules of the merge one by one, and two invariants under any interleaving of two sources."""
 
 from __future__ import annotations
 
@@ -23,103 +23,104 @@
 
 
 def state(merge: MembershipMerge, name: str = "a") -> UpstreamState | None:
-    member = merge.endpoint(name)
-    return member.entry.state if member is not None else None
+    endpoint = merge.endpoint(name)
+    return endpoint.entry.state if endpoint is not None else None
 
 
-def two() -> MembershipMerge:
-    """Both sources know the node."""
+def merge_of_two_sources() -> MembershipMerge:
+    """Return a merge in which both sources list the endpoint "a"."""
     merge = MembershipMerge(["etcd", "roster"])
     assert merge.apply_list("etcd", "c1", 10, [entry(dial="10.0.0.1:1")]) == {"a"}
     merge.apply_list("roster", "", 3, [entry(dial="10.0.0.2:2")])
     return merge
 
 
-def test_drained_anywhere_is_drained_until_that_source_takes_it_back() -> None:
-    merge = two()
+def test_a_drain_in_one_source_counts_until_that_source_ends_it() -> None:
+    merge = merge_of_two_sources()
     assert merge.apply_changes("etcd", "c1", 11, [("a", entry(state=DRAINING))]) == {"a"}
     assert state(merge) is DRAINING
     merge.apply_list("roster", "", 4, [entry()])
     merge.apply_changes("roster", "", 5, [("a", entry(dial="10.0.0.3:3"))])
     assert state(merge) is DRAINING and merge.endpoint("a").deciding_source == "etcd"  # type: ignore[union-attr]
-    merge.apply_changes("etcd", "c1", 11, [("a", entry())])  # not newer
+    merge.apply_changes("etcd", "c1", 11, [("a", entry())])  # not a newer revision
     assert state(merge) is DRAINING
     merge.apply_changes("etcd", "c1", 12, [("a", entry())])
     assert state(merge) is READY
 
 
-def test_a_later_start_known_to_any_source_ends_a_drain() -> None:
-    merge = two()
+def test_a_later_start_reported_by_any_source_ends_a_drain() -> None:
+    merge = merge_of_two_sources()
     merge.apply_changes("etcd", "c1", 11, [("a", entry(state=DRAINING))])
     merge.apply_changes("roster", "", 4, [("a", entry(born_ms=6, dial="10.0.0.2:9"))])
-    member = merge.endpoint("a")
-    assert member is not None and member.entry.state is READY and member.entry.dial == "10.0.0.2:9"
+    endpoint = merge.endpoint("a")
+    assert endpoint is not None and endpoint.entry.state is READY and endpoint.entry.dial == "10.0.0.2:9"
 
 
-def test_known_to_one_only_and_differing_addresses() -> None:
-    merge = two()
+def test_an_endpoint_of_one_source_is_used_and_of_two_addresses_the_first_source_s() -> None:
+    merge = merge_of_two_sources()
     merge.apply_changes("roster", "", 4, [("b", entry("b"))])
     assert state(merge, "b") is READY and state(merge, "nobody") is None
-    member = merge.endpoint("a")
-    assert member is not None and member.entry.dial == "10.0.0.1:1"  # etcd is named first
+    endpoint = merge.endpoint("a")
+    assert endpoint is not None and endpoint.entry.dial == "10.0.0.1:1"  # etcd is the first source
 
 
-def test_deleted_in_one_and_listed_in_another_gets_nothing_new() -> None:
-    merge = two()
+def test_an_endpoint_deleted_in_one_source_and_listed_in_another_is_draining() -> None:
+    merge = merge_of_two_sources()
     merge.apply_changes("etcd", "c1", 11, [("a", None)])
     assert state(merge) is DRAINING
     assert merge.apply_changes("roster", "", 4, [("a", None)]) == {"a"}
     assert state(merge) is None and merge.endpoints() == {}
 
 
-def test_drained_deleted_and_put_again_in_one_batch() -> None:
-    """The put is the newer word of the same source: it is taken back, with or without a new start."""
-    merge = two()
+def test_an_endpoint_drained_deleted_and_put_again_in_one_batch_is_ready() -> None:
+    """The put is the last change of the same source and ends the drain, with or without a new start."""
+    merge = merge_of_two_sources()
     merge.apply_changes(
         "etcd", "c1", 11, [("a", entry(state=DRAINING)), ("a", None), ("a", entry(born_ms=7))]
     )
-    member = merge.endpoint("a")
-    assert member is not None and member.entry.state is READY and member.entry.born_ms == 7
+    endpoint = merge.endpoint("a")
+    assert endpoint is not None and endpoint.entry.state is READY and endpoint.entry.born_ms == 7
 
 
 def test_an_older_revision_undoes_nothing() -> None:
-    merge = two()
+    merge = merge_of_two_sources()
     merge.apply_changes("etcd", "c1", 20, [("a", entry(state=DRAINING))])
     assert merge.apply_list("etcd", "c1", 15, [entry()]) == set()
     assert merge.apply_changes("etcd", "c1", 15, [("a", entry())]) == set()
-    assert merge.apply_changes("etcd", "other", 99, [("a", entry())]) == set()  # changes need a list first
+    # An epoch has to begin with a list.
+    assert merge.apply_changes("etcd", "other", 99, [("a", entry())]) == set()
     assert state(merge) is DRAINING
 
 
 def test_a_restored_cluster_with_lower_revisions_does_not_undo_a_drain() -> None:
-    merge = two()
+    merge = merge_of_two_sources()
     merge.apply_changes("etcd", "c1", 20, [("a", entry(state=DRAINING))])
     merge.apply_list("etcd", "c2", 4, [entry(), entry("b")])
     assert state(merge) is DRAINING and state(merge, "b") is READY
-    merge.apply_list("etcd", "c2", 5, [entry(), entry("b")])  # nor does the next list
+    merge.apply_list("etcd", "c2", 5, [entry(), entry("b")])  # the next list does not undo it either
     assert state(merge) is DRAINING
-    merge.apply_changes("etcd", "c2", 6, [("a", entry())])  # a word of its own does
+    merge.apply_changes("etcd", "c2", 6, [("a", entry())])  # a change of its own does
     assert state(merge) is READY
     merge.apply_changes("etcd", "c2", 7, [("b", entry("b", DRAINING))])
-    merge.apply_list("etcd", "c3", 1, [entry(), entry("b", born_ms=9)])  # and a later start
+    merge.apply_list("etcd", "c3", 1, [entry(), entry("b", born_ms=9)])  # so does a later start
     assert state(merge, "b") is READY
 
 
 @pytest.mark.parametrize("left", [0, 4])
-def test_a_list_that_leaves_out_most_is_not_believed_at_once(left: int) -> None:
+def test_a_list_that_lacks_most_endpoints_needs_confirmation(left: int) -> None:
     merge = MembershipMerge(["etcd"])
     names = [f"n{number}" for number in range(12)]
     merge.apply_list("etcd", "c1", 1, [entry(name) for name in names])
-    rest = [entry(name) for name in names[:left]]
-    rest[:1] = [entry("n0", DRAINING)] if rest else []
-    merge.apply_list("etcd", "c1", 2, rest)
+    remaining = [entry(name) for name in names[:left]]
+    remaining[:1] = [entry("n0", DRAINING)] if remaining else []
+    merge.apply_list("etcd", "c1", 2, remaining)
     assert len(merge.endpoints()) == 12 and state(merge, "n11") is READY
-    assert not rest or state(merge, "n0") is DRAINING  # its drains count
-    merge.apply_list("etcd", "c1", 3, rest)  # it says so again
+    assert not remaining or state(merge, "n0") is DRAINING  # drains in the list count
+    merge.apply_list("etcd", "c1", 3, remaining)  # the next revision confirms it
     assert len(merge.endpoints()) == left
 
 
-def test_a_list_that_leaves_out_a_few_is_believed() -> None:
+def test_a_list_that_lacks_a_few_endpoints_removes_them() -> None:
     merge = MembershipMerge(["etcd"])
     merge.apply_list("etcd", "c1", 1, [entry(f"n{number}") for number in range(12)])
     assert merge.apply_list("etcd", "c1", 2, [entry(f"n{number}") for number in range(10)]) == {"n10", "n11"}
@@ -144,14 +145,14 @@
         (b'{"health": "in_service", "dial": "a:1", "site": 3}', "site is"),
     ],
 )
-def test_an_entry_that_can_t_be_used(value: bytes, part: str) -> None:
-    with pytest.raises(EntryError) as found:
+def test_an_invalid_entry_is_rejected_with_one_short_line(value: bytes, part: str) -> None:
+    with pytest.raises(EntryError) as raised:
         parse_entry("a", value)
-    assert part in str(found.value) and "\n" not in str(found.value) and len(str(found.value)) < 300
+    assert part in str(raised.value) and "\n" not in str(raised.value) and len(str(raised.value)) < 300
 
 
-def test_an_entry() -> None:
-    told = {
+def test_a_valid_entry_is_parsed() -> None:
+    fields = {
         "host": "a",
         "dial": "10.1.0.18:3000",
         "dial_grpc": "10.1.0.18:3001",
@@ -162,8 +163,8 @@
         "share": 0.5,
         "born_ms": 7,
     }
-    found = parse_entry("a", json.dumps(told).encode())
-    assert found == EndpointEntry("a", DRAINING, "10.1.0.18:3000", "10.1.0.18:3001", "a", "m2", 3, 0.5, 7)
+    parsed = parse_entry("a", json.dumps(fields).encode())
+    assert parsed == EndpointEntry("a", DRAINING, "10.1.0.18:3000", "10.1.0.18:3001", "a", "m2", 3, 0.5, 7)
     assert parse_entry("a", b'{"health": "terminated"}') == EndpointEntry("a", GONE)
 
 
@@ -171,7 +172,7 @@
 STATES = st.sampled_from([READY, READY, DRAINING])
 
 
-def test_a_start_told_by_a_source_that_has_lost_its_opinion_still_ends_an_older_drain() -> None:
+def test_a_start_reported_by_a_source_whose_record_was_dropped_still_ends_an_older_drain() -> None:
     merge = MembershipMerge(["etcd", "roster"])
     nodes = [entry(f"n{number}") for number in range(10)]
     merge.apply_list("etcd", "c1", 1, nodes)
@@ -184,8 +185,10 @@
 
 
 class Sources(RuleBasedStateMachine):
-    """Two sources in any order, with old answers, restored clusters and restarts. What is asserted is kept in
-    plain words beside: who has drained what and has not taken it back."""
+    """Two sources in any order, with outdated answers, restored clusters and restarts.
+
+    The model keeps beside the merge which source has drained which start of an endpoint and not ended it.
+    """
 
     @initialize()
     def begin(self) -> None:
@@ -193,20 +196,20 @@
         self.epoch = {"one": 1, "two": 1}
         self.revision = {"one": 0, "two": 0}
         self.born = dict.fromkeys(NAMES, 1)
-        self.drains: dict[tuple[str, str], int] = {}  # by whom, whom: the start that was drained
+        self.drains: dict[tuple[str, str], int] = {}  # (source, name) to the start that was drained
         for source in self.epoch:
             self.merge.apply_list(source, "1", 0, [entry(name, born_ms=1) for name in NAMES])
 
-    @rule(source=st.sampled_from(["one", "two"]), name=st.sampled_from(NAMES), told=STATES)
-    def change(self, source: str, name: str, told: UpstreamState) -> None:
+    @rule(source=st.sampled_from(["one", "two"]), name=st.sampled_from(NAMES), new_state=STATES)
+    def change(self, source: str, name: str, new_state: UpstreamState) -> None:
         self.revision[source] += 1
         self.merge.apply_changes(
             source,
             str(self.epoch[source]),
             self.revision[source],
-            [(name, entry(name, told, self.born[name]))],
+            [(name, entry(name, new_state, self.born[name]))],
         )
-        if told is DRAINING:
+        if new_state is DRAINING:
             self.drains[source, name] = self.born[name]
         else:
             self.drains.pop((source, name), None)
@@ -218,15 +221,17 @@
 
     @rule(source=st.sampled_from(["one", "two"]), back=st.integers(1, 5), name=st.sampled_from(NAMES))
     def old_answer(self, source: str, back: int, name: str) -> None:
-        """A member that lags: a list and a change of before."""
+        """A lagging member of a cluster answers with a list and a change of an older revision."""
         if self.revision[source] >= back:
             epoch, revision = str(self.epoch[source]), self.revision[source] - back
-            assert self.merge.apply_list(source, epoch, revision, [entry(one) for one in NAMES]) == set()
+            assert (
+                self.merge.apply_list(source, epoch, revision, [entry(listed) for listed in NAMES]) == set()
+            )
             assert self.merge.apply_changes(source, epoch, revision, [(name, entry(name))]) == set()
 
     @rule(source=st.sampled_from(["one", "two"]))
     def restored(self, source: str) -> None:
-        """Another cluster, that knows nothing of drains."""
+        """A restored cluster has a new epoch and no drains."""
         self.epoch[source] += 1
         self.revision[source] = 0
         self.merge.apply_list(
@@ -235,12 +240,12 @@
 
     @rule(later=st.integers(0, 1))
     def empty(self, later: int) -> None:
-        """Once or often, at the same revision or at newer ones: always of the same source."""
+        """One source sends empty lists, once or often, at the same revision or at newer ones."""
         self.revision["one"] += later
         self.merge.apply_list("one", str(self.epoch["one"]), self.revision["one"], [])
 
     @invariant()
-    def a_drained_node_gets_nothing(self) -> None:
+    def a_drained_endpoint_is_not_ready(self) -> None:
         if not hasattr(self, "drains"):
             return
         for (_, name), born in self.drains.items():
@@ -248,7 +253,7 @@
                 assert state(self.merge, name) is not READY, name
 
     @invariant()
-    def an_empty_answer_of_one_source_never_empties_the_fleet(self) -> None:
+    def empty_lists_of_one_source_never_empty_the_fleet(self) -> None:
         if hasattr(self, "merge"):
             for name in NAMES:
                 born = self.born[name]
--- a/tests/discovery/test_sidecar.py
+++ b/tests/discovery/test_sidecar.py
@@ -1,4 +1,4 @@
-"""etcd beside the roster on a real sidecar: who is drained in either gets nothing new."""
+"""etcd beside the roster on a real sidecar: an endpoint drained in either gets no new requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Etcd:
-    """The stand-in, in a thread of its own."""
+    """The stand-in of etcd in its own thread."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -44,29 +44,31 @@
         return self.wait(run())
 
     def put(self, upstream: Upstream, **changes: Any) -> None:
-        told: dict[str, Any] = {"dial": upstream.address, "block": 0, "class": "m"}
-        data = value(**(told | changes))
+        fields: dict[str, Any] = {"dial": upstream.address, "block": 0, "class": "m"}
+        data = value(**(fields | changes))
         self.do(lambda: self.store.commit((f"/n/{upstream.name}", data)))
 
-    def back(self) -> None:
+    def restart(self) -> None:
         self.wait(self.member.serve(int(self.address.rpartition(":")[2])))
 
 
-def sidecar_of(roster: list[Upstream], discovery: Discovery, path: Path) -> Sidecar:
-    """With the libraries that etcd needs, which the deployed environment does not have."""
+def new_sidecar(roster: list[Upstream], discovery: Discovery, path: Path) -> Sidecar:
+    """Return a sidecar with the libraries for etcd, which the deployed environment does not have."""
     sidecar = Sidecar(roster, discovery, env={"SIDECAR_PROXY_OPERATOR": str(path)})
     sidecar.command = f"exec {sys.executable} -B -m sidecar_proxy.daemon"
     return sidecar
 
 
 @contextmanager
-def scene(roster: list[Upstream], etcd: Etcd, more: str = "") -> Iterator[tuple[Sidecar, Discovery]]:
+def running_sidecar(
+    roster: list[Upstream], etcd: Etcd, extra_config: str = ""
+) -> Iterator[tuple[Sidecar, Discovery]]:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "operator.toml"
-        path.write_text(f'[membership.etcd]\nendpoints = ["{etcd.address}"]\nprefix = "/n/"\n{more}')
-        entries = [one.entry() for one in roster]
-        with Discovery(entries) as discovery, sidecar_of(roster, discovery, path) as s:
-            yield s, discovery
+        path.write_text(f'[membership.etcd]\nendpoints = ["{etcd.address}"]\nprefix = "/n/"\n{extra_config}')
+        entries = [upstream.entry() for upstream in roster]
+        with Discovery(entries) as discovery, new_sidecar(roster, discovery, path) as sidecar:
+            yield sidecar, discovery
             etcd.do(etcd.member.stop)
 
 
@@ -74,12 +76,12 @@
     return {sidecar.request("GET", "/read/7").body for _ in range(count)}
 
 
-def test_a_drain_in_etcd_counts_though_the_roster_lists_the_node() -> None:
+def test_a_drain_in_etcd_counts_although_the_roster_lists_the_endpoint() -> None:
     with Upstream(b"one") as one, Upstream(b"two") as two:
         etcd = Etcd()
         etcd.put(one)
         etcd.put(two)
-        with scene([one, two], etcd) as (sidecar, discovery):
+        with running_sidecar([one, two], etcd) as (sidecar, discovery):
             eventually(lambda: etcd.member.watchers)
             eventually(lambda: bodies(sidecar) == {b"one", b"two"})
             etcd.put(one, health="terminating")
@@ -92,12 +94,12 @@
             eventually(lambda: b"one" in bodies(sidecar))
 
 
-def test_a_drain_in_the_roster_counts_though_etcd_lists_the_node() -> None:
+def test_a_drain_in_the_roster_counts_although_etcd_lists_the_endpoint() -> None:
     with Upstream(b"one") as one, Upstream(b"two") as two:
         etcd = Etcd()
         etcd.put(one)
         etcd.put(two)
-        with scene([one, two], etcd) as (sidecar, discovery):
+        with running_sidecar([one, two], etcd) as (sidecar, discovery):
             eventually(lambda: etcd.member.watchers)
             discovery.tell(one.entry(health="terminating"))
             eventually(lambda: bodies(sidecar) == {b"two"})
@@ -108,11 +110,11 @@
             assert bodies(sidecar) == {b"two"} and len(one.requests) == before
 
 
-def test_a_node_that_etcd_alone_knows_is_used_and_a_new_start_ends_a_drain() -> None:
+def test_an_endpoint_of_etcd_alone_is_used_and_a_new_start_ends_a_drain() -> None:
     with Upstream(b"one") as one, Upstream(b"two") as two:
         etcd = Etcd()
         etcd.put(two, health="terminating", born_ms=5)
-        with scene([one], etcd) as (sidecar, discovery):
+        with running_sidecar([one], etcd) as (sidecar, _):
             eventually(lambda: etcd.member.watchers)
             assert bodies(sidecar) == {b"one"}
             etcd.put(two, born_ms=6)
@@ -121,11 +123,11 @@
             eventually(lambda: bodies(sidecar) == {b"one"})
 
 
-def test_while_etcd_is_away_the_last_known_nodes_stay_and_nothing_is_refused() -> None:
+def test_while_etcd_is_down_the_last_known_endpoints_stay_and_no_request_is_rejected() -> None:
     with Upstream(b"one") as one, Upstream(b"two") as two:
         etcd = Etcd()
         etcd.put(two)
-        with scene([one], etcd) as (sidecar, discovery):
+        with running_sidecar([one], etcd) as (sidecar, _):
             eventually(lambda: bodies(sidecar) == {b"one", b"two"})
             etcd.do(etcd.member.stop)
             end = time.monotonic() + 1.0
@@ -134,44 +136,48 @@
                 statuses.append(sidecar.request("GET", "/read/7").status)
             assert set(statuses) == {200} and bodies(sidecar) == {b"one", b"two"}
             etcd.put(two, health="terminating")
-            etcd.back()
+            etcd.restart()
             eventually(lambda: bodies(sidecar) == {b"one"})
 
 
-def test_members_tells_what_each_source_says_and_what_came_of_it(tmp_path: Path) -> None:
+def test_members_prints_the_report_of_each_source_and_the_merged_state(tmp_path: Path) -> None:
     path = tmp_path / "members"
     with Upstream(b"one") as one, Upstream(b"two") as two:
         etcd = Etcd()
         etcd.put(one, health="terminating")
-        with scene([one, two], etcd, f'[membership]\nsocket = "{path}"\n') as (sidecar, discovery):
+        with running_sidecar([one, two], etcd, f'[membership]\nsocket = "{path}"\n') as (sidecar, _):
             eventually(lambda: etcd.member.watchers)
             eventually(lambda: bodies(sidecar) == {b"two"})
             assert stat.S_IMODE(path.stat().st_mode) == 0o600
-            sources, first, second = sorted(show.read(str(path)), key=lambda told: told.get("name", ""))
+            sources, first, second = sorted(
+                show.read(str(path)), key=lambda document: document.get("name", "")
+            )
             assert sources["sources"]["etcd"]["epoch"] == "7"
             assert (first["name"], first["state"], first["because"]) == (one.name, "draining", "etcd")
             assert first["words"]["roster"]["state"] == "ready" and first["decisions"] == "draining"
             assert abs(first["words"]["etcd"]["since"] - time.time()) < 2 * LONG_S
             assert (second["name"], second["state"], second["because"]) == (two.name, "ready", "roster")
-            asked = [sys.executable, "-m", "sidecar_proxy", "members", str(path)]
-            told = subprocess.run(asked, cwd=ROOT, capture_output=True, text=True, timeout=LONG_S, check=True)
-            assert f"{one.name}  draining (etcd)  {one.address}" in told.stdout
-            # a reader that does not read holds nobody up; what is no socket is not taken away
-            silent = [socket.socket(socket.AF_UNIX) for _ in range(10)]
-            for reader in silent:
+            command = [sys.executable, "-m", "sidecar_proxy", "members", str(path)]
+            printed = subprocess.run(
+                command, cwd=ROOT, capture_output=True, text=True, timeout=LONG_S, check=True
+            )
+            assert f"{one.name}  draining (etcd)  {one.address}" in printed.stdout
+            # Readers that connect and do not read must not block requests.
+            idle_readers = [socket.socket(socket.AF_UNIX) for _ in range(10)]
+            for reader in idle_readers:
                 reader.connect(str(path))
             assert bodies(sidecar) == {b"two"}
-            for reader in silent:
+            for reader in idle_readers:
                 reader.close()
             assert sidecar.stop() == 0 and not path.exists()
-    asked = [sys.executable, "-m", "sidecar_proxy", "members", str(path)]
-    assert subprocess.run(asked, cwd=ROOT, capture_output=True, timeout=LONG_S).returncode == 1
+    command = [sys.executable, "-m", "sidecar_proxy", "members", str(path)]
+    assert subprocess.run(command, cwd=ROOT, capture_output=True, timeout=LONG_S).returncode == 1
 
 
-def test_a_socket_left_by_a_killed_process_is_taken_over_and_a_file_is_not(tmp_path: Path) -> None:
+def test_a_socket_left_by_a_killed_process_is_removed_and_a_file_is_not(tmp_path: Path) -> None:
     path = tmp_path / "members"
-    with socket.socket(socket.AF_UNIX) as left:
-        left.bind(str(path))
+    with socket.socket(socket.AF_UNIX) as stale:
+        stale.bind(str(path))
     status_socket.remove_stale_socket(str(path))
     assert not path.exists()
     path.write_text("mine")
@@ -179,17 +185,17 @@
     assert path.read_text() == "mine"
 
 
-def test_a_cluster_that_is_not_there_at_the_start_keeps_nobody_waiting() -> None:
+def test_a_cluster_that_is_down_at_the_start_does_not_delay_requests() -> None:
     with Upstream(b"one") as one:
         etcd = Etcd()
         etcd.do(etcd.member.stop)
-        with scene([one], etcd) as (sidecar, discovery):
+        with running_sidecar([one], etcd) as (sidecar, _):
             assert bodies(sidecar) == {b"one"}
             assert sidecar.stop() == 0
 
 
 @pytest.mark.parametrize(
-    ("more", "key"),
+    ("extra_config", "key"),
     [
         ('username = "u"\n', "membership.etcd.username"),
         ('tls_ca = "/nowhere"\n', "membership.etcd.tls_ca"),
@@ -197,12 +203,12 @@
         ("password_file = 5\n", "membership.etcd.password_file"),
     ],
 )
-def test_what_can_not_be_used_ends_the_start_with_one_line(more: str, key: str, tmp_path: Path) -> None:
+def test_an_invalid_setting_ends_the_start_with_one_line(extra_config: str, key: str, tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
-    path.write_text(f'[membership.etcd]\nendpoints = ["127.0.0.1:1"]\n{more}')
+    path.write_text(f'[membership.etcd]\nendpoints = ["127.0.0.1:1"]\n{extra_config}')
     with Discovery([]) as discovery:
-        sidecar = sidecar_of([], discovery, path)
-        starting = threading.Thread(target=enter, args=(sidecar,))
+        sidecar = new_sidecar([], discovery, path)
+        starting = threading.Thread(target=enter_ignoring_failure, args=(sidecar,))
         starting.start()
         eventually(lambda: sidecar.lines)
         assert sidecar.process.wait(LONG_S) == 2
@@ -210,8 +216,8 @@
         starting.join(2 * LONG_S)
 
 
-def enter(sidecar: Sidecar) -> None:
+def enter_ignoring_failure(sidecar: Sidecar) -> None:
     try:
         sidecar.__enter__()
     except AssertionError:
-        return  # it never listens
+        return  # the sidecar exits before it listens
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,5 +1,8 @@
-"""What a large fleet does to one real sidecar, on loopback sockets: discovery that is behind, upstreams with
-no room for a connection, most of them replaced at once, and a start with a list that has grown old."""
+"""Faults of large fleets against one real sidecar on loopback sockets.
+
+Truncated discovery replies, upstreams that accept no connections, most upstreams replaced at once, and a
+start with an outdated list.
+"""
 
 from __future__ import annotations
 
@@ -32,93 +35,96 @@
 )
 
 
-def serves(sidecar: Sidecar) -> bool:
+def is_serving(sidecar: Sidecar) -> bool:
     return sidecar.request("POST", "/pay/7", b"x").status == 200
 
 
-class Behind(Discovery):
-    """Does with its first calls what `cuts` says, in turn, and answers the later ones."""
+class FaultyDiscovery(Discovery):
+    """Answers its first calls with the truncated replies, in turn, and the later ones completely."""
 
-    def __init__(self, hosts: list[dict[str, Any]], cuts: list[bytes]) -> None:
-        self.cuts = cuts
+    def __init__(self, hosts: list[dict[str, Any]], truncated_replies: list[bytes]) -> None:
+        self.truncated_replies = truncated_replies
         super().__init__(hosts)
 
     def serve(self, client: socket.socket) -> None:
-        if self.cuts:
-            cut = self.cuts.pop(0)
+        if self.truncated_replies:
+            reply = self.truncated_replies.pop(0)
             self.calls.append(client.recv(4096).decode().partition("\r\n")[0])
-            client.sendall(cut)
-            return  # and the connection ends
+            client.sendall(reply)
+            return  # which closes the connection
         super().serve(client)
 
 
-class Crowded(Listener):
-    """Has no room: takes a connection and closes it at once."""
+class ClosingListener(Listener):
+    """Accepts a connection and closes it at once, as an upstream without free descriptors does."""
 
     def serve(self, client: socket.socket) -> None:
         return
 
 
 @pytest.mark.parametrize("instances", ["3", "40"])
-def test_calls_that_are_cut_off_midway_change_nothing_and_are_made_again(instances: str) -> None:
+def test_truncated_discovery_replies_change_nothing_and_the_calls_are_repeated(instances: str) -> None:
     whole = b'{"seq":9,"whole":true,"hosts":[]}\n'
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    cuts = [b"", chunked + b"%x\r\n%s" % (len(whole), whole[:20])]  # no answer; half a list that empties it
+    truncated_replies = [
+        b"",  # no reply
+        chunked + b"%x\r\n%s" % (len(whole), whole[:20]),  # a part of a complete list that has no entries
+    ]
     with (
         Upstream(body=b"ok") as old,
         Upstream(body=b"ok") as new,
-        Behind([new.entry()], cuts) as discovery,
+        FaultyDiscovery([new.entry()], truncated_replies) as discovery,
         Sidecar([old], discovery, instances=instances) as sidecar,
     ):
-        eventually(lambda: serves(sidecar) and len(discovery.calls) >= 2)
+        eventually(lambda: is_serving(sidecar) and len(discovery.calls) >= 2)
         eventually(lambda: discovery.watches)
         before = len(old.requests)
-        eventually(lambda: serves(sidecar) and new.requests)
-        assert len(old.requests) <= before + 1  # one may have been on its way when the list came
-        told = [line for line in sidecar.lines if "discovery: " in line]
-        assert 1 <= len(told) <= 2, told
+        eventually(lambda: is_serving(sidecar) and new.requests)
+        assert len(old.requests) <= before + 1  # one may have been in flight when the list arrived
+        warnings = [line for line in sidecar.lines if "discovery: " in line]
+        assert 1 <= len(warnings) <= 2, warnings
 
 
-def test_an_upstream_without_room_for_a_connection_costs_no_unsafe_request_twice() -> None:
-    with Crowded() as crowded, Upstream(body=b"ok") as free:
-        full = free.entry(host="s-crowded", dial=crowded.address)
+def test_an_upstream_that_closes_connections_causes_no_unsafe_request_to_run_twice() -> None:
+    with ClosingListener() as closing, Upstream(body=b"ok") as free:
+        full = free.entry(host="s-crowded", dial=closing.address)
         with Sidecar([], known=[full, free.entry()], instances="40") as sidecar:
-            found = Counter(sidecar.request("POST", "/pay/7", b"%d" % n).status for n in range(40))
-            assert eventually(lambda: crowded.accepted)
-        assert found[200] >= 30, found  # it is soon avoided
-        assert set(found) <= {200, 502, 503}, found
+            statuses = Counter(sidecar.request("POST", "/pay/7", b"%d" % n).status for n in range(40))
+            assert eventually(lambda: closing.accepted)
+        assert statuses[200] >= 30, statuses  # the upstream is soon avoided
+        assert set(statuses) <= {200, 502, 503}, statuses
         assert max(Counter(free.bodies()).values()) == 1
-        assert len(free.bodies()) == found[200]
-
-
-def test_a_listed_address_that_nobody_answers_costs_time_and_no_request() -> None:
-    """Its backlog is full, so a connection to it never comes up."""
-    with socket.create_server(("127.0.0.1", 0), backlog=0) as mute, Upstream(body=b"ok") as free:
-        waiting = []
-        for _ in range(8):  # more than any backlog of 0 holds
-            one = socket.socket()
-            one.setblocking(False)
-            one.connect_ex(mute.getsockname())
-            waiting.append(one)
-        silent = free.entry(host="s-mute", dial=f"127.0.0.1:{mute.getsockname()[1]}")
-        with Sidecar([], known=[silent, free.entry()], instances="3") as sidecar:
+        assert len(free.bodies()) == statuses[200]
+
+
+def test_an_upstream_that_accepts_no_connections_delays_requests_and_fails_none() -> None:
+    """The listen backlog of the upstream is full, so a connection to it is never established."""
+    with socket.create_server(("127.0.0.1", 0), backlog=0) as full_listener, Upstream(body=b"ok") as free:
+        blockers = []
+        for _ in range(8):  # more than a backlog of 0 takes
+            blocker = socket.socket()
+            blocker.setblocking(False)
+            blocker.connect_ex(full_listener.getsockname())
+            blockers.append(blocker)
+        unreachable = free.entry(host="s-mute", dial=f"127.0.0.1:{full_listener.getsockname()[1]}")
+        with Sidecar([], known=[unreachable, free.entry()], instances="3") as sidecar:
             start = time.monotonic()
-            found = [sidecar.request("POST", "/pay/7", b"%d" % n).status for n in range(20)]
-            assert time.monotonic() - start >= 0.14  # the dial's time-out: it was tried
-        for one in waiting:
-            one.close()
-        assert found == [200] * 20  # each went on elsewhere: nothing of it had been written
+            statuses = [sidecar.request("POST", "/pay/7", b"%d" % n).status for n in range(20)]
+            assert time.monotonic() - start >= 0.14  # the connect timeout, so the upstream was tried
+        for blocker in blockers:
+            blocker.close()
+        assert statuses == [200] * 20  # retried on the other upstream: no byte of them had been written
         assert sorted(free.bodies()) == sorted(b"%d" % n for n in range(20))
 
 
-def test_six_in_ten_are_replaced_while_each_has_requests_out() -> None:
-    go = threading.Event()
+def test_six_of_ten_upstreams_are_replaced_while_each_has_a_request_in_flight() -> None:
+    release = threading.Event()
 
-    def held(request: Message, client: socket.socket) -> bytes:
-        assert go.wait(LONG_S)
+    def delayed_answer(request: Message, client: socket.socket) -> bytes:
+        assert release.wait(LONG_S)
         return answer(request.body)
 
-    old = [Upstream(script=held) for _ in range(10)]
+    old = [Upstream(script=delayed_answer) for _ in range(10)]
     new = [Upstream(script=lambda request, client: answer(request.body)) for _ in range(6)]
     try:
         with Sidecar(old, instances="1") as sidecar:
@@ -130,10 +136,10 @@
             sidecar.discovery.tell(
                 *[one.entry(health="terminating") for one in old[:6]], *[one.entry() for one in new]
             )
-            go.set()
+            release.set()
             for n, client in enumerate(clients):
-                found = client.read()
-                assert found is not None and (found.status, found.body) == (200, b"held %d" % n)
+                response = client.read()
+                assert response is not None and (response.status, response.body) == (200, b"held %d" % n)
                 client.close()
             eventually(
                 lambda: (
@@ -151,13 +157,13 @@
         bodies = Counter(body for one in [*old, *new] for body in one.bodies() if body != b"probe")
         assert set(bodies.values()) == {1} and len(bodies) == 40  # rule 2
     finally:
-        go.set()
+        release.set()
         for one in [*old, *new]:
             one.__exit__()
 
 
 @pytest.mark.parametrize("instances", ["3", "40"])
-def test_a_start_with_a_list_that_has_grown_old_or_is_empty(instances: str) -> None:
+def test_a_start_with_an_outdated_or_empty_list(instances: str) -> None:
     with Upstream() as gone, Upstream(body=b"ok") as new:
         gone.__exit__()
         for known in ([], [gone.entry()]):
@@ -166,12 +172,12 @@
                 Sidecar([], discovery, known=known, instances=instances) as sidecar,
             ):
                 first = sidecar.request("POST", "/pay/7", b"x")
-                assert first.status in (200, 502, 503, 504)  # answered, whatever is known
-                eventually(partial(serves, sidecar))
+                assert first.status in (200, 502, 503, 504)  # answered, whatever upstreams are known
+                eventually(partial(is_serving, sidecar))
         assert max(Counter(request.headers["req-id"] for request in new.requests).values()) == 1
 
 
-def test_a_start_with_a_malformed_list_is_told_in_one_line(tmp_path: Path) -> None:
+def test_a_start_with_a_malformed_list_fails_with_one_line(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
     file.write_text(
         json.dumps(
@@ -189,7 +195,7 @@
         "PROXY_CONFIG": str(file),
         "PROXY_DISCOVERY": "127.0.0.1:1",
     }
-    done = subprocess.run(
+    completed = subprocess.run(
         ["/bin/sh", "-c", str(DEPLOY["run"])],
         cwd=ROOT,
         env=env,
@@ -197,4 +203,6 @@
         text=True,
         timeout=LONG_S,
     )
-    assert done.returncode == 2 and len(done.stderr.splitlines()) == 1 and "known" in done.stderr, done.stderr
+    assert (
+        completed.returncode == 2 and len(completed.stderr.splitlines()) == 1 and "known" in completed.stderr
+    ), completed.stderr
