--- a/sidecar_proxy/discovery/endpoint_list.py
+++ b/sidecar_proxy/discovery/endpoint_list.py
@@ -176,7 +176,7 @@
 class EndpointListParser:
     """Parses one JSON object of the platform's discovery service in steps.
 
-    An invalid list leaves nothing behind: the numbers assigned to its new names are removed again.
+    The numbers that an invalid list has assigned to new endpoint names are removed again.
     """
 
     def __init__(self, directory: EndpointDirectory, text: str) -> None:
--- a/sidecar_proxy/discovery/platform_client.py
+++ b/sidecar_proxy/discovery/platform_client.py
@@ -32,7 +32,7 @@
 CONNECT_TIMEOUT_S = 2.0
 RESPONSE_TIMEOUT_S = 4.5  # until the first data of a call; discovery queues calls for some seconds
 # 1.5 heartbeat intervals of 2 s. What a silent watch fails to deliver counts as delivered 6 s after its last
-# data; the rest of that time is left for the new calls of many sidecars, which discovery queues.
+# data; in the remaining time discovery, which queues calls, has to answer the new calls of many sidecars.
 WATCH_IDLE_TIMEOUT_S = 3.0
 # Timeouts where lists are pushed: the agent runs on this machine and answers at once.
 AGENT_CONNECT_TIMEOUT_S = 0.5
@@ -337,7 +337,7 @@
     def enqueue_objects(self) -> None:
         """Queue the complete objects, up to the first one that is not processed at once.
 
-        Chunks and lines need not end together, and an object may take many lines.
+        Chunks and lines need not end together, and an object may span several lines.
         """
         try:
             while not self.is_closed and not self.is_paused and (text := self.next_object()) is not None:
--- a/tests/discovery/test_etcd.py
+++ b/tests/discovery/test_etcd.py
@@ -48,18 +48,18 @@
         self.merge.apply_changes(source, epoch, revision, changes)
 
     def state(self, name: str) -> UpstreamState | None:
-        member = self.merge.endpoint(name)
-        return member.entry.state if member is not None else None
+        endpoint = self.merge.endpoint(name)
+        return endpoint.entry.state if endpoint is not None else None
 
 
-async def until(condition: Callable[[], Any]) -> None:
+async def wait_until(condition: Callable[[], Any]) -> None:
     end = asyncio.get_running_loop().time() + LONG_S
     while not condition():
         assert asyncio.get_running_loop().time() < end, "the condition did not become true in time"
         await asyncio.sleep(0.002)
 
 
-class Scene:
+class Scenario:
     """A cluster with a few endpoints, and a source that follows it."""
 
     def __init__(self, members: int = 1, **config: Any) -> None:
@@ -68,9 +68,9 @@
         self.config = config
         self.tls: list[ssl.SSLContext | None] = [None] * members
 
-    async def start(self, nodes: int = 5) -> None:
-        for at in range(0, nodes, 100):
-            self.store.commit(*[(f"/n/s-{n}", value()) for n in range(at, min(at + 100, nodes))])
+    async def start(self, endpoint_count: int = 5) -> None:
+        for at in range(0, endpoint_count, 100):
+            self.store.commit(*[(f"/n/s-{n}", value()) for n in range(at, min(at + 100, endpoint_count))])
         addresses = tuple(
             [await member.serve(0, tls) for member, tls in zip(self.members, self.tls, strict=True)]
         )
@@ -80,9 +80,11 @@
         self.source = EtcdSource(config, follower, self.listener, now_us)
         self.source.start()
 
-    async def listed(self, nodes: int = 5) -> None:
-        await until(lambda: len(self.listener.merge.endpoints()) == nodes and self.follower.state == "watch")
-        await until(lambda: any(member.watchers for member in self.members))
+    async def wait_until_listed(self, endpoint_count: int = 5) -> None:
+        await wait_until(
+            lambda: len(self.listener.merge.endpoints()) == endpoint_count and self.follower.state == "watch"
+        )
+        await wait_until(lambda: any(member.watchers for member in self.members))
 
     def current(self) -> Member:
         """Return the member that is followed."""
@@ -94,147 +96,149 @@
             member.stop()
 
 
-def play(test: Callable[[Scene], Awaitable[None]], members: int = 1, **config: Any) -> None:
+def run_scenario(test: Callable[[Scenario], Awaitable[None]], members: int = 1, **config: Any) -> None:
     async def run() -> None:
-        scene = Scene(members, **config)
+        scenario = Scenario(members, **config)
         try:
-            await asyncio.wait_for(test(scene), 2 * LONG_S)
+            await asyncio.wait_for(test(scenario), 2 * LONG_S)
         finally:
-            scene.close()
+            scenario.close()
 
     uvloop.run(run())
 
 
 def test_a_drain_and_a_deletion_are_received_on_the_watch() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
-        scene.store.commit(("/n/s-1", value("terminating")), ("/n/s-2", None))
-        await until(lambda: scene.listener.state("s-1") is DRAINING and scene.listener.state("s-2") is None)
-        scene.store.commit(("/other", b"x"))
-        scene.store.commit(("/n/s-1", value()))
-        await until(lambda: scene.listener.state("s-1") is READY)
-        assert scene.listener.list_count == 1
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
+        scenario.store.commit(("/n/s-1", value("terminating")), ("/n/s-2", None))
+        await wait_until(
+            lambda: scenario.listener.state("s-1") is DRAINING and scenario.listener.state("s-2") is None
+        )
+        scenario.store.commit(("/other", b"x"))
+        scenario.store.commit(("/n/s-1", value()))
+        await wait_until(lambda: scenario.listener.state("s-1") is READY)
+        assert scenario.listener.list_count == 1
 
-    play(test)
+    run_scenario(test)
 
 
 def test_ten_thousand_keys_are_listed_in_pages() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start(10_000)
-        await scene.listed(10_000)
+    async def test(scenario: Scenario) -> None:
+        await scenario.start(10_000)
+        await scenario.wait_until_listed(10_000)
         pages, reads = 10, 1  # the read of the first check
-        assert scene.members[0].calls.count("/etcdserverpb.KV/Range") == pages + reads
+        assert scenario.members[0].calls.count("/etcdserverpb.KV/Range") == pages + reads
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_drain_in_compacted_revisions_is_received_by_a_new_list() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
-        port = int(scene.members[0].address.rpartition(":")[2])
-        scene.members[0].stop()
-        scene.store.commit(("/n/s-1", value("terminating")))
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
+        port = int(scenario.members[0].address.rpartition(":")[2])
+        scenario.members[0].stop()
+        scenario.store.commit(("/n/s-1", value("terminating")))
         for number in range(500):
-            scene.store.commit(("/n/s-2", value(share=number)))
-        scene.store.compact()
-        assert scene.listener.state("s-1") is READY  # the last known state stays
-        await scene.members[0].serve(port)
-        await until(lambda: scene.listener.state("s-1") is DRAINING)
-        assert scene.listener.list_count == 2 and len(scene.listener.merge.endpoints()) == 5
+            scenario.store.commit(("/n/s-2", value(share=number)))
+        scenario.store.compact()
+        assert scenario.listener.state("s-1") is READY  # the last known state stays
+        await scenario.members[0].serve(port)
+        await wait_until(lambda: scenario.listener.state("s-1") is DRAINING)
+        assert scenario.listener.list_count == 2 and len(scenario.listener.merge.endpoints()) == 5
 
-    play(test)
+    run_scenario(test)
 
 
 def test_changes_during_a_disconnection_are_received_without_a_new_list() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
-        port = int(scene.members[0].address.rpartition(":")[2])
-        scene.members[0].stop()
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
+        port = int(scenario.members[0].address.rpartition(":")[2])
+        scenario.members[0].stop()
         for number in range(500):
             health = "terminating" if number >= 495 else "in_service"
-            scene.store.commit((f"/n/s-{number % 5}", value(health)))
-        await scene.members[0].serve(port)
-        await until(lambda: all(scene.listener.state(f"s-{n}") is DRAINING for n in range(5)))
-        assert scene.listener.list_count == 1 and len(scene.listener.revisions) == 500
+            scenario.store.commit((f"/n/s-{number % 5}", value(health)))
+        await scenario.members[0].serve(port)
+        await wait_until(lambda: all(scenario.listener.state(f"s-{n}") is DRAINING for n in range(5)))
+        assert scenario.listener.list_count == 1 and len(scenario.listener.revisions) == 500
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_member_at_an_older_revision_does_not_undo_a_drain() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
-        scene.store.commit(("/n/s-1", value("terminating")))
-        await until(lambda: scene.listener.state("s-1") is DRAINING)
-        old = scene.current()
-        for member in scene.members:
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
+        scenario.store.commit(("/n/s-1", value("terminating")))
+        await wait_until(lambda: scenario.listener.state("s-1") is DRAINING)
+        old = scenario.current()
+        for member in scenario.members:
             if member is not old:
-                member.limit = scene.store.revision - 1
-        scene.follower.must_list = True  # it has to list, and the other member is at an older revision
+                member.limit = scenario.store.revision - 1
+        scenario.follower.must_list = True  # it has to list, and the other member is at an older revision
         old.stop()
-        await until(lambda: scene.follower.failed_tries >= 3)
-        assert scene.listener.state("s-1") is DRAINING and scene.listener.list_count == 1
+        await wait_until(lambda: scenario.follower.failed_tries >= 3)
+        assert scenario.listener.state("s-1") is DRAINING and scenario.listener.list_count == 1
 
-    play(test, members=2)
+    run_scenario(test, members=2)
 
 
 def test_a_member_that_is_cut_off_or_silent_is_left_for_another() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
         for fault in ("silent", "cut_off"):
-            old = scene.current()
+            old = scenario.current()
             setattr(old, fault, True)
-            scene.store.commit(("/n/s-1", value("terminating" if fault == "silent" else "in_service")))
-            await until(
+            scenario.store.commit(("/n/s-1", value("terminating" if fault == "silent" else "in_service")))
+            await wait_until(
                 lambda fault=fault: (
-                    scene.listener.state("s-1")  # type: ignore[misc]
+                    scenario.listener.state("s-1")  # type: ignore[misc]
                     is (DRAINING if fault == "silent" else READY)
                 )
             )
-            await until(lambda old=old: scene.current() is not old)  # type: ignore[misc]
-        assert scene.listener.list_count == 1
+            await wait_until(lambda old=old: scenario.current() is not old)  # type: ignore[misc]
+        assert scenario.listener.list_count == 1
 
-    play(test, members=3)
+    run_scenario(test, members=3)
 
 
 def test_a_member_that_falls_behind_is_left_although_it_answers_on_the_watch() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
-        old = scene.current()
-        old.limit, old.lags = scene.store.revision, True
-        scene.store.commit(("/n/s-1", value("terminating")))
-        await until(lambda: scene.listener.state("s-1") is DRAINING)
-        assert scene.current() is not old and scene.listener.list_count == 1
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
+        old = scenario.current()
+        old.limit, old.lags = scenario.store.revision, True
+        scenario.store.commit(("/n/s-1", value("terminating")))
+        await wait_until(lambda: scenario.listener.state("s-1") is DRAINING)
+        assert scenario.current() is not old and scenario.listener.list_count == 1
 
-    play(test, members=2)
+    run_scenario(test, members=2)
 
 
 def test_an_endpoint_whose_lease_expires_while_the_watch_is_broken_is_gone() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        lease = scene.store.grant(0.3)
-        scene.store.commit(("/n/s-7", value()), ("/n/s-8", value()), lease=lease)
-        kept = scene.store.grant(60.0)
-        scene.store.commit(
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        lease = scenario.store.grant(0.3)
+        scenario.store.commit(("/n/s-7", value()), ("/n/s-8", value()), lease=lease)
+        kept = scenario.store.grant(60.0)
+        scenario.store.commit(
             ("/n/s-8", value()), lease=kept
         )  # a put without a lease would detach the old one too
-        await scene.listed(7)
-        port = int(scene.members[0].address.rpartition(":")[2])
-        scene.members[0].stop()
-        await until(lambda: lease not in scene.store.leases)
-        assert scene.listener.state("s-7") is READY  # the last known state stays
-        await scene.members[0].serve(port)
-        await until(lambda: scene.listener.state("s-7") is None)
-        assert scene.listener.state("s-8") is READY and scene.listener.list_count == 1
-        scene.store.revoke(kept)
-        await until(lambda: scene.listener.state("s-8") is None)
+        await scenario.wait_until_listed(7)
+        port = int(scenario.members[0].address.rpartition(":")[2])
+        scenario.members[0].stop()
+        await wait_until(lambda: lease not in scenario.store.leases)
+        assert scenario.listener.state("s-7") is READY  # the last known state stays
+        await scenario.members[0].serve(port)
+        await wait_until(lambda: scenario.listener.state("s-7") is None)
+        assert scenario.listener.state("s-8") is READY and scenario.listener.list_count == 1
+        scenario.store.revoke(kept)
+        await wait_until(lambda: scenario.listener.state("s-8") is None)
 
-    play(test)
+    run_scenario(test)
 
 
 def test_mutual_tls_works_and_a_member_of_an_unknown_authority_is_not_used(tmp_path: Path) -> None:
@@ -252,21 +256,21 @@
         context.set_alpn_protocols(["h2"])
         return context
 
-    async def test(scene: Scene) -> None:
-        scene.tls = [server(unknown_authority), server(authority)]
-        await scene.start()
-        await scene.listed()
-        good = scene.members[1]
-        assert scene.current() is good and not scene.members[0].calls
-        scene.store.commit(("/n/s-1", value("terminating")))
-        await until(lambda: scene.listener.state("s-1") is DRAINING)
+    async def test(scenario: Scenario) -> None:
+        scenario.tls = [server(unknown_authority), server(authority)]
+        await scenario.start()
+        await scenario.wait_until_listed()
+        good = scenario.members[1]
+        assert scenario.current() is good and not scenario.members[0].calls
+        scenario.store.commit(("/n/s-1", value("terminating")))
+        await wait_until(lambda: scenario.listener.state("s-1") is DRAINING)
         for peer in list(good.peers):
             peer.abort()
-        scene.store.commit(("/n/s-2", value("terminating")))
-        await until(lambda: scene.listener.state("s-2") is DRAINING)
-        assert not scene.members[0].calls
+        scenario.store.commit(("/n/s-2", value("terminating")))
+        await wait_until(lambda: scenario.listener.state("s-2") is DRAINING)
+        assert not scenario.members[0].calls
 
-    play(
+    run_scenario(
         test,
         members=2,
         tls_ca=str(tmp_path / "ca.pem"),
@@ -276,97 +280,99 @@
 
 
 def test_a_member_that_stops_in_the_middle_of_a_frame_is_left() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
-        old = scene.current()
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
+        old = scenario.current()
         old.half = True
-        scene.store.commit(("/n/s-1", value("terminating")))
-        await until(lambda: scene.listener.state("s-1") is DRAINING)
-        assert scene.current() is not old and scene.listener.list_count == 1
+        scenario.store.commit(("/n/s-1", value("terminating")))
+        await wait_until(lambda: scenario.listener.state("s-1") is DRAINING)
+        assert scenario.current() is not old and scenario.listener.list_count == 1
 
-    play(test, members=2)
+    run_scenario(test, members=2)
 
 
 def test_a_transaction_in_fragments_is_one_revision() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
-        scene.current().fragment = 2
-        scene.store.commit(*[(f"/n/s-{n}", value("terminating")) for n in range(5)])
-        await until(lambda: scene.listener.state("s-4") is DRAINING)
-        assert len(scene.listener.revisions) == 1
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
+        scenario.current().fragment = 2
+        scenario.store.commit(*[(f"/n/s-{n}", value("terminating")) for n in range(5)])
+        await wait_until(lambda: scenario.listener.state("s-4") is DRAINING)
+        assert len(scenario.listener.revisions) == 1
 
-    play(test)
+    run_scenario(test)
 
 
 def test_an_endpoint_drained_deleted_and_put_again_in_one_transaction_is_ready() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
-        scene.store.commit(("/n/s-1", value("terminating")), ("/n/s-1", None), ("/n/s-1", value(born_ms=9)))
-        scene.store.commit(("/n/s-2", value("terminating")))
-        await until(lambda: scene.listener.state("s-2") is DRAINING)
-        assert scene.listener.state("s-1") is READY
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
+        scenario.store.commit(
+            ("/n/s-1", value("terminating")), ("/n/s-1", None), ("/n/s-1", value(born_ms=9))
+        )
+        scenario.store.commit(("/n/s-2", value("terminating")))
+        await wait_until(lambda: scenario.listener.state("s-2") is DRAINING)
+        assert scenario.listener.state("s-1") is READY
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_restored_cluster_at_lower_revisions_does_not_undo_a_drain() -> None:
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
-        scene.store.commit(("/n/s-1", value("terminating")))
-        await until(lambda: scene.listener.state("s-1") is DRAINING)
-        port = int(scene.members[0].address.rpartition(":")[2])
-        scene.members[0].stop()
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
+        scenario.store.commit(("/n/s-1", value("terminating")))
+        await wait_until(lambda: scenario.listener.state("s-1") is DRAINING)
+        port = int(scenario.members[0].address.rpartition(":")[2])
+        scenario.members[0].stop()
         restored = Store(cluster=8)
         restored.commit(*[(f"/n/s-{n}", value()) for n in range(5)])
-        scene.members = [Member(restored)]
-        await scene.members[0].serve(port)
-        await until(lambda: scene.listener.list_count == 2)
-        assert scene.listener.state("s-1") is DRAINING and scene.listener.state("s-2") is READY
+        scenario.members = [Member(restored)]
+        await scenario.members[0].serve(port)
+        await wait_until(lambda: scenario.listener.list_count == 2)
+        assert scenario.listener.state("s-1") is DRAINING and scenario.listener.state("s-2") is READY
         restored.commit(("/n/s-1", value()))
-        await until(lambda: scene.listener.state("s-1") is READY)
+        await wait_until(lambda: scenario.listener.state("s-1") is READY)
 
-    play(test)
+    run_scenario(test)
 
 
 def test_a_changed_password_is_read_again_after_the_token_has_expired(tmp_path: Path) -> None:
     secret = tmp_path / "password"
     secret.write_text("first\n")
 
-    async def test(scene: Scene) -> None:
-        for member in scene.members:
+    async def test(scenario: Scenario) -> None:
+        for member in scenario.members:
             member.users = {"side": "first"}
-        await scene.start()
-        await scene.listed()
-        member = scene.members[0]
+        await scenario.start()
+        await scenario.wait_until_listed()
+        member = scenario.members[0]
         member.tokens.clear()
         member.users["side"] = "second"
         for peer in list(member.peers):
             peer.abort()
-        await until(lambda: scene.follower.failed_tries >= 2)
+        await wait_until(lambda: scenario.follower.failed_tries >= 2)
         secret.write_text("second\n")
-        scene.store.commit(("/n/s-1", value("terminating")))
-        await until(lambda: scene.listener.state("s-1") is DRAINING)
+        scenario.store.commit(("/n/s-1", value("terminating")))
+        await wait_until(lambda: scenario.listener.state("s-1") is DRAINING)
 
-    play(test, username="side", password_file=str(secret))
+    run_scenario(test, username="side", password_file=str(secret))
 
 
 def test_the_stand_in_serves_an_independent_client() -> None:
     """Otherwise the source and the stand-in could share one misreading of the protocol."""
 
-    async def test(scene: Scene) -> None:
-        await scene.start()
-        await scene.listed()
-        client = etcd_client.Client([f"http://{scene.members[0].address}"])
+    async def test(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.wait_until_listed()
+        client = etcd_client.Client([f"http://{scenario.members[0].address}"])
         async with client.connect() as other:
             await other.put(b"/n/s-1", value("terminating"))
             assert await other.get(b"/n/s-1") == value("terminating")
             listed = await other.get_prefix(b"/n/")
             assert len(listed) == 5
-            await until(lambda: scene.listener.state("s-1") is DRAINING)
+            await wait_until(lambda: scenario.listener.state("s-1") is DRAINING)
             watch = other.watch_prefix(b"/n/")
             received: list[Any] = []
 
@@ -377,20 +383,20 @@
                         return
 
             following = asyncio.ensure_future(follow())
-            await until(lambda: len(scene.members[0].watchers) == 2)
-            scene.store.commit(("/n/s-2", value("terminating")), ("/n/s-3", None))
+            await wait_until(lambda: len(scenario.members[0].watchers) == 2)
+            scenario.store.commit(("/n/s-2", value("terminating")), ("/n/s-3", None))
             await asyncio.wait_for(following, LONG_S)
             assert [bytes(event.key) for event in received] == [b"/n/s-2", b"/n/s-3"]
             await other.delete(b"/n/s-1")
-            await until(lambda: scene.listener.state("s-1") is None)
+            await wait_until(lambda: scenario.listener.state("s-1") is None)
             await other.lease_grant(60)  # this client does not return the lease id
-            lease = next(iter(scene.store.leases))
-            scene.store.commit(("/n/s-9", value()), lease=lease)
-            shortened_s = scene.store.leases[lease].due_s - 30.0
-            scene.store.leases[lease].due_s = shortened_s
+            lease = next(iter(scenario.store.leases))
+            scenario.store.commit(("/n/s-9", value()), lease=lease)
+            shortened_s = scenario.store.leases[lease].due_s - 30.0
+            scenario.store.leases[lease].due_s = shortened_s
             await other.lease_keep_alive(lease)
-            await until(lambda: scene.store.leases[lease].due_s > shortened_s)
+            await wait_until(lambda: scenario.store.leases[lease].due_s > shortened_s)
             await other.lease_revoke(lease)
-            assert b"/n/s-9" not in scene.store.keys and not scene.store.leases
+            assert b"/n/s-9" not in scenario.store.keys and not scenario.store.leases
 
-    play(test)
+    run_scenario(test)
--- a/tests/discovery/test_merge.py
+++ b/tests/discovery/test_merge.py
@@ -184,7 +184,7 @@
     assert state(merge, "n0") is READY and state(merge, "n1") is READY
 
 
-class Sources(RuleBasedStateMachine):
+class TwoSources(RuleBasedStateMachine):
     """Two sources in any order, with outdated answers, restored clusters and restarts.
 
     The model keeps beside the merge which source has drained which start of an endpoint and not ended it.
@@ -261,5 +261,5 @@
                 assert drained or state(self.merge, name) is READY, name
 
 
-TestSources = Sources.TestCase
+TestSources = TwoSources.TestCase
 TestSources.settings = hypothesis_settings(max_examples=60, stateful_step_count=30, deadline=None)
--- a/tests/discovery/test_sidecar.py
+++ b/tests/discovery/test_sidecar.py
@@ -32,24 +32,24 @@
         self.store, members = cluster(1)
         self.member: Member = members[0]
         threading.Thread(target=self.loop.run_forever, daemon=True).start()
-        self.address = self.wait(self.member.serve())
+        self.address = self.run(self.member.serve())
 
-    def wait(self, task: Any) -> Any:
-        return asyncio.run_coroutine_threadsafe(task, self.loop).result(LONG_S)
+    def run(self, coroutine: Any) -> Any:
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(LONG_S)
 
-    def do(self, call: Callable[[], Any]) -> Any:
-        async def run() -> Any:
-            return call()
+    def call(self, function: Callable[[], Any]) -> Any:
+        async def call_function() -> Any:
+            return function()
 
-        return self.wait(run())
+        return self.run(call_function())
 
     def put(self, upstream: Upstream, **changes: Any) -> None:
         fields: dict[str, Any] = {"dial": upstream.address, "block": 0, "class": "m"}
         data = value(**(fields | changes))
-        self.do(lambda: self.store.commit((f"/n/{upstream.name}", data)))
+        self.call(lambda: self.store.commit((f"/n/{upstream.name}", data)))
 
     def restart(self) -> None:
-        self.wait(self.member.serve(int(self.address.rpartition(":")[2])))
+        self.run(self.member.serve(int(self.address.rpartition(":")[2])))
 
 
 def new_sidecar(roster: list[Upstream], discovery: Discovery, path: Path) -> Sidecar:
@@ -69,7 +69,7 @@
         entries = [upstream.entry() for upstream in roster]
         with Discovery(entries) as discovery, new_sidecar(roster, discovery, path) as sidecar:
             yield sidecar, discovery
-            etcd.do(etcd.member.stop)
+            etcd.call(etcd.member.stop)
 
 
 def bodies(sidecar: Sidecar, count: int = 20) -> set[bytes]:
@@ -119,7 +119,7 @@
             assert bodies(sidecar) == {b"one"}
             etcd.put(two, born_ms=6)
             eventually(lambda: b"two" in bodies(sidecar))
-            etcd.do(lambda: etcd.store.commit((f"/n/{two.name}", None)))
+            etcd.call(lambda: etcd.store.commit((f"/n/{two.name}", None)))
             eventually(lambda: bodies(sidecar) == {b"one"})
 
 
@@ -129,7 +129,7 @@
         etcd.put(two)
         with running_sidecar([one], etcd) as (sidecar, _):
             eventually(lambda: bodies(sidecar) == {b"one", b"two"})
-            etcd.do(etcd.member.stop)
+            etcd.call(etcd.member.stop)
             end = time.monotonic() + 1.0
             statuses = []
             while time.monotonic() < end:
@@ -188,7 +188,7 @@
 def test_a_cluster_that_is_down_at_the_start_does_not_delay_requests() -> None:
     with Upstream(b"one") as one:
         etcd = Etcd()
-        etcd.do(etcd.member.stop)
+        etcd.call(etcd.member.stop)
         with running_sidecar([one], etcd) as (sidecar, _):
             assert bodies(sidecar) == {b"one"}
             assert sidecar.stop() == 0
