--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -20,7 +20,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
-from sidecar_proxy.discovery.platform_client import SILENCE_S
+from sidecar_proxy.discovery.platform_client import WATCH_IDLE_TIMEOUT_S
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient as Watcher
 from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.upstream import input_poll
@@ -147,7 +147,7 @@
     async def test(listener: socket.socket) -> None:
         sink, loop = Sink(), asyncio.get_running_loop()
         watcher = Watcher(listener.getsockname(), EndpointDirectory(told), 0, pushed=False)
-        watcher.sink = sink
+        watcher.listener = sink
         watcher.subscribe(True)
         agent, _ = await loop.sock_accept(listener)
         agent.setblocking(True)
@@ -164,12 +164,12 @@
         def hold_up() -> None:
             loop.remove_reader(other)
             tell()
-            time.sleep(SILENCE_S + 0.1)
+            time.sleep(WATCH_IDLE_TIMEOUT_S + 0.1)
 
         if left != "presumed silent":
             tell()
         if left == "moved":
-            watcher.move(("127.0.0.1", 1))
+            watcher.set_address(("127.0.0.1", 1))
         elif left == "asked again":
             watcher.subscribe(True)
         else:
@@ -211,7 +211,9 @@
                 discovery.line(discovery.watches[0], text[at : at + 7])
             eventually(lambda: spared(sidecar, one, two))
             alone(sidecar, left, one, two)
-            assert len(discovery.calls) == 1 and not [text for text in sidecar.lines if "bad list" in text]
+            assert len(discovery.calls) == 1 and not [
+                text for text in sidecar.lines if "endpoint list rejected" in text
+            ]
 
 
 def test_a_pushed_watch_that_falls_silent_is_opened_anew() -> None:
@@ -221,5 +223,5 @@
         sidecar.discovery.hosts = [one.entry(health="terminating"), left.entry()]  # told on no open watch
         sidecar.discovery.seq = 2
         eventually(lambda: spared(sidecar, one))
-        assert [text for text in sidecar.lines if "silence" in text]
+        assert [text for text in sidecar.lines if "idle timeout" in text]
         alone(sidecar, left, one)
