--- a/sidecar_proxy/admin/commands.py
+++ b/sidecar_proxy/admin/commands.py
@@ -30,7 +30,7 @@
     def undrain(self) -> None:
         """End the drain."""
 
-    def shrink(self, half: bool) -> None:
+    def halve_connection_limit(self, is_halved: bool) -> None:
         """Use only half of the connection limit, or all of it again."""
 
 
@@ -134,8 +134,8 @@
         is_serving_process = self.hot_restart.locks.claim_serving()
         has_successor = is_serving_process and self.hot_restart.locks.has_successor()
         has_other_process = not is_serving_process or has_successor
-        self.server.shrink(has_other_process)
-        self.engine.transport.shrink(has_other_process)
+        self.server.halve_connection_limit(has_other_process)
+        self.engine.transport.halve_connection_limit(has_other_process)
         if has_successor and self.is_serving:
             self.warm_start.publish()
 
--- a/sidecar_proxy/engine/body_buffers.py
+++ b/sidecar_proxy/engine/body_buffers.py
@@ -104,7 +104,7 @@
             self.on_capacity()
         return piece
 
-    def take_whole(self) -> bytes:
+    def take_body(self) -> bytes:
         """Return the whole body; it counts against the budget until `discard`."""
         self.is_complete = True
         data, self.data = bytes(self.data), bytearray()
@@ -140,7 +140,7 @@
     def write(self, data: bytes) -> None:
         """Pass on a piece."""
 
-    def waits(self) -> bool:
+    def is_queued(self) -> bool:
         """Say whether other responses have to be sent before it: that nothing moves is no stall then."""
 
     def end(self) -> None:
--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -22,8 +22,8 @@
 from sidecar_proxy.engine.interfaces import (
     Attempt,
     AttemptCallback,
+    BalancerInterface,
     Call,
-    DecisionModule,
     DiscoveryClient,
     FleetObserver,
     ListedUpstream,
@@ -112,7 +112,7 @@
         self.loop = asyncio.get_running_loop()
         self.timers = TimerQueue(self.loop)
         self.started_us = clock.now_us()
-        self.balancer: DecisionModule = Balancer(settings, seed, self.started_us)
+        self.balancer: BalancerInterface = Balancer(settings, seed, self.started_us)
         self.requests: dict[int, PendingRequest] = {}
         self.next_request = 1
         self.events: deque[api.Event] = deque()
@@ -137,8 +137,8 @@
         # whatever the balancer does, the client is answered inside its time
         request.deadline_timer = self.call_at(call.due_us, self.deadline_passed, number)
         if self.recorder is not None:
-            self.recorder.named(number, call.request_id)
-        retry_due_us = self.fleet_observer.arrived(call) if self.fleet_observer is not None else 0
+            self.recorder.request_named(number, call.request_id)
+        retry_due_us = self.fleet_observer.request_arrived(call) if self.fleet_observer is not None else 0
         self.dispatch(
             api.RequestArrived(
                 number,
@@ -190,7 +190,7 @@
                 upstream.listed_entry = upstream.entry
             self.apply_overrides(upstreams)
         is_whole = kind in (api.ListKind.FULL, api.ListKind.CACHED)
-        self.transport.update(upstreams, whole=is_whole)
+        self.transport.update(upstreams, is_full_list=is_whole)
         self.dispatch(api.UpstreamsUpdated(kind, [upstream.entry for upstream in upstreams], version))
         if kind in (api.ListKind.FULL, api.ListKind.DELTA):
             self.list_received.set()
@@ -236,12 +236,12 @@
         except Exception as error:  # a fault of the balancer costs the request that it met, not the sidecar
             log.exception("the decisions failed on %s", type(event).__name__)
             if self.recorder is not None:
-                self.recorder.failed(now_us, event, error)
+                self.recorder.balancer_failed(now_us, event, error)
             if isinstance(event, api.RequestArrived | api.AttemptEnded | api.StreamStarted):
                 self.fail_request(event.request)
             return
         if self.recorder is not None:
-            self.recorder.handled(now_us, event, actions)
+            self.recorder.event_handled(now_us, event, actions)
         for action in actions:
             self.perform_safely(action)
 
@@ -286,7 +286,7 @@
         if self.fleet_observer is not None:
             request = self.requests.get(action.request)
             if request is not None and not request.is_answered:
-                self.fleet_observer.refused(request.call, action.retry_after_us, action.shed)
+                self.fleet_observer.request_rejected(request.call, action.retry_after_us, action.shed)
         header_lines = b""
         if action.retry_after_us > 0:
             header_lines = b"Retry-After: %d.%06d\r\n" % divmod(action.retry_after_us, 1_000_000)
@@ -302,7 +302,7 @@
     def call_at(self, at_us: int, callback: Callable[..., None], *arguments: object) -> Timer:
         """Call back at a time of the engine's clock, or a little later."""
         wait_us = max(0, at_us - self.clock.now_us())
-        return self.timers.later(wait_us / 1e6 + LOOP_RESOLUTION_S, callback, *arguments)
+        return self.timers.call_later(wait_us / 1e6 + LOOP_RESOLUTION_S, callback, *arguments)
 
     def fire_timer(self, timer: api.SetTimer, set_already: bool = False) -> None:
         """Report a timer of the balancer once its time has come.
@@ -335,8 +335,8 @@
             return
         if action.until_us:
             attempt.window_timer = self.call_at(action.until_us, attempt.window_over)
-        if call.carrier is not None:
-            carried = call.carrier.attempt(attempt.left_us, attempt.ended, attempt.began)
+        if call.attempt_factory is not None:
+            carried = call.attempt_factory.new_attempt(attempt.left_us, attempt.ended, attempt.began)
             request.attempts[attempt_index] = carried
             carried.start(action.upstream, timeout_us / 1e6)
             return
@@ -517,7 +517,7 @@
         engine, request = self.engine, self.request
         request.attempts[self.index] = None
         request.attempts_in_flight -= 1
-        if request.call.carrier is not None and outcome not in NEVER_SENT_OUTCOMES:
+        if request.call.attempt_factory is not None and outcome not in NEVER_SENT_OUTCOMES:
             engine.metrics.upstream_requests += 1
         if outcome is api.Outcome.OK and response is not None:
             engine.answer(self.request_number, STATUS_OK, response.header_lines, response.body)
@@ -538,7 +538,7 @@
             engine.requests.pop(self.request_number, None)
         elapsed_us = engine.clock.now_us() - self.sent_us
         if engine.fleet_observer is not None:
-            engine.fleet_observer.ended(request.call.class_index, outcome, elapsed_us)
+            engine.fleet_observer.attempt_ended(request.call.class_index, outcome, elapsed_us)
         engine.dispatch(
             api.AttemptEnded(
                 self.request_number,
--- a/sidecar_proxy/engine/interfaces.py
+++ b/sidecar_proxy/engine/interfaces.py
@@ -61,10 +61,10 @@
         """Begin it; it may end before this returns."""
 
 
-class CallCarrier(Protocol):
+class AttemptFactory(Protocol):
     """Makes the attempts of a request that is not plain HTTP/1.1."""
 
-    def attempt(
+    def new_attempt(
         self, left_us: Callable[[], int], ended: AttemptCallback, began: Callable[[], None]
     ) -> StartableAttempt:
         """Return a new attempt.
@@ -87,7 +87,7 @@
     cost_us: int = 0
     is_retry: bool = False
     request_id: bytes = b""  # its Req-Id
-    carrier: CallCarrier | None = None  # None = HTTP/1.1, with the head and body above
+    attempt_factory: AttemptFactory | None = None  # None = HTTP/1.1, with the head and body above
     upload: Upload | None = None  # in place of `body`, for a large body
     time_after_upload_us: int = 0  # what is left of its time once an upload is complete
     open_stream: ClientStreamOpener | None = None  # where a large response goes; None = nowhere
@@ -118,7 +118,7 @@
     idle: dict[IdleConnection, None] = field(default_factory=dict)  # the last one was used most recently
     listed_entry: api.Upstream | None = None  # as the list has it, where an operator's override differs
     last_received_s: float = 0.0  # loop time of the last byte from it
-    has_misbehaved: bool = False  # it has answered twice, or without a request
+    has_violated_protocol: bool = False  # it has answered twice, or without a request
     generation: int = 0  # counts its restarts
     open_connections: int = 0  # those being made among them
 
@@ -139,7 +139,7 @@
 
     upstreams: dict[int, ListedUpstream]
 
-    def update(self, upstreams: list[ListedUpstream], whole: bool) -> None:
+    def update(self, upstreams: list[ListedUpstream], is_full_list: bool) -> None:
         """Take over changed entries, or the whole list.
 
         Rule 3: nothing new goes to an upstream that is no longer READY; its idle connections are closed.
@@ -165,7 +165,7 @@
     def close_idle(self, upstream: int) -> None:
         """Close the idle connections to one upstream."""
 
-    def shrink(self, half: bool) -> None:
+    def halve_connection_limit(self, is_halved: bool) -> None:
         """Use half of the connections while another process of this sidecar runs, or all again."""
 
 
@@ -198,30 +198,30 @@
     It never raises or blocks.
     """
 
-    def arrived(self, call: Call) -> int:
+    def request_arrived(self, call: Call) -> int:
         """Return when the client was told to retry, in microseconds of the engine's clock; 0 = it was not."""
 
-    def refused(self, call: Call, after_us: int, shed: bool) -> None:
+    def request_rejected(self, call: Call, after_us: int, shed: bool) -> None:
         """Note a rejection and the Retry-After that the client was given."""
 
-    def ended(self, class_index: int, outcome: api.Outcome, elapsed_us: int) -> None:
+    def attempt_ended(self, class_index: int, outcome: api.Outcome, elapsed_us: int) -> None:
         """Note the end of an attempt."""
 
 
 class Recorder(Protocol):
     """Keeps what goes into the decisions and what comes out. It never raises or blocks."""
 
-    def named(self, request: int, ident: bytes) -> None:
+    def request_named(self, request: int, ident: bytes) -> None:
         """Note the Req-Id that a request's number stands for."""
 
-    def handled(self, now_us: int, event: api.Event, actions: list[api.Action]) -> None:
+    def event_handled(self, now_us: int, event: api.Event, actions: list[api.Action]) -> None:
         """Note an event and the actions that came of it."""
 
-    def failed(self, now_us: int, event: api.Event, error: Exception) -> None:
+    def balancer_failed(self, now_us: int, event: api.Event, error: Exception) -> None:
         """Note an event on which the decisions failed."""
 
 
-class DecisionModule(Protocol):
+class BalancerInterface(Protocol):
     """The part of the balancer that the engine calls, and nobody else."""
 
     entries: dict[int, api.Upstream]  # the endpoint list
--- a/sidecar_proxy/engine/timers.py
+++ b/sidecar_proxy/engine/timers.py
@@ -47,7 +47,7 @@
         self.loop_timer_s = 0.0
         self.is_firing = False
 
-    def later(self, delay_s: float, callback: Callable[..., None], *arguments: object) -> Timer:
+    def call_later(self, delay_s: float, callback: Callable[..., None], *arguments: object) -> Timer:
         """Call back in this many seconds, at the resolution of the loop."""
         timer = Timer(self, callback, arguments)
         self.sequence += 1
--- a/sidecar_proxy/grpc/relay.py
+++ b/sidecar_proxy/grpc/relay.py
@@ -132,7 +132,7 @@
 
     # The engine's Carrier
 
-    def attempt(
+    def new_attempt(
         self, left_us: Callable[[], int], ended: AttemptCallback, began: Callable[[], None]
     ) -> Attempt:
         attempt = self.nodes.attempt(self, left_us, ended, began)
--- a/sidecar_proxy/http1/client.py
+++ b/sidecar_proxy/http1/client.py
@@ -300,7 +300,7 @@
             return
         one = self.request()
         one.upload = upload
-        self.take(one, bytes(self.body) if upload is None else upload.take_whole(), None)
+        self.take(one, bytes(self.body) if upload is None else upload.take_body(), None)
 
     def request(self) -> Pending:
         """The request that is being read stands in line for its answer."""
--- a/sidecar_proxy/http1/outflow.py
+++ b/sidecar_proxy/http1/outflow.py
@@ -54,7 +54,7 @@
         self.chunked = self.keep = False
         self.over = False  # all that will come has come
 
-    def waits(self) -> bool:
+    def is_queued(self) -> bool:
         """Its turn has not come."""
         return self.transport is None and not self.over
 
--- a/sidecar_proxy/http1/server.py
+++ b/sidecar_proxy/http1/server.py
@@ -207,9 +207,9 @@
         self.open.add(call.request_id)
         one.request = self.engine.accept(call, one.reply)
 
-    def shrink(self, half: bool) -> None:
+    def halve_connection_limit(self, is_halved: bool) -> None:
         """Keep to half of the connections, or no more."""
-        self.most = self.places.most = max(1, self.whole // 2) if half else self.whole
+        self.most = self.places.most = max(1, self.whole // 2) if is_halved else self.whole
         for _ in range(len(self.connections) - self.most):
             spare = self.spare()
             if spare is None:
--- a/sidecar_proxy/http1/upstream.py
+++ b/sidecar_proxy/http1/upstream.py
@@ -142,7 +142,7 @@
             now = connection.loop.time()
             waits = connection.transport is not None and not connection.transport.get_write_buffer_size()
             if waits or now - connection.moved < STALL_S:  # it waits for the client: the front's matter
-                self.timer = connection.pool.timers.later(self.timeout_s, self.expire)
+                self.timer = connection.pool.timers.call_later(self.timeout_s, self.expire)
                 return
         if connection is None or not connection.written:
             self.finish(api.Outcome.CONNECT_FAILED)
@@ -203,16 +203,20 @@
         self.poll = input_poll(transport)
 
     def rest_left_s(self) -> float:
-        return self.idle_since + (ODD_REST_S if self.host.has_misbehaved else REST_S) - time.monotonic()
+        return (
+            self.idle_since + (ODD_REST_S if self.host.has_violated_protocol else REST_S) - time.monotonic()
+        )
 
     def rested(self, exchange: Exchange) -> None:
         """It has been kept for this one till now."""
         left_s = self.rest_left_s()
         if exchange.done:
             self.park()
-        elif left_s > 0.0 and not self.host.has_misbehaved:  # that timer counted by the loop's clock
-            self.pool.timers.later(left_s, self.rested, exchange)
-        elif self.usable() and not self.host.has_misbehaved and self.generation == self.host.generation:
+        elif left_s > 0.0 and not self.host.has_violated_protocol:  # that timer counted by the loop's clock
+            self.pool.timers.call_later(left_s, self.rested, exchange)
+        elif (
+            self.usable() and not self.host.has_violated_protocol and self.generation == self.host.generation
+        ):
             self.begin(exchange)
         else:
             self.close()
@@ -277,7 +281,7 @@
         self.written = True
         if upload is not None and exchange.timer is not None:
             exchange.timer.cancel()
-            exchange.timer = self.pool.timers.later(exchange.timeout_s, exchange.expire)
+            exchange.timer = self.pool.timers.call_later(exchange.timeout_s, exchange.expire)
         if exchange.wrote is not None:
             exchange.wrote()
 
@@ -302,7 +306,7 @@
     def data_received(self, data: bytes) -> None:
         self.host.last_received_s = self.loop.time()
         if self.exchange is None:  # nothing was asked: out of step
-            self.host.has_misbehaved = True
+            self.host.has_violated_protocol = True
             self.close()
             return
         self.raw += len(data)
@@ -368,7 +372,7 @@
             self.watch = None
 
     def stalled(self) -> None:
-        if self.flow is not None and self.flow.waits():
+        if self.flow is not None and self.flow.is_queued():
             self.moved = self.loop.time()
         if self.loop.time() - self.moved >= STALL_S:
             self.close()
@@ -400,7 +404,7 @@
 
     def on_message_begin(self) -> None:
         if self.complete:  # a second answer to one request: the connection is out of step
-            self.status_begun = self.host.has_misbehaved = True
+            self.status_begun = self.host.has_violated_protocol = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if not self.complete:
@@ -547,8 +551,8 @@
         self.timers = TimerQueue(self.loop)
         self.sweep_timer = self.loop.call_later(SWEEP_S, self.sweep)
 
-    def update(self, hosts: list[ListedUpstream], whole: bool) -> None:
-        if whole:
+    def update(self, hosts: list[ListedUpstream], is_full_list: bool) -> None:
+        if is_full_list:
             listed = {host.entry.id for host in hosts}
             for ident, host in list(self.upstreams.items()):
                 if ident not in listed:
@@ -564,7 +568,7 @@
             ):
                 # hazard: connections to the process before are dead, though they look open
                 old.generation += 1
-                old.has_misbehaved = False
+                old.has_violated_protocol = False
                 old.close_idle()
             old.entry, old.address, old.grpc_address, old.listed_entry = (
                 new.entry,
@@ -604,7 +608,7 @@
             exchange.finish(api.Outcome.NOT_SENT)
             return
         exchange.timeout_s = timeout_s
-        exchange.timer = self.timers.later(timeout_s, exchange.expire)
+        exchange.timer = self.timers.call_later(timeout_s, exchange.expire)
         self.carry(host, exchange)
 
     def carry(self, host: ListedUpstream, exchange: Exchange) -> None:
@@ -630,9 +634,9 @@
             rested.leave()
             rested.begin(exchange)
             return
-        if resting is not None and not host.has_misbehaved:
+        if resting is not None and not host.has_violated_protocol:
             resting.leave()
-            self.timers.later(resting.rest_left_s(), resting.rested, exchange)
+            self.timers.call_later(resting.rest_left_s(), resting.rested, exchange)
             return
         if self.open >= self.most and not self.evict():
             exchange.finish(api.Outcome.NOT_SENT)
@@ -673,9 +677,9 @@
         next(iter(self.idle)).close()
         return True
 
-    def shrink(self, half: bool) -> None:
+    def halve_connection_limit(self, is_halved: bool) -> None:
         """Keep to half of the connections, or no more."""
-        self.most = max(1, self.whole // 2) if half else self.whole
+        self.most = max(1, self.whole // 2) if is_halved else self.whole
         for _ in range(self.open - self.most):
             if not self.evict():
                 break
--- a/sidecar_proxy/overload_control/subsystem.py
+++ b/sidecar_proxy/overload_control/subsystem.py
@@ -72,7 +72,7 @@
     # Events of the engine, on the path of every request. A fault in the controller must not cost a request,
     # so any exception turns overload control off instead.
 
-    def arrived(self, call: Call) -> int:
+    def request_arrived(self, call: Call) -> int:
         """Counts a request; returns when its Retry-After expires, 0 if it has none."""
         try:
             return self.controller.record_arrival(
@@ -82,14 +82,14 @@
             self._turn_off()
             return 0
 
-    def refused(self, call: Call, after_us: int, shed: bool) -> None:
+    def request_rejected(self, call: Call, after_us: int, shed: bool) -> None:
         """Counts a rejected request, its Retry-After, and whether it was shed."""
         try:
             self.controller.record_rejection(call.key, after_us, shed, self.engine.clock.now_us())
         except Exception:
             self._turn_off()
 
-    def ended(self, class_index: int, outcome: api.Outcome, elapsed_us: int) -> None:
+    def attempt_ended(self, class_index: int, outcome: api.Outcome, elapsed_us: int) -> None:
         """Counts an attempt that has ended."""
         if outcome is api.Outcome.OK:
             self.controller.record_success(class_index, elapsed_us)
--- a/sidecar_proxy/recorder/subsystem.py
+++ b/sidecar_proxy/recorder/subsystem.py
@@ -61,13 +61,13 @@
             self.engine.recorder = None
             log.exception("recorder: no more is recorded")
 
-    def handled(self, now_us: int, event: api.Event, actions: list[api.Action]) -> None:
+    def event_handled(self, now_us: int, event: api.Event, actions: list[api.Action]) -> None:
         self.keep(now_us, event, actions)
 
-    def named(self, request: int, ident: bytes) -> None:
+    def request_named(self, request: int, ident: bytes) -> None:
         self.keep(self.engine.clock.now_us(), Named(request, ident.decode("ascii", "replace")), [])
 
-    def failed(self, now_us: int, event: api.Event, error: Exception) -> None:
+    def balancer_failed(self, now_us: int, event: api.Event, error: Exception) -> None:
         self.keep(now_us, event, [], f"{type(error).__name__}: {error}")
         now = self.engine.loop.time()
         if now >= self.next_fault:
--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -234,18 +234,18 @@
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         pool = Pool(connect_s=5.0, idle_s=60.0, most=8)
         host = ListedUpstream(api.Upstream(7), server.sockets[0].getsockname())
-        pool.update([host], whole=True)
+        pool.update([host], is_full_list=True)
         for _ in range(8):
             exchange = Exchange(lambda: None, lambda outcome, answer: None)
             pool.start(7, exchange, 5.0)
         while len(pool.idle) < 8:
             await asyncio.sleep(0)
-        pool.shrink(True)
+        pool.halve_connection_limit(True)
         while pool.open > 4:
             await asyncio.sleep(0)
         assert len(pool.idle) == 4
         assert pool.most == 4
-        pool.shrink(False)
+        pool.halve_connection_limit(False)
         assert pool.most == 8
         pool.close()
         server.close()
--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -37,7 +37,7 @@
     async def test(upstream: Upstream) -> None:
         pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
         host = host_of(upstream)
-        pool.update([host], whole=True)
+        pool.update([host], is_full_list=True)
         got: list[UpstreamResponse | None] = []
         both = asyncio.Event()
 
@@ -53,7 +53,7 @@
         pool.start(1, Exchange(lambda: request(b"first"), ended), LONG_S)
         await both.wait()
         assert [one and one.body for one in got] == [b"first", b"second"]
-        assert upstream.accepted == 2 and host.has_misbehaved
+        assert upstream.accepted == 2 and host.has_violated_protocol
         pool.close()
 
     with Upstream(script=script) as upstream:
@@ -70,7 +70,7 @@
     async def test(upstream: Upstream) -> None:
         pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
         host = host_of(upstream)
-        pool.update([host], whole=True)
+        pool.update([host], is_full_list=True)
 
         async def exchange() -> None:
             done = asyncio.Event()
@@ -78,7 +78,7 @@
             await done.wait()
 
         await exchange()
-        assert not host.idle and host.has_misbehaved
+        assert not host.idle and host.has_violated_protocol
         await exchange()
         (one,) = [cast(Connection, idle) for idle in host.idle]
         before_s = time.monotonic()
@@ -96,8 +96,8 @@
         await exchange()
         assert upstream.accepted == 3
         restarted = ListedUpstream(api.Upstream(1, started_us=9), host.address)
-        pool.update([restarted], whole=True)
-        assert not host.has_misbehaved and REST_S < ODD_REST_S
+        pool.update([restarted], is_full_list=True)
+        assert not host.has_violated_protocol and REST_S < ODD_REST_S
         pool.close()
 
     with Upstream(script=script) as upstream:
@@ -113,7 +113,7 @@
     def write(self, data: bytes) -> None:
         self.got += data
 
-    def waits(self) -> bool:
+    def is_queued(self) -> bool:
         return False
 
     def end(self) -> None:
@@ -131,7 +131,7 @@
     async def test(listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
         pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
-        pool.update([ListedUpstream(api.Upstream(1), listener.getsockname())], whole=True)
+        pool.update([ListedUpstream(api.Upstream(1), listener.getsockname())], is_full_list=True)
         sunk: list[Sunk] = []
         ends: list[tuple[api.Outcome, UpstreamResponse | None]] = []
 
@@ -186,7 +186,7 @@
 
     async def test(upstream: Upstream) -> None:
         pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
-        pool.update([host_of(upstream)], whole=True)
+        pool.update([host_of(upstream)], is_full_list=True)
         answered, rested = [0.0], []
 
         async def exchange(busy_s: float) -> None:
--- a/tests/crossings/test_dials.py
+++ b/tests/crossings/test_dials.py
@@ -50,7 +50,7 @@
         loop = HeldUp(pool.loop, 0.4)
         pool.loop = cast(Any, loop)
         host = ListedUpstream(api.Upstream(1), listener.getsockname())
-        pool.update([host], whole=True)
+        pool.update([host], is_full_list=True)
         ends: list[api.Outcome] = []
         pool.start(1, Exchange(lambda: request(b"x"), lambda outcome, answer: ends.append(outcome)), LONG_S)
         while not ends:
@@ -69,7 +69,7 @@
     async def test(upstream: Upstream) -> None:
         pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
         host = host_of(upstream)
-        pool.update([host], whole=True)
+        pool.update([host], is_full_list=True)
         first = asyncio.Event()
         pool.start(1, Exchange(lambda: request(b"x"), lambda outcome, found: first.set()), LONG_S)
         await first.wait()
--- a/tests/crossings/test_time_out.py
+++ b/tests/crossings/test_time_out.py
@@ -24,7 +24,7 @@
 ) -> tuple[Pool, Exchange, socket.socket]:
     """A request with a body of so many bytes, as far as the kernel takes it; and the upstream's side."""
     pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
-    pool.update([ListedUpstream(api.Upstream(1), listener.getsockname())], whole=True)
+    pool.update([ListedUpstream(api.Upstream(1), listener.getsockname())], is_full_list=True)
     exchange = Exchange(lambda: [HEAD % size, bytes(size)], lambda outcome, answer: ends.append(outcome))
     pool.start(1, exchange, LONG_S)
     upstream, _ = await asyncio.get_running_loop().sock_accept(listener)
@@ -98,7 +98,7 @@
                 [api.Send(event.request, 1, 0, 1 << 60)] if isinstance(event, api.RequestArrived) else []
             )
         )
-        engine.transport.update([ListedUpstream(api.Upstream(1), listener.getsockname())], whole=True)
+        engine.transport.update([ListedUpstream(api.Upstream(1), listener.getsockname())], is_full_list=True)
         asked = make_call(engine)
         asked.body = bytes(BODY)
         replies: list[int] = []
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -209,7 +209,7 @@
     async def test() -> None:
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
         upstream = ListedUpstream(api.Upstream(7), ("127.0.0.1", 1))
-        pool.update([upstream], whole=True)
+        pool.update([upstream], is_full_list=True)
         connection = Connection(pool, upstream)
         transport = FullTransport(buffered_bytes)
         connection.connection_made(cast(Any, transport))
--- a/tests/engine/test_event_orders.py
+++ b/tests/engine/test_event_orders.py
@@ -133,7 +133,7 @@
         self.in_flight: list[ScriptedAttempt] = []
         self.requests: dict[int, ClientRequest] = {}
 
-    def update(self, upstreams: list[ListedUpstream], whole: bool) -> None:
+    def update(self, upstreams: list[ListedUpstream], is_full_list: bool) -> None:
         self.upstreams.update((upstream.entry.id, upstream) for upstream in upstreams)
 
     def exchange(
@@ -167,7 +167,7 @@
 
     def close_idle(self, upstream: int) -> None: ...
 
-    def shrink(self, half: bool) -> None: ...
+    def halve_connection_limit(self, is_halved: bool) -> None: ...
 
 
 @dataclass(eq=False)
--- a/tests/engine/test_timers.py
+++ b/tests/engine/test_timers.py
@@ -62,7 +62,7 @@
     def add() -> None:
         number, wait_s = len(set_at), rng.choice((0.0, 0.0004, 0.01, 0.3, 2.0))
         set_at[number] = loop.now_s + wait_s
-        live[number] = timers.later(wait_s, called, number)
+        live[number] = timers.call_later(wait_s, called, number)
 
     for _ in range(3000):
         if rng.random() < 0.6:
@@ -81,6 +81,6 @@
     assert loop.errors
     assert not timers.heap
     assert timers.cancelled == 0
-    timers.later(1.0, called, 0)
+    timers.call_later(1.0, called, 0)
     timers.close()
     assert not [handle for handle in loop.handles if not handle[2]]
--- a/tests/overload_control/test_subsystem_wiring.py
+++ b/tests/overload_control/test_subsystem_wiring.py
@@ -125,10 +125,10 @@
 
 def test_events_of_the_engine_are_counted(wiring: Wiring) -> None:
     load = wiring.subsystem.controller.load
-    assert wiring.subsystem.arrived(stub_call()) == 0
-    wiring.subsystem.refused(stub_call(), 0, False)
-    wiring.subsystem.ended(0, api.Outcome.OK, 50_000)
-    wiring.subsystem.ended(0, api.Outcome.ERROR, 50_000)
+    assert wiring.subsystem.request_arrived(stub_call()) == 0
+    wiring.subsystem.request_rejected(stub_call(), 0, False)
+    wiring.subsystem.attempt_ended(0, api.Outcome.OK, 50_000)
+    wiring.subsystem.attempt_ended(0, api.Outcome.ERROR, 50_000)
     assert load.attempts.count == 1
     assert load.capacity_rejections.count == 1
     assert load.classes[0].served.count == 1
@@ -147,9 +147,9 @@
     monkeypatch.setattr(wiring.subsystem.controller, "record_arrival", fail)
     monkeypatch.setattr(wiring.subsystem.controller, "record_rejection", fail)
     if event == "arrived":
-        assert wiring.subsystem.arrived(stub_call()) == 0
+        assert wiring.subsystem.request_arrived(stub_call()) == 0
     else:
-        wiring.subsystem.refused(stub_call(), 0, False)
+        wiring.subsystem.request_rejected(stub_call(), 0, False)
     assert wiring.engine.fleet_observer is None
     assert log_lines() == ["overload: overload control is off after an internal error"]
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -386,9 +386,9 @@
     flow = Outflow(line, b"", 100_000, line, line.told.append)
     line.flow = flow
     flow.write(b"x")
-    assert flow.waits()  # in line: no stall of its upstream's
+    assert flow.is_queued()  # in line: no stall of its upstream's
     flow.fail()
-    assert line.told == ["pause", False, 502] and line.flow is None and not flow.waits()
+    assert line.told == ["pause", False, 502] and line.flow is None and not flow.is_queued()
 
 
 @pytest.mark.parametrize("size", [200_000, 2 * MB])
@@ -455,7 +455,7 @@
     spool = BodyMemoryBudget(MAX_BODY_BYTES)
     upload = Upload(spool, 5)
     upload.append(b"12345")
-    assert upload.take_whole() == b"12345" and spool.used_bytes == 5
+    assert upload.take_body() == b"12345" and spool.used_bytes == 5
     upload.discard()
     assert spool.used_bytes == 0 and not upload.has_failed
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -271,7 +271,7 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         pool = Pool(connect_s=5.0, idle_s=60.0, most=8)
         host = ListedUpstream(api.Upstream(7), server.sockets[0].getsockname())
-        pool.update([host], whole=True)
+        pool.update([host], is_full_list=True)
 
         def start(timeout_s: float) -> asyncio.Future[api.Outcome]:
             ended: asyncio.Future[api.Outcome] = pool.loop.create_future()
