--- a/sidecar_proxy/engine/__init__.py
+++ b/sidecar_proxy/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The only caller of the decisions: clock, timers, the ledger of what is owed, and the seams to the rest."""
+"""The engine: the only caller of the balancer. It owns the clock, the timers and the pending requests."""
--- a/sidecar_proxy/engine/address.py
+++ b/sidecar_proxy/engine/address.py
@@ -12,7 +12,7 @@
 
 
 def parse_address(text: object) -> Address:
-    """Return host and port of an address. Raises AddressError."""
+    """Return the host and port of an address. Raises AddressError."""
     host, colon, port = str(text).rpartition(":")
     is_number = port.isascii() and port.isdigit()
     if not colon or not host or not is_number or int(port) > MAX_PORT:
--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -1,7 +1,8 @@
-"""The one caller of the balancer: events in, actions out, and the requests for which a response is owed.
+"""The engine passes events to the balancer, carries out its actions, and keeps the pending requests.
 
-It holds the clock, the timers and the request numbers. Whatever the balancer does, it keeps the contract of
-balancer/events.py: one final response for each request, one AttemptEnded for each Send.
+It is the only caller of the balancer and owns the clock, the timers and the request numbers. Whatever the
+balancer does, the engine keeps the contract of balancer/events.py: one final response for each request, and
+one AttemptEnded for each Send.
 """
 
 from __future__ import annotations
@@ -39,14 +40,14 @@
 
 NEVER_SENT_OUTCOMES = (api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT, api.Outcome.CANCELLED)
 MAX_REQUEST_NUMBER = 0xFFFFFFFF
-LOOP_RESOLUTION_S = 0.001  # the loop's timers have whole milliseconds, and must not be early
+LOOP_RESOLUTION_S = 0.001  # added to delays: loop timers have whole milliseconds and must not be early
 
 STATUS_OK = 200
 STATUS_BAD_GATEWAY = 502
 STATUS_SERVICE_UNAVAILABLE = 503
 STATUS_GATEWAY_TIMEOUT = 504
 STATUS_CLIENT_GONE = 0
-# 4xx that speak of the upstream's state and not of the request
+# 4xx statuses that are caused by the state of the upstream and not by the request
 STATUSES_OF_UPSTREAM_STATE = (408, 425, 429)
 
 LOAD_PROBE_PATH = b"/status/load"
@@ -56,10 +57,10 @@
 
 
 class Clock:
-    """Microseconds that only go forward, counted from the Unix time at the start.
+    """A monotonic clock in microseconds that starts at the Unix time of the process start.
 
-    The start times in the endpoint list can be compared with it, and a later step of the wall clock moves
-    nothing.
+    It is comparable with the start times in the endpoint list, and not affected by later steps of the wall
+    clock.
     """
 
     def __init__(self) -> None:
@@ -72,30 +73,30 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request for which a response is owed, or attempts are in flight."""
+    """A request that has no final response yet, or still has attempts in flight."""
 
     call: Call
     reply: Reply
     deadline_timer: Timer | None = None
     is_answered: bool = False
-    attempts: list[Attempt | None] = field(default_factory=list)  # None = never started, or ended
+    attempts: list[Attempt | None] = field(default_factory=list)  # None = not started, or ended
     attempts_in_flight: int = 0
 
 
-def single_part(head: bytes) -> list[bytes]:
-    """Return a request of one part, whenever it is asked for."""
+def render_head(head: bytes) -> list[bytes]:
+    """Return the parts of a request without a body."""
     return [head]
 
 
-def is_about_the_request(response: UpstreamResponse | None) -> bool:
-    """Say whether a response is an error that says something of the request and nothing of the upstream."""
+def is_request_error(response: UpstreamResponse | None) -> bool:
+    """Return whether a response is an error caused by the request and not by the upstream."""
     if response is None:
         return False
     return 400 <= response.status < 500 and response.status not in STATUSES_OF_UPSTREAM_STATE
 
 
 class Engine:
-    """Hands events to the balancer and carries out its actions."""
+    """Passes events to the balancer and carries out its actions."""
 
     def __init__(
         self,
@@ -118,23 +119,25 @@
         self.events: deque[api.Event] = deque()
         self.is_handling = False
         self.metrics = Metrics(request_class.name for request_class in settings.classes)
-        self.list_received = asyncio.Event()  # discovery has sent a list, or changes of one
-        # Optional collaborators, set by subsystems that are on:
-        self.send_probe: Callable[[int, ProbeCallback, float], None] | None = None  # in place of HTTP/1.1's
+        self.list_received = asyncio.Event()  # set once discovery has sent an endpoint list or changes
+        # Optional collaborators, set by the enabled subsystems:
+        self.send_probe: Callable[[int, ProbeCallback, float], None] | None = None  # None = by HTTP/1.1
         self.on_attempt_ended: Callable[[int, api.Outcome], None] | None = None
         self.recorder: Recorder | None = None
         self.fleet_observer: FleetObserver | None = None
-        self.apply_overrides: Callable[[list[ListedUpstream]], None] | None = None  # may make entries drain
+        # Changes the entries of upstreams that operators have suspended or drained, before they take effect.
+        self.apply_overrides: Callable[[list[ListedUpstream]], None] | None = None
 
     # Called by downstream servers
 
     def accept(self, call: Call, reply: Reply) -> int:
-        """Take a request and return its number. Its response may come before this returns."""
+        """Accept a request and return its number. `reply` may be called before this returns."""
         number = self.next_request
         self.next_request = self.next_request % MAX_REQUEST_NUMBER + 1
         request = self.requests[number] = PendingRequest(call, reply)
         self.metrics.request_accepted()
-        # whatever the balancer does, the client is answered inside its time
+        # The engine has a deadline timer of its own, so that a fault of the balancer can't leave a client
+        # waiting.
         request.deadline_timer = self.call_at(call.due_us, self.deadline_passed, number)
         if self.recorder is not None:
             self.recorder.request_named(number, call.request_id)
@@ -155,7 +158,7 @@
         return number
 
     def upload_complete(self, number: int) -> None:
-        """Note that the last byte of an upload has arrived: the time of its request counts from now."""
+        """Restart the deadline of a request whose upload is complete: its time is counted from now."""
         request = self.requests.get(number)
         if request is None or request.is_answered or request.deadline_timer is None:
             return
@@ -164,18 +167,18 @@
         request.deadline_timer = self.call_at(request.call.due_us, self.deadline_passed, number)
 
     def client_gone(self, number: int) -> None:
-        """Note that the client has closed its connection."""
+        """Record that the client has closed its connection."""
         request = self.requests.get(number)
         if request is not None and not request.is_answered:
-            self.settle(number, request, STATUS_CLIENT_GONE)
+            self.mark_answered(number, request, STATUS_CLIENT_GONE)
             self.dispatch(api.RequestGone(number))
 
     def deadline_passed(self, number: int) -> None:
-        """Answer a request whose time is over."""
+        """Answer a request whose deadline has passed."""
         self.fail_request(number, STATUS_GATEWAY_TIMEOUT)
 
     def fail_request(self, number: int, status: int = STATUS_BAD_GATEWAY) -> None:
-        """Answer a request with which the sidecar itself can't go on."""
+        """Answer a request that the sidecar itself cannot process any further."""
         request = self.requests.get(number)
         if request is not None and not request.is_answered:
             self.answer(number, status)
@@ -184,27 +187,27 @@
     # Called by discovery
 
     def list_changed(self, kind: api.ListKind, upstreams: list[ListedUpstream], version: int) -> None:
-        """Take an endpoint list or changes of it."""
+        """Apply an endpoint list or changes of it."""
         if self.apply_overrides is not None:
             for upstream in upstreams:
                 upstream.listed_entry = upstream.entry
             self.apply_overrides(upstreams)
-        is_whole = kind in (api.ListKind.FULL, api.ListKind.CACHED)
-        self.transport.update(upstreams, is_full_list=is_whole)
+        is_full_list = kind in (api.ListKind.FULL, api.ListKind.CACHED)
+        self.transport.update(upstreams, is_full_list=is_full_list)
         self.dispatch(api.UpstreamsUpdated(kind, [upstream.entry for upstream in upstreams], version))
         if kind in (api.ListKind.FULL, api.ListKind.DELTA):
             self.list_received.set()
 
     def list_failed(self) -> None:
-        """Note that a call for the list failed or a watch broke."""
+        """Notify the balancer that a fetch of the endpoint list failed or a watch broke."""
         self.dispatch(api.UpstreamsUpdated(api.ListKind.FAILED))
 
     def listed_upstreams(self) -> dict[int, ListedUpstream]:
-        """Return the upstreams by number."""
+        """Return the listed upstreams by their numbers."""
         return self.transport.upstreams
 
     def member_counts(self) -> tuple[int, int]:
-        """Return how many upstreams are listed, and how many of them get nothing now."""
+        """Return how many upstreams are listed, and how many of them get few or no requests now."""
         listed = sum(
             upstream.entry.state is not api.UpstreamState.GONE
             for upstream in self.transport.upstreams.values()
@@ -214,9 +217,9 @@
     # Events and actions
 
     def dispatch(self, event: api.Event) -> None:
-        """Hand an event to the balancer.
+        """Pass an event to the balancer.
 
-        Events that its actions cause at once are queued: the balancer is never entered again from inside.
+        Events that its actions cause are queued meanwhile: the balancer is not reentrant.
         """
         self.events.append(event)
         if self.is_handling:
@@ -229,12 +232,12 @@
             self.is_handling = False
 
     def handle(self, event: api.Event) -> None:
-        """Hand one event to the balancer and carry out its actions."""
+        """Pass one event to the balancer and carry out the actions that it returns."""
         now_us = self.clock.now_us()
         try:
             actions = self.balancer.handle(now_us, event)
-        except Exception as error:  # a fault of the balancer costs the request that it met, not the sidecar
-            log.exception("the decisions failed on %s", type(event).__name__)
+        except Exception as error:  # a fault of the balancer fails one request and not the sidecar
+            log.exception("balancer raised an exception on event %s", type(event).__name__)
             if self.recorder is not None:
                 self.recorder.balancer_failed(now_us, event, error)
             if isinstance(event, api.RequestArrived | api.AttemptEnded | api.StreamStarted):
@@ -246,11 +249,11 @@
             self.perform_safely(action)
 
     def perform_safely(self, action: api.Action) -> None:
-        """Carry out one action; its failure costs the request that it names."""
+        """Carry out one action; if that raises, fail the request that the action names."""
         try:
             self.perform(action)
-        except Exception:  # the actions that follow have to be carried out all the same
-            log.exception("the action %s failed", type(action).__name__)
+        except Exception:  # the actions after this one still have to be carried out
+            log.exception("action %s of the balancer failed", type(action).__name__)
             if isinstance(action, api.Send | api.Refuse | api.Fail):
                 self.fail_request(action.request)
 
@@ -279,10 +282,10 @@
             case api.Log():
                 log.info("%s", action.text)
             case api.SendPeerMessage():
-                raise ValueError("messages to other sidecars are not carried")
+                raise ValueError("messages to other sidecars are not supported")
 
     def reject(self, action: api.Refuse) -> None:
-        """Answer 503: the request has had no effect."""
+        """Answer 503, with a Retry-After if the action has one: the request has had no effect."""
         if self.fleet_observer is not None:
             request = self.requests.get(action.request)
             if request is not None and not request.is_answered:
@@ -293,24 +296,25 @@
         self.answer(action.request, STATUS_SERVICE_UNAVAILABLE, header_lines)
 
     def cancel(self, action: api.Cancel) -> None:
-        """End an attempt that is in flight."""
+        """Cancel an attempt, if it is still in flight."""
         request = self.requests.get(action.request)
         attempt = request.attempts[action.attempt] if request is not None else None
         if attempt is not None:
             attempt.finish(api.Outcome.CANCELLED)
 
     def call_at(self, at_us: int, callback: Callable[..., None], *arguments: object) -> Timer:
-        """Call back at a time of the engine's clock, or a little later."""
+        """Call `callback` at a time of the engine's clock, or slightly later."""
         wait_us = max(0, at_us - self.clock.now_us())
         return self.timers.call_later(wait_us / 1e6 + LOOP_RESOLUTION_S, callback, *arguments)
 
-    def fire_timer(self, timer: api.SetTimer, set_already: bool = False) -> None:
-        """Report a timer of the balancer once its time has come.
+    def fire_timer(self, timer: api.SetTimer, is_set: bool = False) -> None:
+        """Report a timer to the balancer once it is due.
 
-        The loop's clock may be ahead of the engine's, and the balancer ignores a timer that is early: such a
-        timer is set again. One that is due at once waits for the next turn of the loop.
+        The loop's clock may be ahead of the engine's, and the balancer ignores a timer that fires early, so
+        such a timer is set again. A timer that is due immediately fires in the next iteration of the event
+        loop.
         """
-        if set_already and self.clock.now_us() >= timer.at_us:
+        if is_set and self.clock.now_us() >= timer.at_us:
             self.dispatch(api.TimerFired(timer.token))
         else:
             self.call_at(timer.at_us, self.fire_timer, timer, True)
@@ -318,10 +322,10 @@
     # Attempts
 
     def send(self, action: api.Send) -> None:
-        """Start an attempt. What the limits do not allow ends at once as NOT_SENT."""
+        """Start an attempt. One that the limits do not allow ends immediately as NOT_SENT."""
         number, now_us = action.request, self.clock.now_us()
         request = self.requests.get(number)
-        if request is None:  # the balancer never names a request that it was not given
+        if request is None:  # a fault of the balancer: each Send gets its AttemptEnded all the same
             self.dispatch(api.AttemptEnded(number, 0, action.upstream, api.Outcome.NOT_SENT, 0, True))
             return
         call, attempt_index = request.call, len(request.attempts)
@@ -336,19 +340,21 @@
         if action.until_us:
             attempt.window_timer = self.call_at(action.until_us, attempt.window_over)
         if call.attempt_factory is not None:
-            carried = call.attempt_factory.new_attempt(attempt.left_us, attempt.ended, attempt.began)
-            request.attempts[attempt_index] = carried
-            carried.start(action.upstream, timeout_us / 1e6)
+            new_attempt = call.attempt_factory.new_attempt(
+                attempt.left_us, attempt.ended, attempt.response_started
+            )
+            request.attempts[attempt_index] = new_attempt
+            new_attempt.start(action.upstream, timeout_us / 1e6)
             return
         open_stream = attempt.open_stream if call.open_stream is not None else None
         exchange = self.transport.exchange(
-            attempt.render, attempt.ended, attempt.wrote, open_stream, call.upload
+            attempt.render, attempt.ended, attempt.written, open_stream, call.upload
         )
         request.attempts[attempt_index] = exchange
         self.transport.start(action.upstream, exchange, timeout_us / 1e6)
 
     def may_start(self, request: PendingRequest, attempt: AttemptInFlight) -> bool:
-        """Say whether the limits allow an attempt, which counts as in flight already."""
+        """Return whether the limits allow this attempt, which already counts as in flight."""
         upload = request.call.upload
         is_hedged = request.attempts_in_flight > 1
         return (
@@ -359,7 +365,7 @@
         )
 
     def probe(self, upstream: int) -> None:
-        """Ask an upstream for its health, or for its load if it reports that."""
+        """Send a health check to an upstream, or a load probe if the settings name load reports."""
         ended = partial(self.probe_ended, upstream, self.clock.now_us())
         timeout_s = self.settings.probe_timeout_us / 1e6
         if self.send_probe is not None:
@@ -367,13 +373,13 @@
             return
         path = LOAD_PROBE_PATH if self.settings.report_names else HEALTH_CHECK_PATH
         head = b"GET %s HTTP/1.1\r\nHost: backend.local\r\n\r\n" % path
-        exchange = self.transport.exchange(partial(single_part, head), ended)
+        exchange = self.transport.exchange(partial(render_head, head), ended)
         self.transport.start(upstream, exchange, timeout_s)
 
     def probe_ended(
         self, upstream: int, since_us: int, outcome: api.Outcome, response: UpstreamResponse | None
     ) -> None:
-        """Report the end of a probe."""
+        """Report the end of a probe to the balancer, with the load report that it returned."""
         if response is not None and response.status == STATUS_OK:
             outcome = api.Outcome.OK
         load_report = response.body if response is not None and outcome is api.Outcome.OK else b""
@@ -381,34 +387,35 @@
         self.dispatch(api.ProbeEnded(upstream, outcome, elapsed_us, self.parse_load(load_report)))
 
     def parse_load(self, load_report: bytes) -> list[float]:
-        """Return the values of a load report, in the order of the settings; empty if it is malformed."""
+        """Return the values of a load report in the order of the settings; empty if it is malformed."""
         return parse_report(load_report, self.settings.report_names)
 
     # Responses
 
     def answer(self, number: int, status: int, header_lines: bytes = b"", body: bytes = b"") -> None:
-        """Give the final response, here and nowhere else: the first stands, a later one is dropped."""
+        """Send the final response of a request. Only the first response counts; later ones are dropped."""
         request = self.requests.get(number)
         if request is None or request.is_answered:
             return
-        self.settle(number, request, status)
+        self.mark_answered(number, request, status)
         try:
             request.reply(status, header_lines, body)
         except Exception:
-            # The balancer still has to learn how the attempt ended: else its part of the concurrency limit
-            # would stay in use for good.
-            log.exception("an answer could not be written")
+            # The end of the attempt still has to be reported to the balancer. Otherwise the attempt would use
+            # up its slot of the concurrency limit forever.
+            log.exception("could not write a response to the client")
 
-    def stream_ended(self, class_index: int, is_whole: bool | None) -> None:
-        """Count the end of a streamed response; None = the client has left.
+    def stream_ended(self, class_index: int, is_complete: bool | None) -> None:
+        """Count the end of a streamed response; `is_complete` is None if the client disconnected.
 
-        It takes the class and not the request, so that the callback does not keep the request's body alive.
+        The argument is the class and not the request, as a reference to the request would keep its body in
+        memory.
         """
-        status = STATUS_OK if is_whole else STATUS_BAD_GATEWAY
-        self.metrics.request_ended(class_index, STATUS_CLIENT_GONE if is_whole is None else status)
+        status = STATUS_OK if is_complete else STATUS_BAD_GATEWAY
+        self.metrics.request_ended(class_index, STATUS_CLIENT_GONE if is_complete is None else status)
 
-    def settle(self, number: int, request: PendingRequest, status: int) -> None:
-        """Mark a request as answered, and end what has not been sent for it."""
+    def mark_answered(self, number: int, request: PendingRequest, status: int) -> None:
+        """Mark a request as answered, and end its attempts that were not sent completely."""
         request.is_answered = True
         self.metrics.request_ended(request.call.class_index, status)
         if request.deadline_timer is not None:
@@ -416,7 +423,8 @@
         if request.attempts_in_flight == 0:
             del self.requests[number]
             return
-        # a client that left says nothing of the upstream; one that took no request in its time does
+        # That a client disconnected is no fault of the upstream. That the upstream did not accept the request
+        # before the deadline is one, and counts as a failed connection.
         is_client_gone = status == STATUS_CLIENT_GONE
         outcome = api.Outcome.NOT_SENT if is_client_gone else api.Outcome.CONNECT_FAILED
         for attempt in list(request.attempts):
@@ -425,7 +433,7 @@
 
 
 class AttemptInFlight:
-    """One attempt, and what its end means for its request."""
+    """One attempt of a request: reports its events to the balancer and answers the request at its end."""
 
     __slots__ = (
         "engine",
@@ -450,16 +458,17 @@
         self.engine = engine
         self.request = request
         self.request_number = request_number
-        self.index = index  # among the attempts of its request
+        self.index = index  # index among the attempts of the request
         self.upstream = action.upstream
         self.sent_us = now_us
         self.until_us = action.until_us
-        self.window_timer: Timer | None = None  # runs until the deduplication window is over
+        self.window_timer: Timer | None = None  # fires at the end of the deduplication window
 
     def left_us(self) -> int:
-        """Return the time left; 0 if the request, its time, or its deduplication window is over.
+        """Return the time until the deadline; 0 if the attempt must not be sent any more.
 
-        It is asked just before the first byte is written.
+        That is the case once the request was answered, its deadline has passed, or its deduplication window
+        is over. Called just before the first byte is written.
         """
         now_us = self.engine.clock.now_us()
         is_window_over = self.until_us and now_us >= self.until_us
@@ -468,13 +477,13 @@
         return max(0, self.request.call.due_us - now_us)
 
     def window_over(self) -> None:
-        """End the attempt if it has not been sent when the deduplication window is over."""
+        """End the attempt at the end of the deduplication window if it was not sent completely."""
         attempt = self.request.attempts[self.index]
         if attempt is not None:
             attempt.expire_unsent()
 
     def render(self) -> list[bytes] | None:
-        """Return the parts of the request; None if it is no longer wanted."""
+        """Return the parts of the request; None if it must not be sent any more."""
         call, left_us = self.request.call, self.left_us()
         if left_us <= 0:
             return None
@@ -483,17 +492,17 @@
         head = b"%sReq-Deadline: %d.%06d\r\n\r\n%s" % (call.head, *divmod(left_us, 1_000_000), body)
         return [head] if is_small else [head, call.body]
 
-    def wrote(self) -> None:
-        """Note that the kernel has the whole request."""
+    def written(self) -> None:
+        """Record that the request was written completely to the kernel."""
         self.engine.metrics.upstream_requests += 1
         if self.request.call.upload is not None:
-            # the time that the client takes to send it says nothing of the upstream
+            # The time that the client took for its upload is not part of the upstream's response time.
             self.sent_us = self.engine.clock.now_us()
 
     def open_stream(
         self, header_lines: bytes, length: int | None, load_report: bytes, source: ResponseSource
     ) -> ResponseSink | None:
-        """Begin to pass on a large response; None if nobody wants it. The attempt has ended by this."""
+        """End the attempt and begin to stream its response; None if the request is answered already."""
         engine, request, call = self.engine, self.request, self.request.call
         sink = None
         request.attempts[self.index] = None
@@ -507,13 +516,13 @@
         self.report_end(api.Outcome.OK, load_report)
         return sink
 
-    def began(self) -> None:
-        """Note that a part of the response has gone to the client."""
+    def response_started(self) -> None:
+        """Report that the first part of the response was forwarded to the client."""
         elapsed_us = self.engine.clock.now_us() - self.sent_us
         self.engine.dispatch(api.StreamStarted(self.request_number, self.index, self.upstream, elapsed_us))
 
     def ended(self, outcome: api.Outcome, response: UpstreamResponse | None) -> None:
-        """Note the end of the attempt, answer its request if that ends it too, and report it."""
+        """Record the end of the attempt, answer the request if this response is final, and report both."""
         engine, request = self.engine, self.request
         request.attempts[self.index] = None
         request.attempts_in_flight -= 1
@@ -521,8 +530,9 @@
             engine.metrics.upstream_requests += 1
         if outcome is api.Outcome.OK and response is not None:
             engine.answer(self.request_number, STATUS_OK, response.header_lines, response.body)
-        elif response is not None and is_about_the_request(response):
-            # only an upstream can tell such requests from good ones: it is no outlier for that
+        elif response is not None and is_request_error(response):
+            # The upstream is at no fault: only it can tell such requests from valid ones, and must not be
+            # ejected.
             engine.answer(self.request_number, response.status)
             outcome = api.Outcome.NOT_SENT
         elif response is not None and response.is_final:
@@ -530,7 +540,7 @@
         self.report_end(outcome, response.load_report if response is not None else b"")
 
     def report_end(self, outcome: api.Outcome, load_report: bytes) -> None:
-        """Report the end of the attempt to the balancer and to the observers."""
+        """Report the end of the attempt to the balancer, the fleet observer and `on_attempt_ended`."""
         engine, request = self.engine, self.request
         if self.window_timer is not None:
             self.window_timer.cancel()
--- a/sidecar_proxy/engine/gc_control.py
+++ b/sidecar_proxy/engine/gc_control.py
@@ -8,31 +8,31 @@
 
 import gc
 
-YOUNG_GENERATION_THRESHOLD = 5_000  # objects; the default of 700 collects at every dozenth request
-MIDDLE_GENERATION_THRESHOLD = 20  # collections of the young generation
-OLD_GENERATION_THRESHOLD = 20  # collections of the middle generation
-GROWTH_FACTOR = 1.25  # of the number of upstreams since the last freeze, from which to freeze again
-FEW_UPSTREAMS = 256  # a list that grows to less than this needs no freeze
+YOUNG_GENERATION_THRESHOLD = 5_000  # objects; the default of 700 collects once in 12 requests
+MIDDLE_GENERATION_THRESHOLD = 20  # collections of the young generation per collection of this one
+OLD_GENERATION_THRESHOLD = 20  # collections of the middle generation per collection of this one
+GROWTH_FACTOR = 1.25  # a list that has grown by this factor since the last freeze is frozen again
+MIN_UPSTREAMS = 256  # a smaller list is cheap to collect and needs no freeze of its own
 
 
 class GcController:
-    """Freezes long-lived objects: at the start, and when the endpoint list has grown."""
+    """Excludes long-lived objects from collection: at the start, and when the endpoint list has grown."""
 
     def __init__(self) -> None:
-        self.frozen_upstreams = FEW_UPSTREAMS
+        self.frozen_upstreams = MIN_UPSTREAMS
         gc.set_threshold(YOUNG_GENERATION_THRESHOLD, MIDDLE_GENERATION_THRESHOLD, OLD_GENERATION_THRESHOLD)
         gc.collect()
         gc.freeze()
 
     def pause(self) -> None:
-        """Disable collections while a large list is being read."""
+        """Disable collections while a large endpoint list is being parsed."""
         gc.disable()
 
     def resume(self, upstream_count: int) -> None:
-        """Enable collections again, and freeze what is there if the list has grown.
+        """Enable collections again, and freeze all existing objects if the endpoint list has grown.
 
-        Cyclic garbage that exists at this moment is frozen as well and never freed, so this happens only as
-        the list grows, not at each change of it.
+        Cyclic garbage that exists at this moment is frozen as well and never freed, so objects are frozen
+        only when the list has grown, not at each change.
         """
         if upstream_count > GROWTH_FACTOR * self.frozen_upstreams:
             self.frozen_upstreams = upstream_count
--- a/sidecar_proxy/engine/interfaces.py
+++ b/sidecar_proxy/engine/interfaces.py
@@ -1,8 +1,8 @@
-"""The interfaces of the engine: what downstream servers, upstream transports and discovery are to it.
+"""The interfaces between the engine and the downstream servers, the upstream transports and discovery.
 
-A downstream server turns bytes into Calls (`Engine.accept`) and the one response that it is handed back into
-bytes. It never picks, retries or sheds load. Every other side is a Protocol here, with its contract. Times
-that end in `_us` are microseconds of the engine's clock.
+A downstream server parses requests into Calls, passes them to `Engine.accept`, and serializes the response
+that it gets back for each. It never picks upstreams, retries or sheds load. Every other collaborator is a
+Protocol here, with its contract. Times that end in `_us` are microseconds of the engine's clock.
 """
 
 from __future__ import annotations
@@ -16,222 +16,235 @@
 from sidecar_proxy.engine.address import Address
 from sidecar_proxy.engine.body_buffers import ClientStreamOpener, ResponseSink, ResponseSource, Upload
 
-# Takes the one response of a request: status, header lines, body.
+# Called once with the final response to a request: status, header lines, body.
 Reply = Callable[[int, bytes, bytes], None]
-# Opens a streamed response, given its header lines, its length if known, its Srv-Load and its source.
+# Opens a streamed response. Arguments: the header lines, the length if it is known, the value of Srv-Load,
+# and the source. Returns None if the response is no longer wanted.
 ResponseStreamOpener = Callable[[bytes, "int | None", bytes, ResponseSource], "ResponseSink | None"]
 
 
 @dataclass(slots=True)
 class UpstreamResponse:
-    """What an upstream answered."""
+    """A complete response of an upstream."""
 
     status: int
-    header_lines: bytes  # those that go on to the client
+    header_lines: bytes  # the header lines that are forwarded to the client
     body: bytes
-    load_report: bytes  # the value of Srv-Load, if any
-    is_final: bool = False  # no further attempt can be made
+    load_report: bytes  # the value of Srv-Load; empty if there is none
+    is_final: bool = False  # the request cannot be retried after this response
 
 
-# Called once when an attempt has ended, with the response if there is one.
+# Called once at the end of an attempt, with the response if there is one.
 AttemptCallback = Callable[[api.Outcome, "UpstreamResponse | None"], None]
 
 
 class Attempt(Protocol):
-    """An attempt in flight, as the engine holds it.
+    """An attempt in flight, as the engine sees it.
 
-    Its end is reported once, whatever ends it. It is reported as NOT_SENT or CONNECT_FAILED only if the
-    kernel never had the whole request, so that the request can't have run.
+    Its end is reported exactly once, whatever ends it. The outcome is NOT_SENT or CONNECT_FAILED only if the
+    request was not written completely to the kernel, so that the upstream can't have executed it.
     """
 
     def finish(self, outcome: api.Outcome) -> None:
         """End the attempt now."""
 
     def abandon_unsent(self, outcome: api.Outcome) -> None:
-        """End it with this outcome, unless the kernel has the whole request: the request is over."""
+        """End the attempt with this outcome when its request was answered otherwise.
+
+        An attempt whose request was written completely to the kernel goes on.
+        """
 
     def expire_unsent(self) -> None:
-        """End it as NOT_SENT, unless the kernel has the whole request: its deduplication window is over."""
+        """End the attempt as NOT_SENT when its deduplication window is over.
+
+        An attempt whose request was written completely to the kernel goes on.
+        """
 
 
 class StartableAttempt(Attempt, Protocol):
-    """An attempt that has not begun."""
+    """An attempt that has not started."""
 
     def start(self, upstream: int, timeout_s: float) -> None:
-        """Begin it; it may end before this returns."""
+        """Start the attempt; it may end before this returns."""
 
 
 class AttemptFactory(Protocol):
-    """Makes the attempts of a request that is not plain HTTP/1.1."""
+    """Creates the attempts of a request of another protocol than HTTP/1.1."""
 
     def new_attempt(
-        self, left_us: Callable[[], int], ended: AttemptCallback, began: Callable[[], None]
+        self, left_us: Callable[[], int], on_end: AttemptCallback, on_response_started: Callable[[], None]
     ) -> StartableAttempt:
         """Return a new attempt.
 
-        `left_us` gives the time left, 0 once nothing may be sent any more; `ended` is called once; `began` is
-        called when a part of the response has gone to the client, after which no other attempt may follow.
+        `left_us` returns the time left, 0 once nothing may be sent any more. `on_end` is called once.
+        `on_response_started` is called when the first part of the response was forwarded to the client; after
+        that no further attempt is possible.
         """
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A request as the application sent it."""
+    """A request as the application sent it, and its routing data."""
 
     class_index: int
     due_us: int
-    head: bytes  # request line and the headers that go on to upstreams
+    head: bytes  # request line and the headers that are forwarded to upstreams
     body: bytes
     tenant: int = 0
     key: int = 0
     cost_us: int = 0
     is_retry: bool = False
-    request_id: bytes = b""  # its Req-Id
+    request_id: bytes = b""  # value of Req-Id
     attempt_factory: AttemptFactory | None = None  # None = HTTP/1.1, with the head and body above
-    upload: Upload | None = None  # in place of `body`, for a large body
-    time_after_upload_us: int = 0  # what is left of its time once an upload is complete
-    open_stream: ClientStreamOpener | None = None  # where a large response goes; None = nowhere
+    upload: Upload | None = None  # a large body, in place of `body`
+    time_after_upload_us: int = 0  # time to the deadline, counted from the end of the upload
+    open_stream: ClientStreamOpener | None = None  # None = the response cannot be streamed
 
 
 class IdleConnection(Protocol):
-    """A connection that carries one exchange at a time, and none now."""
+    """A connection that carries one exchange at a time and is idle."""
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
 
 
 class MultiplexedConnection(Protocol):
-    """A connection that carries many streams."""
+    """A connection that carries concurrent streams."""
 
     def retire(self) -> None:
-        """Open no new streams; those that are open go on."""
+        """Open no new streams; open streams go on."""
 
 
 @dataclass(slots=True, eq=False)
 class ListedUpstream:
-    """One upstream: its entry of the endpoint list, its addresses and its connections."""
+    """An upstream of the endpoint list: its list entry, its addresses and its connections."""
 
     entry: api.Upstream
     address: Address
-    grpc_address: Address | None = None  # where it speaks gRPC, if at another address
+    grpc_address: Address | None = None  # address for gRPC; None = `address`
     multiplexed: list[MultiplexedConnection] = field(default_factory=list)
-    idle: dict[IdleConnection, None] = field(default_factory=dict)  # the last one was used most recently
-    listed_entry: api.Upstream | None = None  # as the list has it, where an operator's override differs
-    last_received_s: float = 0.0  # loop time of the last byte from it
-    has_violated_protocol: bool = False  # it has answered twice, or without a request
-    generation: int = 0  # counts its restarts
-    open_connections: int = 0  # those being made among them
+    idle: dict[IdleConnection, None] = field(default_factory=dict)  # idle connections, last used last
+    listed_entry: api.Upstream | None = None  # entry of the endpoint list, before overrides by operators
+    last_received_s: float = 0.0  # loop time of the last byte that the upstream sent
+    has_violated_protocol: bool = False  # the upstream has sent a response twice, or without a request
+    generation: int = 0  # number of restarts of the upstream
+    open_connections: int = 0  # includes connections that are being established
 
     def is_ready(self) -> bool:
-        """Say whether new requests may go to it."""
+        """Return whether new requests may be sent to the upstream."""
         return self.entry.state is api.UpstreamState.READY
 
     def close_idle(self) -> None:
-        """Close the connections that carry nothing."""
+        """Close the idle connections, and open no new streams on multiplexed ones."""
         for connection in list(self.idle):
             connection.close()
-        for shared in list(self.multiplexed):
-            shared.retire()
+        for multiplexed in list(self.multiplexed):
+            multiplexed.retire()
 
 
 class UpstreamTransport(Protocol):
-    """The connections to upstreams by HTTP/1.1: turns one Send into one attempt with one end."""
+    """The HTTP/1.1 connections to upstreams: makes one attempt, with one end, of each Send action."""
 
     upstreams: dict[int, ListedUpstream]
 
     def update(self, upstreams: list[ListedUpstream], is_full_list: bool) -> None:
-        """Take over changed entries, or the whole list.
+        """Apply changed entries, or replace the complete list.
 
-        Rule 3: nothing new goes to an upstream that is no longer READY; its idle connections are closed.
+        By service rule 3, an upstream that is no longer READY gets no new requests; its idle connections are
+        closed.
         """
 
     def exchange(
         self,
         render: Callable[[], list[bytes] | None],
-        ended: AttemptCallback,
-        wrote: Callable[[], None] | None = None,
-        opens: ResponseStreamOpener | None = None,
+        on_end: AttemptCallback,
+        on_written: Callable[[], None] | None = None,
+        open_stream: ResponseStreamOpener | None = None,
         upload: Upload | None = None,
     ) -> Attempt:
-        """Return an attempt that has not begun.
+        """Return an attempt that has not started.
 
-        `render` is asked for the parts of the request just before the first byte (None: it is no longer
-        wanted); `wrote` is called once the kernel has the whole request.
+        `render` is called just before the first byte is written and returns the parts of the request, or None
+        if it must not be sent any more. `on_written` is called when the request was written completely to the
+        kernel. `open_stream` begins to stream a large response.
         """
 
     def start(self, upstream: int, exchange: Attempt, timeout_s: float) -> None:
-        """Begin an attempt; it may end before this returns."""
+        """Start an attempt; it may end before this returns."""
 
     def close_idle(self, upstream: int) -> None:
         """Close the idle connections to one upstream."""
 
     def halve_connection_limit(self, is_halved: bool) -> None:
-        """Use half of the connections while another process of this sidecar runs, or all again."""
+        """Halve the connection limit while another process of this sidecar runs, or restore it."""
 
 
 class DiscoveryClient(Protocol):
-    """Asks for the endpoint list; the results go to an EndpointListListener."""
+    """Fetches and watches the endpoint list, and passes the results to an EndpointListListener."""
 
     def subscribe(self, active: bool) -> None:
-        """Open a watch, or close it."""
+        """Open a watch on the endpoint list, or close it."""
 
     def fetch(self) -> None:
-        """Ask for the list once."""
+        """Fetch the endpoint list once."""
 
 
 class EndpointListListener(Protocol):
-    """Receives the endpoint list from a discovery source: the engine, or a merge in front of it."""
+    """Receives the endpoint list from a discovery source: the engine, or a merge of several sources."""
 
     def list_changed(self, kind: api.ListKind, upstreams: list[ListedUpstream], version: int) -> None:
-        """Take a list or changes of it."""
+        """Apply an endpoint list, or changes of it."""
 
     def list_failed(self) -> None:
-        """Note that a call failed or a watch broke."""
+        """Record that a fetch failed or a watch broke."""
 
     def listed_upstreams(self) -> dict[int, ListedUpstream]:
-        """Return the upstreams by number."""
+        """Return the listed upstreams by their numbers."""
 
 
 class FleetObserver(Protocol):
-    """Counts requests for all sidecars together, and knows the Retry-After given to clients.
+    """Counts requests for fleet-wide overload control, and stores each Retry-After sent to a client.
 
-    It never raises or blocks.
+    Its methods never raise or block.
     """
 
     def request_arrived(self, call: Call) -> int:
-        """Return when the client was told to retry, in microseconds of the engine's clock; 0 = it was not."""
+        """Count a request; return when the client may retry by its last Retry-After.
+
+        The time is in microseconds of the engine's clock; 0 = the client has received no Retry-After.
+        """
 
     def request_rejected(self, call: Call, after_us: int, shed: bool) -> None:
-        """Note a rejection and the Retry-After that the client was given."""
+        """Record a rejection and the Retry-After sent to the client."""
 
     def attempt_ended(self, class_index: int, outcome: api.Outcome, elapsed_us: int) -> None:
-        """Note the end of an attempt."""
+        """Record the end of an attempt."""
 
 
 class Recorder(Protocol):
-    """Keeps what goes into the decisions and what comes out. It never raises or blocks."""
+    """Records the events and actions of the balancer. Its methods never raise or block."""
 
     def request_named(self, request: int, ident: bytes) -> None:
-        """Note the Req-Id that a request's number stands for."""
+        """Record the Req-Id of a request number."""
 
     def event_handled(self, now_us: int, event: api.Event, actions: list[api.Action]) -> None:
-        """Note an event and the actions that came of it."""
+        """Record an event and the actions that the balancer returned for it."""
 
     def balancer_failed(self, now_us: int, event: api.Event, error: Exception) -> None:
-        """Note an event on which the decisions failed."""
+        """Record an event on which the balancer raised an exception."""
 
 
 class BalancerInterface(Protocol):
-    """The part of the balancer that the engine calls, and nobody else."""
+    """The methods of the balancer, which only the engine calls, and the fields that other packages read."""
 
     entries: dict[int, api.Upstream]  # the endpoint list
-    endpoints: dict[int, Endpoint]  # those in use
+    endpoints: dict[int, Endpoint]  # the endpoints in use
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
         """Return the actions that an event calls for, in order."""
 
     def count_avoided(self) -> int:
-        """Return how many listed upstreams get nothing now, or next to nothing."""
+        """Return how many listed upstreams get few or no requests now."""
 
     def export_warm_start_state(self) -> api.WarmStartState:
-        """Return what a next process of this sidecar may begin with."""
+        """Return the state that the next process of this sidecar may start with."""
--- a/sidecar_proxy/engine/metrics.py
+++ b/sidecar_proxy/engine/metrics.py
@@ -1,7 +1,8 @@
-"""Counters of a sidecar, and their text form (StatsD: name:value|type). Pure.
+"""Counters of a sidecar, and their text format (StatsD: name:value|type). No I/O.
 
-Each process counts from 0. The requests of a class end under one of `completed`, `rejected` and `failed`;
-those whose client has left are counted nowhere. The exported names are part of the operators' interface.
+Each process counts from 0. A finished request counts as one of `completed`, `rejected` and `failed` of its
+request class; a request whose client disconnected counts as none of them. The exported names are part of the
+operators' interface.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 def outcome_index(status: int) -> int:
-    """Return the index in OUTCOMES under which a final status is counted."""
+    """Return the index in OUTCOMES that a final status counts as."""
     if status == STATUS_COMPLETED:
         return COMPLETED
     if status in STATUSES_REJECTED:
@@ -32,22 +33,22 @@
         self.class_names = list(class_names)
         self.outcome_counts = [[0] * len(OUTCOMES) for _ in self.class_names]
         self.pending_requests = 0
-        self.upstream_requests = 0  # attempts of which the kernel has had the whole request
+        self.upstream_requests = 0  # attempts whose request was written completely to the kernel
         self.config_reloads = 0
         self.config_reload_errors = 0
 
     def request_accepted(self) -> None:
-        """Count a request that was taken."""
+        """Count a request that was accepted."""
         self.pending_requests += 1
 
     def request_ended(self, class_index: int, status: int) -> None:
-        """Count the end of a request, with its final status; 0 if its client has left."""
+        """Count the end of a request by its final status, which is 0 if its client disconnected."""
         self.pending_requests -= 1
         if status != STATUS_CLIENT_GONE:
             self.outcome_counts[class_index][outcome_index(status)] += 1
 
     def lines(self, members: int, unavailable_members: int) -> Iterator[str]:
-        """Yield each metric as a line; the caller counts the members."""
+        """Yield each metric as a line; the numbers of members come from the caller."""
         for name, counts in zip(self.class_names, self.outcome_counts, strict=True):
             for outcome, count in zip(OUTCOMES, counts, strict=True):
                 yield f"{PREFIX}.{outcome}.{name}:{count}|c"
--- a/sidecar_proxy/engine/timers.py
+++ b/sidecar_proxy/engine/timers.py
@@ -1,8 +1,9 @@
 """A queue of many timers, most of which are cancelled, on one timer of the event loop.
 
-Each request sets a deadline timer and one for each attempt, and nearly all are cancelled within ms. A
-timer of the loop costs a handle, a context and two calls of libuv. Here setting one is a push on a heap, and
-a cancelled one stays on the heap until its time comes or most of the heap is cancelled.
+Each request sets a deadline timer and one timer per attempt, and nearly all are cancelled within
+milliseconds. A timer of the event loop costs a handle, a context and two calls of libuv. Here setting a timer
+is a push on a heap, and a cancelled timer stays on the heap until it is due or until most timers on the heap
+are cancelled.
 """
 
 from __future__ import annotations
@@ -12,11 +13,12 @@
 from collections.abc import Callable
 
 TIMER_RESOLUTION_S = 0.0005  # the loop's timers are rounded to whole milliseconds
-MAX_CANCELLED = 1024  # with more, and more than half of the heap, cancelled timers are removed from it
+# Cancelled timers are removed from the heap once they are more than this and more than half of the heap.
+MAX_CANCELLED = 1024
 
 
 class Timer:
-    """One call that is due at some time."""
+    """A scheduled callback."""
 
     __slots__ = ("arguments", "callback", "queue")
 
@@ -28,7 +30,7 @@
         self.arguments = arguments
 
     def cancel(self) -> None:
-        """Make sure that the call is not made; does nothing if it has been made."""
+        """Cancel the callback; does nothing if it has been called already."""
         if self.callback is not None:
             self.callback = None
             self.arguments = ()
@@ -36,19 +38,21 @@
 
 
 class TimerQueue:
-    """The timers of one event loop, in the order of their times."""
+    """The timers of one event loop, ordered by due time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.heap: list[tuple[float, int, Timer]] = []
-        self.sequence = 0  # of the last timer: equal times are called in the order in which they were set
-        self.cancelled = 0  # timers on the heap
+        # Number of the last timer: timers that are due at the same time are called in the order they were
+        # set.
+        self.sequence = 0
+        self.cancelled = 0  # cancelled timers that are still on the heap
         self.loop_timer: asyncio.TimerHandle | None = None
         self.loop_timer_s = 0.0
         self.is_firing = False
 
     def call_later(self, delay_s: float, callback: Callable[..., None], *arguments: object) -> Timer:
-        """Call back in this many seconds, at the resolution of the loop."""
+        """Call `callback` after a delay, which is rounded to the resolution of the event loop."""
         timer = Timer(self, callback, arguments)
         self.sequence += 1
         at_s = self.loop.time() + delay_s
@@ -58,7 +62,7 @@
         return timer
 
     def arm(self) -> None:
-        """Set the loop's timer for the first time on the heap."""
+        """Set the event loop's timer to the earliest due time."""
         if self.loop_timer is not None:
             self.loop_timer.cancel()
             self.loop_timer = None
@@ -68,7 +72,7 @@
             self.loop_timer = self.loop.call_later(delay_s, self.fire)
 
     def fire(self) -> None:
-        """Make all calls that are due, then set the loop's timer anew."""
+        """Call all callbacks that are due, then set the event loop's timer again."""
         now_s = self.loop.time() + TIMER_RESOLUTION_S
         self.loop_timer = None
         self.is_firing = True
@@ -80,7 +84,7 @@
             self.arm()
 
     def call(self, timer: Timer) -> None:
-        """Make the call of a timer that was taken from the heap, unless it was cancelled."""
+        """Call the callback of a timer that was removed from the heap, unless it was cancelled."""
         callback = timer.callback
         arguments = timer.arguments
         if callback is None:
@@ -90,11 +94,11 @@
         timer.arguments = ()
         try:
             callback(*arguments)
-        except Exception as error:  # the failure of one call must not cost the others theirs
-            self.loop.call_exception_handler({"message": "a timer's call failed", "exception": error})
+        except Exception as error:  # a failed callback must not prevent the others from being called
+            self.loop.call_exception_handler({"message": "timer callback failed", "exception": error})
 
     def timer_cancelled(self) -> None:
-        """Count a timer that was cancelled on the heap, and remove such ones if they are most of it."""
+        """Count a cancelled timer, and remove all cancelled timers if they are most of the heap."""
         self.cancelled += 1
         is_mostly_cancelled = self.cancelled > MAX_CANCELLED and self.cancelled * 2 > len(self.heap)
         if is_mostly_cancelled and not self.is_firing:
@@ -103,7 +107,7 @@
             self.cancelled = 0
 
     def close(self) -> None:
-        """Drop all timers."""
+        """Drop all timers without calling them."""
         self.heap.clear()
         self.cancelled = 0
         if self.loop_timer is not None:
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine alone: its contract with the balancer, whatever the balancer does."""
+"""The engine keeps its contract with the balancer, even if the balancer has faults."""
 
 from __future__ import annotations
 
@@ -28,27 +28,27 @@
 
 
 class ScriptedBalancer:
-    """Stands in for the balancer: notes each event and returns the actions that the test says."""
+    """Replaces the balancer: records each event and returns the actions that the test chooses."""
 
-    def __init__(self, act: Callable[[api.Event], list[api.Action]]) -> None:
-        self.act = act
+    def __init__(self, choose_actions: Callable[[api.Event], list[api.Action]]) -> None:
+        self.choose_actions = choose_actions
         self.events: list[api.Event] = []
-        self.inside = False
+        self.is_handling = False
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        assert not self.inside, "entered again from inside"
-        self.inside = True
+        assert not self.is_handling, "the balancer was entered recursively"
+        self.is_handling = True
         try:
             self.events.append(event)
-            return self.act(event)
+            return self.choose_actions(event)
         finally:
-            self.inside = False
+            self.is_handling = False
 
 
-def make_engine(act: Callable[[api.Event], list[api.Action]]) -> tuple[Engine, ScriptedBalancer]:
+def make_engine(choose_actions: Callable[[api.Event], list[api.Action]]) -> tuple[Engine, ScriptedBalancer]:
     pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
     engine = Engine(settings(), 1, Clock(), pool, NoDiscovery())
-    balancer = ScriptedBalancer(act)
+    balancer = ScriptedBalancer(choose_actions)
     engine.balancer = cast(Any, balancer)
     return engine, balancer
 
@@ -57,8 +57,8 @@
     uvloop.run(asyncio.wait_for(test(), 20.0))
 
 
-def make_call(engine: Engine, lasts_us: int = 60_000_000) -> Call:
-    return Call(1, engine.clock.now_us() + lasts_us, b"POST /pay/7 HTTP/1.1\r\nContent-Length: 0\r\n", b"")
+def make_call(engine: Engine, timeout_us: int = 60_000_000) -> Call:
+    return Call(1, engine.clock.now_us() + timeout_us, b"POST /pay/7 HTTP/1.1\r\nContent-Length: 0\r\n", b"")
 
 
 @pytest.mark.parametrize(
@@ -68,7 +68,9 @@
         (api.Fail(1), (502, b"")),
     ],
 )
-def test_first_final_response_stands(first_action: api.Action, expected: tuple[int, bytes]) -> None:
+def test_first_final_response_is_sent_and_later_ones_are_dropped(
+    first_action: api.Action, expected: tuple[int, bytes]
+) -> None:
     async def test() -> None:
         engine, _ = make_engine(lambda event: [first_action, api.Fail(1), api.Refuse(1)])
         responses: list[tuple[int, bytes]] = []
@@ -81,12 +83,12 @@
 
 def test_fault_of_the_balancer_fails_that_request_and_no_other() -> None:
     async def test() -> None:
-        def act(event: api.Event) -> list[api.Action]:
+        def choose_actions(event: api.Event) -> list[api.Action]:
             if isinstance(event, api.RequestArrived) and event.request == 1:
                 raise RuntimeError("a fault")
             return [api.Refuse(event.request)] if isinstance(event, api.RequestArrived) else []
 
-        engine, balancer = make_engine(act)
+        engine, balancer = make_engine(choose_actions)
         statuses: list[int] = []
         engine.accept(make_call(engine), lambda status, head, body: statuses.append(status))
         engine.accept(make_call(engine), lambda status, head, body: statuses.append(status))
@@ -136,10 +138,12 @@
 
 def test_each_send_has_one_end_and_none_over_the_limits_is_sent() -> None:
     async def test() -> None:
-        def act(event: api.Event) -> list[api.Action]:
+        def choose_actions(event: api.Event) -> list[api.Action]:
             return [api.Send(1, 7)] * 6 if isinstance(event, api.RequestArrived) else []
 
-        engine, balancer = make_engine(act)  # upstream 7 is in no list: it can't be sent to
+        engine, balancer = make_engine(
+            choose_actions
+        )  # upstream 7 is not listed, so nothing can be sent to it
         engine.accept(make_call(engine), lambda status, head, body: None)
         ends = [event for event in balancer.events if isinstance(event, api.AttemptEnded)]
         assert [(end.attempt, end.outcome, end.final) for end in ends] == [
@@ -150,7 +154,7 @@
 
 
 def test_timers_are_never_reported_early() -> None:
-    """The balancer passes over a timer that is early, and would wait for ever."""
+    """The balancer ignores a timer that fires early, and would then wait forever."""
 
     async def test() -> None:
         fired: asyncio.Future[int] = asyncio.get_running_loop().create_future()
@@ -161,16 +165,16 @@
             engine.perform(api.SetTimer(at_us, 3))
             await fired
             assert engine.clock.now_us() >= at_us
-        # a loop whose clock is ahead calls too early
+        # A loop whose clock is ahead of the engine's calls back too early.
         engine, balancer = make_engine(lambda event: [])
-        engine.fire_timer(api.SetTimer(engine.clock.now_us() + 60_000_000, 3), set_already=True)
+        engine.fire_timer(api.SetTimer(engine.clock.now_us() + 60_000_000, 3), is_set=True)
         assert balancer.events == []
 
     run(test)
 
 
 class FullTransport:
-    """A transport that keeps what it is given in its own buffer, as a full socket does."""
+    """A transport whose write buffer is not empty, as that of a full socket."""
 
     def __init__(self, buffered_bytes: int) -> None:
         self.buffered_bytes = buffered_bytes
@@ -185,7 +189,7 @@
         return self.is_aborted
 
     def set_write_buffer_limits(self, high: int) -> None:
-        assert high == 0  # or a write would wait in the loop's buffer and count as written
+        assert high == 0  # otherwise data in the loop's buffer would count as written to the kernel
 
     def get_extra_info(self, name: str) -> Any:
         return socket.socket()
@@ -202,9 +206,9 @@
         (9, True, api.Outcome.RESET, api.Outcome.TIMEOUT),
     ],
 )
-@pytest.mark.parametrize("ends", ["lost", "timed out"])
-def test_only_a_request_that_the_kernel_has_whole_may_have_run(
-    buffered_bytes: int, is_drained: bool, lost: api.Outcome, timed_out: api.Outcome, ends: str
+@pytest.mark.parametrize("connection_end", ["lost", "timed out"])
+def test_only_a_request_written_completely_to_the_kernel_may_have_run(
+    buffered_bytes: int, is_drained: bool, lost: api.Outcome, timed_out: api.Outcome, connection_end: str
 ) -> None:
     async def test() -> None:
         pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
@@ -219,12 +223,12 @@
         if is_drained:
             transport.buffered_bytes = 0
             connection.resume_writing()
-        if ends == "lost":
+        if connection_end == "lost":
             connection.connection_lost(None)
         else:
             exchange.expire()
             connection.connection_lost(None)
-        assert outcomes == [lost if ends == "lost" else timed_out]
+        assert outcomes == [lost if connection_end == "lost" else timed_out]
 
     run(test)
 
--- a/tests/engine/test_event_orders.py
+++ b/tests/engine/test_event_orders.py
@@ -1,8 +1,8 @@
 """The engine with the real balancer, a scripted transport and a virtual clock, in any order of events.
 
-After each step the service rules are checked from records kept here: what was written to which upstream
-and when, and what clients were answered. Connections come up, take the last byte, answer, break and fall
-silent in any order that hypothesis draws.
+After each step the service rules are checked against records of what was written to which upstream and when,
+and of the responses to clients. Connections are established, take the last byte, answer, break or stop
+responding in any order that hypothesis draws.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 from tests.engine.test_engine import NoDiscovery
 
 US_PER_MS = 1000
-UPSTREAM_COUNT = 6  # in four cells of one or two each
-DEDUPLICATION_WINDOW_MS = 450  # a second attempt begins just inside
-TIMER_SLACK_US = 3 * US_PER_MS  # timers have whole milliseconds, and one more
+UPSTREAM_COUNT = 6  # in four cells of one or two upstreams each
+DEDUPLICATION_WINDOW_MS = 450  # short enough that a second attempt starts just before its end
+TIMER_SLACK_US = 3 * US_PER_MS  # timers are rounded up to whole milliseconds plus one
 START_US = 1_000_000_000_000
-DRAIN_OUT_US = 10_000_000  # by then every request is over
+DRAIN_OUT_US = 10_000_000  # every request ends within this time
 STATUS_BY_OUTCOME = {api.Outcome.OK: 200, api.Outcome.FULL: 503, api.Outcome.ERROR: 500}
 STATUSES_REJECTED = (429, 503)
 
 
 class VirtualHandle:
-    """A call that the virtual loop will make."""
+    """A scheduled callback of the virtual loop."""
 
     def __init__(self, callback: Callable[..., None], arguments: tuple[object, ...]) -> None:
         self.callback: Callable[..., None] | None = callback
@@ -46,7 +46,7 @@
 
 
 class VirtualLoop:
-    """The part of an event loop that the engine uses, on a clock of its own."""
+    """The part of an event loop that the engine uses, with a virtual clock."""
 
     def __init__(self) -> None:
         self.now_us = START_US
@@ -77,7 +77,7 @@
 
 
 class VirtualClock(Clock):
-    """The engine's clock, on the time of the virtual loop."""
+    """The engine's clock, which shows the time of the virtual loop."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -88,7 +88,7 @@
 
 @dataclass(eq=False)
 class ScriptedAttempt:
-    """An attempt in flight: its connection comes up, it is being written, or it waits for its response."""
+    """An attempt in flight: it is connecting, being written, or waiting for its response."""
 
     transport: ScriptedTransport
     upstream: int
@@ -125,7 +125,7 @@
 
 
 class ScriptedTransport:
-    """Connections to upstreams that do what the test says, when it says so."""
+    """Connections to upstreams that are controlled by the test."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
@@ -154,7 +154,7 @@
             exchange.finish(api.Outcome.NOT_SENT)
 
     def connect(self, attempt: ScriptedAttempt) -> None:
-        """Let the attempt's connection come up, and write the first byte."""
+        """Establish the connection of the attempt, and write the first byte."""
         upstream = self.upstreams[attempt.upstream]
         parts = attempt.render() if upstream.is_ready() else None
         if parts is None:
@@ -178,7 +178,7 @@
     due_us: int
     number: int = 0
     statuses: list[int] = field(default_factory=list)
-    over_us: int = 0  # it was answered, or its client left
+    ended_us: int = 0  # time of the response, or when the client disconnected
     is_client_gone: bool = False
     attempts: list[ScriptedAttempt] = field(default_factory=list)
 
@@ -194,10 +194,12 @@
 
 
 class EngineEventOrders(RuleBasedStateMachine):
-    """Draws events, and checks the service rules after each."""
+    """Draws events, and checks the service rules after each event."""
 
-    @initialize(seed=st.integers(0, 1000), cold=st.booleans(), connect_ms=st.sampled_from([20, 400]))
-    def begin(self, seed: int, cold: bool, connect_ms: int) -> None:
+    @initialize(
+        seed=st.integers(0, 1000), has_new_upstream=st.booleans(), connect_ms=st.sampled_from([20, 400])
+    )
+    def begin(self, seed: int, has_new_upstream: bool, connect_ms: int) -> None:
         self.loop = VirtualLoop()
         self.transport = ScriptedTransport(self.loop)
         self.requests = self.transport.requests
@@ -208,16 +210,18 @@
         finally:
             asyncio._set_running_loop(running_loop)
         self.faults: list[str] = []
-        self.not_ready_since_us: dict[int, int] = {}  # upstreams that drain or are gone
+        self.not_ready_since_us: dict[int, int] = {}  # for upstreams that are draining or gone
         self.entries = [
-            api.Upstream(n, cell=n // 2, started_us=self.loop.now_us if cold and n == 0 else 0)
+            api.Upstream(n, cell=n // 2, started_us=self.loop.now_us if has_new_upstream and n == 0 else 0)
             for n in range(1, UPSTREAM_COUNT + 1)
         ]
         self.update_list(api.ListKind.FULL, self.entries)
 
     def make_engine(self, seed: int, connect_ms: int) -> Engine:
         window_us = DEDUPLICATION_WINDOW_MS * US_PER_MS
-        request_classes = [replace(item, deduplication_window_us=window_us) for item in classes()]
+        request_classes = [
+            replace(request_class, deduplication_window_us=window_us) for request_class in classes()
+        ]
         return Engine(
             world_settings(connect_timeout_us=connect_ms * US_PER_MS, instances=1, classes=request_classes),
             seed,
@@ -232,36 +236,36 @@
 
     # The application
 
-    @rule(kind=st.integers(0, 2), lasts_ms=st.integers(5, 2500))
-    def request_arrives(self, kind: int, lasts_ms: int) -> None:
-        request_class = self.engine.settings.classes[kind]
-        due_us = self.loop.now_us + min(lasts_ms * US_PER_MS, request_class.deadline_us)
+    @rule(class_index=st.integers(0, 2), timeout_ms=st.integers(5, 2500))
+    def request_arrives(self, class_index: int, timeout_ms: int) -> None:
+        request_class = self.engine.settings.classes[class_index]
+        due_us = self.loop.now_us + min(timeout_ms * US_PER_MS, request_class.deadline_us)
         number = len(self.requests)
         request = self.requests[number] = ClientRequest(request_class, due_us)
 
         def reply(status: int, header_lines: bytes = b"", body: bytes = b"") -> None:
             request.statuses.append(status)
-            request.over_us = self.loop.now_us
+            request.ended_us = self.loop.now_us
             is_unsafe = request_class.effect != "idempotent"
             if status in STATUSES_REJECTED and is_unsafe and any(request.attempts_that_may_have_run()):
                 self.faults.append(f"{request_class.name} rejected though it may have run")
 
-        call = Call(kind, due_us, b"Req-Number: %d\r\n" % number, b"x", key=number + 1)
+        call = Call(class_index, due_us, b"Req-Number: %d\r\n" % number, b"x", key=number + 1)
         request.number = self.engine.accept(call, reply)
 
-    @rule(lasts_ms=st.integers(1000, 2000))
-    def deduplicated_request_arrives(self, lasts_ms: int) -> None:
-        self.request_arrives(kind=2, lasts_ms=lasts_ms)
+    @rule(timeout_ms=st.integers(1000, 2000))
+    def deduplicated_request_arrives(self, timeout_ms: int) -> None:
+        self.request_arrives(class_index=2, timeout_ms=timeout_ms)
 
     @rule(pick=st.integers(0, 999))
-    def client_leaves(self, pick: int) -> None:
-        waiting = [request for request in self.requests.values() if request.is_open()]
-        if waiting:
-            self.leave(waiting[pick % len(waiting)])
+    def client_disconnects(self, pick: int) -> None:
+        open_requests = [request for request in self.requests.values() if request.is_open()]
+        if open_requests:
+            self.disconnect(open_requests[pick % len(open_requests)])
 
-    def leave(self, request: ClientRequest) -> None:
+    def disconnect(self, request: ClientRequest) -> None:
         request.is_client_gone = True
-        request.over_us = self.loop.now_us
+        request.ended_us = self.loop.now_us
         self.engine.client_gone(request.number)
 
     # The upstreams
@@ -271,22 +275,22 @@
         return matching[pick % len(matching)] if matching else None
 
     @rule(pick=st.integers(0, 999))
-    def connection_comes_up(self, pick: int) -> None:
+    def connection_is_established(self, pick: int) -> None:
         attempt = self.pick_attempt(pick, lambda attempt: not attempt.first_byte_us)
         if attempt is not None:
             self.transport.connect(attempt)
 
     @rule()
-    def all_connections_come_up_and_are_written(self) -> None:
+    def all_connections_are_established_and_written(self) -> None:
         for attempt in [attempt for attempt in self.transport.in_flight if not attempt.first_byte_us]:
             self.transport.connect(attempt)
         for attempt in list(self.transport.in_flight):
             self.write_last_byte(attempt)
 
     @rule(wait_ms=st.sampled_from([30, 60, 380]))
-    def all_connections_come_up_late(self, wait_ms: int) -> None:
+    def all_connections_are_established_late(self, wait_ms: int) -> None:
         self.loop.advance_us(wait_ms * US_PER_MS)
-        self.all_connections_come_up_and_are_written()
+        self.all_connections_are_established_and_written()
 
     @rule()
     def all_connections_break(self) -> None:
@@ -300,7 +304,7 @@
                 attempt.wrote()
 
     @rule()
-    def clients_of_partly_written_requests_leave(self) -> None:
+    def clients_of_partly_written_requests_disconnect(self) -> None:
         requests = [
             attempt.request
             for attempt in self.transport.in_flight
@@ -308,7 +312,7 @@
         ]
         for request in requests:
             if request.is_open():
-                self.leave(request)
+                self.disconnect(request)
 
     @rule(pick=st.integers(0, 999))
     def last_byte_is_taken(self, pick: int) -> None:
@@ -360,10 +364,10 @@
             assert not (request.is_client_gone and request.statuses)
             if not request.is_client_gone and self.loop.now_us > request.due_us + TIMER_SLACK_US:
                 assert request.statuses, "no response in time"
-                assert request.over_us <= request.due_us + TIMER_SLACK_US, "no response in time"
+                assert request.ended_us <= request.due_us + TIMER_SLACK_US, "no response in time"
             for attempt in request.attempts:
                 last_write_us = max(attempt.first_byte_us, attempt.last_byte_us)
-                assert not request.over_us or last_write_us <= request.over_us, "written after the end"
+                assert not request.ended_us or last_write_us <= request.ended_us, "written after the end"
 
     @precondition(lambda self: hasattr(self, "requests"))
     @invariant()
@@ -371,7 +375,7 @@
         for request in self.requests.values():
             may_have_run = request.attempts_that_may_have_run()
             if request.request_class.effect == "at_most_once":
-                assert len(may_have_run) <= 1, "unsafe work was sent twice"
+                assert len(may_have_run) <= 1, "a request that must not be retried was sent twice"
             elif request.request_class.effect == "deduplicated":
                 for retry in may_have_run[1:]:
                     first = may_have_run[0]
@@ -387,7 +391,7 @@
                 is_new = attempt.first_byte_us == self.loop.now_us
                 if is_new and attempt.upstream in self.not_ready_since_us:
                     since_us = self.not_ready_since_us[attempt.upstream]
-                    assert attempt.first_byte_us <= since_us, "sent to an upstream that drains"
+                    assert attempt.first_byte_us <= since_us, "sent to a draining upstream"
 
     def teardown(self) -> None:
         if not hasattr(self, "requests"):
--- a/tests/engine/test_reference_counting.py
+++ b/tests/engine/test_reference_counting.py
@@ -1,7 +1,7 @@
-"""Requests are freed by reference counting, from the sources and compiled.
+"""Requests are freed by reference counting, in interpreted and in compiled modules.
 
-Compiled, an inner function and its closure reference each other: with a body of 64 KiB in every request, a
-sidecar reached its memory limit before the cycle collector ran.
+In compiled modules an inner function and its closure reference each other. With a body of 64 KiB in every
+request, such cycles filled the memory of a sidecar to its limit before the cycle collector ran.
 """
 
 from __future__ import annotations
@@ -40,13 +40,13 @@
     return statuses
 
 
-async def cyclic_garbage_of(play: Callable[[], Awaitable[None]]) -> list[object]:
-    """Return the objects of this program that only the cycle collector would free."""
+async def collect_cyclic_garbage(run_traffic: Callable[[], Awaitable[None]]) -> list[object]:
+    """Run traffic and return the objects of this package that only the cycle collector would free."""
     gc.collect()
     gc.disable()
     gc.set_debug(gc.DEBUG_SAVEALL)
     try:
-        await play()
+        await run_traffic()
         gc.collect()
         return [item for item in gc.garbage if type(item).__module__.startswith("sidecar_proxy")]
     finally:
@@ -75,13 +75,13 @@
         address = server.listen(("127.0.0.1", 0))
         statuses: list[int] = []
 
-        async def play() -> None:
+        async def run_traffic() -> None:
             statuses.extend(await asyncio.to_thread(send_requests, address))
             while server.connections or pool.open > len(pool.upstreams[7].idle):
                 await asyncio.sleep(0.01)
 
-        await asyncio.to_thread(send_requests, address)  # what is made once is there
-        garbage = await cyclic_garbage_of(play)
+        await asyncio.to_thread(send_requests, address)  # creates the objects that are kept for good
+        garbage = await collect_cyclic_garbage(run_traffic)
         pool.close()
         await server.stop()
         return statuses, garbage
@@ -93,29 +93,29 @@
 
 
 def test_grpc_call_leaves_nothing_to_the_cycle_collector() -> None:
-    """Answered and failed calls, long ones, and calls that their client resets."""
+    """Covers answered and failed calls, long calls, and calls that the client resets."""
 
     async def test() -> None:
         def script(node: Node, stream: int) -> None:
-            what = node.request(stream)[b"what"]
-            if what != b"slow":
-                node.serve(stream, b"w" * 30_000, b"13" if what == b"bad" else b"0")
+            call_kind = node.request(stream)[b"what"]
+            if call_kind != b"slow":
+                node.serve(stream, b"w" * 30_000, b"13" if call_kind == b"bad" else b"0")
 
         rig = Rig()
         await rig.node(lambda: Node(script))
         client = await rig.client()
 
-        async def play() -> None:
+        async def run_traffic() -> None:
             for _ in range(ROUNDS):
-                for path, what in (("/t.T/Read", "good"), ("/t.T/Pay", "bad"), ("/t.S/Any", "good")):
-                    await client.answer(client.call(path, b"x" * 20_000, what=what))
-                lost = client.call("/t.T/Pay", what="slow")
-                client.http2.reset(lost, 8)
+                for path, call_kind in (("/t.T/Read", "good"), ("/t.T/Pay", "bad"), ("/t.S/Any", "good")):
+                    await client.answer(client.call(path, b"x" * 20_000, what=call_kind))
+                reset_call = client.call("/t.T/Pay", what="slow")
+                client.http2.reset(reset_call, 8)
                 client.flush()
             await client.answer(client.call("/t.T/Read", what="good"))
 
-        await play()
-        garbage = await cyclic_garbage_of(play)
+        await run_traffic()
+        garbage = await collect_cyclic_garbage(run_traffic)
         rig.close()
         assert len(garbage) < ROUNDS, f"{len(garbage)} objects for {4 * ROUNDS} calls: {class_names(garbage)}"
 
--- a/tests/engine/test_timers.py
+++ b/tests/engine/test_timers.py
@@ -1,4 +1,4 @@
-"""The timer queue: each call is calls once, in order and not early, and none that was cancelled."""
+"""The timer queue makes each callback once, in order and not early, unless it was cancelled."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class VirtualLoop:
-    """An event loop whose time the test moves."""
+    """An event loop whose clock the test advances."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -26,7 +26,7 @@
     def call_later(self, wait_s: float, call: Callable[[], None]) -> Any:
         is_done: list[bool] = []
         self.handles.append((self.now_s + round(wait_s, 3), call, is_done))
-        handle = asyncio.Event()  # anything with an attribute to put `cancel` in
+        handle = asyncio.Event()  # any object to which the attribute `cancel` can be assigned
         handle.cancel = lambda: is_done.append(True)  # type: ignore[attr-defined]
         return handle
 
@@ -48,21 +48,21 @@
     rng, loop = random.Random(seed), VirtualLoop()
     timers = TimerQueue(cast(Any, loop))
     calls: list[tuple[float, int]] = []
-    set_at: dict[int, float] = {}
+    due_at_s: dict[int, float] = {}
     live: dict[int, Timer] = {}
 
-    def called(number: int) -> None:
+    def on_timer(number: int) -> None:
         calls.append((loop.now_s, number))
         del live[number]
         if rng.random() < 0.3:
-            add()  # set from inside a call
+            add()  # a timer that is set by a callback
         if rng.random() < 0.2:
             raise RuntimeError("a fault")
 
     def add() -> None:
-        number, wait_s = len(set_at), rng.choice((0.0, 0.0004, 0.01, 0.3, 2.0))
-        set_at[number] = loop.now_s + wait_s
-        live[number] = timers.call_later(wait_s, called, number)
+        number, wait_s = len(due_at_s), rng.choice((0.0, 0.0004, 0.01, 0.3, 2.0))
+        due_at_s[number] = loop.now_s + wait_s
+        live[number] = timers.call_later(wait_s, on_timer, number)
 
     for _ in range(3000):
         if rng.random() < 0.6:
@@ -73,14 +73,14 @@
             loop.advance_to(loop.now_s + rng.choice((0.001, 0.02, 0.5)))
         assert len([handle for handle in loop.handles if not handle[2]]) <= 1
         assert len(timers.heap) <= 2 * (MAX_CANCELLED + len(live)) + 1
-        assert all(set_at[number] > loop.now_s - 0.002 for number in live)  # none is forgotten
+        assert all(due_at_s[number] > loop.now_s - 0.002 for number in live)  # no due timer is left
     loop.advance_to(loop.now_s + 5.0)
     assert not live
     assert len(calls) == len({number for _, number in calls})
-    assert all(at_s - set_at[number] + 2 * TIMER_RESOLUTION_S >= 0 for at_s, number in calls)
+    assert all(at_s - due_at_s[number] + 2 * TIMER_RESOLUTION_S >= 0 for at_s, number in calls)
     assert loop.errors
     assert not timers.heap
     assert timers.cancelled == 0
-    timers.call_later(1.0, called, 0)
+    timers.call_later(1.0, on_timer, 0)
     timers.close()
     assert not [handle for handle in loop.handles if not handle[2]]
