--- a/sidecar_proxy/daemon/__init__.py
+++ b/sidecar_proxy/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""One real sidecar: what it is told at its start, signals, and the subsystems that are on."""
+"""The sidecar process: configuration, signals, and the enabled subsystems."""
--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""One real sidecar: start, signals, wiring."""
+"""The sidecar process: start, wiring, signals and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -19,10 +19,9 @@
 from sidecar_proxy.admin.hot_restart import HotRestart
 from sidecar_proxy.admin.server import AdminServer
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.config import operator_file as operators
-from sidecar_proxy.config import platform_settings as configuration
+from sidecar_proxy.config import operator_file, platform_settings
 from sidecar_proxy.config.errors import OperatorError
-from sidecar_proxy.daemon.subsystems import Context, Running, close_all, start_wanted
+from sidecar_proxy.daemon.subsystems import RunningSubsystem, SubsystemContext, close_all, start_enabled
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory, EndpointListError
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient
 from sidecar_proxy.engine.body_buffers import BodyMemoryBudget
@@ -36,35 +35,41 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-OWN_MB = 40  # what a process needs without any large body
-LIST_S = 2.0  # a successor's wait for its first list
-OWN_DESCRIPTORS = 48  # standard streams, the loop's, the listener, discovery, and room for what is closing
+PROCESS_MEMORY_MB = 40  # memory of a process without any large body
+FIRST_LIST_TIMEOUT_S = 2.0  # maximum time that a successor waits for its first endpoint list
+# Standard streams, event loop, listener, discovery, and a reserve for sockets that are being closed.
+RESERVED_FILE_DESCRIPTORS = 48
 
 
-def spool_bytes(memory_mb: int) -> int:
-    """For bodies that are held whole: a quarter of what the process does not need for itself."""
-    return max(1, (memory_mb - OWN_MB) // 4) * 1024 * 1024
+def body_budget_bytes(memory_mb: int) -> int:
+    """Return the budget for completely buffered bodies: a quarter of the memory beyond PROCESS_MEMORY_MB."""
+    return max(1, (memory_mb - PROCESS_MEMORY_MB) // 4) * 1024 * 1024
 
 
-async def serve(config: configuration.PlatformConfig, operator: Operator | None) -> None:
+async def serve(config: platform_settings.PlatformConfig, operator: Operator | None) -> None:
+    """Serve clients until SIGTERM or SIGINT, then shut down gracefully.
+
+    Raises EndpointListError, OperatorError, and OSError if an address can't be listened on.
+    """
     settings, clock = config.settings, Clock()
     directory = EndpointDirectory(settings)
-    version, _, known = directory.read(config.cached_endpoint_list)
-    share = max(1, (config.max_file_descriptors - OWN_DESCRIPTORS) // 2)
-    operated = config.admin_address is not None or config.accept_fd is not None
-    hot_restart = HotRestart.from_environment(os.environ) if operated else None
+    version, _, cached_upstreams = directory.read(config.cached_endpoint_list)
+    # limit for connections of clients, and again for connections to upstreams
+    max_connections = max(1, (config.max_file_descriptors - RESERVED_FILE_DESCRIPTORS) // 2)
+    has_hot_restart = config.admin_address is not None or config.accept_fd is not None
+    hot_restart = HotRestart.from_environment(os.environ) if has_hot_restart else None
     settings = replace(
         settings,
-        max_upstreams=share,  # of a fleet larger than that a part is used
+        max_upstreams=max_connections,  # of a larger fleet a subset is used
         is_successor=hot_restart is not None and not hot_restart.locks.claim_serving(),
     )
-    pool = Pool(settings.connect_timeout_us / 1e6 or 1.0, settings.idle_us / 1e6, share)
+    pool = Pool(settings.connect_timeout_us / 1e6 or 1.0, settings.idle_us / 1e6, max_connections)
     discovery = PlatformDiscoveryClient(
         config.discovery, directory, version, pushed=not settings.list_on_request
     )
     engine = Engine(settings, config.seed, clock, pool, discovery)
     discovery.sink = engine
-    server = Server(engine, share, BodyMemoryBudget(spool_bytes(config.memory_mb)))
+    server = Server(engine, max_connections, BodyMemoryBudget(body_budget_bytes(config.memory_mb)))
     admin_commands, admin_server = None, None
     overrides = (
         EndpointOverrides(engine, directory)
@@ -76,65 +81,71 @@
     if config.admin_address is not None and admin_commands is not None:
         admin_server = AdminServer(admin_commands.by_name())
         await admin_server.open(config.admin_address)
-    running: list[Running] = []
+    subsystems: list[RunningSubsystem] = []
     if operator is not None:
-        running = await start_wanted(
-            Context(config, operator, engine, directory, server, discovery, admin_server, overrides)
+        subsystems = await start_enabled(
+            SubsystemContext(config, operator, engine, directory, server, discovery, admin_server, overrides)
         )
     log.info("runs %s", compiled.state)
     assert discovery.sink is not None
-    discovery.sink.list_changed(api.ListKind.CACHED, known, version)
-    stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        engine.loop.add_signal_handler(number, stop.set)
+    discovery.sink.list_changed(api.ListKind.CACHED, cached_upstreams, version)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        engine.loop.add_signal_handler(signal_number, stop_requested.set)
     engine.loop.add_signal_handler(signal.SIGHUP, reload, discovery, engine)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     if admin_commands is not None and settings.is_successor:
-        # hazard: what discovery tells binds soon after the first yes, and the list at hand may be old; the
-        # process before this one serves meanwhile
+        # Prevents requests to draining upstreams: the cached list may be outdated, and soon after STATUS
+        # answers `done` this process has to obey the drains that discovery reports. The predecessor serves
+        # meanwhile.
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(engine.list_received.wait(), LIST_S)
+            await asyncio.wait_for(engine.list_received.wait(), FIRST_LIST_TIMEOUT_S)
         await admin_commands.warm_start.take_over()
     host, port = server.listen(config.listen, config.accept_fd)
     if admin_commands is not None:
         admin_commands.is_serving = True
     discovery.collector = GcController()
     log.info("%s listens on %s:%d", config.name, host, port)
-    await stop.wait()
+    await stop_requested.wait()
     await server.stop()
     discovery.close()
     if admin_server is not None:
         admin_server.close()
     if admin_commands is not None:
         admin_commands.close()
-    close_all(running)
+    close_all(subsystems)
     pool.close()
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
 def reload(discovery: PlatformDiscoveryClient, engine: Engine) -> None:
-    """SIGHUP. Only the address of discovery is taken over; the rest of the file waits for a restart."""
+    """Reload the configuration on SIGHUP.
+
+    Only a new discovery address takes effect; other changes of the file take effect at the next restart.
+    """
     try:
-        address = configuration.load(os.environ).discovery
-    except configuration.ConfigError as error:
+        address = platform_settings.load(os.environ).discovery
+    except platform_settings.ConfigError as error:
         engine.metrics.config_reload_errors += 1
-        log.warning("the new configuration is not taken: %s", error)
+        log.warning("new configuration rejected, the old one stays in effect: %s", error)
         return
     engine.metrics.config_reloads += 1
-    log.info("the configuration is read again; discovery is at %s:%d", *address)
+    log.info("configuration reloaded; the discovery address is %s:%d", *address)
     discovery.move(address)
 
 
 def main() -> int:
-    # hazard: unhandled, SIGHUP ends the process; it waits while we start, and is ignored once we end
+    """Run the sidecar that the environment configures; return the exit status."""
+    # SIGHUP without a handler would terminate the process. While it is blocked, it stays pending during the
+    # start and is ignored during the shutdown.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     logging.basicConfig(format="sidecar_proxy: %(message)s", level=logging.INFO)
     try:
-        uvloop.run(serve(configuration.load(os.environ), operators.load(os.environ)))
+        uvloop.run(serve(platform_settings.load(os.environ), operator_file.load(os.environ)))
     except EndpointListError as error:
-        print(f"sidecar_proxy: the configuration's known list: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: the configuration's cached endpoint list: {error}", file=sys.stderr)
         return 2
-    except (configuration.ConfigError, OperatorError) as error:
+    except (platform_settings.ConfigError, OperatorError) as error:
         print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 2
     except OSError as error:
--- a/sidecar_proxy/daemon/subsystems.py
+++ b/sidecar_proxy/daemon/subsystems.py
@@ -1,8 +1,8 @@
-"""What can be turned on beside the core, each by its table of the operator file. Nothing is imported of one
-that is off: the libraries take memory and time.
+"""The optional subsystems of a sidecar, each enabled by its table of the operator file.
 
-A subsystem is started with all that it may use (Context), and stopped by `close`; in between it goes
-through the engine, as everything does.
+The modules of a disabled subsystem are not imported, as its libraries take memory and start-up time. A
+subsystem is started with a SubsystemContext and stopped by `close`; meanwhile it works through the interfaces
+of the engine.
 """
 
 from __future__ import annotations
@@ -25,58 +25,66 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Context:
-    """A sidecar that is about to take requests."""
+class SubsystemContext:
+    """The sidecar in which a subsystem is started, before it accepts clients."""
 
     config: PlatformConfig
     operator: Operator
     engine: Engine
     directory: EndpointDirectory
     server: Listener
-    discovery: PlatformDiscoveryClient  # who tells the platform's list; its `sink` may be changed
-    door: AdminServer | None = None  # where operators call
-    holding: EndpointOverrides | None = None  # upstreams that are held out whatever the list says
-    parts: dict[str, Running] = field(default_factory=dict)  # that have been started, by their key
+    discovery: PlatformDiscoveryClient  # the platform's endpoint list; a subsystem may replace its `sink`
+    admin_server: AdminServer | None = None
+    overrides: EndpointOverrides | None = None  # upstreams that operators have suspended or drained
+    started: dict[str, RunningSubsystem] = field(default_factory=dict)  # by `Subsystem.key`
 
 
-class Running(Protocol):
-    """A subsystem that is on."""
+class RunningSubsystem(Protocol):
+    """A subsystem that was started."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Stop the subsystem."""
 
 
 @dataclass(slots=True, frozen=True)
 class Subsystem:
-    key: str  # of the operator file, as errors name it
-    extra: str  # of pyproject.toml, that brings its libraries
-    wanted: Callable[[Operator], bool]
-    start: Callable[[Context], Awaitable[Running]]  # raises OperatorError for what the file says wrong
+    """A subsystem that can be enabled, and how to start it."""
 
+    key: str  # key of the operator file that enables it, for error messages
+    extra: str  # extra of pyproject.toml that installs its libraries
+    is_enabled: Callable[[Operator], bool]
+    # Raises OperatorError for wrong settings.
+    start: Callable[[SubsystemContext], Awaitable[RunningSubsystem]]
 
-async def start_recorder(context: Context) -> Running:
+
+async def start_recorder(context: SubsystemContext) -> RunningSubsystem:
+    """Start recording the events and actions of the balancer."""
     from sidecar_proxy.recorder.subsystem import Recorder
 
     return Recorder(context.operator.recorder, context.engine, context.config.name, context.config.seed)
 
 
-async def start_grpc(context: Context) -> Running:
+async def start_grpc(context: SubsystemContext) -> RunningSubsystem:
+    """Start serving gRPC on the listener of the server."""
     from sidecar_proxy.grpc.subsystem import start
 
     return start(context.operator.grpc, context.engine, context.server)
 
 
-async def start_membership(context: Context) -> Running:
+async def start_membership(context: SubsystemContext) -> RunningSubsystem:
+    """Start the additional discovery sources, and merge them with the platform's endpoint list."""
     from sidecar_proxy.discovery.subsystem import DiscoverySubsystem
 
-    sources = DiscoverySubsystem(
+    discovery = DiscoverySubsystem(
         context.operator.membership, context.engine, context.directory, context.config.seed
     )
-    await sources.start()
-    context.discovery.sink = sources.feed
-    return sources
+    await discovery.start()
+    context.discovery.sink = discovery.feed
+    return discovery
 
 
-async def start_gossip(context: Context) -> Running:
+async def start_gossip(context: SubsystemContext) -> RunningSubsystem:
+    """Start the gossip instance of this sidecar."""
     from sidecar_proxy.gossip.subsystem import GossipSubsystem
 
     gossip = GossipSubsystem(context.operator.gossip, context.engine, context.directory, context.config.seed)
@@ -84,77 +92,90 @@
     return gossip
 
 
-async def start_overload(context: Context) -> Running:
+async def start_overload(context: SubsystemContext) -> RunningSubsystem:
+    """Start fleet-wide overload control. Raises OperatorError if gossip is disabled."""
     from sidecar_proxy.gossip.subsystem import GossipSubsystem
     from sidecar_proxy.overload_control.subsystem import OverloadControlSubsystem
 
-    gossip = context.parts.get("gossip")
+    gossip = context.started.get("gossip")
     if not isinstance(gossip, GossipSubsystem):
         raise OperatorError("overload.enabled: needs gossip; gossip.bind names no address")
-    together = OverloadControlSubsystem(
-        context.operator.overload, context.engine, gossip, context.config.seed, context.door
+    overload_control = OverloadControlSubsystem(
+        context.operator.overload, context.engine, gossip, context.config.seed, context.admin_server
     )
-    together.start()
-    return together
+    overload_control.start()
+    return overload_control
 
 
-async def start_agreement(context: Context) -> Running:
+async def start_agreement(context: SubsystemContext) -> RunningSubsystem:
+    """Start taking part in consensus. Raises OperatorError if gossip is disabled."""
     from sidecar_proxy.consensus.subsystem import ConsensusSubsystem
     from sidecar_proxy.gossip.subsystem import GossipSubsystem
 
-    gossip = context.parts.get("gossip")
+    gossip = context.started.get("gossip")
     if not isinstance(gossip, GossipSubsystem):
         raise OperatorError("agreement.folder: needs gossip; gossip.bind names no address")
-    assert context.holding is not None
-    agreeing = ConsensusSubsystem(
+    assert context.overrides is not None
+    consensus = ConsensusSubsystem(
         context.operator.agreement,
         context.engine,
         context.directory,
         gossip,
         context.config.seed,
-        context.holding,
-        context.door,
+        context.overrides,
+        context.admin_server,
         lambda: context.server.ready,
     )
-    agreeing.start()
-    return agreeing
+    consensus.start()
+    return consensus
 
 
-# In the order of their start; they end in the other one.
-ALL = (
-    # hazard: before all that may tell the decisions something, or a recording would not begin at their start
-    Subsystem("recorder.enabled", "sidecar", lambda told: told.recorder.enabled, start_recorder),
-    Subsystem("grpc.enabled", "grpc", lambda told: told.grpc.enabled, start_grpc),
+# In the order in which they are started; they are stopped in reverse order.
+SUBSYSTEMS = (
+    # The recorder starts before any subsystem that may send an event to the balancer: otherwise a recording
+    # would lack the first events.
+    Subsystem("recorder.enabled", "sidecar", lambda operator: operator.recorder.enabled, start_recorder),
+    Subsystem("grpc.enabled", "grpc", lambda operator: operator.grpc.enabled, start_grpc),
     Subsystem(
         "membership.etcd",
         "etcd",
-        lambda told: bool(told.membership.etcd.endpoints or told.membership.socket),
+        lambda operator: bool(operator.membership.etcd.endpoints or operator.membership.socket),
         start_membership,
     ),
-    Subsystem("gossip", "gossip", lambda told: bool(told.gossip.bind), start_gossip),
-    Subsystem("overload.enabled", "gossip", lambda told: told.overload.enabled, start_overload),
-    Subsystem("agreement.folder", "gossip", lambda told: bool(told.agreement.folder), start_agreement),
+    Subsystem("gossip", "gossip", lambda operator: bool(operator.gossip.bind), start_gossip),
+    Subsystem("overload.enabled", "gossip", lambda operator: operator.overload.enabled, start_overload),
+    Subsystem(
+        "agreement.folder", "gossip", lambda operator: bool(operator.agreement.folder), start_agreement
+    ),
 )
 
 
-async def start_wanted(context: Context, all_of_them: tuple[Subsystem, ...] = ALL) -> list[Running]:
-    """Those that the operator file turns on. Raises OperatorError, also where a library is missing; what had
-    been started is closed then."""
-    running: list[Running] = []
+async def start_enabled(
+    context: SubsystemContext, subsystems: tuple[Subsystem, ...] = SUBSYSTEMS
+) -> list[RunningSubsystem]:
+    """Start and return the subsystems that the operator file enables.
+
+    Raises OperatorError for wrong settings and for a missing library. Whatever is raised, the subsystems that
+    were started before are closed.
+    """
+    running: list[RunningSubsystem] = []
     try:
-        for one in all_of_them:
-            if one.wanted(context.operator):
-                running.append(await one.start(context))
-                context.parts[one.key] = running[-1]
+        for subsystem in subsystems:
+            if subsystem.is_enabled(context.operator):
+                running.append(await subsystem.start(context))
+                context.started[subsystem.key] = running[-1]
     except ModuleNotFoundError as error:
         close_all(running)
-        raise OperatorError(f"{one.key}: needs the `{one.extra}` extra; no {error.name}") from error
+        raise OperatorError(
+            f"{subsystem.key}: needs the `{subsystem.extra}` extra; no {error.name}"
+        ) from error
     except BaseException:
         close_all(running)
         raise
     return running
 
 
-def close_all(running: list[Running]) -> None:
+def close_all(running: list[RunningSubsystem]) -> None:
+    """Stop subsystems in the reverse order of their start."""
     while running:
         running.pop().close()
