--- a/sidecar_proxy/admin/__init__.py
+++ b/sidecar_proxy/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What operators do to a running sidecar: admin commands, suspensions, draining and hot restart."""
+"""Operation of a running sidecar: admin commands, suspensions, draining and hot restart."""
--- a/sidecar_proxy/admin/commands.py
+++ b/sidecar_proxy/admin/commands.py
@@ -1,4 +1,4 @@
-"""The admin commands: status, metrics, suspending and restoring an upstream, draining the sidecar."""
+"""The admin commands: status, metrics, suspending and restoring an upstream, and draining the sidecar."""
 
 from __future__ import annotations
 
@@ -15,27 +15,27 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-POLL_INTERVAL_S = 0.1  # between two looks at what another process of this sidecar has written
+POLL_INTERVAL_S = 0.1  # interval for polling the files and locks of another process of this sidecar
 
 DONE = "done"
 DONE_NOT_STORED = "done, for this process alone"
 
 
 class DrainableServer(Protocol):
-    """The downstream server, as far as the admin commands use it."""
+    """The methods of the downstream server that the admin commands use."""
 
     def drain(self) -> None:
-        """Begin to drain: report not ready, and let clients go."""
+        """Begin to drain: report not ready, and close client connections once they are idle."""
 
     def undrain(self) -> None:
         """End the drain."""
 
     def halve_connection_limit(self, is_halved: bool) -> None:
-        """Use only half of the connection limit, or all of it again."""
+        """Halve the limit of client connections, or restore it."""
 
 
 class AdminCommands:
-    """The commands and the state behind them; it owns the poll timer and the hot-restart locks."""
+    """The admin commands and their state. It owns the poll timer and the hot-restart locks."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self.server = server
         self.hot_restart = hot_restart
         self.suspensions = Suspensions()
-        self.is_serving = False  # clients are accepted
+        self.is_serving = False  # this process accepts clients
         overrides.name_listeners.append(self.suspensions.add_listed)
         self.set_suspended_names(hot_restart.suspensions.read() or set())
         self.warm_start = WarmStart(engine, directory, hot_restart.warm_start_file)
@@ -69,7 +69,7 @@
         }
 
     def status(self, _: str) -> str:
-        """Answer whether this process accepts clients."""
+        """Answer `done` if this process accepts clients. Raises AdminCommandError otherwise."""
         if not self.is_serving:
             raise AdminCommandError("clients are not taken yet")
         return DONE
@@ -79,9 +79,9 @@
         return "\n".join([*self.engine.metrics.lines(*self.engine.member_counts()), "end"])
 
     def suspend(self, name: str) -> str:
-        """Send nothing new to the upstream of this name, until it is restored."""
+        """Send no new requests to the upstream of this name until it is restored."""
         self.check_name(name)
-        # Stored before it takes effect: a successor that starts just now must not miss it.
+        # Stored before it takes effect, so that a successor that is just starting does not miss it.
         is_stored = self.hot_restart.suspensions.add(name)
         self.set_suspended_names(self.suspensions.names | {name})
         log.info("upstream %s is suspended by an operator", name)
@@ -106,19 +106,19 @@
         return DONE
 
     def check_name(self, name: str) -> None:
-        """Raise AdminCommandError if the upstream of this name cannot be suspended or restored."""
+        """Raise AdminCommandError if no upstream of this name can be suspended or restored."""
         try:
             self.suspensions.check(name)
         except SuspensionError as error:
             raise AdminCommandError(str(error)) from error
 
     def set_suspended_names(self, names: set[str]) -> None:
-        """Put exactly these suspensions into effect."""
+        """Replace all suspensions by these, and apply them."""
         self.suspensions.replace(names)
         self.overrides.replace_source(OPERATOR_SOURCE, dict.fromkeys(names, ANY_START_US))
 
     def poll_other_process(self) -> None:
-        """Take over suspensions that another process of this sidecar has stored, and look who serves."""
+        """Apply suspensions that another process of this sidecar has stored, and check which one serves."""
         self.timer = self.engine.loop.call_later(POLL_INTERVAL_S, self.poll_other_process)
         if self.hot_restart.suspensions.has_changed():
             names = self.hot_restart.suspensions.read()
@@ -127,7 +127,7 @@
         self.share_descriptors()
 
     def share_descriptors(self) -> None:
-        """Keep to half of the descriptors while there are two processes of this sidecar.
+        """Halve the connection limits while there are two processes of this sidecar.
 
         The serving process also publishes its warm-start state then.
         """
--- a/sidecar_proxy/admin/hot_restart.py
+++ b/sidecar_proxy/admin/hot_restart.py
@@ -1,4 +1,4 @@
-"""What two processes of one sidecar share in $TMPDIR: process locks, suspensions and warm-start state."""
+"""The state that two processes of one sidecar share in $TMPDIR: locks, suspensions and warm-start state."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class HotRestart:
-    """The shared folder and its parts.
+    """The shared folder and its contents.
 
-    Without a folder (no $TMPDIR, or it cannot be written) nothing outlives the process, and the process
-    takes itself for the only one.
+    Without a folder (no $TMPDIR, or it cannot be written) nothing is stored, and the process assumes that it
+    is the only one of its sidecar.
     """
 
     def __init__(self, folder: Path | None) -> None:
--- a/sidecar_proxy/admin/process_locks.py
+++ b/sidecar_proxy/admin/process_locks.py
@@ -1,7 +1,7 @@
-"""File locks that tell which process of a sidecar serves, and whether a successor has started.
+"""File locks that show which process of a sidecar serves, and whether a successor has started.
 
-The operating system releases a lock when its process ends. A marker file would outlive a process that is
-killed, so the existence of the files means nothing; only the locks on them do.
+The operating system releases a lock when its process ends. A file would remain after its process was killed,
+so only the locks on the files have a meaning, not the existence of the files.
 """
 
 from __future__ import annotations
@@ -13,26 +13,28 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-SERVING_LOCK = "serving"  # stored name; held by the process that serves
-SUCCESSOR_LOCK = "next"  # stored name; held by the process that waits to take over
+SERVING_LOCK = "serving"  # stored name; locked by the process that serves clients
+SUCCESSOR_LOCK = "next"  # stored name; locked by the process that waits to take over
 
 
 class ProcessLocks:
-    """The two locks of one sidecar. It owns the descriptors of those that this process holds.
+    """The two locks of one sidecar. It owns the descriptors of the locks that this process holds.
 
-    Without a folder, or while the lock files cannot be opened, the process takes itself for the only one.
+    Without a folder, or while the lock files cannot be opened, the process assumes that it is the only one.
     """
 
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
-        self.descriptors: dict[str, int] = {}  # of the locks held, by name
-        self.has_warned = False  # since the lock files could last be opened
+        self.descriptors: dict[
+            str, int
+        ] = {}  # descriptors of the locks that this process holds, by lock name
+        self.has_warned = False  # whether a warning was logged since the lock files could last be opened
 
     def claim_serving(self) -> bool:
-        """Become the serving process, unless another one is; return whether this process serves.
+        """Become the serving process, unless another process is; return whether this process serves.
 
-        Otherwise this process holds the successor lock, by which the serving process sees it. The result
-        may change when the call is repeated.
+        Otherwise this process takes the successor lock, which the serving process checks. The result changes
+        once the serving process has ended, so the call has to be repeated.
         """
         if self.folder is None or SERVING_LOCK in self.descriptors:
             return True
@@ -43,7 +45,7 @@
         return False
 
     def has_successor(self) -> bool:
-        """Whether another live process waits to take over from this one."""
+        """Return whether another running process waits to take over from this one."""
         if self.folder is None or SUCCESSOR_LOCK in self.descriptors:
             return False
         if self._acquire(SUCCESSOR_LOCK):
@@ -57,7 +59,7 @@
             self._release(name)
 
     def _acquire(self, name: str) -> bool:
-        """Return False if another process holds the lock."""
+        """Take a lock; return False if another process holds it."""
         if self.folder is None or name in self.descriptors:
             return True
         try:
--- a/sidecar_proxy/admin/server.py
+++ b/sidecar_proxy/admin/server.py
@@ -1,8 +1,8 @@
 """The admin server: a line protocol for operators, with one command and one answer per connection.
 
-An answer begins with `done` or `error`; that of METRICS is the metrics and a last line `end`. Most commands
-answer at once. One that the fleet has to agree to answers within TIMEOUT_S. The server only reads and
-writes lines; the commands belong to `AdminCommands` and to the subsystems.
+An answer begins with `done` or `error`; the answer to METRICS is the metrics and a last line `end`. Most
+commands answer immediately. A command that needs consensus of the fleet answers within TIMEOUT_S. The server
+only reads and writes lines; the commands are implemented by `AdminCommands` and by the subsystems.
 """
 
 from __future__ import annotations
@@ -17,27 +17,28 @@
 log = logging.getLogger("sidecar_proxy")
 
 MAX_LINE_BYTES = 1024
-MAX_CONNECTIONS = 24  # beyond this the oldest connection is closed
-TIMEOUT_S = 5.0  # for a client to send its command, and for a command to answer
+MAX_CONNECTIONS = 24  # with more, the oldest connection is closed
+TIMEOUT_S = 5.0  # maximum time for a client to send its command, and for a command to answer
 MAX_LOGGED_COMMAND_LENGTH = 20  # characters
 
-AdminCommand = Callable[[str], str | Awaitable[str]]  # from the line's argument to the answer
+# Takes the argument of a command line and returns the answer. Raises AdminCommandError.
+AdminCommand = Callable[[str], str | Awaitable[str]]
 
 
 class AdminCommandError(Exception):
-    """A command cannot be carried out; the message is one line and becomes the answer."""
+    """A command cannot be carried out; the message, one line, is sent in the answer."""
 
 
 class AdminServer:
-    """The listener; it owns the connections of its clients."""
+    """The listener of the admin server. It owns the connections of its clients."""
 
     def __init__(self, commands: Mapping[str, AdminCommand]) -> None:
-        self.commands = dict(commands)  # subsystems add theirs
+        self.commands = dict(commands)  # subsystems add their own commands
         self.connections: dict[AdminConnection, None] = {}  # oldest first
         self.server: asyncio.Server | None = None
 
     async def open(self, address: Address) -> Address:
-        """Listen, and return the bound address. Raises OSError if the address cannot be bound."""
+        """Listen on an address and return the bound address. Raises OSError if it cannot be bound."""
         loop = asyncio.get_running_loop()
         host = address[0].strip("[]")
         self.server = await loop.create_server(lambda: AdminConnection(self), host, address[1])
@@ -45,13 +46,13 @@
         return bound
 
     def add_connection(self, connection: AdminConnection) -> None:
-        """Register a connection; the oldest one is closed if there are too many."""
+        """Register a connection, and close the oldest one if there are more than MAX_CONNECTIONS."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             next(iter(self.connections)).abort()
 
     def execute(self, line: bytes) -> bytes | Awaitable[bytes]:
-        """Carry out a complete line and return its answer; neither the call nor the awaitable raises."""
+        """Execute a command line and return its answer. Neither the call nor the awaitable raises."""
         name, _, argument = line.decode("utf-8", "replace").strip().partition(" ")
         command = self.commands.get(name.upper())
         if command is None:
@@ -65,7 +66,7 @@
         return self.await_answer(name, answer)
 
     async def await_answer(self, name: str, answer: Awaitable[str]) -> bytes:
-        """Return the answer of a command that takes a while, or an error after TIMEOUT_S."""
+        """Return the answer of an asynchronous command, or an error after TIMEOUT_S."""
         try:
             async with asyncio.timeout(TIMEOUT_S):
                 return (await answer).encode() + b"\n"
@@ -83,7 +84,7 @@
 
 
 def encode_error(name: str, error: Exception) -> bytes:
-    """Return the answer for a command that has raised; an unexpected error is logged."""
+    """Return the answer for a command that raised an exception; an unexpected one is logged."""
     if isinstance(error, AdminCommandError):
         return b"error: %s\n" % str(error).encode()
     log.error("admin command %s failed", name[:MAX_LOGGED_COMMAND_LENGTH], exc_info=error)
@@ -91,12 +92,12 @@
 
 
 class AdminConnection(asyncio.Protocol):
-    """A client's connection: one command, one answer. It owns the task of an answer that takes a while."""
+    """A client's connection: one command, one answer. It owns the task of an asynchronous command."""
 
     def __init__(self, admin_server: AdminServer) -> None:
         self.admin_server = admin_server
         self.received = b""
-        self.has_command = False  # a complete command, or too long a line, was received
+        self.has_command = False  # a complete command line, or one that is too long, was received
         self.transport: asyncio.Transport | None = None
         self.command_timeout: asyncio.TimerHandle | None = None
         self.answer_task: asyncio.Task[None] | None = None
@@ -109,7 +110,7 @@
         self.admin_server.add_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        """Carry out the command once its line is complete."""
+        """Execute the command once its line is complete."""
         if self.has_command or self.transport is None:
             return
         self.received += data[: MAX_LINE_BYTES + 1]
@@ -120,13 +121,13 @@
             self.send(b"error: a line too long\n")
 
     def eof_received(self) -> bool:
-        """Take the end of input for the line break; return True to stay open for a pending answer."""
+        """Treat the end of input as a line break; return True to keep the connection open for the answer."""
         if not self.has_command and self.received:
             self.respond(self.admin_server.execute(self.received))
         return self.answer_task is not None and not self.answer_task.done()
 
     def respond(self, answer: bytes | Awaitable[bytes]) -> None:
-        """Send the answer, at once or when it is there."""
+        """Send the answer, immediately or once the command has ended."""
         if isinstance(answer, bytes):
             self.send(answer)
             return
@@ -136,7 +137,7 @@
         self.answer_task = asyncio.get_running_loop().create_task(self.send_when_done(answer))
 
     async def send_when_done(self, answer: Awaitable[bytes]) -> None:
-        """Await the answer and send it."""
+        """Await the answer of an asynchronous command, and send it."""
         self.send(await answer)
 
     def send(self, answer: bytes) -> None:
@@ -147,7 +148,7 @@
         self.transport.close()
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self.admin_server.connections.pop(self, None)
         if self.transport is not None:
             self.transport.abort()
--- a/sidecar_proxy/admin/shared_folder.py
+++ b/sidecar_proxy/admin/shared_folder.py
@@ -1,6 +1,6 @@
-"""The folder in $TMPDIR that all processes of one sidecar share, and how a file is written to it.
+"""The folder in $TMPDIR that all processes of one sidecar share, and atomic writes of its files.
 
-All names in the folder are stored names: a process of an earlier or later version looks for them.
+All names in the folder are stored names: processes of earlier and later versions read the same files.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 FOLDER_NAME = "wickspread"  # stored name, below $TMPDIR
-PARTIAL_SUFFIX = ".part"  # stored name: of a file that is still being written
+PARTIAL_SUFFIX = ".part"  # stored suffix of files that are still being written
 
 
 def write_atomically(path: Path, data: bytes) -> None:
--- a/sidecar_proxy/admin/suspension_store.py
+++ b/sidecar_proxy/admin/suspension_store.py
@@ -1,8 +1,8 @@
-"""The suspensions as files, which all processes of one sidecar share and which outlive each of them.
+"""Stores suspensions as files that all processes of one sidecar share and that remain when a process ends.
 
-A suspension is a file of its own, named by a digest of the endpoint's name and holding that name. It is
-added by a rename and removed by an unlink. So a process that is killed at any step leaves the old or the new
-state, and no two processes ever write the same file.
+Each suspension is a file whose name is a digest of the endpoint's name and whose content is that name. It is
+added by a rename and removed by an unlink. So a process that is killed at any step leaves either the old or
+the new state, and no two processes ever write the same file.
 """
 
 from __future__ import annotations
@@ -19,16 +19,17 @@
 log = logging.getLogger("sidecar_proxy")
 
 FOLDER_NAME = "suspended"  # stored name, below the shared folder
-MAX_CHARACTER_BYTES = 4  # of a character in UTF-8
+MAX_CHARACTER_BYTES = 4  # maximum length of a character in UTF-8
 DIGEST_BYTES = 16
 
 
 class SuspensionStore:
-    """The folder of suspensions; with None for the folder nothing is stored."""
+    """The folder of suspensions. Without a folder nothing is stored."""
 
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
-        self.last_read_version: tuple[int, int] | None = None  # the folder's mtime in ns and its inode
+        # Modification time in ns and inode of the folder when it was last read.
+        self.last_read_version: tuple[int, int] | None = None
 
     def add(self, name: str) -> bool:
         """Store a suspension; return False if it could not be stored."""
@@ -41,7 +42,7 @@
         return True
 
     def remove(self, name: str) -> bool:
-        """Remove a suspension; return False if the next process may still find it."""
+        """Remove a suspension; return False if it may still be stored."""
         if self.folder is None:
             return False
         try:
@@ -51,7 +52,7 @@
         return True
 
     def has_changed(self) -> bool:
-        """Whether the suspensions may differ from those last read; costs one stat of the folder."""
+        """Return whether the suspensions may have changed since the last read, by one stat of the folder."""
         if self.folder is None:
             return False
         try:
@@ -66,7 +67,8 @@
             return None
         names: set[str] = set()
         try:
-            # The version is taken before the files are read: a change in between shows at the next look.
+            # The version is determined before the files are read, so that a change in between is detected by
+            # the next poll.
             status = os.stat(self.folder)
             for file_name in os.listdir(self.folder)[:MAX_SUSPENSIONS]:
                 if file_name.endswith(PARTIAL_SUFFIX):
--- a/sidecar_proxy/admin/suspensions.py
+++ b/sidecar_proxy/admin/suspensions.py
@@ -1,8 +1,8 @@
-"""The endpoints that operators have suspended. Pure: no files and no clock.
+"""The endpoints that operators have suspended. No I/O and no clock.
 
-A suspension holds whatever the endpoint list says, for every new incarnation of the endpoint, and across
-hot restarts, until an operator ends it. This is the platform's rule 3: of all that is said about an
-endpoint's membership, the most restrictive statement counts.
+A suspension applies whatever the state of the endpoint in the endpoint list is, to every new incarnation of
+the endpoint and across hot restarts, until an operator ends it. This is the platform's rule 3: if sources
+disagree about the state of an endpoint, the most restrictive state counts.
 """
 
 from __future__ import annotations
@@ -36,16 +36,16 @@
 
 
 class Suspensions:
-    """The names that were ever listed, and the names that are suspended."""
+    """The names of suspended endpoints, and of endpoints that were ever listed."""
 
     def __init__(self) -> None:
-        self.names: set[str] = set()  # suspended
-        self.listed_names: dict[str, None] = {}  # oldest first
+        self.names: set[str] = set()  # names of suspended endpoints
+        self.listed_names: dict[str, None] = {}  # names that were ever listed, oldest first
 
     def add_listed(self, name: str) -> None:
-        """Remember that the endpoint list has this name.
+        """Add a name of the endpoint list.
 
-        Endpoints are replaced all the time, so the oldest names are dropped beyond MAX_SUSPENSIONS.
+        As endpoints are replaced all the time, the oldest names are dropped beyond MAX_SUSPENSIONS.
         """
         if name in self.listed_names:
             return
@@ -54,7 +54,7 @@
             del self.listed_names[next(iter(self.listed_names))]
 
     def check(self, name: str) -> None:
-        """Raise SuspensionError if a command may not suspend or restore this name."""
+        """Raise SuspensionError if no endpoint of this name can be suspended or restored."""
         is_known = name in self.listed_names or name in self.names
         if not name or len(name) > MAX_NAME_LENGTH or not is_known:
             raise UnknownEndpointError(name)
@@ -62,7 +62,7 @@
             raise TooManySuspensionsError(name)
 
     def replace(self, names: Iterable[str]) -> set[str]:
-        """Set the suspended names; return those that are newly suspended or restored."""
+        """Replace the suspended names; return the names that are newly suspended or restored."""
         new_names = set(names)
         changed_names = new_names ^ self.names
         self.names = new_names
--- a/sidecar_proxy/admin/warm_start_codec.py
+++ b/sidecar_proxy/admin/warm_start_codec.py
@@ -1,9 +1,10 @@
-"""The stored form of warm-start state, and how much of it a successor may trust.
+"""Encodes warm-start state, and validates and weights the state that a successor decodes.
 
-Pure: bytes and times are arguments. The successor serves the same upstreams a moment later, so the state is
-still nearly true. It is read with distrust all the same: the file may be of another version, damaged, old,
-or about upstreams that have restarted since. No state opens a concurrency limit further than the successor's
-own experience could, and none says anything about membership, which comes from discovery and from operators.
+No I/O: bytes and times are arguments. The successor serves the same upstreams a moment later, so the state is
+still approximately right. It is not trusted all the same: the file may be of another version, damaged or old,
+or describe upstreams that have restarted since. No state opens a concurrency limit further than the
+successor's own measurements could, and none affects membership, which comes from discovery and from
+operators.
 
 Requests in flight, and the effects that they may have, are not part of the state: the process that has sent
 them keeps them until they end.
@@ -19,14 +20,14 @@
 
 from sidecar_proxy.balancer import events as api
 
-MAGIC = b"wickspread-remembered 1 "  # stored; the number is the version of the form
+MAGIC = b"wickspread-remembered 1 "  # stored; the number is the version of the format
 MAX_STATE_BYTES = 1 << 20
 MAX_UPSTREAMS = 5_000
 DIGEST_BYTES = 16
 
-MAX_TRUSTED_AGE_US = 2_000_000  # up to this age the state counts in full
-MAX_AGE_US = 10_000_000  # from this age on it does not count; in between its weight falls linearly
-MAX_CLOCK_SKEW_US = 1_000_000  # a time further ahead is not of this machine's clock
+MAX_TRUSTED_AGE_US = 2_000_000  # up to this age the state has its full weight
+MAX_AGE_US = 10_000_000  # from this age on the state is rejected; in between its weight falls linearly
+MAX_CLOCK_SKEW_US = 1_000_000  # a timestamp further in the future is not of this machine's clock
 
 
 class UntrustedStateError(Exception):
@@ -41,11 +42,11 @@
 
 
 class DamagedStateError(UntrustedStateError):
-    """The state is too large, has a wrong checksum, or does not have the form of WarmStartRecord."""
+    """The state is too large, has a wrong checksum, or is not an encoded WarmStartRecord."""
 
 
 class StateAgeError(UntrustedStateError):
-    """The state is too old, or from the future."""
+    """The state is too old, or its timestamp is in the future."""
 
     def __init__(self, message: str, age_us: int) -> None:
         super().__init__(message)
@@ -53,22 +54,24 @@
 
 
 class UpstreamRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
-    """What was learnt of one upstream; stored as an array in the order of the fields."""
+    """The measurements of one upstream; stored as an array in the order of the fields."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=256)]  # discovery's `host`
-    started_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # Unix time, from its endpoint list entry
+    started_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # Unix time, from the endpoint list
     concurrency_limit: Annotated[float, msgspec.Meta(ge=0, le=1e6)]
-    failure_rate: Annotated[float, msgspec.Meta(ge=0, le=1)]  # of its last attempts
-    response_time_us: Annotated[float, msgspec.Meta(ge=0, le=1e12)]  # typical; 0: no response yet
+    failure_rate: Annotated[float, msgspec.Meta(ge=0, le=1)]  # failure rate of the last attempts
+    response_time_us: Annotated[
+        float, msgspec.Meta(ge=0, le=1e12)
+    ]  # typical response time; 0: no response yet
 
 
 class WarmStartRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """The state of one process; stored as an array in the order of the fields."""
 
-    recorded_at_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # Unix time
+    recorded_at_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # Unix time of the encoding
     response_times_us: dict[
         Annotated[str, msgspec.Meta(max_length=256)], Annotated[float, msgspec.Meta(ge=0, le=1e12)]
-    ]  # by the name of the request class
+    ]  # typical response times by the name of the request class
     total_limit_ratio: Annotated[float, msgspec.Meta(ge=0, le=1e6)]  # as in api.WarmStartState
     upstreams: Annotated[list[UpstreamRecord], msgspec.Meta(max_length=MAX_UPSTREAMS)]
 
@@ -80,27 +83,27 @@
     names_by_upstream: Mapping[int, str],
     started_us_by_upstream: Mapping[int, int],
 ) -> bytes:
-    """Return the stored form of a state.
+    """Return the encoded state.
 
     Of more than MAX_UPSTREAMS upstreams those with the highest failure rates and lowest limits are stored:
-    they differ most from an upstream of which nothing is known.
+    they differ most from an upstream without measurements.
     """
     known_upstreams = [
-        learnt
-        for learnt in state.upstreams
-        if learnt.upstream in names_by_upstream and learnt.upstream in started_us_by_upstream
+        measured
+        for measured in state.upstreams
+        if measured.upstream in names_by_upstream and measured.upstream in started_us_by_upstream
     ]
     if len(known_upstreams) > MAX_UPSTREAMS:
-        known_upstreams.sort(key=lambda learnt: (-learnt.failure_rate, learnt.concurrency_limit))
+        known_upstreams.sort(key=lambda measured: (-measured.failure_rate, measured.concurrency_limit))
     upstream_records = [
         UpstreamRecord(
-            names_by_upstream[learnt.upstream],
-            started_us_by_upstream[learnt.upstream],
-            learnt.concurrency_limit,
-            learnt.failure_rate,
-            learnt.response_time_us,
+            names_by_upstream[measured.upstream],
+            started_us_by_upstream[measured.upstream],
+            measured.concurrency_limit,
+            measured.failure_rate,
+            measured.response_time_us,
         )
-        for learnt in known_upstreams[:MAX_UPSTREAMS]
+        for measured in known_upstreams[:MAX_UPSTREAMS]
     ]
     response_times_us = dict(zip(class_names, state.response_times_us, strict=True))
     body = msgspec.msgpack.encode(
@@ -110,7 +113,7 @@
 
 
 def decode(data: bytes) -> WarmStartRecord:
-    """Return the record in the stored bytes. Raises UntrustedStateError."""
+    """Decode and validate a stored state. Raises UntrustedStateError."""
     if len(data) > MAX_STATE_BYTES:
         raise DamagedStateError("too large")
     head, _, body = data.partition(b"\n")
@@ -125,12 +128,12 @@
 
 
 def checksum(body: bytes) -> bytes:
-    """Return the digest that is stored before the body, in hexadecimal."""
+    """Return the hexadecimal digest that is stored before the body."""
     return hashlib.blake2b(body, digest_size=DIGEST_BYTES).hexdigest().encode()
 
 
 def weight_at_age(age_us: int) -> float:
-    """Return how much a state of this age counts, from 0 to 1. Raises StateAgeError."""
+    """Return the weight of a state of this age, from 0 to 1. Raises StateAgeError."""
     if age_us < -MAX_CLOCK_SKEW_US:
         raise StateAgeError("from the future", age_us)
     if age_us >= MAX_AGE_US:
@@ -145,10 +148,10 @@
     upstreams_by_name: Mapping[str, int],
     started_us_by_upstream: Mapping[int, int],
 ) -> api.WarmStartState:
-    """Return what the balancer may be given of a record, weighted by its age.
+    """Return the state in a record for the balancer, weighted by its age.
 
-    Upstreams that are not listed here, or have restarted since, are left out. Response times by class count
-    only in full. Raises StateAgeError.
+    Upstreams that are not listed or have restarted since are left out. The response times of request classes
+    are used only at full weight. Raises StateAgeError.
     """
     weight = weight_at_age(now_us - record.recorded_at_us)
     upstreams = []
--- a/sidecar_proxy/admin/warm_start_file.py
+++ b/sidecar_proxy/admin/warm_start_file.py
@@ -1,4 +1,4 @@
-"""The file through which a process leaves its warm-start state to its successor."""
+"""The file through which a process passes its warm-start state to its successor."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 @dataclass(slots=True, frozen=True)
 class StoredState:
-    """The content of the file as it was read."""
+    """The content of the file, and when it was written."""
 
     data: bytes
     written_at_s: float  # Unix time
 
 
 class WarmStartFile:
-    """The file; with None for the path nothing is stored."""
+    """The file of the warm-start state. Without a path nothing is stored."""
 
     def __init__(self, path: Path | None) -> None:
         self.path = path
 
     def write(self, data: bytes) -> bool:
-        """Replace the file's content as a whole; return False if that failed."""
+        """Replace the file atomically; return False if that failed."""
         if self.path is None:
             return False
         try:
@@ -40,7 +40,7 @@
         return True
 
     def read(self, max_bytes: int) -> StoredState | None:
-        """Return the content, cut to one byte more than `max_bytes`, or None if there is none to read."""
+        """Return the content, truncated to one byte more than `max_bytes`, or None if it cannot be read."""
         if self.path is None:
             return None
         try:
--- a/tests/admin/admin_sidecar.py
+++ b/tests/admin/admin_sidecar.py
@@ -1,4 +1,4 @@
-"""A real sidecar with an admin server, and what two processes of one sidecar share."""
+"""A sidecar process with an admin server, and the resources that two processes of one sidecar share."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 def free_address() -> Address:
-    """Return a loopback address on which nobody listens; the admin address has to name a port.
+    """Return a loopback address with a free port, as the admin address has to name a port.
 
-    The host is this process's own: on 127.0.0.1 another test's socket could get the port before the sidecar
-    listens on it.
+    The host is different for each process: on 127.0.0.1 another test's socket could take the port before the
+    sidecar listens on it.
     """
     process = os.getpid()
     host = f"127.{64 + (process >> 8) % 64}.{process % 256}.1"
--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -35,7 +35,7 @@
         client = Client(self.address)
         while not self.stopped.is_set():
             status, is_closed = self.request(client)
-            if is_closed:  # PROTOCOL: an idle connection may be closed; the request is sent once more
+            if is_closed:  # HTTP allows closing an idle connection, so the request is sent again
                 client.close()
                 client = Client(self.address)
                 status, is_closed = self.request(client)
@@ -90,7 +90,7 @@
 def test_successor_in_a_large_fleet_polls_the_endpoint_list_at_once(
     listener: socket.socket, shared_folder: str
 ) -> None:
-    """First polls of a large fleet are spread over 5 s; a drain must bind the successor all the same."""
+    """First polls of a large fleet are spread over 5 s; a successor must know of drains before that."""
     with (
         Upstream() as first,
         Upstream() as second,
@@ -170,8 +170,8 @@
         client.close()
 
 
-class HeldDiscovery(Discovery):
-    """Answers polls only once they are released."""
+class BlockedDiscovery(Discovery):
+    """A discovery server that answers polls only after `released` is set."""
 
     def __init__(self, hosts: list[dict[str, Any]]) -> None:
         self.released = threading.Event()
@@ -182,14 +182,14 @@
         super().line(client, data)
 
 
-def test_successor_reports_ready_only_once_its_endpoint_list_shows_who_drains(
+def test_successor_reports_ready_only_once_its_endpoint_list_shows_draining_upstreams(
     first_upstream: Upstream, second_upstream: Upstream, listener: socket.socket, shared_folder: str
 ) -> None:
     upstreams = [first_upstream, second_upstream]
     entries = [first_upstream.entry(health="terminating"), second_upstream.entry()]
     with (
         AdminSidecar(upstreams, shared_folder, listener=listener) as old,
-        HeldDiscovery(entries) as discovery,
+        BlockedDiscovery(entries) as discovery,
     ):
         new = AdminSidecar(
             upstreams,
@@ -221,7 +221,7 @@
 ) -> None:
     with (
         AdminSidecar([first_upstream], shared_folder, listener=listener),
-        HeldDiscovery([first_upstream.entry()]) as discovery,
+        BlockedDiscovery([first_upstream.entry()]) as discovery,
         AdminSidecar([first_upstream], shared_folder, discovery=discovery, listener=listener) as new,
     ):
         assert new.call("STATUS") == "done"
@@ -229,12 +229,12 @@
         discovery.released.set()
 
 
-def test_connection_pool_keeps_to_half_of_its_limit_while_there_are_two_processes() -> None:
+def test_connection_pool_uses_half_of_its_limit_while_there_are_two_processes() -> None:
     async def check_pool() -> None:
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         pool = Pool(connect_s=5.0, idle_s=60.0, most=8)
-        host = ListedUpstream(api.Upstream(7), server.sockets[0].getsockname())
-        pool.update([host], is_full_list=True)
+        upstream = ListedUpstream(api.Upstream(7), server.sockets[0].getsockname())
+        pool.update([upstream], is_full_list=True)
         for _ in range(8):
             exchange = Exchange(lambda: None, lambda outcome, answer: None)
             pool.start(7, exchange, 5.0)
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -1,4 +1,4 @@
-"""The admin server of a real sidecar: the answer of each command, and its effect on requests."""
+"""The admin server of a sidecar process: the answer to each command, and its effect on requests."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     for line in ("", "NOTHING", "\x00\xff", "SUSPEND", "SUSPEND nobody", "RESTORE nobody", "x" * 5000):
         assert sidecar.call(line).startswith("error"), line
     with socket.create_connection(sidecar.admin_address, timeout=LONG_S) as connection:
-        connection.sendall(b"STATUS")  # the end of input stands for the line break
+        connection.sendall(b"STATUS")  # the end of input ends the line as a line break does
         connection.shutdown(socket.SHUT_WR)
         assert connection.recv(100) == b"done\n"
 
 
-def test_silent_connections_keep_no_other_client_out(sidecar: AdminSidecar) -> None:
+def test_silent_connections_do_not_block_other_clients(sidecar: AdminSidecar) -> None:
     with contextlib.ExitStack() as stack:
         for number in range(100):
             connection = stack.enter_context(socket.create_connection(sidecar.admin_address, timeout=LONG_S))
@@ -151,7 +151,7 @@
         assert response is not None
         assert response.status == 200
         assert response.headers["connection"] == "close"
-        # a client that still connects gets one answer
+        # a client that connects during the drain gets one answer
         late = sidecar.client()
         assert late.request("GET", "/read/7").headers["connection"] == "close"
         assert sidecar.call("STATUS") == "done"
--- a/tests/admin/test_shared_folder.py
+++ b/tests/admin/test_shared_folder.py
@@ -60,7 +60,7 @@
     assert hot_restart.suspensions.read() == {"s-1"}
 
 
-def test_unusable_folder_stores_nothing_and_the_process_serves_alone(tmp_path: Path) -> None:
+def test_process_with_an_unusable_folder_stores_nothing_and_serves(tmp_path: Path) -> None:
     (tmp_path / "file").write_bytes(b"")
     hot_restart = HotRestart(tmp_path / "file" / "w")
     assert not hot_restart.suspensions.add("s-1")
@@ -73,7 +73,7 @@
 
 @contextmanager
 def process_that_claims_serving(folder: Path, expected_result: bool) -> Iterator[subprocess.Popen[str]]:
-    """Run another process that claims to serve, and check with what result; it lives until it is killed."""
+    """Run another process that claims to serve, and check the result; it runs until it is killed."""
     code = (
         "import sys, pathlib; from sidecar_proxy.admin.process_locks import ProcessLocks\n"
         "locks = ProcessLocks(pathlib.Path(sys.argv[1]))\n"
--- a/tests/admin/test_suspensions.py
+++ b/tests/admin/test_suspensions.py
@@ -1,4 +1,4 @@
-"""Which endpoints can be suspended, and how many names are remembered."""
+"""Which endpoints can be suspended, and how many listed names are kept."""
 
 from __future__ import annotations
 
--- a/tests/admin/test_warm_start_codec.py
+++ b/tests/admin/test_warm_start_codec.py
@@ -1,4 +1,4 @@
-"""Warm-start state: trusted for a moment, never when damaged, old or of another incarnation."""
+"""Warm-start state: used only for a short time, and never if it is damaged, old or of another incarnation."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
     assert restore_at_age(warm_start_codec.MAX_TRUSTED_AGE_US) == STATE
     half_weight_age_us = (warm_start_codec.MAX_TRUSTED_AGE_US + warm_start_codec.MAX_AGE_US) // 2
     older = restore_at_age(half_weight_age_us)
-    assert [learnt.concurrency_limit for learnt in older.upstreams] == [1 + (1 / 64 - 1) / 2, 2.5]
+    assert [measured.concurrency_limit for measured in older.upstreams] == [1 + (1 / 64 - 1) / 2, 2.5]
     assert older.upstreams[0].failure_rate == 0.45
     assert older.response_times_us == [0.0] * 3
     for age_us in (warm_start_codec.MAX_AGE_US, -2 * warm_start_codec.MAX_CLOCK_SKEW_US):
@@ -76,7 +76,7 @@
 def test_restarted_and_unlisted_upstreams_are_left_out() -> None:
     record = decode(STORED)
     relisted = restore(record, START_US, CLASS_NAMES, {"node-101": 5}, {5: 7, 100: 7})
-    assert [learnt.upstream for learnt in relisted.upstreams] == [5]
+    assert [measured.upstream for measured in relisted.upstreams] == [5]
     restarted_us = dict.fromkeys(NAMES_BY_UPSTREAM, 8)
     assert not restore(record, START_US, CLASS_NAMES, UPSTREAMS_BY_NAME, restarted_us).upstreams
 
@@ -97,7 +97,7 @@
 
 
 def run_requests(balancer: Balancer, count: int, faulty: set[int], now_us: int) -> list[int]:
-    """Run requests one after the other, each attempt ended at once; return the upstreams of the attempts."""
+    """Run requests one after the other with immediate responses; return the upstreams of all attempts."""
     attempted = []
     for request in range(1, count + 1):
         actions = balancer.handle(now_us, RequestArrived(request, now_us + 600_000, 1))
@@ -139,20 +139,20 @@
         attempts_without_state += count_faulty_attempts(seed + 100, None, faulty)
         attempts_with_state += count_faulty_attempts(seed + 100, state, faulty)
         after_recovery = run_requests(new_balancer(seed + 100, state), 2_000, set(), START_US + 4_000_000)
-        # an equal share of the last 500 would be 167
+        # an equal share of the last 500 attempts would be 167
         assert sum(upstream in faulty for upstream in after_recovery[-500:]) > 60
     assert attempts_with_state <= attempts_without_state / 2, (attempts_without_state, attempts_with_state)
 
 
 @given(st.floats(-1e9, 1e9), st.floats(-5, 5), st.floats(-1e9, 1e12), st.integers(0, 2**32))
 @settings(max_examples=100, deadline=None, derandomize=True)
-def test_no_state_opens_more_than_own_experience_or_closes_an_upstream_for_good(
+def test_no_state_raises_limits_beyond_own_measurements_or_excludes_an_upstream_for_good(
     limit: float, failure_rate: float, response_time_us: float, seed: int
 ) -> None:
-    learnt = [
+    measurements = [
         WarmStartUpstream(upstream, limit, failure_rate, response_time_us) for upstream in range(99, 108)
     ]
-    state = WarmStartState([0.0] * 9, limit, learnt)
+    state = WarmStartState([0.0] * 9, limit, measurements)
     warming_up = [Upstream(105, zone=2, cell=2, started_us=START_US)]  # rule 4 bounds its share
     balancer = new_balancer(seed, state, upstreams(5) + warming_up)
     in_flight: dict[int, int] = {}
@@ -168,7 +168,7 @@
     assert len(set(attempted)) > 3
 
 
-def test_real_successor_takes_over_the_state_and_a_process_alone_does_not(
+def test_successor_process_takes_over_the_state_and_a_process_without_predecessor_does_not(
     listener: socket.socket, shared_folder: str
 ) -> None:
     rng, lock = random.Random(4), threading.Lock()
