--- a/sidecar_proxy/__init__.py
+++ b/sidecar_proxy/__init__.py
@@ -1,4 +1,4 @@
-"""sidecar_proxy: the decisions of a sidecar balancer for service-to-service calls."""
+"""A sidecar proxy that balances the load of service-to-service calls."""
 
 from sidecar_proxy import compiled
 
--- a/sidecar_proxy/environment.py
+++ b/sidecar_proxy/environment.py
@@ -1,4 +1,7 @@
-"""Reads this program's own environment variables. Imported at every start: standard library only."""
+"""Reads the environment variables of this package.
+
+Imports only the standard library, as it is imported at each start.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,13 @@
 from collections.abc import Mapping
 
 PREFIX = "SIDECAR_PROXY_"
-DEPRECATED_PREFIX = "WICKSPREAD_"  # of versions before the package was renamed
+DEPRECATED_PREFIX = "WICKSPREAD_"  # prefix before the package was renamed
 
 
 def read_variable(name: str, environ: Mapping[str, str] = os.environ) -> str:
     """Return the value of `SIDECAR_PROXY_<name>`, or an empty string if it is not set.
 
-    The deprecated `WICKSPREAD_<name>` is read where the new name is not set, and one line on standard error
-    says so.
+    If that is not set, the deprecated `WICKSPREAD_<name>` is read, with a one-line warning on standard error.
     """
     value = environ.get(PREFIX + name)
     if value is not None:
--- a/tests/test_environment.py
+++ b/tests/test_environment.py
@@ -16,13 +16,13 @@
     assert capsys.readouterr().err == ""
 
 
-def test_deprecated_name_still_works_and_says_so_in_one_line(capsys: pytest.CaptureFixture[str]) -> None:
+def test_deprecated_name_works_with_one_line_of_warning(capsys: pytest.CaptureFixture[str]) -> None:
     assert read_variable("OPERATOR", {"WICKSPREAD_OPERATOR": "old.toml"}) == "old.toml"
     expected = "sidecar_proxy: WICKSPREAD_OPERATOR is deprecated: use SIDECAR_PROXY_OPERATOR\n"
     assert capsys.readouterr().err == expected
 
 
-def test_new_name_wins_over_the_deprecated_one(capsys: pytest.CaptureFixture[str]) -> None:
+def test_new_name_takes_precedence_over_the_deprecated_name(capsys: pytest.CaptureFixture[str]) -> None:
     both = {"WICKSPREAD_OPERATOR": "old.toml", "SIDECAR_PROXY_OPERATOR": ""}
     assert read_variable("OPERATOR", both) == ""
     assert capsys.readouterr().err == ""
