--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -54,7 +54,7 @@
     settings, clock = config.settings, Clock()
     directory = EndpointDirectory(settings)
     version, _, cached_upstreams = directory.read(config.cached_endpoint_list)
-    # limit for connections of clients, and again for connections to upstreams
+    # The limit for client connections, and the same limit for connections to upstreams.
     max_connections = max(1, (config.max_file_descriptors - RESERVED_FILE_DESCRIPTORS) // 2)
     has_hot_restart = config.admin_address is not None or config.accept_fd is not None
     hot_restart = HotRestart.from_environment(os.environ) if has_hot_restart else None
--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -136,8 +136,8 @@
         self.next_request = self.next_request % MAX_REQUEST_NUMBER + 1
         request = self.requests[number] = PendingRequest(call, reply)
         self.metrics.request_accepted()
-        # The engine has a deadline timer of its own, so that a fault of the balancer can't leave a client
-        # waiting.
+        # The engine sets a deadline timer of its own, so that the client gets a response in time even if the
+        # balancer has a fault.
         request.deadline_timer = self.call_at(call.due_us, self.deadline_passed, number)
         if self.recorder is not None:
             self.recorder.request_named(number, call.request_id)
@@ -423,8 +423,8 @@
         if request.attempts_in_flight == 0:
             del self.requests[number]
             return
-        # That a client disconnected is no fault of the upstream. That the upstream did not accept the request
-        # before the deadline is one, and counts as a failed connection.
+        # If the client disconnected, the upstream is not at fault. If the upstream did not accept the request
+        # before the deadline, that counts as a failed connection.
         is_client_gone = status == STATUS_CLIENT_GONE
         outcome = api.Outcome.NOT_SENT if is_client_gone else api.Outcome.CONNECT_FAILED
         for attempt in list(request.attempts):
@@ -531,8 +531,8 @@
         if outcome is api.Outcome.OK and response is not None:
             engine.answer(self.request_number, STATUS_OK, response.header_lines, response.body)
         elif response is not None and is_request_error(response):
-            # The upstream is at no fault: only it can tell such requests from valid ones, and must not be
-            # ejected.
+            # The upstream is not at fault, as only it can tell such requests from valid ones. So this must
+            # not count as a failure in its outlier detection.
             engine.answer(self.request_number, response.status)
             outcome = api.Outcome.NOT_SENT
         elif response is not None and response.is_final:
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -141,9 +141,8 @@
         def choose_actions(event: api.Event) -> list[api.Action]:
             return [api.Send(1, 7)] * 6 if isinstance(event, api.RequestArrived) else []
 
-        engine, balancer = make_engine(
-            choose_actions
-        )  # upstream 7 is not listed, so nothing can be sent to it
+        # Upstream 7 is not listed, so nothing can be sent to it.
+        engine, balancer = make_engine(choose_actions)
         engine.accept(make_call(engine), lambda status, head, body: None)
         ends = [event for event in balancer.events if isinstance(event, api.AttemptEnded)]
         assert [(end.attempt, end.outcome, end.final) for end in ends] == [
