--- a/sidecar_proxy/balancer/attempts.py
+++ b/sidecar_proxy/balancer/attempts.py
@@ -86,7 +86,7 @@
         if holds_slot:
             self.free_slot(attempt)
         if event.outcome in ANSWERS:
-            endpoint.presumed_lost = 0
+            endpoint.presumed_lost_count = 0
             endpoint.last_answered_send_us = max(endpoint.last_answered_send_us, attempt.sent_us)
             change_us = (event.elapsed_us - endpoint.response_time_us) / RESPONSE_TIME_SMOOTHING
             endpoint.response_time_us += change_us
@@ -95,7 +95,7 @@
         if event.report:
             self.prober.record_report(endpoint, event.report)
         if holds_slot:
-            self.endpoint_list.release(endpoint)
+            self.endpoint_list.forget_if_unused(endpoint)
 
     def free_slot(self, attempt: Attempt) -> None:
         """Count an attempt as in flight no more; `record_outcome`, which follows, updates the pool."""
@@ -125,7 +125,7 @@
             )
             return
         attempt.is_presumed_lost = True
-        endpoint.presumed_lost += 1
+        endpoint.presumed_lost_count += 1
         self.free_slot(attempt)
         self.recorder.record_outcome(attempt, api.Outcome.TIMEOUT, elapsed_us, request.class_index)
-        self.endpoint_list.release(endpoint)
+        self.endpoint_list.forget_if_unused(endpoint)
--- a/sidecar_proxy/balancer/balancer.py
+++ b/sidecar_proxy/balancer/balancer.py
@@ -89,7 +89,7 @@
                 self.requests[event.request].is_done = True  # the client has begun to get the answer
         else:
             self.handle_state_event(event)
-        if self.endpoint_list.selection_is_due:
+        if self.endpoint_list.is_selection_due:
             self.endpoint_list.select()
         self.dispatch_waiting()
         self.set_timer()
@@ -159,7 +159,7 @@
         slots_per_endpoint = INITIAL_SLOTS_PER_UPSTREAM / self.pool.sidecars_per_endpoint
         wanted = slots_per_endpoint * self.pool.warm_equivalent(now_us)
         # with less than the minimum, the first sends of all sidecars alone overload a warming endpoint
-        self.slow_start.thinning = min(1.0, wanted / MIN_TOTAL_LIMIT)
+        self.slow_start.gain_scale = min(1.0, wanted / MIN_TOTAL_LIMIT)
         self.total_limiter.rescale(max(MIN_TOTAL_LIMIT, wanted))
 
     # Events about requests
--- a/sidecar_proxy/balancer/endpoint.py
+++ b/sidecar_proxy/balancer/endpoint.py
@@ -22,7 +22,7 @@
         self.failure_rate = 0.0  # share of the last 16 attempts or so that failed
         self.response_time_us = 0.0  # smoothed; 0 = none was seen
         self.last_answered_send_us = 0  # when the latest of the answered attempts was sent
-        self.presumed_lost = 0  # attempts presumed lost since the last answer
+        self.presumed_lost_count = 0  # attempts presumed lost since the last answer
         self.last_success_us = 0  # when an attempt last ended well; 0 = none has
         self.limit_before_probation = 0.0  # 0 = not on probation
         self.is_logged_closed = False  # the last log line said so
--- a/sidecar_proxy/balancer/endpoint_list.py
+++ b/sidecar_proxy/balancer/endpoint_list.py
@@ -30,7 +30,7 @@
             context.home_zone,
             len(settings.zones) or 1,
         )
-        self.selection_is_due = False  # a member of the subset is degraded
+        self.is_selection_due = False  # a member of the subset is degraded
         # rule 2: where repeats of deduplicated requests may go; of the whole list, not of the subset
         self.indexes_cells = any(
             request_class.effect == "deduplicated" and request_class.group == "cell"
@@ -75,7 +75,7 @@
             self.refresh(endpoint, entry)
             if endpoint.index_entry is not None:
                 self.pool.place(endpoint, self.context.now_us)
-            self.release(endpoint)
+            self.forget_if_unused(endpoint)
         if not is_ready:
             self.subset.members.pop(entry.id, None)
 
@@ -136,7 +136,7 @@
             self.refresh(endpoint, entry)
         self.pool.place(endpoint, self.context.now_us)
 
-    def release(self, endpoint: Endpoint) -> None:
+    def forget_if_unused(self, endpoint: Endpoint) -> None:
         """Forget an endpoint that is not used any more, once nothing is in flight to it.
 
         Upstreams are replaced all day, under new ids, so what is known of old ones must not accumulate.
@@ -156,14 +156,14 @@
 
     def select(self) -> None:
         """Select the subset anew; connections to those that leave it are closed when idle."""
-        self.selection_is_due = False
+        self.is_selection_due = False
         now_us = self.context.now_us
         joined, left = self.subset.select(now_us, self.is_usable)
         for upstream in left:
             endpoint = self.pool.endpoints.get(upstream)
             if endpoint is not None:
                 self.pool.remove(endpoint)
-                self.release(endpoint)
+                self.forget_if_unused(endpoint)
                 self.context.actions.append(api.CloseIdle(upstream))
         for upstream in joined:
             self.use(self.entries[upstream])
@@ -183,7 +183,7 @@
         upstream = endpoint.entry.id
         if self.subset.is_active and is_degraded(endpoint) and upstream not in self.subset.suspects:
             self.subset.mark_suspect(upstream, self.context.now_us)
-            self.selection_is_due = True
+            self.is_selection_due = True
 
     def count_avoided(self) -> int:
         """Return how many of the listed upstreams get nothing now, or next to nothing."""
--- a/sidecar_proxy/balancer/endpoint_pool.py
+++ b/sidecar_proxy/balancer/endpoint_pool.py
@@ -19,7 +19,7 @@
 
 # at a nearly warm endpoint, of all sidecars together; before that, in proportion to its slow-start weight
 MAX_SLOTS_WHILE_WARMING: Final = 8.0
-FEW_SIDECARS: Final = 4  # up to which the sidecars at an endpoint draw by its free slots
+FEW_SIDECARS_PER_ENDPOINT: Final = 4  # up to which the sidecars at an endpoint draw by its free slots
 MAX_WARMING_DRAWS: Final = 64
 GOLDEN_RATIO: Final = 0.618033988749895  # its multiples lie evenly in [0, 1), however many follow each other
 
@@ -32,7 +32,7 @@
         self.home_zone = home_zone
         self.sidecar_index = settings.self_index
         self.sidecars_per_endpoint = float(settings.instances)
-        self.draws_by_free_slots = settings.instances <= FEW_SIDECARS
+        self.draws_by_free_slots = settings.instances <= FEW_SIDECARS_PER_ENDPOINT
         # slots at warming endpoints: by this sidecar's share, or by a lease from the fleet in its place
         self.warming_slots = MAX_SLOTS_WHILE_WARMING / settings.instances
         self.leased_slots = 0.0
@@ -243,7 +243,7 @@
     def set_sharing(self, sidecars_per_endpoint: float, sidecar_index: int, now_us: int) -> None:
         """Set how many sidecars share an endpoint and which of them this is."""
         self.sidecars_per_endpoint = sidecars_per_endpoint
-        draws_by_free_slots = sidecars_per_endpoint <= FEW_SIDECARS
+        draws_by_free_slots = sidecars_per_endpoint <= FEW_SIDECARS_PER_ENDPOINT
         warming_slots = MAX_SLOTS_WHILE_WARMING / sidecars_per_endpoint
         if warming_slots != self.warming_slots or sidecar_index != self.sidecar_index:
             self.warming_slots = warming_slots
--- a/sidecar_proxy/balancer/outlier_detection.py
+++ b/sidecar_proxy/balancer/outlier_detection.py
@@ -158,7 +158,7 @@
         endpoint = attempt.endpoint
         if (
             self.is_quick(endpoint)
-            and endpoint.presumed_lost < MAX_PRESUMED_LOST
+            and endpoint.presumed_lost_count < MAX_PRESUMED_LOST
             and endpoint.failure_rate < DEGRADED_FAILURE_RATE
         ):
             return True
--- a/sidecar_proxy/balancer/picker.py
+++ b/sidecar_proxy/balancer/picker.py
@@ -9,7 +9,7 @@
 from sidecar_proxy.balancer.context import DecisionContext
 from sidecar_proxy.balancer.endpoint import Endpoint
 from sidecar_proxy.balancer.endpoint_list import EndpointList
-from sidecar_proxy.balancer.endpoint_pool import FEW_SIDECARS, EndpointPool
+from sidecar_proxy.balancer.endpoint_pool import FEW_SIDECARS_PER_ENDPOINT, EndpointPool
 from sidecar_proxy.balancer.hashing import HASH_MULTIPLIER
 from sidecar_proxy.balancer.load_shedding import LoadShedder
 from sidecar_proxy.balancer.outlier_detection import OUTLIER_FAILURE_RATE, OutlierDetector
@@ -82,7 +82,7 @@
         pool = self.pool
         max_failure_rate = self.draw_max_failure_rate()
         tried = request.tried_endpoints()
-        wanted = FEW_SIDECARS * len(pool.warm) / pool.sidecars_per_endpoint
+        wanted = FEW_SIDECARS_PER_ENDPOINT * len(pool.warm) / pool.sidecars_per_endpoint
         if polls_load:
             wanted = max(wanted, LOAD_CANDIDATES)
         first = math.ceil(wanted + len(tried))
--- a/sidecar_proxy/balancer/slow_start.py
+++ b/sidecar_proxy/balancer/slow_start.py
@@ -8,7 +8,7 @@
 
 from sidecar_proxy.balancer.context import DecisionContext
 from sidecar_proxy.balancer.endpoint import Endpoint
-from sidecar_proxy.balancer.endpoint_pool import FEW_SIDECARS, EndpointPool
+from sidecar_proxy.balancer.endpoint_pool import FEW_SIDECARS_PER_ENDPOINT, EndpointPool
 from sidecar_proxy.balancer.outlier_detection import OUTLIER_FAILURE_RATE
 from sidecar_proxy.balancer.request import Request
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
@@ -29,7 +29,7 @@
         self.min_gain = min(1.0, context.settings.overload_factor / 4)
         self.max_gain = MAX_OVERLOAD_SHARE * context.settings.overload_factor
         self.gain = self.min_gain  # times its share by weight: what a warming endpoint gets
-        self.thinning = 1.0  # and this part of that, where sidecars are many for their upstreams
+        self.gain_scale = 1.0  # and this part of that, where sidecars are many for their upstreams
 
     def record_response(self, relative_time: float) -> None:
         """Move the gain by an answer of a warming endpoint; `relative_time` is in usual response times.
@@ -59,10 +59,10 @@
         warming = pool.warming_capacity(now_us)
         if len(pool.warm):
             others = pool.warm_weight
-            gain = self.gain * self.thinning
+            gain = self.gain * self.gain_scale
         else:
             others = pool.warming_weight
-            gain = self.min_gain * self.thinning
+            gain = self.min_gain * self.gain_scale
         if rng.random() * (others + warming) / gain >= warming:
             return warm_endpoint
         endpoint = pool.sample_warming(rng, now_us)
@@ -80,7 +80,7 @@
         """
         pool = self.pool
         now_us = self.context.now_us
-        if pool.sidecars_per_endpoint > FEW_SIDECARS or pool.is_leased(now_us):
+        if pool.sidecars_per_endpoint > FEW_SIDECARS_PER_ENDPOINT or pool.is_leased(now_us):
             return self.choose_allocated(request)
         if group is None:
             return pool.warming.sample_uniform(self.context.random, MAX_WARMING_FAILURE_RATE)
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 from sidecar_proxy.balancer.endpoint import Endpoint
-from sidecar_proxy.balancer.endpoint_pool import FEW_SIDECARS, EndpointPool
+from sidecar_proxy.balancer.endpoint_pool import FEW_SIDECARS_PER_ENDPOINT, EndpointPool
 from sidecar_proxy.balancer.events import UpstreamState
 
 ASKED = 3
@@ -47,7 +47,7 @@
     found = [endpoint for endpoint in found if endpoint not in excluded]
     found = [endpoint for endpoint in found if endpoint.failure_rate <= most] or found
     best = [s for s in found if s.entry.zone == pool.home_zone and s.limiter.in_flight == 0] or found
-    few = pool.settings.instances <= FEW_SIDECARS
+    few = pool.settings.instances <= FEW_SIDECARS_PER_ENDPOINT
     sizes = [s.weight * free(pool, s, now_us) if few else 1.0 for s in best]
     return {s.entry.id: size / math.fsum(sizes) for s, size in zip(best, sizes, strict=True)}
 
