--- a/sidecar_proxy/balancer/concurrency_limit.py
+++ b/sidecar_proxy/balancer/concurrency_limit.py
@@ -1,7 +1,8 @@
-"""Limits on the sends that are in flight to one upstream, or to all of them together. Pure.
+"""Adaptive concurrency limits on the attempts in flight to one upstream, or to all upstreams together.
 
-A limit grows while answers are quick and more is needed, and shrinks while they are slow. Below 1 it is one
-send at a time with a pause after each, so that a failing upstream is still tried now and then.
+A limit grows while answers are quick and more slots are needed, and shrinks while answers are slow. A limit
+below 1 allows one attempt at a time with a pause after each, so that a failing upstream is still tried now
+and then. The module is pure: it does no I/O and reads no clock.
 """
 
 from typing import Final
@@ -9,70 +10,78 @@
 LIMIT_GAIN: Final = (
     0.4  # change of a limit over one round of answers, per unit of distance from the target load
 )
-TARGET_LOAD: Final = 0.7  # of a slow answer's time: where limits settle if a few sidecars share an upstream
-SHARED_TARGET_LOAD: Final = 0.85  # the same if very many share it, and each has a small part in its queue
+# Loads are response times as shares of a slow answer's time, which is half of the latency objective.
+TARGET_LOAD: Final = 0.7  # load at which limits settle if a few sidecars share an upstream
+SHARED_TARGET_LOAD: Final = 0.85  # the same if many sidecars share it, each with a small part of its queue
 INITIAL_SLOTS_PER_UPSTREAM: Final = (
-    8.0  # of all sidecars together: what a few cores serve within an objective
+    8.0  # initial slots of all sidecars together; a few cores serve these within an objective
 )
-MIN_TOTAL_LIMIT: Final = 2.0  # initial slots of one sidecar at all upstreams together
-MAX_LIMIT_GROWTH: Final = 8  # times the initial limit, however quick the answers
-MIN_LIMIT: Final = 1 / 64  # a failing upstream is tried about once in 64 usual response times
+MIN_TOTAL_LIMIT: Final = 2.0  # minimum initial limit of one sidecar over all upstreams together
+MAX_LIMIT_GROWTH: Final = 8  # maximum ratio of a limit to its initial value, however quick the answers are
+MIN_LIMIT: Final = 1 / 64  # at this limit a failing upstream is tried about once in 64 usual response times
 
 
 def target_load(sidecar_share: float) -> float:
     """Return the load at which limits settle.
 
-    `sidecar_share` is this sidecar's share of an upstream's initial slots. The smaller it is, the less of a
-    queue is this sidecar's doing, and the later it closes slots; otherwise all would close them for the
+    `sidecar_share` is this sidecar's share of an upstream's initial slots. A sidecar with a smaller share
+    contributes less to the queue, so it closes slots later; otherwise all sidecars would close slots for the
     same queue.
     """
     return SHARED_TARGET_LOAD - (SHARED_TARGET_LOAD - TARGET_LOAD) * min(1.0, sidecar_share)
 
 
 class ConcurrencyLimiter:
-    """Counts the sends in flight against a limit that adapts."""
+    """Counts the attempts in flight against a limit that adapts."""
 
     def __init__(self, limit: float) -> None:
         self.in_flight = 0
         self.initial_limit = limit
-        self.limit = limit  # below 1: one send at a time, and a pause between sends
+        self.limit = limit  # below 1: one attempt at a time, and a pause between attempts
         self.paused_until_us = 0
 
     def free_slots(self, now_us: int) -> int:
-        """Return how many more sends may start now; negative if the limit fell below those in flight."""
+        """Return how many more attempts may start now; negative if the limit fell below those in flight."""
         if self.limit >= 1.0:
             return int(self.limit) - self.in_flight
         return int(now_us >= self.paused_until_us) - self.in_flight
 
-    def update_limit(self, load: float, target: float, is_needed: bool, floor: float, weight: float) -> None:
-        """Move the limit by one answer.
+    def update_limit(
+        self, load: float, target: float, is_needed: bool, min_limit: float, growth_weight: float
+    ) -> None:
+        """Adjust the limit after one answer.
 
-        `load` is the answer's time as a share of a slow answer's, `target` where it settles. The limit
-        passes its initial value only if `is_needed`: slots opened without need choke upstreams in bursts.
-        It does not fall below `floor` by slow answers alone. Growth counts `weight` times.
+        `load` is the answer's time as a share of a slow answer's time, and `target` the load at which the
+        limit settles. The limit exceeds its initial value only if `is_needed`: slots that open without need
+        let bursts overload upstreams. Slow answers alone do not lower it below `min_limit`. An increase is
+        multiplied by `growth_weight`.
         """
         step = LIMIT_GAIN * (target - load) / max(self.limit, 1.0)
         if step < 0.0:
-            # without a floor all would pause for long after an outage, and reject more where all are slow
-            self.limit = max(self.limit * (1.0 + step), min(self.limit, floor))
+            # without a minimum, all upstreams would be paused for long after an outage, and more requests
+            # would be rejected where all upstreams are slow
+            self.limit = max(self.limit * (1.0 + step), min(self.limit, min_limit))
         elif self.limit < self.initial_limit or is_needed:
-            growth = min(self.limit, step * weight)
+            growth = min(self.limit, step * growth_weight)
             self.limit = min(self.limit + growth, MAX_LIMIT_GROWTH * self.initial_limit)
 
     def halve(self) -> None:
-        """Close half of the slots, after an attempt that counts against the upstream."""
+        """Halve the limit, after an attempt that counts against the upstream."""
         self.limit = max(self.limit / 2, MIN_LIMIT)
 
     def pause(self, now_us: int, busy_us: float, jitter: float) -> None:
-        """With a limit below 1, rest so long that `busy_us` is this share of the time; jitter is 0 to 1."""
+        """Pause a limit below 1 for long enough that `busy_us` is this share of the time.
+
+        `jitter` is from 0 to 1, and scales the pause by 0.5 to 1.5.
+        """
         if self.limit < 1.0:
             self.paused_until_us = now_us + int(busy_us * (1.0 / self.limit - 1.0) * (0.5 + jitter))
 
     def extend_pause(self, until_us: int) -> None:
-        """Rest until then at least."""
+        """Pause until this time at least."""
         self.paused_until_us = max(self.paused_until_us, until_us)
 
     def rescale(self, initial_limit: float) -> None:
-        """Change the initial limit; the limit keeps its multiple of it."""
+        """Change the initial limit, and the limit in proportion."""
         self.limit = self.limit * initial_limit / self.initial_limit
         self.initial_limit = initial_limit
--- a/sidecar_proxy/balancer/endpoint_list.py
+++ b/sidecar_proxy/balancer/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery gives it, and which of its upstreams this sidecar uses. Pure."""
+"""The endpoint list from discovery, and the upstreams of it that this sidecar uses. Pure."""
 
 from dataclasses import replace
 from typing import Final
@@ -11,18 +11,18 @@
 from sidecar_proxy.balancer.outlier_detection import is_degraded
 from sidecar_proxy.balancer.subsetting import Subset
 
-SLOTS_FOR_ONE_PEER: Final = 2.0  # at first, where next to no other sidecars share the upstreams
-COMPLETE_LISTS: Final = (api.ListKind.FULL, api.ListKind.CACHED)
+INITIAL_LIMIT_OF_SMALL_FLEET: Final = 2.0  # slots per upstream of one or two sidecars
+COMPLETE_LIST_KINDS: Final = (api.ListKind.FULL, api.ListKind.CACHED)
 
 
 class EndpointList:
-    """Applies list updates to the pool, for the whole list or for this sidecar's subset of it."""
+    """Applies list updates to the pool, for the complete list or for this sidecar's subset of it."""
 
     def __init__(self, context: DecisionContext, pool: EndpointPool) -> None:
         settings = context.settings
         self.context = context
         self.pool = pool
-        self.entries: dict[int, api.Upstream] = {}  # by id, without those that are gone
+        self.entries: dict[int, api.Upstream] = {}  # by upstream id, without upstreams that are gone
         self.subset = Subset(
             settings.self_index,
             settings.instances,
@@ -30,22 +30,22 @@
             context.home_zone,
             len(settings.zones) or 1,
         )
-        self.is_selection_due = False  # a member of the subset is degraded
-        # rule 2: where repeats of deduplicated requests may go; of the whole list, not of the subset
+        self.is_selection_due = False  # whether a member of the subset has become degraded
+        # rule 2 restricts repeats of deduplicated requests to a cell: of the complete list, not of the subset
         self.indexes_cells = any(
             request_class.effect == "deduplicated" and request_class.group == "cell"
             for request_class in settings.classes
         )
-        self.cells: dict[int, dict[int, None]] = {}  # the ready upstreams of each cell
+        self.cells: dict[int, dict[int, None]] = {}  # ids of the ready upstreams by cell
 
     # List updates
 
     def apply(self, event: api.UpstreamsUpdated) -> None:
-        """Apply an answered list: changed entries, or a complete list, in which what is missing is gone."""
+        """Apply changed entries or a complete list; an upstream that is missing from the latter is gone."""
         was_active = self.subset.is_active
         for entry in event.upstreams:
             self.apply_entry(entry)
-        if event.kind in COMPLETE_LISTS:
+        if event.kind in COMPLETE_LIST_KINDS:
             listed = {entry.id for entry in event.upstreams}
             missing = [entry for upstream, entry in self.entries.items() if upstream not in listed]
             for entry in missing:
@@ -54,7 +54,7 @@
             self.select()
 
     def apply_entry(self, entry: api.Upstream) -> None:
-        """Apply one entry, at a cost that does not depend on the size of the list."""
+        """Apply one entry, without a scan of the list."""
         previous = self.entries.pop(entry.id, None)
         endpoint = self.pool.endpoints.get(entry.id)
         is_ready = entry.state is api.UpstreamState.READY
@@ -70,9 +70,9 @@
         is_member = not self.subset.is_active or entry.id in self.subset.members
         if is_member and not is_gone:
             self.subset.members[entry.id] = None
-            self.use(entry)
+            self.add_to_pool(entry)
         elif endpoint is not None:
-            self.refresh(endpoint, entry)
+            self.set_entry(endpoint, entry)
             if endpoint.index_entry is not None:
                 self.pool.place(endpoint, self.context.now_us)
             self.forget_if_unused(endpoint)
@@ -80,7 +80,7 @@
             self.subset.members.pop(entry.id, None)
 
     def update_cells(self, previous: api.Upstream | None, entry: api.Upstream) -> None:
-        """Move an upstream from its previous cell to that of its new entry."""
+        """Move an upstream from its previous cell to the cell of its new entry."""
         if previous is not None:
             cell = self.cells.get(previous.cell, {})
             cell.pop(entry.id, None)
@@ -90,7 +90,7 @@
             self.cells.setdefault(entry.cell, {})[entry.id] = None
 
     def cell_endpoints(self, cell: int) -> list[Endpoint]:
-        """Return the ready upstreams of a cell, whether this sidecar uses them or not."""
+        """Return the ready upstreams of a cell, in or outside of this sidecar's subset."""
         endpoints: list[Endpoint] = []
         for upstream in self.cells.get(cell, ()):
             endpoint = self.pool.endpoints.get(upstream)
@@ -102,21 +102,21 @@
     # Members of the pool
 
     def new_endpoint(self, entry: api.Upstream) -> Endpoint:
-        """Return an endpoint for an upstream of which nothing is known yet.
+        """Return an endpoint without any history for an upstream.
 
-        Beside one other sidecar it begins with two slots: after a restart, all that arrived meanwhile comes
-        at once. Where both start together that overloads a little, until slow answers close the second
-        slots.
+        In a fleet of one or two sidecars it starts with two slots, because after a restart of the sidecar all
+        requests that arrived meanwhile come at once. If both sidecars start together, the upstream is
+        slightly overloaded until slow answers close the second slots.
         """
         limit = 1.0
         if 4 * self.subset.instances <= INITIAL_SLOTS_PER_UPSTREAM:
-            limit = SLOTS_FOR_ONE_PEER
+            limit = INITIAL_LIMIT_OF_SMALL_FLEET
         endpoint = Endpoint(entry, self.context.random.expovariate(1.0), limit)
-        self.refresh(endpoint, entry)
+        self.set_entry(endpoint, entry)
         return endpoint
 
-    def refresh(self, endpoint: Endpoint, entry: api.Upstream) -> None:
-        """Take over a changed entry; after a restart of the upstream, what is known of it counts no more."""
+    def set_entry(self, endpoint: Endpoint, entry: api.Upstream) -> None:
+        """Set a changed entry; after a restart of the upstream, reset what its attempts have shown."""
         if entry.started_us != endpoint.entry.started_us:
             endpoint.failure_rate = 0.0
             endpoint.limiter.limit = 1.0
@@ -127,19 +127,19 @@
         if self.context.settings.weighted and entry.weight > 0.0:
             endpoint.weight = entry.weight
 
-    def use(self, entry: api.Upstream) -> None:
-        """Put an upstream that this sidecar uses into the pool, or renew it there."""
+    def add_to_pool(self, entry: api.Upstream) -> None:
+        """Add an upstream that this sidecar uses to the pool, or update it there."""
         endpoint = self.pool.endpoints.get(entry.id)
         if endpoint is None:
             endpoint = self.new_endpoint(entry)
         else:
-            self.refresh(endpoint, entry)
+            self.set_entry(endpoint, entry)
         self.pool.place(endpoint, self.context.now_us)
 
     def forget_if_unused(self, endpoint: Endpoint) -> None:
-        """Forget an endpoint that is not used any more, once nothing is in flight to it.
+        """Remove an endpoint that this sidecar no longer uses, once nothing is in flight to it.
 
-        Upstreams are replaced all day, under new ids, so what is known of old ones must not accumulate.
+        Upstreams are replaced all day under new ids, so the state of former ones must not accumulate.
         """
         if endpoint.limiter.in_flight:
             return
@@ -150,12 +150,12 @@
     # The subset
 
     def resize_fleet(self, event: api.FleetResized) -> None:
-        """Set which of how many sidecars this is."""
+        """Set the number of sidecars and the index of this one, and select the subset anew."""
         self.subset.set_sidecar(event.self_index, event.instances)
         self.select()
 
     def select(self) -> None:
-        """Select the subset anew; connections to those that leave it are closed when idle."""
+        """Select the subset anew; connections to upstreams that leave it are closed when idle."""
         self.is_selection_due = False
         now_us = self.context.now_us
         joined, left = self.subset.select(now_us, self.is_usable)
@@ -166,11 +166,11 @@
                 self.forget_if_unused(endpoint)
                 self.context.actions.append(api.CloseIdle(upstream))
         for upstream in joined:
-            self.use(self.entries[upstream])
+            self.add_to_pool(self.entries[upstream])
         self.pool.set_sharing(self.subset.sidecars_per_upstream(), self.subset.index, now_us)
 
     def is_usable(self, upstream: int) -> bool:
-        """Whether an upstream counts as a member that serves: warm and not degraded."""
+        """Whether an upstream counts as a usable member of the subset: warm and not degraded."""
         started_us = self.entries[upstream].started_us
         warm_up_us = self.context.settings.warm_up_us
         if started_us != 0 and self.context.now_us - started_us < warm_up_us:
@@ -179,14 +179,14 @@
         return endpoint is None or not is_degraded(endpoint)
 
     def replace_if_degraded(self, endpoint: Endpoint) -> None:
-        """Let the subset be selected anew soon, if a member has become degraded."""
+        """Schedule a new selection of the subset if this member has become degraded."""
         upstream = endpoint.entry.id
         if self.subset.is_active and is_degraded(endpoint) and upstream not in self.subset.suspects:
             self.subset.mark_suspect(upstream, self.context.now_us)
             self.is_selection_due = True
 
     def count_avoided(self) -> int:
-        """Return how many of the listed upstreams get nothing now, or next to nothing."""
+        """Return how many of the listed upstreams are not ready or are degraded."""
         ready = api.UpstreamState.READY
         not_ready = sum(entry.state is not ready for entry in self.entries.values())
         degraded = sum(
--- a/sidecar_proxy/balancer/ordered_index.py
+++ b/sidecar_proxy/balancer/ordered_index.py
@@ -1,10 +1,10 @@
 """Ordered collections for the endpoint pool: a sorted multiset and a treap that samples by weight.
 
-Pure data structures: no clock and no I/O; random numbers come from a `random.Random` that is passed in.
+These are pure data structures without I/O; random numbers come from a `random.Random` that is passed in.
 
-Costs with n items: `OrderedIndex.update`, `insert`, `remove` and a sample take O(log n) expected time;
-`SortedMultiset` takes one search and one shift inside a block of at most `MAX_BLOCK_ITEMS` items, and one
-step per block where a rank is asked for.
+Costs with n items: `OrderedIndex.update`, `insert`, `remove` and a sample take O(log n) expected time.
+`SortedMultiset` takes one search and one shift inside a block of at most `MAX_BLOCK_ITEMS` items; access by
+rank takes one step per block.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 V = TypeVar("V", bound=Any)
 
 MAX_BLOCK_ITEMS: Final = 512  # a shift inside a block of this size costs less than the search for the block
-MIN_REJECTION_TRIES: Final = 16  # samples by rejection, plus the root of n, before those that fit are listed
-ANY_FAILURE_RATE: Final = math.inf
+MIN_REJECTION_DRAWS: Final = 16  # draws by rejection, plus the square root of n, before a scan of the matches
+ANY_FAILURE_RATE: Final = math.inf  # as a limit: no limit; as a minimum: there is no open entry
 
 
 class SortedMultiset(Generic[V]):
-    """A sorted multiset of comparable values, kept in blocks."""
+    """A sorted multiset of comparable values, stored in sorted blocks."""
 
     def __init__(self) -> None:
         self.blocks: list[list[V]] = []
-        self.block_maxima: list[V] = []  # the last value of each block
+        self.block_maxima: list[V] = []  # last value of each block
         self.size = 0
 
     def __len__(self) -> int:
@@ -54,12 +54,12 @@
             self.block_maxima[index] = block[-1]
 
     def remove(self, value: V) -> None:
-        """Remove one occurrence of a value; ValueError if there is none."""
+        """Remove one occurrence of a value; raise ValueError if there is none."""
         index = bisect_left(self.block_maxima, value)
         block: list[V] = self.blocks[index] if index < len(self.blocks) else []
         position = bisect_left(block, value)
         if position == len(block) or block[position] != value:
-            raise ValueError(f"{value!r} is not in it")
+            raise ValueError(f"{value!r} is not in the multiset")
         del block[position]
         self.size -= 1
         if block:
@@ -69,15 +69,15 @@
             del self.block_maxima[index]
 
     def at(self, rank: int) -> V:
-        """Return the value with `rank` values before it; IndexError beyond the last one."""
+        """Return the value with `rank` values before it; raise IndexError if there is none."""
         for block in self.blocks:
             if rank < len(block):
                 return block[rank]
             rank -= len(block)
-        raise IndexError("beyond the last value")
+        raise IndexError("the rank is beyond the last value")
 
     def cycle_from(self, rank: int) -> Iterator[V]:
-        """Yield all values once, beginning at a rank and wrapping around after the last value."""
+        """Yield all values once, starting at a rank and wrapping around after the last value."""
         if not self.blocks:
             return
         index = 0
@@ -88,18 +88,18 @@
         if index == len(self.blocks):
             index = 0
             offset = 0
-        for number in range(len(self.blocks) + 1):
-            block = self.blocks[(index + number) % len(self.blocks)]
-            if number == 0:
+        for step in range(len(self.blocks) + 1):
+            block = self.blocks[(index + step) % len(self.blocks)]
+            if step == 0:
                 yield from block[offset:]
-            elif number == len(self.blocks):
+            elif step == len(self.blocks):
                 yield from block[:offset]
             else:
                 yield from block
 
 
 class IndexEntry(Generic[T]):
-    """One item's node in the treap, and the sums over the subtree below it."""
+    """The node of one item in the treap, with sums over the subtree that it is the root of."""
 
     __slots__ = (
         "failure_rate",
@@ -122,22 +122,22 @@
     def __init__(self, item: T, key: tuple[float, int], priority: int) -> None:
         self.item = item
         self.key = key
-        self.priority = priority  # of the treap: a parent's is above its children's
-        self.is_open = 0  # 1 = it can be sampled
+        self.priority = priority  # heap order of the treap: not below the children's priorities
+        self.is_open = 0  # 1 if the item can be sampled, else 0
         self.weight = 0.0
-        self.preferred_weight = 0.0  # the weight again where the item is preferred, else 0
+        self.preferred_weight = 0.0  # the weight if the item is preferred, else 0
         self.failure_rate = ANY_FAILURE_RATE
         self.left = EMPTY
         self.right = EMPTY
         self.parent = EMPTY
-        self.open_count = 0  # open entries in the subtree
+        self.open_count = 0  # number of open entries in the subtree
         self.total_weight = 0.0
         self.preferred_total = 0.0
-        self.min_failure_rate = ANY_FAILURE_RATE  # of the open entries of the subtree
-        self.min_preferred_failure_rate = ANY_FAILURE_RATE  # of those that are preferred too
+        self.min_failure_rate = ANY_FAILURE_RATE  # minimum over open entries of the subtree
+        self.min_preferred_failure_rate = ANY_FAILURE_RATE  # minimum over preferred entries
 
     def recompute(self) -> None:
-        """Add the sums up from the children's, never by differences, so that no rounding accumulates."""
+        """Compute the sums from the children's, not by differences, so that no rounding error accumulates."""
         left = self.left
         right = self.right
         own_rate = self.failure_rate if self.is_open else ANY_FAILURE_RATE
@@ -151,12 +151,13 @@
         )
 
 
+# The sentinel in place of a missing child or parent; declared first, as its own constructor refers to it.
 EMPTY: Any = None
 EMPTY = IndexEntry[Any](None, (0.0, 0), -1)
 
 
 class PrefixSums:
-    """The sums over the first open entries of an index."""
+    """Sums over the first open entries of an index."""
 
     def __init__(self) -> None:
         self.total_weight = 0.0
@@ -166,9 +167,10 @@
 
 
 class OrderedIndex(Generic[T]):
-    """Items in the order of their keys, some of them open.
+    """A treap of items in the order of their keys, from which open items are sampled by weight.
 
-    It is a treap whose shape depends on the items' numbers alone, so the same items give the same samples.
+    Its shape depends only on the items' keys and numbers, so with the same items and random numbers the
+    samples are the same, whatever the order of insertion.
     """
 
     def __init__(self) -> None:
@@ -179,7 +181,7 @@
         return self.size
 
     def insert(self, item: T, key: float, number: int) -> IndexEntry[T]:
-        """Insert an item; of equal keys the smaller number comes first, and numbers are distinct."""
+        """Insert an item; items with equal keys are ordered by number, and numbers are distinct."""
         self.size += 1
         priority = (number * HASH_MULTIPLIER ^ number >> 7) * HASH_MULTIPLIER >> 8 & 0xFFFFFFFFFFFF
         entry = IndexEntry(item, (key, number), priority)
@@ -202,7 +204,7 @@
         return entry
 
     def remove(self, entry: IndexEntry[T]) -> None:
-        """Take an entry out of the index."""
+        """Remove an entry from the index."""
         self.size -= 1
         while entry.left is not EMPTY or entry.right is not EMPTY:
             left = entry.left
@@ -216,7 +218,7 @@
             ancestor = ancestor.parent
 
     def replace_child(self, parent: IndexEntry[T], old: IndexEntry[T], new: IndexEntry[T]) -> None:
-        """Put `new` where `old` hangs below `parent`."""
+        """Replace the child `old` of `parent` by `new`; an empty `parent` stands for the root."""
         if parent is EMPTY:
             self.root = new
         elif parent.left is old:
@@ -252,7 +254,7 @@
         preferred_weight: float,
         failure_rate: float,
     ) -> None:
-        """Renew what is known of an item; `preferred_weight` is the weight where it is preferred, else 0."""
+        """Change an item's sampling data; `preferred_weight` is its weight if it is preferred, else 0."""
         if (
             entry.is_open == is_open
             and entry.weight == weight
@@ -260,30 +262,30 @@
             and entry.failure_rate == failure_rate
         ):
             return
-        touches_preferred = preferred_weight > 0.0 or entry.preferred_weight > 0.0
+        has_preferred_weight = preferred_weight > 0.0 or entry.preferred_weight > 0.0
         entry.is_open = is_open
         entry.weight = weight
         entry.preferred_weight = preferred_weight
         entry.failure_rate = failure_rate
-        if touches_preferred:
+        if has_preferred_weight:
             self.recompute_path(entry)
         else:
             self.recompute_plain_path(entry)
 
-    # Both loops have `recompute` written out: they are most of what an event costs in a large fleet.
+    # The next two functions inline `recompute`: they are most of the cost of an event in a large fleet.
 
     def recompute_plain_path(self, entry: IndexEntry[T]) -> None:
-        """Recompute the sums from an entry up to the root, but for those of preferred entries."""
+        """Recompute the sums from an entry up to the root, except for the sums over preferred entries."""
         empty = EMPTY
         while entry is not empty:
             left = entry.left
             right = entry.right
             entry.open_count = left.open_count + entry.is_open + right.open_count
             entry.total_weight = left.total_weight + entry.weight + right.total_weight
-            lowest = entry.failure_rate if entry.is_open else ANY_FAILURE_RATE
-            if left.min_failure_rate < lowest:
-                lowest = left.min_failure_rate
-            entry.min_failure_rate = right.min_failure_rate if right.min_failure_rate < lowest else lowest
+            min_rate = entry.failure_rate if entry.is_open else ANY_FAILURE_RATE
+            if left.min_failure_rate < min_rate:
+                min_rate = left.min_failure_rate
+            entry.min_failure_rate = right.min_failure_rate if right.min_failure_rate < min_rate else min_rate
             entry = entry.parent
 
     def recompute_path(self, entry: IndexEntry[T]) -> None:
@@ -295,16 +297,16 @@
             entry.open_count = left.open_count + entry.is_open + right.open_count
             entry.total_weight = left.total_weight + entry.weight + right.total_weight
             entry.preferred_total = left.preferred_total + entry.preferred_weight + right.preferred_total
-            lowest = entry.failure_rate if entry.is_open else ANY_FAILURE_RATE
-            if left.min_failure_rate < lowest:
-                lowest = left.min_failure_rate
-            entry.min_failure_rate = right.min_failure_rate if right.min_failure_rate < lowest else lowest
-            lowest = entry.failure_rate if entry.preferred_weight else ANY_FAILURE_RATE
-            if left.min_preferred_failure_rate < lowest:
-                lowest = left.min_preferred_failure_rate
-            if right.min_preferred_failure_rate < lowest:
-                lowest = right.min_preferred_failure_rate
-            entry.min_preferred_failure_rate = lowest
+            min_rate = entry.failure_rate if entry.is_open else ANY_FAILURE_RATE
+            if left.min_failure_rate < min_rate:
+                min_rate = left.min_failure_rate
+            entry.min_failure_rate = right.min_failure_rate if right.min_failure_rate < min_rate else min_rate
+            min_rate = entry.failure_rate if entry.preferred_weight else ANY_FAILURE_RATE
+            if left.min_preferred_failure_rate < min_rate:
+                min_rate = left.min_preferred_failure_rate
+            if right.min_preferred_failure_rate < min_rate:
+                min_rate = right.min_preferred_failure_rate
+            entry.min_preferred_failure_rate = min_rate
             entry = entry.parent
 
     def items(self) -> Iterator[T]:
@@ -319,16 +321,16 @@
             yield entry.item
             entry = entry.right
 
-    def prefix_sums(self, first: int) -> PrefixSums:
-        """Return the sums over the first open entries, of which there must be at least `first`."""
+    def prefix_sums(self, prefix_length: int) -> PrefixSums:
+        """Return the sums over the first open entries, of which there must be at least `prefix_length`."""
         sums = PrefixSums()
         entry = self.root
-        while first > 0:
+        while prefix_length > 0:
             left = entry.left
-            if first <= left.open_count:
+            if prefix_length <= left.open_count:
                 entry = left
                 continue
-            first -= left.open_count + entry.is_open
+            prefix_length -= left.open_count + entry.is_open
             own_rate = entry.failure_rate if entry.is_open else ANY_FAILURE_RATE
             own_preferred_rate = entry.failure_rate if entry.preferred_weight else ANY_FAILURE_RATE
             sums.total_weight += left.total_weight + entry.weight
@@ -340,17 +342,20 @@
             entry = entry.right
         return sums
 
-    def at_weight(self, offset: float, is_preferred: bool) -> IndexEntry[T] | None:
-        """Return the entry where the cumulative weight passes `offset`; None only by rounding at the end."""
+    def find_at_weight(self, offset: float, is_preferred: bool) -> IndexEntry[T] | None:
+        """Return the entry at which the cumulative weight exceeds `offset`.
+
+        Return None only if `offset` is not below the total, which rounding can cause.
+        """
         entry = self.root
         while entry is not EMPTY:
             left = entry.left
             weight = entry.preferred_weight if is_preferred else entry.weight
-            before = left.preferred_total if is_preferred else left.total_weight
-            if offset < before:
+            preceding_weight = left.preferred_total if is_preferred else left.total_weight
+            if offset < preceding_weight:
                 entry = left
                 continue
-            offset -= before
+            offset -= preceding_weight
             if offset < weight:
                 return entry
             offset -= weight
@@ -358,7 +363,7 @@
         return None
 
     def nth_open(self, rank: int) -> IndexEntry[T]:
-        """Return the open entry with `rank` open ones before it, 0 <= rank < root.open_count."""
+        """Return the open entry with `rank` open entries before it; 0 <= `rank` < `root.open_count`."""
         entry = self.root
         while True:
             if rank < entry.left.open_count:
@@ -371,73 +376,80 @@
             entry = entry.right
 
     def iterate_open(
-        self, first: int, max_failure_rate: float = ANY_FAILURE_RATE, is_preferred: bool = False
+        self, prefix_length: int, max_failure_rate: float = ANY_FAILURE_RATE, is_preferred: bool = False
     ) -> Iterator[IndexEntry[T]]:
-        """Yield, of the first open entries, those within a failure rate (and preferred), in order.
+        """Yield, of the first `prefix_length` open entries, those within a failure rate, in order.
 
-        Subtrees that hold none are skipped, so each entry found costs O(log n).
+        With `is_preferred`, yield only preferred entries. Subtrees without a match are skipped, so each
+        entry that is yielded costs O(log n).
         """
         stack: list[tuple[IndexEntry[T], int, bool]] = [(self.root, 0, False)]
         while stack:
-            entry, before, is_result = stack.pop()
+            entry, preceding_open_count, is_result = stack.pop()
             if is_result:
                 yield entry
                 continue
-            lowest = entry.min_preferred_failure_rate if is_preferred else entry.min_failure_rate
-            if entry is EMPTY or before >= first or lowest > max_failure_rate or lowest == ANY_FAILURE_RATE:
+            min_rate = entry.min_preferred_failure_rate if is_preferred else entry.min_failure_rate
+            if (
+                entry is EMPTY
+                or preceding_open_count >= prefix_length
+                or min_rate > max_failure_rate
+                or min_rate == ANY_FAILURE_RATE
+            ):
                 continue
-            rank = before + entry.left.open_count
+            rank = preceding_open_count + entry.left.open_count
             stack.append((entry.right, rank + entry.is_open, False))
-            fits = entry.is_open and rank < first and entry.failure_rate <= max_failure_rate
-            if fits and (entry.preferred_weight or not is_preferred):
+            is_match = entry.is_open and rank < prefix_length and entry.failure_rate <= max_failure_rate
+            if is_match and (entry.preferred_weight or not is_preferred):
                 stack.append((entry, rank, True))
-            stack.append((entry.left, before, False))
+            stack.append((entry.left, preceding_open_count, False))
 
     def sample(
         self,
         rng: random.Random,
-        first: int,
+        prefix_length: int,
         excluded: Container[T],
         max_failure_rate: float = ANY_FAILURE_RATE,
         is_preferred: bool = False,
     ) -> T | None:
-        """Return one of the first open items by its weight, not excluded and within a failure rate.
+        """Return a random one of the first `prefix_length` open items, or None if none matches.
 
-        Sampling by rejection has exactly the distribution of a list of all that fit. Where next to none fit,
-        these are listed instead.
+        An item matches if it is not excluded, is within the failure rate, and with `is_preferred` is
+        preferred; its chance is proportional to its weight. Rejection sampling has exactly the distribution
+        of a draw from a list of all matches. If rejection finds no match, the matches are listed instead.
         """
         root = self.root
-        if first >= root.open_count:
-            first = root.open_count
+        if prefix_length >= root.open_count:
+            prefix_length = root.open_count
             total = root.preferred_total if is_preferred else root.total_weight
-            lowest = root.min_preferred_failure_rate if is_preferred else root.min_failure_rate
+            min_rate = root.min_preferred_failure_rate if is_preferred else root.min_failure_rate
         else:
-            sums = self.prefix_sums(first)
+            sums = self.prefix_sums(prefix_length)
             total = sums.preferred_total if is_preferred else sums.total_weight
-            lowest = sums.min_preferred_failure_rate if is_preferred else sums.min_failure_rate
-        if total <= 0.0 or lowest > max_failure_rate:
+            min_rate = sums.min_preferred_failure_rate if is_preferred else sums.min_failure_rate
+        if total <= 0.0 or min_rate > max_failure_rate:
             return None
-        for _ in range(min(2 * first, MIN_REJECTION_TRIES + math.isqrt(first))):
-            entry = self.at_weight(rng.random() * total, is_preferred)
+        for _ in range(min(2 * prefix_length, MIN_REJECTION_DRAWS + math.isqrt(prefix_length))):
+            entry = self.find_at_weight(rng.random() * total, is_preferred)
             if entry is None or not entry.is_open:
                 continue
             if entry.failure_rate <= max_failure_rate and entry.item not in excluded:
                 return entry.item
-        fitting = [
+        matching_entries = [
             entry
-            for entry in self.iterate_open(first, max_failure_rate, is_preferred)
+            for entry in self.iterate_open(prefix_length, max_failure_rate, is_preferred)
             if entry.item not in excluded and entry.weight > 0.0
         ]
-        if not fitting:
+        if not matching_entries:
             return None
-        return rng.choices(fitting, [entry.weight for entry in fitting])[0].item
+        return rng.choices(matching_entries, [entry.weight for entry in matching_entries])[0].item
 
     def sample_uniform(self, rng: random.Random, max_failure_rate: float) -> T | None:
-        """Return one of the open items within a failure rate, each with the same chance."""
+        """Return a random open item within a failure rate, each with the same chance, or None."""
         count = self.root.open_count
         if count == 0 or self.root.min_failure_rate > max_failure_rate:
             return None
-        for _ in range(min(2 * count, MIN_REJECTION_TRIES + math.isqrt(count))):
+        for _ in range(min(2 * count, MIN_REJECTION_DRAWS + math.isqrt(count))):
             entry = self.nth_open(rng.randrange(count))
             if entry.failure_rate <= max_failure_rate:
                 return entry.item
--- a/sidecar_proxy/balancer/outcome_recorder.py
+++ b/sidecar_proxy/balancer/outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt changes: limits, failure rates, slow start, probation. Pure but for jitter."""
+"""Records outcomes of attempts in limits, failure rates, slow start and probation. Pure except for jitter."""
 
 from typing import Final
 
@@ -19,15 +19,15 @@
 from sidecar_proxy.balancer.response_times import ResponseTimes
 from sidecar_proxy.balancer.slow_start import SlowStart
 
-MAX_LOAD: Final = 2.0  # of one attempt, in slow answers' times; failures count as much
-NEED_FACTOR: Final = 4  # slow answers' times for which slots go on opening after capacity was exhausted
-MIN_JUDGED_LIMIT: Final = 0.5  # attempts at endpoints with less say nothing of the total limit
-MIN_LOG_INTERVAL_US: Final = 1_000_000  # between log lines, so that a bad day does not flood the log
-CLOSED_LOG_SHARE: Final = 4  # an endpoint is logged as closed below this part of its initial limit
+MAX_LOAD: Final = 2.0  # maximum load of one attempt, and the load of a failure
+NEED_FACTOR: Final = 4  # limits may grow for this many slow answers' times after capacity was exhausted
+MIN_LIMIT_FOR_TOTAL: Final = 0.5  # attempts at endpoints with a lower limit do not change the total limit
+MIN_LOG_INTERVAL_US: Final = 1_000_000  # prevents a flood of log lines while many upstreams fail
+CLOSED_LIMIT_DIVISOR: Final = 4  # a limit below its initial value divided by this is logged as closed
 
 
 class OutcomeRecorder:
-    """Applies the outcomes of attempts to the endpoint and to what holds for all endpoints together."""
+    """Applies the outcome of an attempt to its endpoint and to the state shared by all endpoints."""
 
     def __init__(
         self,
@@ -55,10 +55,10 @@
     def record_outcome(
         self, attempt: Attempt, outcome: api.Outcome, elapsed_us: int, class_index: int
     ) -> None:
-        """Apply the end of an attempt that took `elapsed_us`, of a request of this class."""
+        """Apply the outcome of an attempt that took `elapsed_us`, for a request of class `class_index`."""
         endpoint = attempt.endpoint
         self.update_limits(attempt, outcome, elapsed_us, class_index)
-        self.pause_closed_limiters(endpoint, elapsed_us, class_index)
+        self.pause_limiters_below_one(endpoint, elapsed_us, class_index)
         self.outliers.limit_attempt_rate(endpoint, outcome)
         if attempt.was_warming and (outcome is api.Outcome.OK or outcome is api.Outcome.TIMEOUT):
             usual_us = self.response_times.smoothed_us[class_index]
@@ -71,7 +71,7 @@
     def update_limits(
         self, attempt: Attempt, outcome: api.Outcome, elapsed_us: int, class_index: int
     ) -> None:
-        """Move the limits by an attempt's load, and average its outcome and time in."""
+        """Adjust the limits by an attempt's load, and include its outcome and time in the averages."""
         endpoint = attempt.endpoint
         sidecar_share = INITIAL_SLOTS_PER_UPSTREAM / self.pool.sidecars_per_endpoint
         target = target_load(sidecar_share)
@@ -79,29 +79,29 @@
         slow_us = self.response_times.half_objectives_us[class_index]
         need_ends_us = self.shedder.last_exhausted_us + int(NEED_FACTOR * slow_us * min(1.0, sidecar_share))
         is_needed = attempt.sent_us <= need_ends_us
-        # silence says nothing of all endpoints together: it may be a lost answer, and holds its slot long
-        # enough
+        # a time-out does not lower the total limit: its answer may have been lost, and it has occupied a slot
+        # for long already
         is_answer = outcome is api.Outcome.OK or outcome is api.Outcome.FULL
-        if is_answer and endpoint.limiter.limit >= MIN_JUDGED_LIMIT:
+        if is_answer and endpoint.limiter.limit >= MIN_LIMIT_FOR_TOTAL:
             self.update_total_limit(load, target, is_needed, sidecar_share)
         self.outliers.record(endpoint, outcome)
-        # where later answers come, a lost one is no sign of load, and closing slots for it would only
-        # reject more
+        # an answer that is lost while later attempts are answered is no sign of load, and a lower limit would
+        # only reject more requests
         is_lost = outcome is api.Outcome.TIMEOUT and self.outliers.is_likely_lost(attempt)
         if (outcome is api.Outcome.OK or outcome is api.Outcome.TIMEOUT) and not is_lost:
             endpoint.limiter.update_limit(load, target, is_needed, min(1.0, sidecar_share / 4), 1.0)
             self.response_times.observe(class_index, elapsed_us)
-        elif self.closes_slots(endpoint, outcome, is_lost):
+        elif self.halves_limit(endpoint, outcome, is_lost):
             endpoint.limiter.halve()
 
     def attempt_load(
         self, attempt: Attempt, outcome: api.Outcome, elapsed_us: int, class_index: int
     ) -> float:
-        """Return an attempt's time as a share of a slow answer's.
+        """Return an attempt's load: its time as a share of a slow answer's time, at most `MAX_LOAD`.
 
-        A heavy request is slow by itself, so each answer moves a limit only a little. A warming endpoint is
-        slow by nature, and under the fleet's leases it cannot be overloaded: there its time counts by its
-        weight.
+        A heavy request is slow without any overload, so a single answer changes a limit only slightly. A
+        warming endpoint is slow because it warms up, and under the fleet's leases it cannot be overloaded:
+        then its time is multiplied by its slow-start weight.
         """
         if outcome is not api.Outcome.OK:
             return MAX_LOAD
@@ -111,32 +111,33 @@
         return min(MAX_LOAD, elapsed_us * weight / self.response_times.half_objectives_us[class_index])
 
     def update_total_limit(self, load: float, target: float, is_needed: bool, sidecar_share: float) -> None:
-        """Move the total limit by an answer.
+        """Adjust the total limit after an answer.
 
-        Small sidecars overload the fleet together, each too seldom at one endpoint to learn it there. The
-        limit grows only if it is used: opened by quick answers while something else holds sends back (slow
-        start does), it would be used all at once when that ends. TCP validates its window alike (RFC 7661).
+        Many sidecars with little traffic can overload the upstreams together, while each sends too little to
+        one endpoint to lower its limit. The total limit grows only if it is used: if it grew by quick answers
+        while something else (such as slow start) limits the attempts, all of it would be used at once when
+        that ends. TCP validates its congestion window in the same way (RFC 7661).
         """
         total = self.total_limiter
         floor = min(1.0, sidecar_share / 4 * len(self.pool.warm))
         is_used = is_needed and 2 * (total.in_flight + 1 + MAX_RESERVED_SLOTS) >= total.limit
         total.update_limit(load, target, is_used, floor, max(1.0, total.limit))
 
-    def closes_slots(self, endpoint: Endpoint, outcome: api.Outcome, is_lost: bool) -> bool:
+    def halves_limit(self, endpoint: Endpoint, outcome: api.Outcome, is_lost: bool) -> bool:
         """Whether a failed attempt halves its endpoint's limit.
 
-        What fails at once frees its slot at once and would draw ever more requests. Other failures count
-        against outliers alone: where all fail now and then, closing slots for each failure rejects half of
-        all requests.
+        An endpoint that rejects requests or connections frees its slots at once and would attract ever more
+        requests. Other failures count against outliers only: where all endpoints fail now and then, a lower
+        limit after each failure would reject half of all requests.
         """
         if outcome is api.Outcome.FULL or outcome is api.Outcome.CONNECT_FAILED:
             return True
         return self.outliers.is_outlier(endpoint) and not is_lost
 
-    def pause_closed_limiters(self, endpoint: Endpoint, elapsed_us: int, class_index: int) -> None:
-        """Pause limiters that are below one slot, by the time that an attempt takes.
+    def pause_limiters_below_one(self, endpoint: Endpoint, elapsed_us: int, class_index: int) -> None:
+        """Pause limiters with a limit below 1, in proportion to the time that an attempt takes.
 
-        Beside answers of seconds, short pauses would leave an overloaded endpoint overloaded.
+        Short pauses between answers that take seconds would leave an overloaded endpoint overloaded.
         """
         for limiter in (endpoint.limiter, self.total_limiter):
             if limiter.limit < 1.0:
@@ -146,11 +147,15 @@
                 limiter.pause(self.context.now_us, busy_us, self.context.random.random())
 
     def log_state(self, endpoint: Endpoint) -> None:
-        """Log that an endpoint is closed or open again; if a line was just logged, later, if it lasts."""
+        """Log that an endpoint is closed (its limit is low) or that its limit has reached its initial value.
+
+        At most one line is logged per `MIN_LOG_INTERVAL_US`; a change that is not logged now is logged after
+        a later attempt, if it lasts. Recordings store the text of both lines.
+        """
         limiter = endpoint.limiter
         threshold = limiter.initial_limit
         if not endpoint.is_logged_closed:
-            threshold /= CLOSED_LOG_SHARE
+            threshold /= CLOSED_LIMIT_DIVISOR
         is_closed = limiter.limit < threshold
         now_us = self.context.now_us
         if is_closed is endpoint.is_logged_closed or now_us < self.next_log_us:
--- a/sidecar_proxy/balancer/outlier_detection.py
+++ b/sidecar_proxy/balancer/outlier_detection.py
@@ -1,6 +1,6 @@
-"""Outlier detection: failure rates, reports of other sidecars with probation, and lost answers. Pure.
+"""Outlier detection: failure rates, probation after reports of other sidecars, and lost answers. Pure.
 
-A failing endpoint is never ejected for good: its limit falls, so that it is still tried now and then.
+A failing endpoint is never ejected completely: its limit falls below 1, and it is still tried now and then.
 """
 
 from typing import Final
@@ -13,28 +13,28 @@
 from sidecar_proxy.balancer.request import Attempt
 from sidecar_proxy.balancer.response_times import ResponseTimes
 
-FAILURE_SMOOTHING: Final = 16  # attempts over which an endpoint's failure rate is averaged
-CONNECT_FAILURE_SMOOTHING: Final = 8  # the same of failed connects, over all endpoints
-OUTLIER_FAILURE_RATE: Final = 0.2  # above twice the median's, from which an endpoint is an outlier
-NEGLIGIBLE_FAILURE_RATE: Final = 1 / 1024  # counts as none
-DEGRADED_FAILURE_RATE: Final = 0.5  # from which an endpoint of a large fleet gets a stand-in
-DEGRADED_LIMIT: Final = 0.25  # slots below which it does
-OWN_ANSWER_US: Final = 10_000_000  # an answer of its own outweighs other sidecars' reports for so long
-MIN_REPORT_WEIGHT: Final = 0.6  # of reports, from which an endpoint is put on probation
-MAX_PROBATION_LIMIT: Final = 1 / 8  # slots while on probation
-TRIAL_INTERVAL_US: Final = 500_000  # between the trials of all sidecars together
-MAX_TRIAL_INTERVAL_US: Final = 5_000_000  # of one sidecar; jitter adds half at most
-QUICK_SHARE: Final = 0.49  # of a slow answer's time: endpoints that answer within it have spare capacity
-MAX_PRESUMED_LOST: Final = 2  # attempts presumed lost without an answer since; a silent endpoint gets no more
+FAILURE_SMOOTHING_ATTEMPTS: Final = 16  # attempts over which an endpoint's failure rate is averaged
+CONNECT_SMOOTHING_ATTEMPTS: Final = 8  # the same for the rate of failed connects to all endpoints
+OUTLIER_FAILURE_RATE: Final = 0.2  # an outlier's failure rate exceeds twice the median rate by more than this
+NEGLIGIBLE_FAILURE_RATE: Final = 1 / 1024  # a lower failure rate is set to 0
+DEGRADED_FAILURE_RATE: Final = 0.5  # an endpoint with this failure rate or more is degraded
+DEGRADED_LIMIT: Final = 0.25  # an endpoint with a lower concurrency limit is degraded
+RECENT_SUCCESS_US: Final = 10_000_000  # reports are ignored for this long after an own success
+MIN_REPORT_WEIGHT: Final = 0.6  # minimum weight of a report that puts an endpoint on probation
+MAX_PROBATION_LIMIT: Final = 1 / 8  # maximum concurrency limit while on probation
+FLEET_TRIAL_INTERVAL_US: Final = 500_000  # mean interval between trials of all sidecars together
+MAX_TRIAL_INTERVAL_US: Final = 5_000_000  # of one sidecar, before jitter of at most half
+SPARE_CAPACITY_TIME_SHARE: Final = 0.49  # of a slow answer's time; faster endpoints have spare capacity
+MAX_PRESUMED_LOST: Final = 2  # attempts without any answer since; bounds those at an unresponsive endpoint
 
 
 def is_degraded(endpoint: Endpoint) -> bool:
-    """Whether an endpoint fails half of its attempts, or has nearly no slots left."""
+    """Whether an endpoint fails half of its attempts, or has a limit of nearly 0; a subset replaces it."""
     return endpoint.failure_rate >= DEGRADED_FAILURE_RATE or endpoint.ordinary_limit() < DEGRADED_LIMIT
 
 
 class OutlierDetector:
-    """Judges endpoints by their own attempts and by what other sidecars report of them."""
+    """Detects failing endpoints by this sidecar's attempts and by reports of other sidecars."""
 
     def __init__(
         self,
@@ -47,33 +47,35 @@
         self.pool = pool
         self.overload = overload
         self.response_times = response_times
-        self.connect_failure_rate = 0.0  # share of all attempts that got no connection
+        self.connect_failure_rate = 0.0  # share of recent attempts at all endpoints without a connection
 
     # Own attempts
 
     def record(self, endpoint: Endpoint, outcome: api.Outcome) -> None:
-        """Average an attempt's outcome into the failure rates."""
+        """Include an attempt's outcome in the failure rates."""
         if outcome is not api.Outcome.NOT_SENT:
-            failed = 0.0 if outcome is api.Outcome.OK else 1.0
-            rate = endpoint.failure_rate + (failed - endpoint.failure_rate) / FAILURE_SMOOTHING
+            failure = 0.0 if outcome is api.Outcome.OK else 1.0
+            rate = endpoint.failure_rate + (failure - endpoint.failure_rate) / FAILURE_SMOOTHING_ATTEMPTS
             endpoint.failure_rate = rate if rate >= NEGLIGIBLE_FAILURE_RATE else 0.0
-        connect_failed = 1.0 if outcome is api.Outcome.CONNECT_FAILED else 0.0
-        self.connect_failure_rate += (connect_failed - self.connect_failure_rate) / CONNECT_FAILURE_SMOOTHING
+        connect_failure = 1.0 if outcome is api.Outcome.CONNECT_FAILED else 0.0
+        self.connect_failure_rate += (
+            connect_failure - self.connect_failure_rate
+        ) / CONNECT_SMOOTHING_ATTEMPTS
 
     def is_outlier(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint fails far more than the median does.
+        """Whether an endpoint's failure rate is far above the median.
 
-        What fails alike everywhere is no endpoint's fault, and against the mean half of them could fail
-        unnoticed.
+        A failure rate common to all endpoints is no endpoint's fault. Compared with the mean instead of the
+        median, half of the endpoints could fail unnoticed.
         """
         if not len(self.pool.warm):
             return False
         return endpoint.failure_rate > OUTLIER_FAILURE_RATE + 2 * self.pool.failure_rate_quantile(2)
 
     def limit_attempt_rate(self, endpoint: Endpoint, outcome: api.Outcome) -> None:
-        """Pause a failing endpoint by the fleet's limit on attempts per second at each of these.
+        """Pause a failing endpoint to keep the fleet's limit on attempts per second at each failing upstream.
 
-        The attempts of all sidecars together would otherwise hold a returning upstream down.
+        Without it, the attempts of all sidecars together could overload a recovering upstream again.
         """
         overload = self.overload.current(self.context.now_us)
         if overload is None or outcome is api.Outcome.OK or endpoint.failure_rate < DEGRADED_FAILURE_RATE:
@@ -85,18 +87,19 @@
     # Reports of other sidecars
 
     def on_report(self, endpoint: Endpoint, weight: float) -> None:
-        """Apply what other sidecars say of an endpoint.
+        """Apply a report of other sidecars on an endpoint.
 
-        A report makes the next send a trial after a random pause, so that all sidecars together try an
-        endpoint about as often as one would. It never closes an endpoint for good and opens none: a trial's
-        answer ends probation, and a sidecar with a recent answer of its own ignores reports.
+        A report makes the next attempt a trial after a random pause, so that all sidecars together try an
+        endpoint about as often as one sidecar would. It neither closes an endpoint for good nor raises its
+        limit: a successful trial ends probation, and a sidecar with a recent success of its own ignores
+        reports.
         """
         if weight < MIN_REPORT_WEIGHT:
-            self.reinstate(endpoint)
+            self.end_probation(endpoint)
         elif endpoint.is_on_probation or self.has_recent_success(endpoint):
             return
-        elif self.probation_count() < max(1, len(self.pool.warm) // 4):
-            # what all see of all is no upstream's fault; with all on probation, none would be left
+        elif self.count_on_probation() < max(1, len(self.pool.warm) // 4):
+            # reports on most endpoints have a common cause, and with all on probation none would be usable
             endpoint.limit_before_probation = endpoint.limiter.limit
             endpoint.limiter.limit = min(endpoint.limiter.limit, MAX_PROBATION_LIMIT)
             self.pause_before_trial(endpoint)
@@ -105,35 +108,35 @@
         self.pool.update(endpoint, self.context.now_us)
 
     def has_recent_success(self, endpoint: Endpoint) -> bool:
-        """Whether an attempt of this sidecar has lately ended well."""
+        """Whether an attempt of this sidecar has recently succeeded."""
         if not endpoint.last_success_us:
             return False
-        return self.context.now_us - endpoint.last_success_us < OWN_ANSWER_US
+        return self.context.now_us - endpoint.last_success_us < RECENT_SUCCESS_US
 
-    def probation_count(self) -> int:
+    def count_on_probation(self) -> int:
         """Return how many endpoints are on probation."""
         return sum(endpoint.is_on_probation for endpoint in self.pool.endpoints.values())
 
     def pause_before_trial(self, endpoint: Endpoint) -> None:
-        """Rest before the next trial, in proportion to the sidecars that share the endpoint."""
-        interval_us = min(TRIAL_INTERVAL_US * self.pool.sidecars_per_endpoint, MAX_TRIAL_INTERVAL_US)
+        """Pause before the next trial, in proportion to the number of sidecars that share the endpoint."""
+        interval_us = min(FLEET_TRIAL_INTERVAL_US * self.pool.sidecars_per_endpoint, MAX_TRIAL_INTERVAL_US)
         self.extend_pause(endpoint, interval_us)
 
     def extend_pause(self, endpoint: Endpoint, interval_us: float) -> None:
-        """Rest for the interval, half as long to half as long again."""
+        """Extend the pause to the interval with jitter, from half of it to one and a half times."""
         pause_us = interval_us * (0.5 + self.context.random.random())
         endpoint.limiter.extend_pause(self.context.now_us + int(pause_us))
 
     def update_probation(self, endpoint: Endpoint, outcome: api.Outcome) -> None:
-        """End probation after a success, or rest before the next trial."""
+        """End probation after a success, or pause before the next trial after a failure."""
         if outcome is api.Outcome.OK:
             endpoint.last_success_us = self.context.now_us
-            self.reinstate(endpoint)
+            self.end_probation(endpoint)
         elif endpoint.is_on_probation:
             self.pause_before_trial(endpoint)
 
-    def reinstate(self, endpoint: Endpoint) -> None:
-        """End probation: the endpoint has its limit back, and no pause."""
+    def end_probation(self, endpoint: Endpoint) -> None:
+        """Restore the limit from before probation, and end the pause."""
         if endpoint.is_on_probation:
             endpoint.limiter.limit = max(endpoint.limiter.limit, endpoint.limit_before_probation)
             endpoint.limit_before_probation = 0.0
@@ -141,23 +144,29 @@
 
     # Lost answers
 
-    def is_quick(self, endpoint: Endpoint) -> bool:
-        """Whether an endpoint's answers show spare capacity.
+    def has_spare_capacity(self, endpoint: Endpoint) -> bool:
+        """Whether an endpoint answers so fast that it has spare capacity.
 
-        Where answers are slow, what is in flight waits in a queue, and more would only lengthen it.
+        Where answers are slow, attempts in flight wait in a queue, and further ones would only lengthen it.
         """
-        return endpoint.response_time_us <= QUICK_SHARE * self.response_times.min_half_objective_us
+        return (
+            endpoint.response_time_us <= SPARE_CAPACITY_TIME_SHARE * self.response_times.min_half_objective_us
+        )
 
     def is_likely_lost(self, attempt: Attempt) -> bool:
-        """Whether a quick endpoint has answered an attempt that was sent after this one."""
+        """Whether an endpoint with spare capacity has answered an attempt that was sent after this one."""
         endpoint = attempt.endpoint
-        return self.is_quick(endpoint) and endpoint.last_answered_send_us > attempt.sent_us
+        return self.has_spare_capacity(endpoint) and endpoint.last_answered_send_us > attempt.sent_us
 
     def may_presume_lost(self, attempt: Attempt) -> bool:
-        """Whether an overdue attempt's slot may be freed: it is likely lost, or one of few such attempts."""
+        """Whether an overdue attempt's slot may be freed.
+
+        It may if its answer is likely lost, or if its endpoint has spare capacity, seldom fails, and has few
+        attempts that are presumed lost.
+        """
         endpoint = attempt.endpoint
         if (
-            self.is_quick(endpoint)
+            self.has_spare_capacity(endpoint)
             and endpoint.presumed_lost_count < MAX_PRESUMED_LOST
             and endpoint.failure_rate < DEGRADED_FAILURE_RATE
         ):
--- a/sidecar_proxy/balancer/slow_start.py
+++ b/sidecar_proxy/balancer/slow_start.py
@@ -1,7 +1,7 @@
-"""Slow start: how much an upstream gets that has just started and is warming up (rule 4). Pure.
+"""Slow start: the share of requests sent to upstreams that have just started and are warming up (rule 4).
 
-Of its weight only a lower bound is known. While warming endpoints answer sooner than the others they have
-room and get more, until all take as long.
+Only a lower bound of a warming endpoint's capacity is known. While warming endpoints answer faster than warm
+ones they have spare capacity, and their share grows until the response times are equal. Pure.
 """
 
 from typing import Final
@@ -13,14 +13,14 @@
 from sidecar_proxy.balancer.request import Request
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
 
-MAX_OVERLOAD_SHARE: Final = 0.8  # of the factor at which a cold upstream falls over; the rest is for chance
-GAIN_SMOOTHING: Final = 8  # answers over which the gain moves by one
-MAX_WARMING_FAILURE_RATE: Final = OUTLIER_FAILURE_RATE / 2
-MAX_ALLOCATED_FAILURE_RATE: Final = 1 / 32  # one that a single failure passes
+MAX_OVERLOAD_SHARE: Final = 0.8  # of the overload factor of a cold upstream; leaves a margin for bursts
+GAIN_SMOOTHING: Final = 8  # number of answers that change the gain by at most one
+MAX_WARMING_FAILURE_RATE: Final = OUTLIER_FAILURE_RATE / 2  # for choices while no warm endpoint is open
+MAX_ALLOCATED_FAILURE_RATE: Final = 1 / 32  # low enough that one recent failure exceeds it
 
 
 class SlowStart:
-    """Gives warming endpoints their share of the sends."""
+    """Chooses when a request goes to a warming endpoint, and to which."""
 
     def __init__(self, context: DecisionContext, pool: EndpointPool, retry_policy: RetryPolicy) -> None:
         self.context = context
@@ -28,14 +28,15 @@
         self.retry_policy = retry_policy
         self.min_gain = min(1.0, context.settings.overload_factor / 4)
         self.max_gain = MAX_OVERLOAD_SHARE * context.settings.overload_factor
-        self.gain = self.min_gain  # times its share by weight: what a warming endpoint gets
-        self.gain_scale = 1.0  # and this part of that, where sidecars are many for their upstreams
+        self.gain = self.min_gain  # ratio of a warming endpoint's share of requests to its share of capacity
+        self.gain_scale = 1.0  # reduces the gain where there are many sidecars per upstream
 
     def record_response(self, relative_time: float) -> None:
-        """Move the gain by an answer of a warming endpoint; `relative_time` is in usual response times.
+        """Adjust the gain after an answer of a warming endpoint.
 
-        Their answers are few, so those of all count together. Without a warm endpoint to compare with, none
-        counts.
+        `relative_time` is the answer's time as a multiple of the usual response time. Each warming endpoint
+        gives few answers, so one gain is kept for all. Without a warm endpoint to compare with, the gain is
+        at its minimum.
         """
         gain = 0.0
         if len(self.pool.warm):
@@ -45,25 +46,25 @@
     def choose(
         self, request: Request, warm_endpoint: Endpoint | None, group: list[Endpoint] | None
     ) -> Endpoint | None:
-        """Return a warming endpoint in place of the warm one that was drawn, or that one.
+        """Return a warming endpoint instead of the warm one that was drawn, or that one.
 
-        Of the sends for which warm endpoints have room (without warm ones: of arrivals) a warming one gets
-        its share of capacity, times the gain. `group` is what rule 2 restricts the request to; None =
-        nothing.
+        Warming endpoints get their share of capacity, times the gain, of the requests for which a warm
+        endpoint has a free slot, or of all arrivals if there are no warm endpoints. `group` is the list of
+        endpoints that rule 2 restricts the request to; None = no restriction.
         """
         pool = self.pool
         rng = self.context.random
         now_us = self.context.now_us
         if warm_endpoint is None and (len(pool.warm) or pool.is_leased(now_us)):
             return self.choose_when_exhausted(request, group)
-        warming = pool.warming_capacity(now_us)
+        warming_capacity = pool.warming_capacity(now_us)
         if len(pool.warm):
-            others = pool.warm_weight
+            base_weight = pool.warm_weight
             gain = self.gain * self.gain_scale
         else:
-            others = pool.warming_weight
+            base_weight = pool.warming_weight
             gain = self.min_gain * self.gain_scale
-        if rng.random() * (others + warming) / gain >= warming:
+        if rng.random() * (base_weight + warming_capacity) / gain >= warming_capacity:
             return warm_endpoint
         endpoint = pool.sample_warming(rng, now_us)
         if endpoint is None or pool.open_slots(endpoint, now_us) <= 0:
@@ -75,8 +76,9 @@
     def choose_when_exhausted(self, request: Request, group: list[Endpoint] | None) -> Endpoint | None:
         """Return a warming endpoint while no warm one has a free slot, or None.
 
-        Hundreds of sidecars keep to the slots allocated to them; otherwise all would fall on the warming
-        ones. One send from each of a few sidecars cannot overload an endpoint, unless it fails at once.
+        Many sidecars use only the slots allocated to them; otherwise all together would overload the warming
+        endpoints. One attempt from each of a few sidecars cannot overload an endpoint, unless it fails at
+        once and draws further attempts.
         """
         pool = self.pool
         now_us = self.context.now_us
@@ -96,8 +98,8 @@
     def choose_allocated(self, request: Request) -> Endpoint | None:
         """Return a warming endpoint with a slot allocated to this sidecar, or None.
 
-        Where warm endpoints are overloaded or reject, their slots and the total limit close; warming ones
-        beside them would stand idle.
+        Where warm endpoints are overloaded or reject requests, their limits and the total limit fall; without
+        allocated slots, the warming endpoints would stay idle.
         """
         pool = self.pool
         now_us = self.context.now_us
--- a/sidecar_proxy/balancer/warm_start.py
+++ b/sidecar_proxy/balancer/warm_start.py
@@ -1,4 +1,4 @@
-"""Warm-start state: what the next process of this sidecar may begin with, in place of first guesses. Pure."""
+"""Warm-start state: limits and response times that a sidecar's process passes on to the next one. Pure."""
 
 from typing import Final
 
@@ -9,8 +9,8 @@
 from sidecar_proxy.balancer.endpoint_pool import EndpointPool
 from sidecar_proxy.balancer.response_times import ResponseTimes
 
-MIN_IMPORTED_LIMIT: Final = 1 / 8  # another process's state closes an upstream to no less
-MIN_IMPORTED_TOTAL_RATIO: Final = 0.5
+MIN_IMPORTED_LIMIT: Final = 1 / 8  # minimum limit that imported state sets for an upstream
+MIN_IMPORTED_TOTAL_RATIO: Final = 0.5  # minimum imported ratio of the total limit to its initial value
 
 
 class WarmStart:
@@ -29,7 +29,7 @@
         self.total_limiter = total_limiter
 
     def export_state(self) -> api.WarmStartState:
-        """Return what this process has seen."""
+        """Return the smoothed response times, limits and failure rates that this process has measured."""
         upstreams = [
             api.WarmStartUpstream(
                 endpoint.entry.id,
@@ -44,10 +44,10 @@
         return api.WarmStartState(list(self.response_times.smoothed_us), total_ratio, upstreams)
 
     def import_state(self, state: api.WarmStartState) -> None:
-        """Begin with another process's state, but for what this process has seen itself.
+        """Start from another process's state, except for upstreams that this process has results of.
 
-        Limits are scaled so that the median upstream begins with a slot: what is alike everywhere is no
-        upstream's fault, and may be over.
+        Limits are scaled up so that the median upstream starts with at least one slot: low limits at most
+        upstreams are no fault of one upstream, and their cause may be over.
         """
         limits = sorted(max(upstream.concurrency_limit, MIN_IMPORTED_LIMIT) for upstream in state.upstreams)
         scale = 1.0
@@ -57,9 +57,9 @@
         for class_index, response_time_us in enumerate(state.response_times_us[: len(smoothed_us)]):
             if response_time_us:
                 smoothed_us[class_index] = response_time_us
-        total = self.total_limiter
-        ratio = min(max(state.total_limit_ratio, MIN_IMPORTED_TOTAL_RATIO), MAX_LIMIT_GROWTH)
-        total.limit = ratio * total.initial_limit
+        total_limiter = self.total_limiter
+        total_ratio = min(max(state.total_limit_ratio, MIN_IMPORTED_TOTAL_RATIO), MAX_LIMIT_GROWTH)
+        total_limiter.limit = total_ratio * total_limiter.initial_limit
         for upstream in state.upstreams:
             endpoint = self.pool.endpoints.get(upstream.upstream)
             if endpoint is None or endpoint.last_answered_send_us > 0 or endpoint.failure_rate > 0.0:
@@ -67,9 +67,9 @@
             self.import_upstream(endpoint, upstream, scale)
 
     def import_upstream(self, endpoint: Endpoint, state: api.WarmStartUpstream, scale: float) -> None:
-        """Begin with what another process has seen of one upstream.
+        """Start from another process's results of one upstream.
 
-        A pause begins anew; otherwise each process that starts would try the failing upstreams at once.
+        A pause starts anew; otherwise each new process would try all failing upstreams at once.
         """
         limiter = endpoint.limiter
         limit = max(state.concurrency_limit, MIN_IMPORTED_LIMIT) * scale
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -25,12 +25,12 @@
 def test_one_or_two_sidecars_start_with_two_slots_per_upstream(instances: int, slots: int) -> None:
     harness = listed_world(8, instances=instances)
     exhaust_slots(harness)
-    assert [server.limiter.in_flight for server in harness.balancer.endpoints.values()] == [slots] * 8
+    assert [endpoint.limiter.in_flight for endpoint in harness.balancer.endpoints.values()] == [slots] * 8
 
 
 def test_many_sidecars_keep_slots_open_for_longer_answers() -> None:
-    """At 0.78 of a slow answer's time a few sidecars close slots and many do not."""
-    held_by = []
+    """Answers at 0.78 of a slow answer's time lower the total limit of 8 sidecars, but not of 40."""
+    limit_ratios = []
     for instances in (8, 40):
         harness = BalancerHarness(settings(instances=instances))
         harness.update_list(upstreams(60))
@@ -41,9 +41,9 @@
             for request in requests:
                 if harness.requests[request].in_flight():
                     harness.end(request, 0, Outcome.OK)
-        held_by.append(total.limit / total.initial_limit)
-    assert held_by[0] < 0.9, held_by
-    assert held_by[1] >= 1.0, held_by
+        limit_ratios.append(total.limit / total.initial_limit)
+    assert limit_ratios[0] < 0.9, limit_ratios
+    assert limit_ratios[1] >= 1.0, limit_ratios
 
 
 def test_restarted_upstream_has_its_initial_limit() -> None:
@@ -63,34 +63,34 @@
 def test_limits_grow_under_need_and_shrink_on_slow_answers() -> None:
     harness = listed_world(4)
 
-    def rounds(count: int, took_us: int) -> None:
+    def run_rounds(count: int, took_us: int) -> None:
         for _ in range(count):
             exhaust_slots(harness)
             run_steps(harness, 1, took_us=took_us)
 
-    rounds(60, 20_000)
+    run_rounds(60, 20_000)
     run_steps(harness, 1)
-    grown = count_free_slots(harness)
-    assert 8 <= grown <= 32
-    rounds(20, 250_000)
+    grown_count = count_free_slots(harness)
+    assert 8 <= grown_count <= 32
+    run_rounds(20, 250_000)
     run_steps(harness, 3)
-    assert count_free_slots(harness) < grown / 2
+    assert count_free_slots(harness) < grown_count / 2
 
 
 def test_many_sidecars_share_the_initial_total_limit() -> None:
     assert count_free_slots(listed_world(30, instances=3)) == 30
-    assert count_free_slots(listed_world(30, instances=24)) == 10  # a 24th of 8 for each of 30
-    assert (
-        count_free_slots(listed_world(30, instances=1000)) == 2
-    )  # requests that come together find room all the same
+    # 30 upstreams with 8 slots each, over 24 sidecars
+    assert count_free_slots(listed_world(30, instances=24)) == 10
+    # the minimum total limit, for requests that arrive together
+    assert count_free_slots(listed_world(30, instances=1000)) == 2
 
 
 def test_slow_answers_lower_the_total_limit_of_a_small_sidecar() -> None:
-    """Hundreds of sidecars overload a fleet, each too seldom at one upstream to notice it there."""
+    """Many sidecars can overload a fleet while each sends too little to one upstream to lower its limit."""
     harness = listed_world(60, instances=1000)
     for _ in range(12):
         run_steps(harness, 1, took_us=290_000, class_index=PAY)
-    assert sum(1 for s in harness.balancer.endpoints.values() if s.limiter.limit >= 1.0) > 40
+    assert sum(1 for endpoint in harness.balancer.endpoints.values() if endpoint.limiter.limit >= 1.0) > 40
     before = len(harness.sends())
     for _ in range(20):
         harness.arrive(PAY)
@@ -107,19 +107,19 @@
 def test_single_heavy_request_closes_no_slot() -> None:
     harness = grown_world()
     before = count_free_slots(harness)
-    run_steps(harness, 1, took_us=170_000)  # over half the aim
+    run_steps(harness, 1, took_us=170_000)  # more than half of the latency objective
     assert count_free_slots(harness) >= before - 1
 
 
 def test_limits_grow_only_to_their_initial_value_without_need() -> None:
     harness = listed_world(40, instances=24)
     run_steps(harness, 400)
-    assert all(server.limiter.limit <= 1.0 for server in harness.balancer.endpoints.values())
-    assert count_free_slots(harness) == 13  # a 24th of 8 for each of 40
+    assert all(endpoint.limiter.limit <= 1.0 for endpoint in harness.balancer.endpoints.values())
+    assert count_free_slots(harness) == 13  # 40 upstreams with 8 slots each, over 24 sidecars
 
 
 def test_limits_grow_for_two_objectives_after_exhaustion_and_no_longer() -> None:
-    windows = []
+    limit_changes = []
     for pause_us in (300_000, 900_000):
         harness = listed_world(1)
         taken = exhaust_slots(harness)
@@ -129,9 +129,9 @@
         harness.advance(pause_us)
         before = harness.balancer.endpoints[100].limiter.limit
         run_steps(harness, 3)
-        windows.append(harness.balancer.endpoints[100].limiter.limit - before)
-    assert windows[0] > 0
-    assert windows[1] == 0
+        limit_changes.append(harness.balancer.endpoints[100].limiter.limit - before)
+    assert limit_changes[0] > 0
+    assert limit_changes[1] == 0
 
 
 def test_quicker_answers_raise_limits_faster() -> None:
@@ -154,7 +154,7 @@
 
 
 def test_answer_without_value_after_the_objective_is_not_waited_for() -> None:
-    """Lost answers would hold their slots till due."""
+    """Otherwise a lost answer would occupy its slot until the deadline."""
     for late_weight, waits_us in ((0.0, 296_000), (0.3, 600_000)):
         harness = listed_world(
             classes=[RequestClass("act", 300_000, 600_000, effect="at_most_once", late_weight=late_weight)]
--- a/tests/balancer/test_concurrency_limiter.py
+++ b/tests/balancer/test_concurrency_limiter.py
@@ -1,4 +1,4 @@
-"""The concurrency limiter alone."""
+"""Unit tests of the concurrency limiter."""
 
 from __future__ import annotations
 
@@ -15,13 +15,15 @@
 
 
 @pytest.mark.parametrize(("limit", "in_flight", "free"), [(1.0, 0, 1), (2.9, 1, 1), (2.0, 3, -1)])
-def test_free_slots_are_the_whole_limit_less_those_in_flight(limit: float, in_flight: int, free: int) -> None:
+def test_free_slots_are_the_integer_part_of_the_limit_less_those_in_flight(
+    limit: float, in_flight: int, free: int
+) -> None:
     limiter = ConcurrencyLimiter(limit)
     limiter.in_flight = in_flight
     assert limiter.free_slots(0) == free
 
 
-def test_limit_below_one_is_one_slot_after_a_pause() -> None:
+def test_limit_below_one_allows_one_attempt_after_a_pause() -> None:
     limiter = ConcurrencyLimiter(1.0)
     limiter.limit = 0.5
     limiter.pause(1_000, 400.0, jitter=0.5)
@@ -38,23 +40,23 @@
 
 def test_quick_answers_raise_the_limit_only_if_needed() -> None:
     limiter = ConcurrencyLimiter(2.0)
-    limiter.update_limit(0.1, TARGET_LOAD, is_needed=False, floor=0.0, weight=1.0)
+    limiter.update_limit(0.1, TARGET_LOAD, is_needed=False, min_limit=0.0, growth_weight=1.0)
     assert limiter.limit == 2.0
-    limiter.update_limit(0.1, TARGET_LOAD, is_needed=True, floor=0.0, weight=1.0)
+    limiter.update_limit(0.1, TARGET_LOAD, is_needed=True, min_limit=0.0, growth_weight=1.0)
     assert limiter.limit > 2.0
 
 
 def test_limit_grows_to_a_multiple_of_its_initial_value_at_most() -> None:
     limiter = ConcurrencyLimiter(1.0)
     for _ in range(2_000):
-        limiter.update_limit(0.0, TARGET_LOAD, is_needed=True, floor=0.0, weight=1.0)
+        limiter.update_limit(0.0, TARGET_LOAD, is_needed=True, min_limit=0.0, growth_weight=1.0)
     assert limiter.limit == MAX_LIMIT_GROWTH
 
 
 def test_slow_answers_lower_the_limit_to_the_floor() -> None:
     limiter = ConcurrencyLimiter(4.0)
     for _ in range(200):
-        limiter.update_limit(2.0, TARGET_LOAD, is_needed=True, floor=0.75, weight=1.0)
+        limiter.update_limit(2.0, TARGET_LOAD, is_needed=True, min_limit=0.75, growth_weight=1.0)
     assert limiter.limit == 0.75
 
 
--- a/tests/balancer/test_endpoint_list_updates.py
+++ b/tests/balancer/test_endpoint_list_updates.py
@@ -1,4 +1,4 @@
-"""The upstream list: asking for it, failures, deltas, full lists, restarts."""
+"""The endpoint list: polling, failed calls, deltas, full lists, and restarted upstreams."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 
 def list_polls(harness: BalancerHarness) -> list[int]:
-    """When the harness's balancer asked, seen by stepping through time."""
-    return [i for i, action in enumerate(harness.log) if isinstance(action, Subscribe)]
+    """Return the positions of the subscriptions to the list in the log of actions."""
+    return [position for position, action in enumerate(harness.log) if isinstance(action, Subscribe)]
 
 
 def test_list_that_is_not_pushed_is_subscribed_to() -> None:
@@ -78,43 +78,43 @@
 
 
 def first_list_times_us(instances: int, all_calls_us: int, patience_us: int, seed: int) -> list[int]:
-    """When each of a fleet that starts together has its first list, in microseconds, 0 = not within 30 s.
+    """Return after how many microseconds each sidecar of a fleet gets its first list; 0 = not within 30 s.
 
-    Discovery works through calls in turn and could take one of each sidecar in `all_calls_us`. One that would
-    wait longer than `patience_us` is turned away; one that nearly does waits so long all the same, behind
-    changes that are sent first: it fails, and its work has been done.
+    All sidecars start together. Discovery handles one call at a time, and one call of each sidecar in
+    `all_calls_us`. A call that would wait longer than `patience_us` fails at once. A call that would wait
+    more than 0.7 of that is delayed by changes sent first: it times out, though discovery has done its work.
     """
     config = settings(instances=instances, list_on_request=True, max_poll_interval_us=10_000_000)
     cost_us, busy_us, now_us = all_calls_us // instances, START_US, START_US
-    fleet = [Balancer(config, seed * 1000 + n, now_us) for n in range(instances)]
+    fleet = [Balancer(config, seed * 1000 + index, now_us) for index in range(instances)]
     first_list_us = [0] * instances
     cached = UpstreamsUpdated(ListKind.CACHED, upstreams(4))
-    queue: list[tuple[int, int, int, Event]] = [(now_us, n, n, cached) for n in range(instances)]
-    order = instances
+    queue: list[tuple[int, int, int, Event]] = [(now_us, index, index, cached) for index in range(instances)]
+    sequence = instances
     while queue and queue[0][0] < START_US + 30_000_000:
-        now_us, _, n, event = heapq.heappop(queue)
+        now_us, _, index, event = heapq.heappop(queue)
         if isinstance(event, UpstreamsUpdated) and event.kind is ListKind.FULL:
-            first_list_us[n] = first_list_us[n] or now_us - START_US
-        for action in fleet[n].handle(now_us, event):
-            answer: tuple[int, Event] | None = None
+            first_list_us[index] = first_list_us[index] or now_us - START_US
+        for action in fleet[index].handle(now_us, event):
+            reply: tuple[int, Event] | None = None
             if isinstance(action, SetTimer):
-                answer = action.at_us, TimerFired(action.token)
+                reply = action.at_us, TimerFired(action.token)
             elif isinstance(action, Subscribe):
                 busy_us = max(busy_us, now_us)
                 wait_us = busy_us - now_us
                 if wait_us > patience_us:
-                    answer = now_us + 1_000, UpstreamsUpdated(ListKind.FAILED)
+                    reply = now_us + 1_000, UpstreamsUpdated(ListKind.FAILED)
                 else:
                     busy_us += cost_us
-                    late = wait_us > patience_us * 0.7  # changes are sent meanwhile, and come before it
-                    answer = (
+                    is_late = wait_us > patience_us * 0.7  # changes that are sent first delay the list
+                    reply = (
                         (now_us + patience_us, UpstreamsUpdated(ListKind.FAILED))
-                        if late
+                        if is_late
                         else (busy_us, UpstreamsUpdated(ListKind.FULL, upstreams(4)))
                     )
-            if answer is not None:
-                order += 1
-                heapq.heappush(queue, (answer[0], order, n, answer[1]))
+            if reply is not None:
+                sequence += 1
+                heapq.heappush(queue, (reply[0], sequence, index, reply[1]))
     return first_list_us
 
 
@@ -129,8 +129,8 @@
 
 
 def test_sidecar_of_large_fleet_without_any_upstream_polls_at_once() -> None:
-    asked = []
-    for known in ([], upstreams(4)):
+    poll_counts = []
+    for cached_entries in ([], upstreams(4)):
         worlds = [
             BalancerHarness(
                 settings(instances=40, list_on_request=True, max_poll_interval_us=10_000_000), seed
@@ -138,14 +138,14 @@
             for seed in range(10)
         ]
         for harness in worlds:
-            harness.update_list(known, ListKind.CACHED)
+            harness.update_list(cached_entries, ListKind.CACHED)
             harness.advance(100_000)
-        asked.append(sum(len(list_polls(harness)) for harness in worlds))
+        poll_counts.append(sum(len(list_polls(harness)) for harness in worlds))
         for harness in worlds:
             harness.advance(4_000_000)
             assert len(list_polls(harness)) == 1
-    assert asked[0] == 10
-    assert asked[1] <= 3
+    assert poll_counts[0] == 10
+    assert poll_counts[1] <= 3
 
 
 def test_few_sidecars_poll_at_once() -> None:
@@ -158,7 +158,7 @@
     harness.update_list([Upstream(100, UpstreamState.DRAINING)], ListKind.DELTA)
     for _ in range(10):
         harness.end(harness.arrive(0), 0, Outcome.OK)
-    assert {s.upstream for s in harness.sends()} == {101}
+    assert {send.upstream for send in harness.sends()} == {101}
 
 
 def test_upstream_missing_from_full_list_is_gone_and_may_return() -> None:
@@ -167,11 +167,11 @@
     harness.update_list(upstreams(1))
     for _ in range(10):
         harness.end(harness.arrive(0), 0, Outcome.OK)
-    assert {s.upstream for s in harness.sends()} == {100}
+    assert {send.upstream for send in harness.sends()} == {100}
     harness.update_list(upstreams(2))
     for _ in range(30):
         harness.end(harness.arrive(0), 0, Outcome.OK)
-    assert {s.upstream for s in harness.sends()} == {100, 101}
+    assert {send.upstream for send in harness.sends()} == {100, 101}
 
 
 def test_restarted_upstream_of_the_same_id_warms_up_again() -> None:
@@ -182,7 +182,7 @@
         request = harness.arrive(1)
         harness.advance(5_000)
         harness.end(request, 0, Outcome.OK)
-    assert sum(1 for s in harness.sends() if s.upstream == 100) <= 8  # a third would be its share when warm
+    assert sum(1 for send in harness.sends() if send.upstream == 100) <= 8  # 20 would be its share when warm
 
 
 def test_empty_list_and_empty_delta_are_accepted() -> None:
@@ -194,7 +194,7 @@
     request = harness.arrive(0)
     harness.advance(2_000_000)
     assert harness.answer(request) is not None
-    assert all(t.at_us > START_US for t in harness.log if isinstance(t, SetTimer))
+    assert all(action.at_us > START_US for action in harness.log if isinstance(action, SetTimer))
 
 
 def test_draining_upstreams_get_nothing() -> None:
--- a/tests/balancer/test_endpoint_pool.py
+++ b/tests/balancer/test_endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The endpoint pool against plain scans: after any events the same sets, ranks and distributions."""
+"""The endpoint pool agrees with plain scans after any events: in sets, ranks and distributions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 WARM_UP_US = 20_000_000
 DRAWS = 3_000
-FAR_OFF = 6.0  # standard deviations: with fixed seeds the verdict is always the same, and chance gives no 6
+MAX_DEVIATION = 6.0  # standard deviations; chance alone practically never gives 6, and the seeds are fixed
 
 
 def new_pool(**changes: object) -> EndpointPool:
@@ -37,7 +37,7 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Any order of what happens to upstreams."""
+    """Applies changes of endpoints in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -46,10 +46,10 @@
         self.pool = new_pool(cross_zone_fee=0.1)
         self.gone: list[Endpoint] = []
 
-    def one(self, number: int) -> Endpoint:
+    def endpoint_at(self, number: int) -> Endpoint:
         return list(self.pool.endpoints.values())[number % len(self.pool.endpoints)]
 
-    def some(self) -> bool:
+    def has_endpoints(self) -> bool:
         return bool(self.pool.endpoints)
 
     @rule(ident=st.integers(1, 40), zone=st.integers(0, 2), age=st.integers(-1, 30_000_000))
@@ -60,10 +60,10 @@
         endpoint.entry = entry
         self.pool.place(endpoint, self.now_us)
 
-    @precondition(some)
+    @precondition(has_endpoints)
     @rule(number=st.integers(0, 99))
     def drains(self, number: int) -> None:
-        endpoint = self.one(number)
+        endpoint = self.endpoint_at(number)
         endpoint.entry = Upstream(
             endpoint.entry.id,
             UpstreamState.DRAINING,
@@ -72,43 +72,43 @@
         )
         self.pool.place(endpoint, self.now_us)
 
-    @precondition(some)
+    @precondition(has_endpoints)
     @rule(number=st.integers(0, 99))
     def leaves(self, number: int) -> None:
-        self.pool.forget(self.one(number))
+        self.pool.forget(self.endpoint_at(number))
 
-    @precondition(some)
-    @rule(number=st.integers(0, 99), more=st.booleans())
-    def used(self, number: int, more: bool) -> None:
-        endpoint = self.one(number)
-        endpoint.limiter.in_flight = max(0, endpoint.limiter.in_flight + (1 if more else -1))
+    @precondition(has_endpoints)
+    @rule(number=st.integers(0, 99), is_start=st.booleans())
+    def used(self, number: int, is_start: bool) -> None:
+        endpoint = self.endpoint_at(number)
+        endpoint.limiter.in_flight = max(0, endpoint.limiter.in_flight + (1 if is_start else -1))
         self.pool.update(endpoint, self.now_us)
 
-    @precondition(some)
+    @precondition(has_endpoints)
     @rule(
         number=st.integers(0, 99),
-        window=st.floats(1 / 64, 8),
-        rest=st.integers(0, 900_000),
-        failing=st.floats(0, 1),
+        limit=st.floats(1 / 64, 8),
+        pause_us=st.integers(0, 900_000),
+        failure_rate=st.floats(0, 1),
     )
-    def judged(self, number: int, window: float, rest: int, failing: float) -> None:
-        endpoint = self.one(number)
-        endpoint.limiter.limit, endpoint.failure_rate = window, failing
-        endpoint.limiter.paused_until_us = self.now_us + rest
+    def gets_results(self, number: int, limit: float, pause_us: int, failure_rate: float) -> None:
+        endpoint = self.endpoint_at(number)
+        endpoint.limiter.limit, endpoint.failure_rate = limit, failure_rate
+        endpoint.limiter.paused_until_us = self.now_us + pause_us
         self.pool.update(endpoint, self.now_us)
 
-    @precondition(some)
-    @rule(number=st.integers(0, 99), size=st.floats(0.1, 9))
-    def resized(self, number: int, size: float) -> None:
-        self.one(number).weight = size
-        self.pool.place(self.one(number), self.now_us)
+    @precondition(has_endpoints)
+    @rule(number=st.integers(0, 99), weight=st.floats(0.1, 9))
+    def reweighted(self, number: int, weight: float) -> None:
+        self.endpoint_at(number).weight = weight
+        self.pool.place(self.endpoint_at(number), self.now_us)
 
-    @rule(by=st.integers(1, 9_000_000))
-    def time_passes(self, by: int) -> None:
-        self.now_us += by
+    @rule(elapsed_us=st.integers(1, 9_000_000))
+    def time_passes(self, elapsed_us: int) -> None:
+        self.now_us += elapsed_us
 
     @invariant()
-    def agrees(self) -> None:
+    def agrees_with_plain_scans(self) -> None:
         pool, now_us = self.pool, self.now_us
         pool.reopen_due(now_us)
         pool.refresh_order(now_us)
@@ -118,28 +118,38 @@
         open_now = [endpoint for endpoint in warm if plain.free(pool, endpoint, now_us) > 0]
         assert [entry.item for entry in pool.warm.iterate_open(len(warm))] == open_now
         assert pool.warm.root.open_count == len(open_now)
-        for part in (2, 4):
-            assert pool.failure_rate_quantile(part) == plain.failure_rate_quantile(pool, now_us, part)
-        idle = [s for s in open_now if s.entry.zone == pool.home_zone and s.limiter.in_flight == 0]
-        assert [entry.item for entry in pool.warm.iterate_open(len(warm), is_preferred=True)] == idle
+        for divisor in (2, 4):
+            assert pool.failure_rate_quantile(divisor) == plain.failure_rate_quantile(pool, now_us, divisor)
+        preferred = [
+            endpoint
+            for endpoint in open_now
+            if endpoint.entry.zone == pool.home_zone and endpoint.limiter.in_flight == 0
+        ]
+        assert [entry.item for entry in pool.warm.iterate_open(len(warm), is_preferred=True)] == preferred
         assert math.isclose(
             pool.warm.root.total_weight,
-            math.fsum(s.weight * plain.free(pool, s, now_us) for s in open_now),
+            math.fsum(endpoint.weight * plain.free(pool, endpoint, now_us) for endpoint in open_now),
             abs_tol=1e-9,
         )
-        assert math.isclose(pool.warm_weight, math.fsum(s.weight for s in warm), rel_tol=1e-9, abs_tol=1e-9)
-        rests = [
-            s.limiter.paused_until_us
-            for s in plain.ready(pool)
-            if s.limiter.limit < 1.0 and s.limiter.paused_until_us > now_us
+        assert math.isclose(
+            pool.warm_weight, math.fsum(endpoint.weight for endpoint in warm), rel_tol=1e-9, abs_tol=1e-9
+        )
+        pause_ends_us = [
+            endpoint.limiter.paused_until_us
+            for endpoint in plain.ready(pool)
+            if endpoint.limiter.limit < 1.0 and endpoint.limiter.paused_until_us > now_us
         ]
-        assert pool.next_reopen_us() == min(rests, default=0)
-        shares = math.fsum(s.weight * pool.slow_start_weight(s, now_us) for s in pool.warming.items())
-        assert math.isclose(pool.warming_capacity(now_us), shares, rel_tol=1e-6, abs_tol=1e-9)
+        assert pool.next_reopen_us() == min(pause_ends_us, default=0)
+        expected_capacity = math.fsum(
+            endpoint.weight * pool.slow_start_weight(endpoint, now_us) for endpoint in pool.warming.items()
+        )
+        assert math.isclose(pool.warming_capacity(now_us), expected_capacity, rel_tol=1e-6, abs_tol=1e-9)
         for first in (1, 3, len(warm)):
-            for most in (0.3, math.inf):
-                wanted = [s for s in open_now[:first] if s.failure_rate <= most]
-                assert [entry.item for entry in pool.warm.iterate_open(first, most)] == wanted
+            for max_failure_rate in (0.3, math.inf):
+                expected = [
+                    endpoint for endpoint in open_now[:first] if endpoint.failure_rate <= max_failure_rate
+                ]
+                assert [entry.item for entry in pool.warm.iterate_open(first, max_failure_rate)] == expected
 
 
 TestPool = PoolMachine.TestCase
@@ -151,7 +161,7 @@
 def varied_pool(
     count: int, instances: int, seed: int, failing_share: float = 0.2
 ) -> tuple[EndpointPool, list[Endpoint]]:
-    """A pool in all states: sizes, zones, windows, rests, sends out, failing shares."""
+    """A pool in all states: weights, zones, limits, pauses, attempts in flight and failure rates."""
     rng = random.Random(seed)
     pool = new_pool(instances=instances, cross_zone_fee=0.1)
     endpoints = []
@@ -177,31 +187,36 @@
 ) -> None:
     pool, endpoints = varied_pool(count, instances, seed, failing_share)
     excluded = endpoints[:2]
-    most = 0.1 + plain.failure_rate_quantile(pool, START_US, 4)
-    expected = plain.chances(pool, START_US, first, excluded, most)
+    max_failure_rate = 0.1 + plain.failure_rate_quantile(pool, START_US, 4)
+    expected = plain.chances(pool, START_US, first, excluded, max_failure_rate)
     rng = random.Random(seed)
     counts: Counter[int] = Counter()
     for _ in range(DRAWS):
-        drawn = pool.sample(rng, first, excluded, most)
+        drawn = pool.sample(rng, first, excluded, max_failure_rate)
         if drawn is None:
             assert not expected
             return
         counts[drawn.entry.id] += 1
-    assert plain.unlikely(counts, expected) < FAR_OFF
+    assert plain.unlikely(counts, expected) < MAX_DEVIATION
 
 
 def test_chi_square_statistic_detects_wrong_weights() -> None:
-    """The statistic can fail: the same draws against chances that are a little off."""
+    """The statistic can fail: it does for the same draws against chances that are slightly wrong."""
     pool, _ = varied_pool(30, 3, 1)
     expected = plain.chances(pool, START_US, 30, [], math.inf)
     rng = random.Random(1)
     counts = Counter(
         drawn.entry.id for _ in range(DRAWS) if (drawn := pool.sample(rng, 30, [], math.inf)) is not None
     )
-    off = {one: expected[one] * (1.5 if number % 2 else 1.0) for number, one in enumerate(expected)}
-    whole = math.fsum(off.values())
-    assert plain.unlikely(counts, expected) < FAR_OFF
-    assert plain.unlikely(counts, {one: chance / whole for one, chance in off.items()}) > FAR_OFF
+    wrong_chances = {
+        ident: expected[ident] * (1.5 if number % 2 else 1.0) for number, ident in enumerate(expected)
+    }
+    total_chance = math.fsum(wrong_chances.values())
+    assert plain.unlikely(counts, expected) < MAX_DEVIATION
+    assert (
+        plain.unlikely(counts, {ident: chance / total_chance for ident, chance in wrong_chances.items()})
+        > MAX_DEVIATION
+    )
 
 
 def test_warming_endpoints_are_sampled_by_weight_and_slow_start_weight() -> None:
@@ -210,25 +225,31 @@
         endpoint = add_endpoint(pool, ident, rng, started_us=START_US - ident * 2_000_000)
         endpoint.weight = 1.0 + ident % 3
         pool.place(endpoint, START_US)
-    shares = {s.entry.id: s.weight * pool.slow_start_weight(s, START_US) for s in pool.warming.items()}
-    whole = math.fsum(shares.values())
+    expected_weights = {
+        endpoint.entry.id: endpoint.weight * pool.slow_start_weight(endpoint, START_US)
+        for endpoint in pool.warming.items()
+    }
+    total_weight = math.fsum(expected_weights.values())
     counts = Counter(
         drawn.entry.id for _ in range(DRAWS) if (drawn := pool.sample_warming(rng, START_US)) is not None
     )
     assert sum(counts.values()) > DRAWS * 0.99
-    assert plain.unlikely(counts, {one: share / whole for one, share in shares.items()}) < FAR_OFF
+    assert (
+        plain.unlikely(counts, {ident: weight / total_weight for ident, weight in expected_weights.items()})
+        < MAX_DEVIATION
+    )
 
 
 def test_endpoint_that_has_just_started_is_sampled_rarely() -> None:
-    """Rule 4: where chance takes none in many tries, none is taken."""
+    """Rule 4: if many draws accept no endpoint, none is sampled."""
     pool, rng = new_pool(cold_share=0.0001), random.Random(4)
     add_endpoint(pool, 1, rng, started_us=START_US)
     drawn = sum(pool.sample_warming(rng, START_US) is not None for _ in range(200))
     assert drawn < 10
 
 
-@pytest.mark.parametrize("near", [True, False])
-def test_single_fitting_endpoint_is_found_among_many(near: bool) -> None:
+@pytest.mark.parametrize("prefers_home_zone", [True, False])
+def test_single_fitting_endpoint_is_found_among_many(prefers_home_zone: bool) -> None:
     pool, endpoints = varied_pool(2000, 3, 5, failing_share=0.0)
     for endpoint in endpoints:
         endpoint.failure_rate = 0.9
@@ -237,14 +258,16 @@
     for endpoint in endpoints:
         pool.place(endpoint, START_US)
     drawn = {
-        pool.warm.sample(random.Random(n), 10**9, [], 0.5, near and endpoints[1234].entry.zone == 1)
+        pool.warm.sample(
+            random.Random(n), 10**9, [], 0.5, prefers_home_zone and endpoints[1234].entry.zone == 1
+        )
         for n in range(20)
     }
     assert drawn == {endpoints[1234]}
 
 
 def test_entry_depth_grows_with_the_logarithm_of_the_index() -> None:
-    """Counted, not timed: how many entries an event passes on its way up."""
+    """The number of entries from an entry up to the root is counted, not the time."""
     depths = {}
     for count in (100, 10_000):
         index: OrderedIndex[int] = OrderedIndex()
@@ -279,7 +302,7 @@
     assert len(blocks.blocks) > 2
     for start in (0, 1, len(listed) // 2, len(listed) - 1):
         assert list(blocks.cycle_from(start)) == listed[start:] + listed[:start]
-    with pytest.raises(ValueError, match="is not in it"):
+    with pytest.raises(ValueError, match="-1 is not in the multiset"):
         blocks.remove(-1)
     with pytest.raises(IndexError):
         blocks.at(len(listed))
@@ -293,10 +316,10 @@
         pool.update(endpoint, START_US)
         if ident > 20:
             pool.forget(pool.endpoints[ident - 20])
-    left = len(pool.endpoints)
-    assert left == 20
+    left_count = len(pool.endpoints)
+    assert left_count == 20
     assert len(pool.warm) + len(pool.warming) == 20
-    assert len(pool.order_changed) <= 20
+    assert len(pool.pending_order_changes) <= 20
     assert len(pool.failure_rates) == len(pool.warm)
     pool.refresh_order(START_US + WARM_UP_US)
     pool.reopen_due(START_US + WARM_UP_US)
@@ -320,7 +343,7 @@
     ],
 )
 def test_warming_endpoint_has_slots_by_its_slow_start_weight(instances: int, age_us: int, slots: int) -> None:
-    """Rule 4: all sidecars together have no more in flight at a warming one than its share, or one each."""
+    """Rule 4: all sidecars together have no more attempts at a warming one than its share, or one each."""
     pool = new_pool(instances=instances, cold_share=0.3, warm_up_us=WARM_UP_US)
     endpoint = add_endpoint(pool, 1, random.Random(1), started_us=START_US - age_us)
     endpoint.limiter.limit = 5.0
--- a/tests/balancer/test_outlier_detection.py
+++ b/tests/balancer/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Failing and silent upstreams: fewer slots, trials, log lines and lost answers."""
+"""Failing and unresponsive upstreams: lower limits, trials, log lines and lost answers."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     for _ in range(20):
         harness.arrive(PAY)
     harness.advance(10_000)
-    for ident, owed in list(harness.requests.items()):
-        for attempt in owed.in_flight():
+    for ident, request_state in list(harness.requests.items()):
+        for attempt in request_state.in_flight():
             harness.end(ident, attempt, outcome)
 
 
@@ -36,24 +36,24 @@
 def test_upstream_that_fails_at_once_does_not_attract_requests(outcome: Outcome) -> None:
     harness = listed_world(5)
     run_steps(harness, 200, 100, outcome)
-    assert sum(1 for s in harness.sends() if s.upstream == 100) < 20
+    assert sum(1 for send in harness.sends() if send.upstream == 100) < 20
 
 
 def test_upstream_that_failed_is_tried_again_and_recovers() -> None:
     harness = listed_world(2)
     run_steps(harness, 40, 100)
     run_steps(harness, 1000)
-    assert sum(1 for s in harness.sends()[-200:] if s.upstream == 100) > 30
+    assert sum(1 for send in harness.sends()[-200:] if send.upstream == 100) > 30
 
 
-def test_hung_upstream_does_not_limit_the_others() -> None:
+def test_failing_upstream_does_not_lower_the_total_limit() -> None:
     harness = listed_world(60, instances=1000)
     for _ in range(30):
         run_steps(harness, 2, bad=100, fault=Outcome.ERROR, class_index=PAY)
     assert count_free_slots(harness) == 2
 
 
-def test_single_error_leaves_upstream_its_other_slots() -> None:
+def test_single_error_does_not_close_the_other_slots_of_its_upstream() -> None:
     harness = grown_world()
     before = count_free_slots(harness)
     harness.end(harness.arrive(PAY), 0, Outcome.ERROR)
@@ -62,18 +62,18 @@
 
 
 @pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.ERROR])
-def test_failures_alike_at_all_upstreams_close_no_slots(fault: Outcome) -> None:
-    """Peers that break off one answer in ten, whoever it is of: fewer slots only refuse the other nine."""
+def test_failures_common_to_all_upstreams_lower_no_limits(fault: Outcome) -> None:
+    """If one attempt in ten fails at every upstream, lower limits would only reject the other nine."""
     harness = listed_world(10)
     for step in range(400):
         request = harness.arrive(PAY)
         harness.advance(10_000)
         harness.end(request, 0, fault if step % 10 == 9 else Outcome.OK)
-    windows = [server.limiter.limit for server in harness.balancer.endpoints.values()]
-    assert sum(window >= 1.0 for window in windows) >= 8
+    limits = [endpoint.limiter.limit for endpoint in harness.balancer.endpoints.values()]
+    assert sum(limit >= 1.0 for limit in limits) >= 8
 
 
-def test_failing_upstreams_lose_their_slots_even_if_they_are_nearly_half_of_all() -> None:
+def test_limits_of_failing_upstreams_fall_even_if_nearly_half_of_all_fail() -> None:
     harness = listed_world(10)
     for _ in range(400):
         request = harness.arrive(PAY)
@@ -84,8 +84,8 @@
                 attempt,
                 Outcome.ERROR if harness.requests[request].attempts[attempt].upstream < 104 else Outcome.OK,
             )
-    windows = {ident: server.limiter.limit for ident, server in harness.balancer.endpoints.items()}
-    assert all((window < 0.3) is (ident < 104) for ident, window in windows.items()), windows
+    limits = {ident: endpoint.limiter.limit for ident, endpoint in harness.balancer.endpoints.items()}
+    assert all((limit < 0.3) is (ident < 104) for ident, limit in limits.items()), limits
 
 
 def test_failing_upstream_is_logged_when_it_closes_and_when_it_is_open_again() -> None:
@@ -111,12 +111,12 @@
     before = harness.balancer.total_limiter.limit
     for _ in range(10):
         harness.arrive(PAY)
-        harness.advance(700_000)  # silence until due
+        harness.advance(700_000)  # no answer before the deadline
         run_steps(harness, 1, took_us=20_000, class_index=PAY)
     assert harness.balancer.total_limiter.limit >= before
 
 
-def test_silent_upstream_gets_two_sends_beyond_its_slot_and_no_third() -> None:
+def test_unresponsive_upstream_gets_two_attempts_beyond_its_slot_and_no_third() -> None:
     harness = listed_world(1)
     for _ in range(100):
         harness.arrive(PAY, patience_us=9_000_000)
@@ -124,8 +124,8 @@
     assert len(harness.sends()) == 3
 
 
-def test_lost_answers_overtaken_by_later_ones_close_no_slots() -> None:
-    """Fewer slots would only reject requests that would be answered at once."""
+def test_lost_answers_lower_no_limit_while_later_attempts_are_answered() -> None:
+    """Lower limits would only reject requests that would be answered at once."""
     harness = grown_world()
     harness.advance(1_000_000)
     limiter = harness.balancer.endpoints[100].limiter
@@ -140,7 +140,7 @@
 
 
 def test_nothing_is_presumed_lost_where_other_answers_are_slow_too() -> None:
-    """In an overload, sends beyond the limit would lengthen the queues."""
+    """In an overload, attempts beyond the limit would only lengthen the queues."""
     harness = listed_world(1, instances=2)
     for _ in range(12):
         request = harness.arrive(PAY, patience_us=9_000_000)
@@ -153,7 +153,7 @@
     assert len(harness.sends()) == before + int(harness.balancer.endpoints[100].limiter.limit)
 
 
-def test_late_answer_of_attempt_presumed_lost_is_taken_and_frees_no_slot_twice() -> None:
+def test_late_answer_of_attempt_presumed_lost_is_used_and_frees_its_slot_once() -> None:
     harness = listed_world(1, instances=2)
     late = harness.arrive(PAY, patience_us=9_000_000)
     harness.advance(400_000)
--- a/tests/balancer/test_outlier_reports.py
+++ b/tests/balancer/test_outlier_reports.py
@@ -1,4 +1,4 @@
-"""Outlier reports of other sidecars: probation, a bounded loss, and never a higher limit."""
+"""Outlier reports of other sidecars: probation, a bounded cost of false reports, and no higher limit."""
 
 from __future__ import annotations
 
@@ -10,10 +10,14 @@
 from hypothesis import strategies as st
 
 from sidecar_proxy.balancer.events import FleetResized, ListKind, Outcome, OutlierReported, UpstreamState
-from sidecar_proxy.balancer.outlier_detection import MAX_TRIAL_INTERVAL_US, OWN_ANSWER_US, TRIAL_INTERVAL_US
+from sidecar_proxy.balancer.outlier_detection import (
+    FLEET_TRIAL_INTERVAL_US,
+    MAX_TRIAL_INTERVAL_US,
+    RECENT_SUCCESS_US,
+)
 from tests.balancer.harness import BalancerHarness, settings, upstreams
 
-BAD = 100
+REPORTED = 100
 GAP_US = 50_000
 
 
@@ -24,61 +28,67 @@
 
 
 def run_requests(
-    harness: BalancerHarness, seconds: float, silent: bool = False, gap_us: int = GAP_US
+    harness: BalancerHarness, seconds: float, is_unresponsive: bool = False, gap_us: int = GAP_US
 ) -> list[int]:
-    """Requests in turn, each answered in 10 ms, but by one that is silent; when that one was sent to."""
+    """Send requests in turn, and return the times of the attempts at the upstream `REPORTED`.
+
+    Each attempt is answered after 10 ms, but none at that upstream if it `is_unresponsive`.
+    """
     trials_us: list[int] = []
     end_us = harness.now_us + int(seconds * 1e6)
     while harness.now_us < end_us:
         request = harness.arrive(1)
         sent = harness.sends(request)
-        if sent and sent[0].upstream == BAD:
+        if sent and sent[0].upstream == REPORTED:
             trials_us.append(harness.now_us)
-        if sent and not (silent and sent[0].upstream == BAD):
+        if sent and not (is_unresponsive and sent[0].upstream == REPORTED):
             harness.advance(10_000)
             harness.end(request, 0, Outcome.OK)
         harness.advance(gap_us)
     return trials_us
 
 
-def test_reported_upstream_gets_one_trial_after_a_pause_and_is_reinstated_by_an_answer() -> None:
+def test_reported_upstream_gets_one_trial_after_a_pause_and_an_answer_ends_probation() -> None:
     harness = listed_world(instances=4)
-    harness.dispatch(OutlierReported(BAD, 1.0))
+    harness.dispatch(OutlierReported(REPORTED, 1.0))
     begin_us = harness.now_us
     trials_us = run_requests(harness, 20.0)
-    rest_us = trials_us[0] - begin_us
-    assert TRIAL_INTERVAL_US * 4 // 2 <= rest_us <= TRIAL_INTERVAL_US * 4 * 1.5 + 1_000_000
-    after = [at for at in trials_us if at > trials_us[0]]
-    assert len(after) > 10
-    assert after[0] - trials_us[0] < 2_000_000
-    actions = harness.dispatch(OutlierReported(BAD, 1.0))
+    pause_us = trials_us[0] - begin_us
+    assert FLEET_TRIAL_INTERVAL_US * 4 // 2 <= pause_us <= FLEET_TRIAL_INTERVAL_US * 4 * 1.5 + 1_000_000
+    later_us = [at for at in trials_us if at > trials_us[0]]
+    assert len(later_us) > 10
+    assert later_us[0] - trials_us[0] < 2_000_000
+    actions = harness.dispatch(OutlierReported(REPORTED, 1.0))
     assert not actions
-    assert harness.balancer.endpoints[BAD].limit_before_probation == 0.0
+    assert harness.balancer.endpoints[REPORTED].limit_before_probation == 0.0
 
 
-def test_silent_upstream_on_probation_is_tried_seldom() -> None:
+def test_unresponsive_upstream_on_probation_is_tried_rarely() -> None:
     harness = listed_world(instances=50)
-    harness.dispatch(OutlierReported(BAD, 0.8))
-    assert len(run_requests(harness, 30.0, silent=True)) <= 30.0 * 1e6 / (MAX_TRIAL_INTERVAL_US / 2) + 1
+    harness.dispatch(OutlierReported(REPORTED, 0.8))
+    assert (
+        len(run_requests(harness, 30.0, is_unresponsive=True)) <= 30.0 * 1e6 / (MAX_TRIAL_INTERVAL_US / 2) + 1
+    )
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.1, 0.49])
 def test_low_weight_has_no_effect_and_ends_probation(weight: float) -> None:
     harness = listed_world(instances=50)
-    harness.dispatch(OutlierReported(BAD, weight))
-    endpoint = harness.balancer.endpoints[BAD]
+    harness.dispatch(OutlierReported(REPORTED, weight))
+    endpoint = harness.balancer.endpoints[REPORTED]
     assert (endpoint.limit_before_probation, endpoint.limiter.limit) == (0.0, 1.0)
-    harness.dispatch(OutlierReported(BAD, 1.0))
+    harness.dispatch(OutlierReported(REPORTED, 1.0))
     assert endpoint.limit_before_probation == 1.0
     assert endpoint.limiter.limit < 1.0
-    harness.dispatch(OutlierReported(BAD, weight))
+    harness.dispatch(OutlierReported(REPORTED, weight))
     assert (endpoint.limit_before_probation, endpoint.limiter.limit) == (0.0, 1.0)
 
 
-def test_upstream_on_probation_keeps_its_place_in_the_order() -> None:
+def test_upstream_on_probation_keeps_its_position_in_the_order() -> None:
     """Each of 50 sidecars uses the first few upstreams in its own order.
 
-    Moved down in it, a falsely reported upstream would never have the trial that reinstates it.
+    If it moved down in that order, a falsely reported upstream would never get the trial that ends
+    probation.
     """
     harness = listed_world(instances=50)
     endpoints = harness.balancer.endpoints
@@ -92,7 +102,7 @@
 
 
 def test_only_a_quarter_of_the_upstreams_is_put_on_probation() -> None:
-    """Otherwise one bad second of a network would put every upstream on probation at every sidecar."""
+    """Otherwise a network fault of one second could put all upstreams on probation at all sidecars."""
     harness = listed_world(instances=4)
     for number in range(6):
         harness.dispatch(OutlierReported(100 + number, 1.0))
@@ -106,38 +116,38 @@
 
 def test_reports_do_not_raise_a_limit_that_own_failures_lowered() -> None:
     harness = listed_world(instances=50)
-    endpoint = harness.balancer.endpoints[BAD]
+    endpoint = harness.balancer.endpoints[REPORTED]
     endpoint.limiter.limit = 1 / 32
     for weight in (1.0, 0.0, 0.7, 0.2):
-        harness.dispatch(OutlierReported(BAD, weight))
+        harness.dispatch(OutlierReported(REPORTED, weight))
         assert endpoint.limiter.limit <= 1 / 32
 
 
 def test_false_reports_cost_one_pause_at_most() -> None:
-    """The bound of docs/design/gossip.md: one rest at first, nothing after it."""
-    harness, fair = listed_world(instances=4), listed_world(instances=4)
-    fair_count = len(run_requests(fair, 40.0))
+    """The bound of docs/design/gossip.md: a false report costs one pause at first, and nothing later."""
+    harness, unreported = listed_world(instances=4), listed_world(instances=4)
+    unreported_count = len(run_requests(unreported, 40.0))
     begin_us = harness.now_us
     trials_us: list[int] = []
     while harness.now_us < begin_us + 40_000_000:
-        harness.dispatch(OutlierReported(BAD, 1.0))
+        harness.dispatch(OutlierReported(REPORTED, 1.0))
         trials_us += run_requests(harness, 0.5)
-    rest_us = int(min(TRIAL_INTERVAL_US * 4, MAX_TRIAL_INTERVAL_US) * 1.5)
+    pause_us = int(min(FLEET_TRIAL_INTERVAL_US * 4, MAX_TRIAL_INTERVAL_US) * 1.5)
     gaps = [b - a for a, b in itertools.pairwise(trials_us)]
-    assert trials_us[0] - begin_us <= rest_us + 1_000_000
-    assert max(gaps) < OWN_ANSWER_US
-    assert len(trials_us) >= fair_count * (1 - rest_us / 40e6) * 0.8
+    assert trials_us[0] - begin_us <= pause_us + 1_000_000
+    assert max(gaps) < RECENT_SUCCESS_US
+    assert len(trials_us) >= unreported_count * (1 - pause_us / 40e6) * 0.8
 
 
 def test_restarted_upstream_is_not_on_probation() -> None:
     harness = listed_world(instances=50)
-    harness.dispatch(OutlierReported(BAD, 1.0))
-    entry = harness.balancer.entries[BAD]
+    harness.dispatch(OutlierReported(REPORTED, 1.0))
+    entry = harness.balancer.entries[REPORTED]
     harness.update_list(
-        [type(entry)(BAD, UpstreamState.READY, entry.zone, 0, entry.cell, started_us=harness.now_us)],
+        [type(entry)(REPORTED, UpstreamState.READY, entry.zone, 0, entry.cell, started_us=harness.now_us)],
         ListKind.DELTA,
     )
-    endpoint = harness.balancer.endpoints[BAD]
+    endpoint = harness.balancer.endpoints[REPORTED]
     assert (endpoint.limit_before_probation, endpoint.limiter.limit) == (0.0, 1.0)
 
 
@@ -151,41 +161,41 @@
         3,
         20,
     )
-    harness.dispatch(OutlierReported(999, 1.0))  # of an upstream that nobody lists
+    harness.dispatch(OutlierReported(999, 1.0))  # an upstream that is not listed is ignored
 
 
 @settings_of(max_examples=40, deadline=None)
 @given(
     st.lists(
         st.one_of(
-            st.tuples(st.just("suspect"), st.integers(0, 5), st.floats(0, 1)),
-            st.tuples(st.just("size"), st.integers(1, 60), st.floats(0, 1)),
-            st.tuples(st.just("ask"), st.integers(0, 2), st.floats(0, 1)),
+            st.tuples(st.just("report"), st.integers(0, 5), st.floats(0, 1)),
+            st.tuples(st.just("resize"), st.integers(1, 60), st.floats(0, 1)),
+            st.tuples(st.just("request"), st.integers(0, 2), st.floats(0, 1)),
             st.tuples(st.just("wait"), st.integers(1, 400), st.floats(0, 1)),
         ),
         max_size=80,
     )
 )
 def test_any_reports_keep_the_rules_and_raise_no_limit(steps: list[tuple[str, int, float]]) -> None:
-    """World checks the rules at each action; what is said opens no slot and closes none for good."""
+    """Reports raise no limit and close no endpoint for good; the harness checks the rules at each action."""
     harness = listed_world(instances=4)
     endpoints = harness.balancer.endpoints
-    for what, number, part in steps:
-        if what == "suspect":
+    for step, number, fraction in steps:
+        if step == "report":
             endpoint = endpoints[100 + number]
             before = endpoint.ordinary_limit()
-            harness.dispatch(OutlierReported(100 + number, part))
+            harness.dispatch(OutlierReported(100 + number, fraction))
             assert endpoint.limiter.limit <= before
             assert endpoint.ordinary_limit() == before
             if endpoint.limit_before_probation and endpoint.failure_rate == 0.0:
                 assert endpoint.limiter.paused_until_us - harness.now_us <= MAX_TRIAL_INTERVAL_US * 1.5
-        elif what == "size":
-            harness.dispatch(FleetResized(number, int(part * (number - 1))))
-        elif what == "ask":
+        elif step == "resize":
+            harness.dispatch(FleetResized(number, int(fraction * (number - 1))))
+        elif step == "request":
             request = harness.arrive(number)
-            if part < 0.7 and harness.sends(request):
+            if fraction < 0.7 and harness.sends(request):
                 harness.advance(5_000)
-                harness.end(request, 0, Outcome.OK if part < 0.4 else Outcome.ERROR)
+                harness.end(request, 0, Outcome.OK if fraction < 0.4 else Outcome.ERROR)
         else:
             harness.advance(number * 1000)
     harness.advance(5_000_000)
--- a/tests/balancer/test_token_bucket.py
+++ b/tests/balancer/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket alone."""
+"""Unit tests of the token bucket."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     assert not bucket.take(10 * SECOND_US)
 
 
-def test_tokens_are_earned_at_the_rate() -> None:
+def test_tokens_are_added_at_the_rate() -> None:
     bucket = TokenBucket(0)
     bucket.set_rate(2.0, 0)
     assert not bucket.take(400_000)
