--- a/sidecar_proxy/balancer/attempts.py
+++ b/sidecar_proxy/balancer/attempts.py
@@ -17,8 +17,8 @@
 from sidecar_proxy.balancer.wakeups import WakeupKind, Wakeups
 
 RESPONSE_TIME_SMOOTHING: Final = 8  # answers over which an endpoint's response time is averaged
-LOST_FACTOR: Final = 3  # times its endpoint's response time, from which an attempt may be lost
-ANSWERS: Final = (api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL)
+LOST_ATTEMPT_FACTOR: Final = 3  # times its endpoint's response time, from which an attempt may be lost
+ANSWERED_OUTCOMES: Final = (api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL)
 
 
 class AttemptTracker:
@@ -71,7 +71,7 @@
         if endpoint.load is not None:
             endpoint.load += 1.0
         usual_us = self.response_times.attempt_timeout_us(request)
-        timeout_us = request.give_up_us - now_us
+        timeout_us = request.effective_deadline_us - now_us
         if request.request_class.effect != "at_most_once":
             timeout_us = min(timeout_us, usual_us)
         self.context.actions.append(api.Send(request.id, endpoint.entry.id, timeout_us, send_deadline_us))
@@ -85,7 +85,7 @@
         holds_slot = not attempt.is_presumed_lost
         if holds_slot:
             self.free_slot(attempt)
-        if event.outcome in ANSWERS:
+        if event.outcome in ANSWERED_OUTCOMES:
             endpoint.presumed_lost = 0
             endpoint.last_answered_send_us = max(endpoint.last_answered_send_us, attempt.sent_us)
             change_us = (event.elapsed_us - endpoint.response_time_us) / RESPONSE_TIME_SMOOTHING
@@ -117,7 +117,7 @@
         now_us = self.context.now_us
         elapsed_us = now_us - attempt.sent_us
         usual_us = self.response_times.attempt_timeout_us(request)
-        remaining_us = max(usual_us, int(LOST_FACTOR * endpoint.response_time_us)) - elapsed_us
+        remaining_us = max(usual_us, int(LOST_ATTEMPT_FACTOR * endpoint.response_time_us)) - elapsed_us
         if remaining_us > 0 or not self.outliers.may_presume_lost(attempt):
             interval_us = self.response_times.half_objectives_us[request.class_index] // 4
             self.wakeups.schedule(
--- a/sidecar_proxy/balancer/balancer.py
+++ b/sidecar_proxy/balancer/balancer.py
@@ -91,7 +91,7 @@
             self.handle_state_event(event)
         if self.endpoint_list.selection_is_due:
             self.endpoint_list.select()
-        self.dispatch_waiting()
+        self.dispatch_buffered()
         self.set_timer()
         return self.context.take_actions()
 
@@ -109,7 +109,7 @@
         """Handle an event that is not about one request."""
         now_us = self.context.now_us
         if isinstance(event, api.UpstreamsUpdated):
-            self.on_list(event)
+            self.on_list_update(event)
         elif isinstance(event, api.WarmStartState):
             self.warm_start.import_state(event)
             self.refresh()
@@ -124,7 +124,7 @@
         elif isinstance(event, api.ProbeEnded) and event.upstream in self.endpoints:
             self.on_probe_ended(event, self.endpoints[event.upstream])
 
-    def on_list(self, event: api.UpstreamsUpdated) -> None:
+    def on_list_update(self, event: api.UpstreamsUpdated) -> None:
         """Apply a list update, or back off after a failed call."""
         if event.kind is api.ListKind.FAILED:
             self.poller.call_failed()
@@ -193,7 +193,7 @@
         """Send a request through a free slot, else let it wait in the buffer, else reject it."""
         endpoint: Endpoint | None = None
         candidates: list[Endpoint] = []
-        is_in_time = self.is_in_time(request) and self.retry_policy.has_retry_budget(request)
+        is_in_time = self.is_in_time(request) and self.retry_policy.acquire_retry_budget(request)
         if is_in_time:
             pick = self.picker.pick(request)
             endpoint = pick.endpoint
@@ -206,8 +206,8 @@
             else:
                 self.send(request, endpoint)
         elif is_in_time and self.retry_policy.may_attempt(request):
-            self.shedder.note_exhausted()
-            self.wait_or_reject(request)
+            self.shedder.record_exhaustion()
+            self.buffer_or_reject(request)
         else:
             self.complete(request)
 
@@ -231,33 +231,33 @@
         elif decision.endpoint is not None:
             self.send(request, decision.endpoint)
 
-    def wait_or_reject(self, request: Request) -> None:
+    def buffer_or_reject(self, request: Request) -> None:
         """Let a request have the buffer, for half of the objective at most, or reject it."""
-        if not self.shedder.may_wait(request):
+        if not self.shedder.may_buffer(request):
             self.complete(request)
             return
-        displaced = self.shedder.waiting
-        self.shedder.waiting = request
+        displaced = self.shedder.buffered
+        self.shedder.buffered = request
         if displaced is not None:
             self.complete(displaced)
         half_objective_us = self.response_times.half_objectives_us[request.class_index]
         until_us = min(self.context.now_us + half_objective_us, self.response_times.latest_start_us(request))
         self.wakeups.schedule(until_us, WakeupKind.BUFFER_DEADLINE, request.id)
 
-    def dispatch_waiting(self) -> None:
+    def dispatch_buffered(self) -> None:
         """Send the waiting request if a slot is free by now.
 
         Without warm endpoints it is tried on arrival only, as warming ones get their share of arrivals
         (rule 4).
         """
-        request = self.shedder.waiting
+        request = self.shedder.buffered
         if request is None:
             return
         if not len(self.pool.warm) and not self.pool.is_leased(self.context.now_us):
             return
         endpoint = self.picker.pick(request).endpoint
         if endpoint is not None:
-            self.shedder.waiting = None
+            self.shedder.buffered = None
             self.send(request, endpoint)
 
     def send(self, request: Request, endpoint: Endpoint) -> None:
@@ -282,8 +282,8 @@
     def close(self, request: Request) -> None:
         """Stop all work for a request; it is forgotten once no attempt is in flight."""
         request.is_done = True
-        if self.shedder.waiting is request:
-            self.shedder.waiting = None
+        if self.shedder.buffered is request:
+            self.shedder.buffered = None
         self.prober.end(request)
         if not request.has_attempt_in_flight():
             self.requests.pop(request.id, None)
@@ -293,7 +293,7 @@
     def set_timer(self) -> None:
         """Set the timer to the next wake-up, or to the next slot that opens while a request waits."""
         next_us = 0
-        if self.shedder.waiting is not None:
+        if self.shedder.buffered is not None:
             now_us = self.context.now_us
             total_us = self.total_limiter.paused_until_us
             reopen_us = self.pool.next_reopen_us()
@@ -313,7 +313,7 @@
     def run_wakeup(self, wakeup: Wakeup) -> None:
         """Run one wake-up; one whose request has gone on is ignored."""
         request_id = wakeup.request_id
-        waiting = self.shedder.waiting
+        waiting = self.shedder.buffered
         if wakeup.kind is WakeupKind.LIST_POLL:
             self.poller.poll_if_due()
         elif wakeup.kind is WakeupKind.PROBE_DEADLINE and request_id in self.prober.waiting:
--- a/sidecar_proxy/balancer/fleet_overload.py
+++ b/sidecar_proxy/balancer/fleet_overload.py
@@ -9,14 +9,14 @@
 
     def __init__(self, now_us: int) -> None:
         self.latest: api.OverloadUpdated | None = None
-        self.retries = TokenBucket(now_us)
-        self.probes = TokenBucket(now_us)
+        self.retry_bucket = TokenBucket(now_us)
+        self.probe_bucket = TokenBucket(now_us)
 
     def update(self, event: api.OverloadUpdated, now_us: int) -> None:
         """Replace the limits."""
         self.latest = event
-        self.retries.set_rate(event.retries_per_s, now_us)
-        self.probes.set_rate(event.probes_per_s, now_us)
+        self.retry_bucket.set_rate(event.retries_per_s, now_us)
+        self.probe_bucket.set_rate(event.probes_per_s, now_us)
 
     def current(self, now_us: int) -> api.OverloadUpdated | None:
         """Return the limits while they are valid, else None."""
@@ -27,8 +27,8 @@
 
     def take_retry(self, now_us: int) -> bool:
         """Take a retry from the budget; True without a budget. All retries together must not be the load."""
-        return self.current(now_us) is None or self.retries.take(now_us)
+        return self.current(now_us) is None or self.retry_bucket.take(now_us)
 
     def take_probe(self, now_us: int) -> bool:
         """Take a load probe from the budget; True without a budget."""
-        return self.current(now_us) is None or self.probes.take(now_us)
+        return self.current(now_us) is None or self.probe_bucket.take(now_us)
--- a/sidecar_proxy/balancer/list_polling.py
+++ b/sidecar_proxy/balancer/list_polling.py
@@ -9,8 +9,10 @@
 
 MIN_BACKOFF_US: Final = 250_000  # long beside one call, short beside a drain
 MAX_BACKOFF_DOUBLINGS: Final = 20
-CONCURRENT_CALLERS: Final = 8  # sidecars that may call discovery at once
-CALL_SPREAD_US: Final = 100_000  # for each further one, as discovery can take a call of each in some seconds
+MAX_CONCURRENT_CALLS: Final = 8  # sidecars that may call discovery at once
+CALL_SPREAD_PER_SIDECAR_US: Final = (
+    100_000  # for each further one, as discovery can take a call of each in some seconds
+)
 
 
 class ListPoller:
@@ -35,8 +37,8 @@
         Discovery works through calls in turn, and each that waits too long has cost its work all the same.
         Calls of a large fleet at once would keep it too far behind to answer any.
         """
-        further_callers = max(0, self.subset.instances - CONCURRENT_CALLERS)
-        return min(further_callers * CALL_SPREAD_US, self.max_backoff_us)
+        further_callers = max(0, self.subset.instances - MAX_CONCURRENT_CALLS)
+        return min(further_callers * CALL_SPREAD_PER_SIDECAR_US, self.max_backoff_us)
 
     def poll_at(self, at_us: int) -> None:
         """Ask for the list then, if it has to be asked for at all."""
--- a/sidecar_proxy/balancer/load_probes.py
+++ b/sidecar_proxy/balancer/load_probes.py
@@ -15,7 +15,7 @@
 from sidecar_proxy.balancer.response_times import ResponseTimes
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
 
-FRESH_SHARE: Final = 20  # a report counts for this part of the shortest latency objective
+MAX_REPORT_AGE_DIVISOR: Final = 20  # a report counts for this part of the shortest latency objective
 UNKNOWN_LOAD: Final = 5.0  # of an endpoint that reports none: it comes after those known to be idle
 IDLE_LOAD: Final = 1.0  # below it, no other endpoint is polled
 
@@ -55,7 +55,7 @@
         self.retry_policy = retry_policy
         self.waiting: dict[int, Request] = {}
         shortest_us = min(request_class.latency_objective_us for request_class in context.settings.classes)
-        self.fresh_us = shortest_us // FRESH_SHARE
+        self.max_report_age_us = shortest_us // MAX_REPORT_AGE_DIVISOR
 
     def begin(self, request: Request, candidates: list[Endpoint]) -> int:
         """Let a request wait for the load of its candidates; return until when at the latest."""
@@ -63,7 +63,7 @@
         self.waiting[request.id] = request
         for endpoint in candidates:
             endpoint.waiting_requests[request.id] = None
-        return self.context.now_us + self.fresh_us
+        return self.context.now_us + self.max_report_age_us
 
     def end(self, request: Request) -> None:
         """Let a request wait no more."""
@@ -119,7 +119,7 @@
 
     def is_fresh(self, endpoint: Endpoint) -> bool:
         """Whether the last report of an endpoint still counts."""
-        return self.context.now_us - endpoint.load_reported_us <= self.fresh_us
+        return self.context.now_us - endpoint.load_reported_us <= self.max_report_age_us
 
     def pick_least_loaded(self, usable: list[Endpoint], must_be_fresh: bool) -> Endpoint | None:
         """Return the least loaded endpoint, the first of equals; key affinity prefers early ones."""
--- a/sidecar_proxy/balancer/load_shedding.py
+++ b/sidecar_proxy/balancer/load_shedding.py
@@ -11,10 +11,12 @@
 from sidecar_proxy.balancer.response_times import ResponseTimes
 
 MAX_RESERVED_SLOTS: Final = 3  # of the total limit, for the class that is worth most
-RESERVATION_US: Final = 1_000_000  # slots stay reserved so long after capacity was exhausted
-SHEDDING_US: Final = 3_000_000  # the fleet's threshold applies so long after capacity was exhausted here
+RESERVATION_DURATION_US: Final = 1_000_000  # slots stay reserved so long after capacity was exhausted
+SHEDDING_DURATION_US: Final = (
+    3_000_000  # the fleet's threshold applies so long after capacity was exhausted here
+)
 RETRY_TOLERANCE_US: Final = 20_000  # a client may come back so much earlier than Retry-After asked
-SHARE_STEPS: Final = 2**20  # resolution of the share of keys that is admitted
+ADMISSION_STEPS: Final = 2**20  # resolution of the share of keys that is admitted
 
 
 class LoadShedder:
@@ -32,7 +34,7 @@
         self.response_times = response_times
         self.total_limiter = total_limiter
         self.last_exhausted_us = 0  # when a request last found no free slot
-        self.waiting: Request | None = None  # the buffer holds one request
+        self.buffered: Request | None = None  # the buffer holds one request
 
     def should_shed(self, event: api.RequestArrived) -> bool:
         """Whether the fleet's threshold rejects a request that has just arrived.
@@ -43,7 +45,7 @@
         """
         now_us = self.context.now_us
         overload = self.overload.current(now_us)
-        if overload is None or now_us - self.last_exhausted_us > SHEDDING_US:
+        if overload is None or now_us - self.last_exhausted_us > SHEDDING_DURATION_US:
             return False
         if event.retry_due_us > now_us + RETRY_TOLERANCE_US:
             return True
@@ -51,9 +53,9 @@
         share = shares[event.class_index]
         key = event.key or event.request
         mixed = (key ^ overload.generation * HASH_MULTIPLIER) * HASH_MULTIPLIER >> 24
-        return mixed % SHARE_STEPS >= share * SHARE_STEPS
+        return mixed % ADMISSION_STEPS >= share * ADMISSION_STEPS
 
-    def note_exhausted(self) -> None:
+    def record_exhaustion(self) -> None:
         """Remember that a request found no free slot now."""
         self.last_exhausted_us = self.context.now_us
 
@@ -64,15 +66,15 @@
             return weight
         return weight / self.response_times.smoothed_us[class_index]
 
-    def may_wait(self, request: Request) -> bool:
+    def may_buffer(self, request: Request) -> bool:
         """Whether a request may have the buffer, which holds one.
 
         One that is worth more takes the place: otherwise the bulk of cheap requests would keep the valuable
         ones out of every slot.
         """
-        if self.waiting is None:
+        if self.buffered is None:
             return True
-        return self.class_value(request.class_index) > self.class_value(self.waiting.class_index)
+        return self.class_value(request.class_index) > self.class_value(self.buffered.class_index)
 
     def reserved_slots(self, request: Request) -> int:
         """Return how many of the last free slots a request must leave to the class that is worth most.
@@ -80,7 +82,7 @@
         This is trunk reservation, as in telephony, while capacity is exhausted. A few slots are nearly an
         absolute priority, as each slot that frees is one of them; half of all stay for the other classes.
         """
-        if self.context.now_us - self.last_exhausted_us > RESERVATION_US:
+        if self.context.now_us - self.last_exhausted_us > RESERVATION_DURATION_US:
             return 0
         highest = self.class_value(0)
         for class_index in range(1, len(self.response_times.smoothed_us)):
--- a/sidecar_proxy/balancer/picker.py
+++ b/sidecar_proxy/balancer/picker.py
@@ -21,10 +21,10 @@
 MAX_PROBE_FEE: Final = (
     0.02  # points of the result that one probe per request can gain; dearer ones are not sent
 )
-BLIND_SHARE: Final = 1 / 8  # of picks ignores failure rates, so that an endpoint's recovery is seen
+EXPLORATION_SHARE: Final = 1 / 8  # of picks ignores failure rates, so that an endpoint's recovery is seen
 MAX_AFFINITY_CONNECT_FAILURE_RATE: Final = 0.2  # key affinity opens many connections; above it does not apply
-HOME_ZONE_AFFINITY: Final = 4  # weight of the home zone's endpoints in a key's order
-HASH_STEPS: Final = 2**40  # resolution of a key's order
+HOME_ZONE_AFFINITY_WEIGHT: Final = 4  # weight of the home zone's endpoints in a key's order
+HASH_RANGE: Final = 2**40  # resolution of a key's order
 
 
 class Pick:
@@ -91,9 +91,9 @@
         if ordered is None and self.has_key_affinity:
             ordered = self.affinity_order(request)
         if ordered is not None:
-            pick = self.pick_listed(request, ordered, first, tried, max_failure_rate)
+            pick = self.pick_from_list(request, ordered, first, tried, max_failure_rate)
         else:
-            pick = self.pick_indexed(first, tried, max_failure_rate, polls_load)
+            pick = self.pick_from_pool(first, tried, max_failure_rate, polls_load)
         if len(pool.warming):
             pick.endpoint = self.slow_start.choose(request, pick.endpoint, group)
         return pick
@@ -103,12 +103,12 @@
 
         Where a few endpoints do well, picking the others alike would lose what those could have served.
         """
-        is_blind = self.context.random.random() < BLIND_SHARE
+        is_blind = self.context.random.random() < EXPLORATION_SHARE
         if is_blind:
             return math.inf
         return OUTLIER_FAILURE_RATE / 2 + self.pool.failure_rate_quantile(4)
 
-    def pick_indexed(
+    def pick_from_pool(
         self, first: int, tried: list[Endpoint], max_failure_rate: float, polls_load: bool
     ) -> Pick:
         """Draw one of the first open endpoints of the pool."""
@@ -125,7 +125,7 @@
                 candidates = pool.first_open(first, tried, math.inf, LOAD_CANDIDATES)
         return Pick(endpoint, candidates)
 
-    def pick_listed(
+    def pick_from_list(
         self,
         request: Request,
         ordered: Iterable[Endpoint],
@@ -134,7 +134,7 @@
         max_failure_rate: float,
     ) -> Pick:
         """Make the same draw from a list of endpoints in order."""
-        candidates = self.first_open_listed(request, ordered, first)
+        candidates = self.first_open_in_list(request, ordered, first)
         candidates = [endpoint for endpoint in candidates if endpoint not in tried] or candidates
         candidates = [
             endpoint for endpoint in candidates if endpoint.failure_rate <= max_failure_rate
@@ -153,7 +153,7 @@
             weights = [1.0] * len(preferred)
         return Pick(self.context.random.choices(preferred, weights)[0], candidates)
 
-    def first_open_listed(self, request: Request, ordered: Iterable[Endpoint], first: int) -> list[Endpoint]:
+    def first_open_in_list(self, request: Request, ordered: Iterable[Endpoint], first: int) -> list[Endpoint]:
         """Return the first warm endpoints of a list that have a free slot for this request."""
         pool = self.pool
         now_us = self.context.now_us
@@ -174,7 +174,7 @@
         Of a cell all upstreams of the list count: a subset holds few of one cell, and with those alone the
         repeat would fail for want of a slot.
         """
-        first = request.first_that_may_have_run()
+        first = request.first_attempt_that_may_have_run()
         request_class = request.request_class
         if first is None or request_class.effect != "deduplicated" or request_class.group == "all":
             return None
@@ -193,14 +193,14 @@
         key = request.event.key
         if key == 0 or self.outliers.connect_failure_rate > MAX_AFFINITY_CONNECT_FAILURE_RATE:
             return None
-        return sorted(self.pool.warm.items(), key=partial(self.affinity_key, key))
+        return sorted(self.pool.warm.items(), key=partial(self.affinity_sort_key, key))
 
-    def affinity_key(self, key: int, endpoint: Endpoint) -> float:
+    def affinity_sort_key(self, key: int, endpoint: Endpoint) -> float:
         """Return an endpoint's place in a key's order: by hash, with large and near ones sooner.
 
         This is weighted rendezvous hashing.
         """
         mixed = (key ^ endpoint.entry.id * HASH_MULTIPLIER) * HASH_MULTIPLIER >> 24
-        chance = (mixed % HASH_STEPS + 1) / HASH_STEPS
-        zone_factor = HOME_ZONE_AFFINITY if endpoint.entry.zone == self.context.home_zone else 1
+        chance = (mixed % HASH_RANGE + 1) / HASH_RANGE
+        zone_factor = HOME_ZONE_AFFINITY_WEIGHT if endpoint.entry.zone == self.context.home_zone else 1
         return -float(chance ** (1.0 / (endpoint.weight * zone_factor)))
--- a/sidecar_proxy/balancer/request.py
+++ b/sidecar_proxy/balancer/request.py
@@ -28,11 +28,11 @@
         self.id = event.request
         self.class_index = event.class_index
         self.request_class = settings.classes[event.class_index]
-        self.give_up_us = event.due_us
+        self.effective_deadline_us = event.due_us
         if self.request_class.late_weight <= 0.0:
             # an answer after the objective is worth nothing; waiting for a lost one would only hold its slot
             objective_ends_us = now_us + self.request_class.latency_objective_us - settings.tick_us
-            self.give_up_us = min(event.due_us, objective_ends_us)
+            self.effective_deadline_us = min(event.due_us, objective_ends_us)
         self.attempts: list[Attempt] = []
         self.candidates: list[Endpoint] = []  # endpoints with a free slot whose load it waits for
         self.last_probed: Endpoint | None = None
@@ -42,7 +42,7 @@
         """Whether the last attempt has no outcome yet."""
         return bool(self.attempts) and self.attempts[-1].outcome is None
 
-    def first_that_may_have_run(self) -> Attempt | None:
+    def first_attempt_that_may_have_run(self) -> Attempt | None:
         """Return the first attempt that may have had an effect, or None."""
         for attempt in self.attempts:
             if attempt.outcome not in NEVER_RAN:
--- a/sidecar_proxy/balancer/response_times.py
+++ b/sidecar_proxy/balancer/response_times.py
@@ -31,7 +31,7 @@
         At most half of the objective is set aside; otherwise no attempt would start after a long outage.
         """
         usual_us = int(self.smoothed_us[request.class_index])
-        return request.give_up_us - min(usual_us, self.half_objectives_us[request.class_index])
+        return request.effective_deadline_us - min(usual_us, self.half_objectives_us[request.class_index])
 
     def attempt_timeout_us(self, request: Request) -> int:
         """Return how long an attempt may take: what the class usually takes, with a margin.
--- a/sidecar_proxy/balancer/retry_policy.py
+++ b/sidecar_proxy/balancer/retry_policy.py
@@ -19,13 +19,13 @@
 
         Requests are not hedged: second copies cost more capacity than they save time.
         """
-        if request.is_done or self.context.now_us >= request.give_up_us:
+        if request.is_done or self.context.now_us >= request.effective_deadline_us:
             return False
         if not request.attempts:
             return True
         if len(request.attempts) >= self.max_attempts or request.has_attempt_in_flight():
             return False
-        first = request.first_that_may_have_run()
+        first = request.first_attempt_that_may_have_run()
         return first is None or self.may_repeat(request, first)
 
     def may_repeat(self, request: Request, first: Attempt) -> bool:
@@ -37,7 +37,7 @@
             return False
         return self.context.now_us - first.sent_us < request_class.deduplication_window_us
 
-    def has_retry_budget(self, request: Request) -> bool:
+    def acquire_retry_budget(self, request: Request) -> bool:
         """Take a retry from the fleet's budget, if this is one; False if the budget is spent."""
         return not request.attempts or self.overload.take_retry(self.context.now_us)
 
@@ -46,7 +46,7 @@
         request_class = request.request_class
         if not request.attempts or request_class.effect != "deduplicated" or request_class.group == "all":
             return True
-        first = request.first_that_may_have_run()
+        first = request.first_attempt_that_may_have_run()
         if first is None:
             return True
         if request_class.group == "zone":
@@ -59,7 +59,7 @@
         A repeat that waits for a connection, or is half written, could otherwise go out after the
         deduplication window has ended.
         """
-        first = request.first_that_may_have_run()
+        first = request.first_attempt_that_may_have_run()
         request_class = request.request_class
         if first is None or request_class.effect != "deduplicated":
             return 0
@@ -68,6 +68,6 @@
     def is_safe_to_reject(self, request: Request) -> bool:
         """Whether a rejection is true: nothing was done, or sending the request again is harmless."""
         request_class = request.request_class
-        if request_class.effect == "idempotent" or request.first_that_may_have_run() is None:
+        if request_class.effect == "idempotent" or request.first_attempt_that_may_have_run() is None:
             return True
         return request_class.effect == "deduplicated" and request_class.group == "all"
--- a/tests/balancer/harness.py
+++ b/tests/balancer/harness.py
@@ -90,7 +90,7 @@
 
 
 @dataclass
-class SentAttempt:
+class AttemptState:
     upstream: int
     zone: int
     cell: int
@@ -100,14 +100,14 @@
 
 
 @dataclass
-class OpenRequest:
+class RequestState:
     event: RequestArrived
-    attempts: list[SentAttempt] = field(default_factory=list)
+    attempts: list[AttemptState] = field(default_factory=list)
     answers: int = 0
     is_closed: bool = False
     is_streaming: bool = False
 
-    def may_have_run(self) -> list[SentAttempt]:
+    def may_have_run(self) -> list[AttemptState]:
         return [attempt for attempt in self.attempts if attempt.outcome not in NEVER_RAN]
 
     def in_flight(self) -> list[int]:
@@ -119,11 +119,11 @@
         self.settings = config or settings()
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
-        self.requests: dict[int, OpenRequest] = {}
+        self.requests: dict[int, RequestState] = {}
         self.listed: dict[int, Upstream] = {}
         self.not_ready_since_us: dict[int, int] = {}  # draining or removed upstreams, and since when
         self.timers: list[tuple[int, int]] = []
-        self.log: list[Action] = []
+        self.actions: list[Action] = []
         self.next_id = 1
         self.reports: dict[int, float | None] = {}  # loads that upstreams report when probed
 
@@ -133,7 +133,7 @@
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
-        self.log.extend(actions)
+        self.actions.extend(actions)
         return actions
 
     def update_list(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
@@ -148,12 +148,12 @@
                 self.not_ready_since_us.setdefault(ident, self.now_us)
         return self.dispatch(UpstreamsUpdated(kind, entries))
 
-    def arrive(self, class_index: int = 0, patience_us: int | None = None, **fields: Any) -> int:
+    def arrive(self, class_index: int = 0, client_timeout_us: int | None = None, **fields: Any) -> int:
         ident = self.next_id
         self.next_id += 1
-        patience = patience_us or self.settings.classes[class_index].deadline_us
+        patience = client_timeout_us or self.settings.classes[class_index].deadline_us
         event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.requests[ident] = OpenRequest(event)
+        self.requests[ident] = RequestState(event)
         self.dispatch(event)
         return ident
 
@@ -181,7 +181,7 @@
         self.requests[request].is_streaming = True
         self.dispatch(StreamStarted(request, attempt, self.requests[request].attempts[attempt].upstream))
 
-    def client_leaves(self, request: int) -> None:
+    def disconnect_client(self, request: int) -> None:
         self.requests[request].is_closed = True
         self.requests[request].answers = 1
         self.dispatch(RequestGone(request))
@@ -256,7 +256,7 @@
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
         request_state.attempts.append(
-            SentAttempt(send.upstream, entry.zone, entry.cell, self.now_us, ends_us)
+            AttemptState(send.upstream, entry.zone, entry.cell, self.now_us, ends_us)
         )
 
     def check_answer(self, answer: Refuse | Fail) -> None:
@@ -276,11 +276,13 @@
 
     def sends(self, request: int | None = None) -> list[Send]:
         return [
-            action for action in self.log if isinstance(action, Send) and request in (None, action.request)
+            action
+            for action in self.actions
+            if isinstance(action, Send) and request in (None, action.request)
         ]
 
     def answer(self, request: int) -> Action | None:
-        for action in self.log:
+        for action in self.actions:
             if isinstance(action, Refuse | Fail) and action.request == request:
                 return action
         return None
--- a/tests/balancer/steps.py
+++ b/tests/balancer/steps.py
@@ -8,7 +8,7 @@
 READ, PAY, MARK = 0, 1, 2
 
 
-def listed_world(count: int = 4, **changes: object) -> BalancerHarness:
+def harness_with_upstreams(count: int = 4, **changes: object) -> BalancerHarness:
     harness = BalancerHarness(settings(**changes))
     harness.update_list(upstreams(count))
     return harness
@@ -27,19 +27,19 @@
 def run_steps(
     harness: BalancerHarness,
     steps: int,
-    bad: int | None = None,
-    fault: Outcome = Outcome.FULL,
+    failing_upstream: int | None = None,
+    failure: Outcome = Outcome.FULL,
     class_index: int = READ,
-    took_us: int = 10_000,
+    response_time_us: int = 10_000,
 ) -> None:
     """A request a step; whatever is out ends at the step's end, with `fault` at the upstream `bad`."""
     for _ in range(steps):
         harness.arrive(class_index)
-        harness.advance(took_us)
+        harness.advance(response_time_us)
         for ident in [i for i, owed in harness.requests.items() if owed.in_flight()]:
             for attempt in harness.requests[ident].in_flight():
-                at_bad = harness.requests[ident].attempts[attempt].upstream == bad
-                harness.end(ident, attempt, fault if at_bad else Outcome.OK)
+                is_failing = harness.requests[ident].attempts[attempt].upstream == failing_upstream
+                harness.end(ident, attempt, failure if is_failing else Outcome.OK)
 
 
 def count_free_slots(harness: BalancerHarness) -> int:
@@ -50,11 +50,11 @@
     return len(taken)
 
 
-def grown_world() -> BalancerHarness:
+def harness_with_grown_limit() -> BalancerHarness:
     """One upstream whose slots have opened under need."""
-    harness = listed_world(1)
+    harness = harness_with_upstreams(1)
     for _ in range(80):
         exhaust_slots(harness)
-        run_steps(harness, 1, took_us=20_000)
+        run_steps(harness, 1, response_time_us=20_000)
     run_steps(harness, 1)
     return harness
--- a/tests/balancer/test_concurrency_limit.py
+++ b/tests/balancer/test_concurrency_limit.py
@@ -15,15 +15,15 @@
     READ,
     count_free_slots,
     exhaust_slots,
-    grown_world,
-    listed_world,
+    harness_with_grown_limit,
+    harness_with_upstreams,
     run_steps,
 )
 
 
 @pytest.mark.parametrize(("instances", "slots"), [(1, 2), (2, 2), (3, 1), (8, 1)])
 def test_one_or_two_sidecars_start_with_two_slots_per_upstream(instances: int, slots: int) -> None:
-    harness = listed_world(8, instances=instances)
+    harness = harness_with_upstreams(8, instances=instances)
     exhaust_slots(harness)
     assert [server.limiter.in_flight for server in harness.balancer.endpoints.values()] == [slots] * 8
 
@@ -47,7 +47,7 @@
 
 
 def test_restarted_upstream_has_its_initial_limit() -> None:
-    harness = listed_world(2)
+    harness = harness_with_upstreams(2)
     run_steps(harness, 100, 100, Outcome.CONNECT_FAILED)
     assert harness.balancer.endpoints[100].limiter.limit < 0.1
     harness.update_list([Upstream(100, started_us=harness.now_us - 1_000), Upstream(101)])
@@ -55,18 +55,18 @@
 
 
 def test_limits_grow_only_while_requests_find_no_free_slot() -> None:
-    harness = listed_world(4)
+    harness = harness_with_upstreams(4)
     run_steps(harness, 100)
     assert count_free_slots(harness) == 4
 
 
 def test_limits_grow_under_need_and_shrink_on_slow_answers() -> None:
-    harness = listed_world(4)
+    harness = harness_with_upstreams(4)
 
     def rounds(count: int, took_us: int) -> None:
         for _ in range(count):
             exhaust_slots(harness)
-            run_steps(harness, 1, took_us=took_us)
+            run_steps(harness, 1, response_time_us=took_us)
 
     rounds(60, 20_000)
     run_steps(harness, 1)
@@ -78,18 +78,18 @@
 
 
 def test_many_sidecars_share_the_initial_total_limit() -> None:
-    assert count_free_slots(listed_world(30, instances=3)) == 30
-    assert count_free_slots(listed_world(30, instances=24)) == 10  # a 24th of 8 for each of 30
+    assert count_free_slots(harness_with_upstreams(30, instances=3)) == 30
+    assert count_free_slots(harness_with_upstreams(30, instances=24)) == 10  # a 24th of 8 for each of 30
     assert (
-        count_free_slots(listed_world(30, instances=1000)) == 2
+        count_free_slots(harness_with_upstreams(30, instances=1000)) == 2
     )  # requests that come together find room all the same
 
 
 def test_slow_answers_lower_the_total_limit_of_a_small_sidecar() -> None:
     """Hundreds of sidecars overload a fleet, each too seldom at one upstream to notice it there."""
-    harness = listed_world(60, instances=1000)
+    harness = harness_with_upstreams(60, instances=1000)
     for _ in range(12):
-        run_steps(harness, 1, took_us=290_000, class_index=PAY)
+        run_steps(harness, 1, response_time_us=290_000, class_index=PAY)
     assert sum(1 for s in harness.balancer.endpoints.values() if s.limiter.limit >= 1.0) > 40
     before = len(harness.sends())
     for _ in range(20):
@@ -99,20 +99,20 @@
 
 
 def test_timeout_is_at_least_half_the_objective() -> None:
-    harness = listed_world(hedging_allowed=False)
-    run_steps(harness, 50, took_us=1_000)
+    harness = harness_with_upstreams(hedging_allowed=False)
+    run_steps(harness, 50, response_time_us=1_000)
     assert harness.sends(harness.arrive(READ))[0].timeout_us == 150_000
 
 
 def test_single_heavy_request_closes_no_slot() -> None:
-    harness = grown_world()
+    harness = harness_with_grown_limit()
     before = count_free_slots(harness)
-    run_steps(harness, 1, took_us=170_000)  # over half the aim
+    run_steps(harness, 1, response_time_us=170_000)  # over half the aim
     assert count_free_slots(harness) >= before - 1
 
 
 def test_limits_grow_only_to_their_initial_value_without_need() -> None:
-    harness = listed_world(40, instances=24)
+    harness = harness_with_upstreams(40, instances=24)
     run_steps(harness, 400)
     assert all(server.limiter.limit <= 1.0 for server in harness.balancer.endpoints.values())
     assert count_free_slots(harness) == 13  # a 24th of 8 for each of 40
@@ -121,7 +121,7 @@
 def test_limits_grow_for_two_objectives_after_exhaustion_and_no_longer() -> None:
     windows = []
     for pause_us in (300_000, 900_000):
-        harness = listed_world(1)
+        harness = harness_with_upstreams(1)
         taken = exhaust_slots(harness)
         harness.advance(10_000)
         for request in (taken[0], taken[-1]):
@@ -137,17 +137,17 @@
 def test_quicker_answers_raise_limits_faster() -> None:
     counts = []
     for took_us in (10_000, 120_000):
-        harness = listed_world(4)
+        harness = harness_with_upstreams(4)
         for _ in range(6):
             exhaust_slots(harness)
-            run_steps(harness, 1, took_us=took_us)
-        run_steps(harness, 1, took_us=took_us)
+            run_steps(harness, 1, response_time_us=took_us)
+        run_steps(harness, 1, response_time_us=took_us)
         counts.append(count_free_slots(harness))
     assert counts[0] > counts[1]
 
 
 def test_request_of_known_cost_has_a_longer_timeout() -> None:
-    harness = listed_world(hedging_allowed=False)
+    harness = harness_with_upstreams(hedging_allowed=False)
     run_steps(harness, 50)
     light, heavy = harness.arrive(READ, cost_us=10_000), harness.arrive(READ, cost_us=200_000)
     assert harness.sends(light)[0].timeout_us < 200_000 < 800_000 <= harness.sends(heavy)[0].timeout_us
@@ -156,7 +156,7 @@
 def test_answer_without_value_after_the_objective_is_not_waited_for() -> None:
     """Lost answers would hold their slots till due."""
     for late_weight, waits_us in ((0.0, 296_000), (0.3, 600_000)):
-        harness = listed_world(
+        harness = harness_with_upstreams(
             classes=[RequestClass("act", 300_000, 600_000, effect="at_most_once", late_weight=late_weight)]
         )
         assert harness.sends(harness.arrive(0))[0].timeout_us == waits_us
--- a/tests/balancer/test_endpoint_list_updates.py
+++ b/tests/balancer/test_endpoint_list_updates.py
@@ -17,7 +17,7 @@
     UpstreamsUpdated,
 )
 from tests.balancer.harness import START_US, BalancerHarness, settings, upstreams
-from tests.balancer.steps import READ, listed_world
+from tests.balancer.steps import READ, harness_with_upstreams
 
 
 def polling_world() -> BalancerHarness:
@@ -28,7 +28,7 @@
 
 def list_polls(harness: BalancerHarness) -> list[int]:
     """When the harness's balancer asked, seen by stepping through time."""
-    return [i for i, action in enumerate(harness.log) if isinstance(action, Subscribe)]
+    return [i for i, action in enumerate(harness.actions) if isinstance(action, Subscribe)]
 
 
 def test_list_that_is_not_pushed_is_subscribed_to() -> None:
@@ -194,11 +194,11 @@
     request = harness.arrive(0)
     harness.advance(2_000_000)
     assert harness.answer(request) is not None
-    assert all(t.at_us > START_US for t in harness.log if isinstance(t, SetTimer))
+    assert all(t.at_us > START_US for t in harness.actions if isinstance(t, SetTimer))
 
 
 def test_draining_upstreams_get_nothing() -> None:
-    harness = listed_world(2)
+    harness = harness_with_upstreams(2)
     harness.update_list([Upstream(100, UpstreamState.DRAINING), Upstream(101, UpstreamState.GONE)])
     request = harness.arrive(READ)
     harness.advance(1_000_000)
--- a/tests/balancer/test_fleet_overload.py
+++ b/tests/balancer/test_fleet_overload.py
@@ -6,7 +6,7 @@
 from sidecar_proxy.balancer.context import DecisionContext
 from sidecar_proxy.balancer.events import OverloadUpdated, RequestArrived
 from sidecar_proxy.balancer.fleet_overload import FleetOverload
-from sidecar_proxy.balancer.load_shedding import RETRY_TOLERANCE_US, SHEDDING_US, LoadShedder
+from sidecar_proxy.balancer.load_shedding import RETRY_TOLERANCE_US, SHEDDING_DURATION_US, LoadShedder
 from sidecar_proxy.balancer.response_times import ResponseTimes
 from tests.balancer.harness import START_US, settings
 
@@ -35,7 +35,7 @@
         overload.update(update, START_US)
     response_times = ResponseTimes(context.settings.classes)
     shedder = LoadShedder(context, overload, response_times, ConcurrencyLimiter(4.0))
-    shedder.note_exhausted()
+    shedder.record_exhaustion()
     return shedder
 
 
@@ -66,7 +66,7 @@
     assert not new_shedder(None).should_shed(arrival(1))
     shedder = new_shedder(new_update(admitted=0.0))
     assert shedder.should_shed(arrival(1))
-    shedder.context.now_us += SHEDDING_US + 1
+    shedder.context.now_us += SHEDDING_DURATION_US + 1
     assert not shedder.should_shed(arrival(1))
 
 
--- a/tests/balancer/test_load_probes.py
+++ b/tests/balancer/test_load_probes.py
@@ -12,7 +12,7 @@
 from tests.balancer.harness import BalancerHarness
 from tests.balancer.steps import (
     READ,
-    listed_world,
+    harness_with_upstreams,
 )
 
 
@@ -25,15 +25,15 @@
         "hedging_allowed": False,
         **changes,
     }
-    harness = listed_world(len(reports), **values)
+    harness = harness_with_upstreams(len(reports), **values)
     harness.reports = reports
     return harness
 
 
 def answer_probes(harness: BalancerHarness) -> None:
     position = 0
-    while position < len(harness.log):
-        action = harness.log[position]
+    while position < len(harness.actions):
+        action = harness.actions[position]
         position += 1
         if isinstance(action, Probe):
             held = harness.reports[action.upstream]
@@ -54,7 +54,7 @@
     request = harness.arrive(READ)
     answer_probes(harness)
     assert len(harness.sends(request)) == 1
-    assert sum(isinstance(action, Probe) for action in harness.log) == 1
+    assert sum(isinstance(action, Probe) for action in harness.actions) == 1
 
 
 def test_unknown_load_ranks_between_known_idle_and_known_busy() -> None:
@@ -89,13 +89,13 @@
     for fee, sent in ((MAX_PROBE_FEE / 2, 0), (MAX_PROBE_FEE * 2, 1)):
         harness = polling_world({100: 40.0, 101: 0.0, 102: 40.0}, probe_fee=fee)
         assert len(harness.sends(harness.arrive(READ))) == sent
-        assert any(isinstance(action, Probe) for action in harness.log) == (sent == 0)
+        assert any(isinstance(action, Probe) for action in harness.actions) == (sent == 0)
 
 
 def test_client_that_quits_while_load_is_polled_leaves_no_state() -> None:
     harness = polling_world({100: 1.0, 101: 1.0})
     request = harness.arrive(READ)
-    harness.client_leaves(request)
+    harness.disconnect_client(request)
     answer_probes(harness)
     harness.advance(100_000)
     assert not harness.sends(request)
--- a/tests/balancer/test_load_shedding.py
+++ b/tests/balancer/test_load_shedding.py
@@ -13,13 +13,13 @@
     PAY,
     READ,
     exhaust_slots,
-    listed_world,
+    harness_with_upstreams,
     run_steps,
 )
 
 
 def test_one_request_waits_and_the_next_is_rejected_when_no_slot_is_free() -> None:
-    harness = listed_world()
+    harness = harness_with_upstreams()
     taken = exhaust_slots(harness)
     assert harness.answer(taken[-1]) is None
     last = harness.arrive(READ)
@@ -29,7 +29,7 @@
 
 
 def test_waiting_request_takes_the_first_slot_that_frees() -> None:
-    harness = listed_world()
+    harness = harness_with_upstreams()
     taken = exhaust_slots(harness)
     freed = harness.sends(taken[0])[0].upstream
     harness.end(taken[0], 0, Outcome.OK)
@@ -37,15 +37,15 @@
 
 
 def test_request_that_waited_half_its_objective_is_rejected() -> None:
-    harness = listed_world()
+    harness = harness_with_upstreams()
     waiting = exhaust_slots(harness)[-1]
     harness.advance(200_000)
     assert isinstance(harness.answer(waiting), Refuse)
 
 
 def test_request_too_near_its_due_time_is_rejected_unsent() -> None:
-    harness = listed_world()
-    request = harness.arrive(READ, patience_us=1_000)
+    harness = harness_with_upstreams()
+    request = harness.arrive(READ, client_timeout_us=1_000)
     assert isinstance(harness.answer(request), Refuse)
     assert not harness.sends(request)
 
@@ -98,7 +98,7 @@
 
 
 def test_stale_timer_does_not_set_another() -> None:
-    harness = listed_world(2)
+    harness = harness_with_upstreams(2)
     for _ in range(50):
         exhaust_slots(harness)
         harness.advance(1_000)
@@ -110,7 +110,7 @@
 
 
 def test_more_valuable_request_takes_the_buffer_from_a_cheaper_one() -> None:
-    harness = listed_world()
+    harness = harness_with_upstreams()
     cheap = exhaust_slots(harness)[-1]
     dear = harness.arrive(PAY)
     assert isinstance(harness.answer(cheap), Refuse)
@@ -122,7 +122,7 @@
 
 
 def test_answers_of_no_measurable_time_leave_request_values_finite() -> None:
-    harness = listed_world()
-    run_steps(harness, 50, took_us=0)
+    harness = harness_with_upstreams()
+    run_steps(harness, 50, response_time_us=0)
     waiting, last = exhaust_slots(harness)[-1], harness.arrive(PAY)
     assert [harness.answer(r) is None for r in (waiting, last)].count(True) == 1
--- a/tests/balancer/test_outlier_detection.py
+++ b/tests/balancer/test_outlier_detection.py
@@ -12,14 +12,14 @@
 from tests.balancer.steps import (
     PAY,
     count_free_slots,
-    grown_world,
-    listed_world,
+    harness_with_grown_limit,
+    harness_with_upstreams,
     run_steps,
 )
 
 
 def log_lines(harness: BalancerHarness) -> list[str]:
-    return [action.text for action in harness.log if isinstance(action, Log)]
+    return [action.text for action in harness.actions if isinstance(action, Log)]
 
 
 def end_all_with(harness: BalancerHarness, outcome: Outcome) -> None:
@@ -34,27 +34,27 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.RESET])
 def test_upstream_that_fails_at_once_does_not_attract_requests(outcome: Outcome) -> None:
-    harness = listed_world(5)
+    harness = harness_with_upstreams(5)
     run_steps(harness, 200, 100, outcome)
     assert sum(1 for s in harness.sends() if s.upstream == 100) < 20
 
 
 def test_upstream_that_failed_is_tried_again_and_recovers() -> None:
-    harness = listed_world(2)
+    harness = harness_with_upstreams(2)
     run_steps(harness, 40, 100)
     run_steps(harness, 1000)
     assert sum(1 for s in harness.sends()[-200:] if s.upstream == 100) > 30
 
 
 def test_hung_upstream_does_not_limit_the_others() -> None:
-    harness = listed_world(60, instances=1000)
+    harness = harness_with_upstreams(60, instances=1000)
     for _ in range(30):
-        run_steps(harness, 2, bad=100, fault=Outcome.ERROR, class_index=PAY)
+        run_steps(harness, 2, failing_upstream=100, failure=Outcome.ERROR, class_index=PAY)
     assert count_free_slots(harness) == 2
 
 
 def test_single_error_leaves_upstream_its_other_slots() -> None:
-    harness = grown_world()
+    harness = harness_with_grown_limit()
     before = count_free_slots(harness)
     harness.end(harness.arrive(PAY), 0, Outcome.ERROR)
     assert before >= 4
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("fault", [Outcome.RESET, Outcome.ERROR])
 def test_failures_alike_at_all_upstreams_close_no_slots(fault: Outcome) -> None:
     """Peers that break off one answer in ten, whoever it is of: fewer slots only refuse the other nine."""
-    harness = listed_world(10)
+    harness = harness_with_upstreams(10)
     for step in range(400):
         request = harness.arrive(PAY)
         harness.advance(10_000)
@@ -74,7 +74,7 @@
 
 
 def test_failing_upstreams_lose_their_slots_even_if_they_are_nearly_half_of_all() -> None:
-    harness = listed_world(10)
+    harness = harness_with_upstreams(10)
     for _ in range(400):
         request = harness.arrive(PAY)
         harness.advance(10_000)
@@ -89,7 +89,7 @@
 
 
 def test_failing_upstream_is_logged_when_it_closes_and_when_it_is_open_again() -> None:
-    harness = listed_world(2)
+    harness = harness_with_upstreams(2)
     run_steps(harness, 40, 100)
     assert log_lines(harness) == ["upstream 100 rests"]
     run_steps(harness, 1000)
@@ -97,7 +97,7 @@
 
 
 def test_log_lines_are_rate_limited() -> None:
-    harness = listed_world(50)
+    harness = harness_with_upstreams(50)
     begin_us = harness.now_us
     for fault in (Outcome.FULL, Outcome.OK, Outcome.FULL, Outcome.OK):
         for _ in range(30):
@@ -106,32 +106,32 @@
 
 
 def test_lost_answers_do_not_lower_the_total_limit() -> None:
-    harness = listed_world(60, instances=1000)
-    run_steps(harness, 20, took_us=20_000, class_index=PAY)
+    harness = harness_with_upstreams(60, instances=1000)
+    run_steps(harness, 20, response_time_us=20_000, class_index=PAY)
     before = harness.balancer.total_limiter.limit
     for _ in range(10):
         harness.arrive(PAY)
         harness.advance(700_000)  # silence until due
-        run_steps(harness, 1, took_us=20_000, class_index=PAY)
+        run_steps(harness, 1, response_time_us=20_000, class_index=PAY)
     assert harness.balancer.total_limiter.limit >= before
 
 
 def test_silent_upstream_gets_two_sends_beyond_its_slot_and_no_third() -> None:
-    harness = listed_world(1)
+    harness = harness_with_upstreams(1)
     for _ in range(100):
-        harness.arrive(PAY, patience_us=9_000_000)
+        harness.arrive(PAY, client_timeout_us=9_000_000)
         harness.advance(30_000)
     assert len(harness.sends()) == 3
 
 
 def test_lost_answers_overtaken_by_later_ones_close_no_slots() -> None:
     """Fewer slots would only reject requests that would be answered at once."""
-    harness = grown_world()
+    harness = harness_with_grown_limit()
     harness.advance(1_000_000)
     limiter = harness.balancer.endpoints[100].limiter
     before = limiter.limit
     for _ in range(4):
-        harness.arrive(PAY, patience_us=9_000_000)
+        harness.arrive(PAY, client_timeout_us=9_000_000)
         harness.advance(10_000)
         harness.end(harness.arrive(PAY), 0, Outcome.OK)
         harness.advance(300_000)
@@ -141,21 +141,21 @@
 
 def test_nothing_is_presumed_lost_where_other_answers_are_slow_too() -> None:
     """In an overload, sends beyond the limit would lengthen the queues."""
-    harness = listed_world(1, instances=2)
+    harness = harness_with_upstreams(1, instances=2)
     for _ in range(12):
-        request = harness.arrive(PAY, patience_us=9_000_000)
+        request = harness.arrive(PAY, client_timeout_us=9_000_000)
         harness.advance(140_000)
         harness.end(request, 0, Outcome.OK)
     before = len(harness.sends())
     for _ in range(30):
-        harness.arrive(PAY, patience_us=9_000_000)
+        harness.arrive(PAY, client_timeout_us=9_000_000)
         harness.advance(30_000)
     assert len(harness.sends()) == before + int(harness.balancer.endpoints[100].limiter.limit)
 
 
 def test_late_answer_of_attempt_presumed_lost_is_taken_and_frees_no_slot_twice() -> None:
-    harness = listed_world(1, instances=2)
-    late = harness.arrive(PAY, patience_us=9_000_000)
+    harness = harness_with_upstreams(1, instances=2)
+    late = harness.arrive(PAY, client_timeout_us=9_000_000)
     harness.advance(400_000)
     harness.end(late, 0, Outcome.OK)
     assert harness.balancer.total_limiter.in_flight == 0
--- a/tests/balancer/test_outlier_reports.py
+++ b/tests/balancer/test_outlier_reports.py
@@ -17,7 +17,7 @@
 GAP_US = 50_000
 
 
-def listed_world(**changes: object) -> BalancerHarness:
+def harness_with_upstreams(**changes: object) -> BalancerHarness:
     harness = BalancerHarness(settings(**changes))
     harness.update_list(upstreams(6))
     return harness
@@ -42,7 +42,7 @@
 
 
 def test_reported_upstream_gets_one_trial_after_a_pause_and_is_reinstated_by_an_answer() -> None:
-    harness = listed_world(instances=4)
+    harness = harness_with_upstreams(instances=4)
     harness.dispatch(OutlierReported(BAD, 1.0))
     begin_us = harness.now_us
     trials_us = run_requests(harness, 20.0)
@@ -57,14 +57,14 @@
 
 
 def test_silent_upstream_on_probation_is_tried_seldom() -> None:
-    harness = listed_world(instances=50)
+    harness = harness_with_upstreams(instances=50)
     harness.dispatch(OutlierReported(BAD, 0.8))
     assert len(run_requests(harness, 30.0, silent=True)) <= 30.0 * 1e6 / (MAX_TRIAL_INTERVAL_US / 2) + 1
 
 
 @pytest.mark.parametrize("weight", [0.0, 0.1, 0.49])
 def test_low_weight_has_no_effect_and_ends_probation(weight: float) -> None:
-    harness = listed_world(instances=50)
+    harness = harness_with_upstreams(instances=50)
     harness.dispatch(OutlierReported(BAD, weight))
     endpoint = harness.balancer.endpoints[BAD]
     assert (endpoint.limit_before_probation, endpoint.limiter.limit) == (0.0, 1.0)
@@ -80,7 +80,7 @@
 
     Moved down in it, a falsely reported upstream would never have the trial that reinstates it.
     """
-    harness = listed_world(instances=50)
+    harness = harness_with_upstreams(instances=50)
     endpoints = harness.balancer.endpoints
     first = min(endpoints.values(), key=harness.balancer.pool.order_key).entry.id
     harness.dispatch(OutlierReported(first, 1.0))
@@ -93,7 +93,7 @@
 
 def test_only_a_quarter_of_the_upstreams_is_put_on_probation() -> None:
     """Otherwise one bad second of a network would put every upstream on probation at every sidecar."""
-    harness = listed_world(instances=4)
+    harness = harness_with_upstreams(instances=4)
     for number in range(6):
         harness.dispatch(OutlierReported(100 + number, 1.0))
     assert [endpoint.limit_before_probation > 0.0 for endpoint in harness.balancer.endpoints.values()].count(
@@ -105,7 +105,7 @@
 
 
 def test_reports_do_not_raise_a_limit_that_own_failures_lowered() -> None:
-    harness = listed_world(instances=50)
+    harness = harness_with_upstreams(instances=50)
     endpoint = harness.balancer.endpoints[BAD]
     endpoint.limiter.limit = 1 / 32
     for weight in (1.0, 0.0, 0.7, 0.2):
@@ -115,7 +115,7 @@
 
 def test_false_reports_cost_one_pause_at_most() -> None:
     """The bound of docs/design/gossip.md: one rest at first, nothing after it."""
-    harness, fair = listed_world(instances=4), listed_world(instances=4)
+    harness, fair = harness_with_upstreams(instances=4), harness_with_upstreams(instances=4)
     fair_count = len(run_requests(fair, 40.0))
     begin_us = harness.now_us
     trials_us: list[int] = []
@@ -130,7 +130,7 @@
 
 
 def test_restarted_upstream_is_not_on_probation() -> None:
-    harness = listed_world(instances=50)
+    harness = harness_with_upstreams(instances=50)
     harness.dispatch(OutlierReported(BAD, 1.0))
     entry = harness.balancer.entries[BAD]
     harness.update_list(
@@ -142,7 +142,7 @@
 
 
 def test_number_of_sidecars_changes_slots_at_warming_upstreams() -> None:
-    harness = listed_world(instances=2)
+    harness = harness_with_upstreams(instances=2)
     before = harness.balancer.pool.warming_slots
     harness.dispatch(FleetResized(20, 3))
     assert harness.balancer.pool.sidecars_per_endpoint == 20.0
@@ -168,7 +168,7 @@
 )
 def test_any_reports_keep_the_rules_and_raise_no_limit(steps: list[tuple[str, int, float]]) -> None:
     """World checks the rules at each action; what is said opens no slot and closes none for good."""
-    harness = listed_world(instances=4)
+    harness = harness_with_upstreams(instances=4)
     endpoints = harness.balancer.endpoints
     for what, number, part in steps:
         if what == "suspect":
--- a/tests/balancer/test_picker.py
+++ b/tests/balancer/test_picker.py
@@ -10,26 +10,26 @@
 from tests.balancer.steps import (
     PAY,
     READ,
-    listed_world,
+    harness_with_upstreams,
     run_steps,
 )
 
 
 def test_request_is_sent_to_ready_upstream_at_once() -> None:
-    harness = listed_world()
+    harness = harness_with_upstreams()
     request = harness.arrive(READ)
     assert [s.upstream in harness.listed for s in harness.sends(request)] == [True]
 
 
 def test_requests_are_spread_over_all_upstreams() -> None:
-    harness = listed_world(6)
+    harness = harness_with_upstreams(6)
     for _ in range(60):
         harness.end(harness.arrive(READ), 0, Outcome.OK)
     assert {s.upstream for s in harness.sends()} == set(harness.listed)
 
 
 def test_idle_upstream_of_home_zone_is_preferred_where_crossing_costs() -> None:
-    harness = listed_world(8, zone=1, cross_zone_fee=0.03)
+    harness = harness_with_upstreams(8, zone=1, cross_zone_fee=0.03)
     first = [harness.arrive(READ) for _ in range(2)]
     assert {harness.listed[harness.sends(r)[0].upstream].zone for r in first} == {1}
     third = harness.arrive(READ)
@@ -37,13 +37,13 @@
 
 
 def test_zones_do_not_matter_where_crossing_is_free() -> None:
-    harness = listed_world(8, zone=1)
+    harness = harness_with_upstreams(8, zone=1)
     run_steps(harness, 100)
     assert {harness.listed[s.upstream].zone for s in harness.sends()} == {0, 1, 2, 3}
 
 
 def test_small_sidecar_uses_few_upstreams_and_more_when_these_are_busy() -> None:
-    harness = listed_world(60, instances=1000)
+    harness = harness_with_upstreams(60, instances=1000)
     run_steps(harness, 100, class_index=PAY)
     assert len({s.upstream for s in harness.sends()}) <= 2
     busy = [harness.arrive(PAY) for _ in range(2)]
@@ -51,7 +51,7 @@
 
 
 def test_small_sidecar_leaves_upstream_slower_than_half_the_objective() -> None:
-    harness = listed_world(60, instances=1000)
+    harness = harness_with_upstreams(60, instances=1000)
     first = harness.sends(harness.arrive(PAY))[0].upstream
     for slow in (True, True, True, True, False):
         for ident in [i for i, owed in harness.requests.items() if owed.in_flight()]:
@@ -93,7 +93,7 @@
 
 
 def test_upstreams_that_fail_less_are_preferred_and_the_others_take_the_excess() -> None:
-    harness, at_failing = listed_world(4), 0
+    harness, at_failing = harness_with_upstreams(4), 0
     failing = list(harness.balancer.endpoints.values())[:2]
     for _ in range(200):
         for server in failing:
--- a/tests/balancer/test_retry_policy.py
+++ b/tests/balancer/test_retry_policy.py
@@ -13,7 +13,7 @@
     PAY,
     READ,
     exhaust_slots,
-    listed_world,
+    harness_with_upstreams,
     run_steps,
 )
 
@@ -21,7 +21,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED])
 @pytest.mark.parametrize("class_index", [READ, PAY, MARK])
 def test_request_that_never_ran_is_retried_at_another_upstream(outcome: Outcome, class_index: int) -> None:
-    harness = listed_world()
+    harness = harness_with_upstreams()
     request = harness.arrive(class_index)
     harness.end(request, 0, outcome)
     first, second = harness.sends(request)
@@ -29,7 +29,7 @@
 
 
 def test_unsafe_request_that_may_have_run_is_failed() -> None:
-    harness = listed_world()
+    harness = harness_with_upstreams()
     request = harness.arrive(PAY)
     harness.end(request, 0, Outcome.RESET)
     assert isinstance(harness.answer(request), Fail)
@@ -37,7 +37,7 @@
 
 
 def test_unsafe_request_is_waited_for_until_due() -> None:
-    harness = listed_world()
+    harness = harness_with_upstreams()
     request = harness.arrive(PAY)
     harness.advance(590_000)
     assert harness.answer(request) is None
@@ -47,14 +47,14 @@
 
 @pytest.mark.parametrize(("class_index", "hedging_allowed"), [(PAY, True), (READ, False), (READ, True)])
 def test_requests_are_not_hedged_even_where_that_is_allowed(class_index: int, hedging_allowed: bool) -> None:
-    harness = listed_world(hedging_allowed=hedging_allowed)
+    harness = harness_with_upstreams(hedging_allowed=hedging_allowed)
     request = harness.arrive(class_index)
     harness.advance(250_000)
     assert len(harness.sends(request)) == 1
 
 
 def test_no_hedged_request_while_others_wait_for_a_slot() -> None:
-    harness = listed_world()
+    harness = harness_with_upstreams()
     exhaust_slots(harness)
     harness.advance(140_000)
     exhaust_slots(harness)
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize(("class_index", "again"), [(READ, True), (MARK, True), (PAY, False)])
 def test_error_is_retried_where_the_class_may_run_again(class_index: int, again: bool) -> None:
-    harness = listed_world()
+    harness = harness_with_upstreams()
     request = harness.arrive(class_index)
     harness.end(request, 0, Outcome.ERROR)
     assert (len(harness.sends(request)) == 2) is again
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("hedging_allowed", [True, False])
 def test_requests_are_attempted_again_after_outage_longer_than_every_deadline(hedging_allowed: bool) -> None:
-    harness = listed_world(2, hedging_allowed=hedging_allowed)
+    harness = harness_with_upstreams(2, hedging_allowed=hedging_allowed)
     for _ in range(20):
         for class_index in (READ, PAY, MARK):
             harness.arrive(class_index)
--- a/tests/balancer/test_service_rules.py
+++ b/tests/balancer/test_service_rules.py
@@ -67,7 +67,7 @@
     what, number, extra = step
     if what == "arrive":
         assert isinstance(extra, int)
-        harness.arrive(number, patience_us=extra)
+        harness.arrive(number, client_timeout_us=extra)
     elif what == "advance":
         harness.advance(number)
     elif what in ("list", "restart", "full", "fail"):
@@ -75,7 +75,7 @@
     elif what == "quit" and harness.requests:
         ident = list(harness.requests)[number % len(harness.requests)]
         if not harness.requests[ident].is_closed:
-            harness.client_leaves(ident)
+            harness.disconnect_client(ident)
     elif what in ("end", "stream"):
         apply_attempt_step(harness, step)
 
@@ -148,7 +148,7 @@
             extra = rng.choice(list(UpstreamState)) if kind == "list" else rng.randrange(30_000_000)
         apply_step(harness, (kind, number, extra))
     harness.advance(5_000_000)
-    return list(harness.log)
+    return list(harness.actions)
 
 
 def test_busy_days_keep_the_rules_and_are_deterministic() -> None:
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -33,9 +33,9 @@
 def test_warming_upstream_gets_a_small_share() -> None:
     harness = BalancerHarness(settings(instances=24))
     harness.update_list(upstreams(3))
-    run_steps(harness, 20, took_us=20_000)
+    run_steps(harness, 20, response_time_us=20_000)
     harness.update_list([Upstream(1, started_us=harness.now_us - 1_000), *upstreams(3)])
-    run_steps(harness, 150, took_us=20_000)
+    run_steps(harness, 150, response_time_us=20_000)
     cold = sum(1 for s in harness.sends() if s.upstream == 1)
     assert 0 < cold <= 17  # a quarter of 170 would be its share when warm
 
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -263,11 +263,11 @@
     harness.balancer.endpoint_list.subset.target_size = 20
     serve_requests(harness, 5)
     used = set(harness.balancer.endpoint_list.subset.members)
-    harness.log.clear()
+    harness.actions.clear()
     harness.update_list([Upstream(90_000 + n) for n in range(100)], ListKind.DELTA)
     left = used - set(harness.balancer.endpoint_list.subset.members)
     assert left
-    assert {a.upstream for a in harness.log if isinstance(a, CloseIdle)} == left
+    assert {a.upstream for a in harness.actions if isinstance(a, CloseIdle)} == left
 
 
 def test_last_entry_of_an_upstream_in_one_list_wins() -> None:
--- a/tests/balancer/test_steady_state.py
+++ b/tests/balancer/test_unexpected_events.py
@@ -43,7 +43,7 @@
     harness = BalancerHarness()
     harness.update_list(upstreams(3))
     request = harness.arrive(0)
-    harness.client_leaves(request)
+    harness.disconnect_client(request)
     assert harness.end(request, 0, Outcome.ERROR) == []
     assert harness.dispatch(AttemptEnded(request, 0, 100, Outcome.OK, 5, True)) == []
     assert harness.dispatch(RequestGone(request)) == []
