--- a/sidecar_proxy/balancer/attempts.py
+++ b/sidecar_proxy/balancer/attempts.py
@@ -1,4 +1,4 @@
-"""The start and the end of attempts, and those that are presumed lost. Pure."""
+"""Tracking of attempts: their start and end, and those whose response is presumed lost. No I/O."""
 
 from typing import Final
 
@@ -16,13 +16,13 @@
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
 from sidecar_proxy.balancer.wakeups import WakeupKind, Wakeups
 
-RESPONSE_TIME_SMOOTHING: Final = 8  # answers over which an endpoint's response time is averaged
-LOST_ATTEMPT_FACTOR: Final = 3  # times its endpoint's response time, from which an attempt may be lost
+RESPONSE_TIME_SMOOTHING: Final = 8  # number of responses over which an endpoint's response time is averaged
+LOST_ATTEMPT_FACTOR: Final = 3  # multiple of its endpoint's response time after which an attempt may be lost
 ANSWERED_OUTCOMES: Final = (api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL)
 
 
 class AttemptTracker:
-    """Counts attempts in flight, and reports their outcomes."""
+    """Starts attempts, counts those in flight, and passes their outcomes on."""
 
     def __init__(
         self,
@@ -47,10 +47,10 @@
         self.recorder = recorder
         self.total_limiter = total_limiter
         self.wakeups = wakeups
-        self.peak_in_flight = 0  # attempts in flight together since the order was last refreshed
+        self.peak_in_flight = 0  # maximum of concurrent attempts since the last refresh
 
     def may_start(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether an attempt at this endpoint breaks no rule."""
+        """Whether the service rules and the endpoint's limit permit an attempt at this endpoint now."""
         return (
             self.retry_policy.may_attempt(request)
             and self.retry_policy.is_in_deduplication_group(request, endpoint)
@@ -58,7 +58,7 @@
         )
 
     def start(self, request: Request, endpoint: Endpoint) -> None:
-        """Send a request to an endpoint."""
+        """Start an attempt of a request at an endpoint, and schedule a check for when it is overdue."""
         now_us = self.context.now_us
         send_deadline_us = self.retry_policy.send_deadline_us(request)
         was_warming = endpoint.index is self.pool.warming
@@ -70,54 +70,57 @@
         self.pool.update(endpoint, now_us)
         if endpoint.load is not None:
             endpoint.load += 1.0
-        usual_us = self.response_times.attempt_timeout_us(request)
+        attempt_timeout_us = self.response_times.attempt_timeout_us(request)
         timeout_us = request.effective_deadline_us - now_us
         if request.request_class.effect != "at_most_once":
-            timeout_us = min(timeout_us, usual_us)
+            timeout_us = min(timeout_us, attempt_timeout_us)
         self.context.actions.append(api.Send(request.id, endpoint.entry.id, timeout_us, send_deadline_us))
-        if usual_us < timeout_us:
-            self.wakeups.schedule(now_us + usual_us, WakeupKind.ATTEMPT_OVERDUE, request.id)
+        if attempt_timeout_us < timeout_us:
+            self.wakeups.schedule(now_us + attempt_timeout_us, WakeupKind.ATTEMPT_OVERDUE, request.id)
 
     def end(self, request: Request, attempt: Attempt, event: api.AttemptEnded) -> None:
-        """Record the outcome of an attempt, and free its slot unless that was done before."""
+        """Record the outcome of an attempt; free its slot unless it was presumed lost before."""
         attempt.outcome = event.outcome
         endpoint = attempt.endpoint
-        holds_slot = not attempt.is_presumed_lost
-        if holds_slot:
+        occupies_slot = not attempt.is_presumed_lost
+        if occupies_slot:
             self.free_slot(attempt)
         if event.outcome in ANSWERED_OUTCOMES:
             endpoint.presumed_lost = 0
             endpoint.last_answered_send_us = max(endpoint.last_answered_send_us, attempt.sent_us)
             change_us = (event.elapsed_us - endpoint.response_time_us) / RESPONSE_TIME_SMOOTHING
             endpoint.response_time_us += change_us
-        if holds_slot or event.outcome is api.Outcome.OK:
+        if occupies_slot or event.outcome is api.Outcome.OK:
             self.recorder.record_outcome(attempt, event.outcome, event.elapsed_us, request.class_index)
         if event.report:
             self.prober.record_report(endpoint, event.report)
-        if holds_slot:
+        if occupies_slot:
             self.endpoint_list.release(endpoint)
 
     def free_slot(self, attempt: Attempt) -> None:
-        """Count an attempt as in flight no more; `record_outcome`, which follows, updates the pool."""
+        """Stop counting an attempt as in flight; the caller then updates the pool by `record_outcome`."""
         attempt.endpoint.limiter.in_flight -= 1
         self.total_limiter.in_flight -= 1
 
     def presume_lost(self, request: Request) -> None:
-        """Free the slot of an overdue attempt if its answer is presumed lost; else look again later.
+        """Free the slot of an overdue attempt if its response is presumed lost, or else check again later.
 
-        Where a part of all answers is lost (on a path, in a worker, on connections that hang), each would
-        hold its slot until due, and endpoints that answer the others at once would stand idle. An
-        overloaded endpoint (what it answers is slow) and a silent one keep their slots taken. The price is
-        paid where some requests are much heavier than the others.
+        Where a part of all responses is lost (on a network path, in a worker process, on hung connections),
+        each lost one would occupy its slot until the deadline, and endpoints that answer other requests at
+        once would be idle. The slots of an overloaded endpoint (its responses are slow) and of one that
+        answers nothing stay occupied. The disadvantage: where some requests are much heavier than others,
+        a heavy one may be presumed lost while it is still being served.
         """
         attempt = request.attempts[-1]
         if attempt.outcome is not None or attempt.is_presumed_lost or request.is_done:
-            return  # ended, or its answer streams, or nobody waits for it
+            return  # the attempt has ended, its response is streaming, or the client has gone
         endpoint = attempt.endpoint
         now_us = self.context.now_us
         elapsed_us = now_us - attempt.sent_us
-        usual_us = self.response_times.attempt_timeout_us(request)
-        remaining_us = max(usual_us, int(LOST_ATTEMPT_FACTOR * endpoint.response_time_us)) - elapsed_us
+        attempt_timeout_us = self.response_times.attempt_timeout_us(request)
+        remaining_us = (
+            max(attempt_timeout_us, int(LOST_ATTEMPT_FACTOR * endpoint.response_time_us)) - elapsed_us
+        )
         if remaining_us > 0 or not self.outliers.may_presume_lost(attempt):
             interval_us = self.response_times.half_objectives_us[request.class_index] // 4
             self.wakeups.schedule(
--- a/sidecar_proxy/balancer/balancer.py
+++ b/sidecar_proxy/balancer/balancer.py
@@ -1,8 +1,8 @@
-"""The balancer: events in, actions out. Its types: sidecar_proxy/balancer/events.py.
+"""The balancer: takes events and returns actions (both are defined in sidecar_proxy/balancer/events.py).
 
-`Balancer` follows each request through its life and leaves every decision to a part of its own. A request
-takes a free slot of a random endpoint, waits in the one buffer if none is free, is rejected if the buffer is
-taken, and is retried through a slot (docs/design.md).
+`Balancer` tracks each request from arrival to final response and delegates each decision to a component. A
+request takes a free slot of a random endpoint. If no slot is free, it waits in the buffer, which holds one
+request; if the buffer is occupied, it is rejected. Retries need slots like first attempts (docs/design.md).
 """
 
 from typing import Final
@@ -32,23 +32,24 @@
 from sidecar_proxy.balancer.wakeups import Wakeup, WakeupKind, Wakeups
 from sidecar_proxy.balancer.warm_start import WarmStart
 
-REFRESH_INTERVAL_US: Final = 1_000_000  # between renewals of the order: some answers of a small sidecar
+# minimum interval between two refreshes, in which a small sidecar gets a few responses
+REFRESH_INTERVAL_US: Final = 1_000_000
 
 
 class Balancer:
-    """Handles the events of one sidecar. It does no I/O and keeps no time: `handle` is given both."""
+    """Handles the events of one sidecar. It does no I/O and has no clock: `handle` gets time and events."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         self.settings = settings
         self.context = context = DecisionContext(settings, seed, now_us)
         self.pool = pool = EndpointPool(settings, context.home_zone, now_us)
         self.endpoint_list = endpoint_list = EndpointList(context, pool)
-        self.entries = endpoint_list.entries  # the endpoint list
-        self.endpoints = pool.endpoints  # those in use
+        self.entries = endpoint_list.entries  # all listed upstreams by id
+        self.endpoints = pool.endpoints  # the upstreams that this sidecar uses, by id
         self.requests: dict[int, Request] = {}
         self.overload = overload = FleetOverload(now_us)
         self.response_times = times = ResponseTimes(settings.classes)
-        # of all endpoints together, this sidecar's share of the fleet's
+        # limits this sidecar's attempts in flight to all endpoints together, to its share of the fleet's
         self.total_limiter = total = ConcurrencyLimiter(1.0)
         self.retry_policy = policy = RetryPolicy(context, overload)
         self.shedder = shedder = LoadShedder(context, overload, times, total)
@@ -67,10 +68,10 @@
         self.next_refresh_us = now_us
         self.poller = ListPoller(context, endpoint_list.subset, wakeups)
 
-    # The interface
+    # Public interface
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
-        """Handle one event and return the actions to be carried out, in order."""
+        """Handle one event and return the actions to carry out, in order."""
         self.context.now_us = now_us
         self.pool.reopen_due(now_us)
         if isinstance(event, api.AttemptEnded):
@@ -86,7 +87,7 @@
                 self.close(self.requests[event.request])
         elif isinstance(event, api.StreamStarted):
             if event.request in self.requests:
-                self.requests[event.request].is_done = True  # the client has begun to get the answer
+                self.requests[event.request].is_done = True  # a response that has begun can't be replaced
         else:
             self.handle_state_event(event)
         if self.endpoint_list.selection_is_due:
@@ -96,17 +97,17 @@
         return self.context.take_actions()
 
     def count_avoided(self) -> int:
-        """Return how many of the listed upstreams get nothing now, or next to nothing."""
+        """Return how many listed upstreams get no requests now, or nearly none: not ready or degraded."""
         return self.endpoint_list.count_avoided()
 
     def export_warm_start_state(self) -> api.WarmStartState:
-        """Return what the next process of this sidecar may begin with."""
+        """Return the state from which the next process of this sidecar may start."""
         return self.warm_start.export_state()
 
     # Events about upstreams and the fleet
 
     def handle_state_event(self, event: api.Event) -> None:
-        """Handle an event that is not about one request."""
+        """Handle an event that does not concern a single request."""
         now_us = self.context.now_us
         if isinstance(event, api.UpstreamsUpdated):
             self.on_list_update(event)
@@ -133,19 +134,19 @@
             self.poller.call_answered()
         self.endpoint_list.apply(event)
         if event.kind is api.ListKind.CACHED and not self.entries and self.poller.failures == 0:
-            # without any list everything is rejected until one comes
+            # without any list every request is rejected, so discovery is polled now
             self.poller.poll_at(self.context.now_us)
         self.refresh()
 
     def on_probe_ended(self, event: api.ProbeEnded, endpoint: Endpoint) -> None:
-        """Keep the load report, and go on with the requests that wait for it."""
+        """Record the load report and resume the requests that wait for it."""
         self.prober.record_report(endpoint, event.report)
         for request_id in list(endpoint.waiting_requests):
             if request_id in self.prober.waiting:
                 self.continue_polling(self.prober.waiting[request_id], may_wait=True)
 
     def refresh(self) -> None:
-        """Renew who is warm, this sidecar's own order, the size of the subset, and the initial limits."""
+        """Refresh the warm endpoints, their order, the size of the subset and the initial limits."""
         now_us = self.context.now_us
         self.next_refresh_us = now_us + REFRESH_INTERVAL_US
         self.pool.refresh_order(now_us)
@@ -154,18 +155,19 @@
         subset = self.endpoint_list.subset
         if subset.is_active and subset.needs_selection(now_us, peak_in_flight):
             self.endpoint_list.select()
-        # warming endpoints count too: by the warm ones alone, most slots would close, and requests be
-        # rejected, when most upstreams start anew
+        # Warming endpoints count in proportion to their capacity. With the warm ones alone, most slots would
+        # close and requests would be rejected whenever most upstreams restart.
         slots_per_endpoint = INITIAL_SLOTS_PER_UPSTREAM / self.pool.sidecars_per_endpoint
-        wanted = slots_per_endpoint * self.pool.warm_equivalent(now_us)
-        # with less than the minimum, the first sends of all sidecars alone overload a warming endpoint
-        self.slow_start.thinning = min(1.0, wanted / MIN_TOTAL_LIMIT)
-        self.total_limiter.rescale(max(MIN_TOTAL_LIMIT, wanted))
+        initial_limit = slots_per_endpoint * self.pool.warm_equivalent(now_us)
+        # Each sidecar has the minimum limit at least. Where that exceeds its share, the first attempts of all
+        # sidecars together would overload a warming endpoint, so slow start is reduced in proportion.
+        self.slow_start.thinning = min(1.0, initial_limit / MIN_TOTAL_LIMIT)
+        self.total_limiter.rescale(max(MIN_TOTAL_LIMIT, initial_limit))
 
     # Events about requests
 
     def on_arrival(self, event: api.RequestArrived) -> None:
-        """Dispatch or shed a request that has just arrived."""
+        """Shed or dispatch a request that has just arrived."""
         request = Request(event, self.settings, self.context.now_us)
         self.requests[event.request] = request
         if self.context.now_us >= self.next_refresh_us:
@@ -176,7 +178,7 @@
             self.dispatch(request)
 
     def on_attempt_ended(self, event: api.AttemptEnded) -> None:
-        """Record an outcome, and retry the request unless it is answered."""
+        """Record the outcome of an attempt, and dispatch the request again if it still needs a response."""
         request = self.requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -190,7 +192,7 @@
             self.dispatch(request)
 
     def dispatch(self, request: Request) -> None:
-        """Send a request through a free slot, else let it wait in the buffer, else reject it."""
+        """Send a request to an endpoint with a free slot, or else buffer it, or else reject it."""
         endpoint: Endpoint | None = None
         candidates: list[Endpoint] = []
         is_in_time = self.is_in_time(request) and self.retry_policy.acquire_retry_budget(request)
@@ -212,17 +214,21 @@
             self.complete(request)
 
     def is_in_time(self, request: Request) -> bool:
-        """Whether an attempt that starts now is expected to be answered in time."""
+        """Whether an attempt that starts now is expected to be answered before the request's deadline."""
         return self.context.now_us < self.response_times.latest_start_us(request)
 
     def should_poll_load(self, endpoint: Endpoint) -> bool:
-        """Whether load is polled before a request is sent where this endpoint was drawn."""
+        """Whether to poll the load of the candidates before a request is sent, if this endpoint was picked.
+
+        At most as many requests poll at once as there are warm endpoints. A long batch of arrivals would
+        otherwise make every load report a search through all of them.
+        """
         if not self.picker.polls_load() or endpoint.index is not self.pool.warm:
             return False
         return len(self.prober.waiting) < len(self.pool.warm)
 
     def continue_polling(self, request: Request, may_wait: bool) -> None:
-        """Go on with a request that waits for load reports."""
+        """Decide again on a request that waits for load reports; unless `may_wait`, it waits no longer."""
         decision = self.prober.decide(request, may_wait)
         if decision.action is LoadAction.PICK_AGAIN:
             self.dispatch(request)
@@ -232,7 +238,10 @@
             self.send(request, decision.endpoint)
 
     def buffer_or_reject(self, request: Request) -> None:
-        """Let a request have the buffer, for half of the objective at most, or reject it."""
+        """Buffer a request for at most half of its latency objective, or reject it.
+
+        A request that occupied the buffer before is rejected.
+        """
         if not self.shedder.may_buffer(request):
             self.complete(request)
             return
@@ -245,10 +254,10 @@
         self.wakeups.schedule(until_us, WakeupKind.BUFFER_DEADLINE, request.id)
 
     def dispatch_buffered(self) -> None:
-        """Send the waiting request if a slot is free by now.
+        """Send the buffered request if a slot has become free.
 
-        Without warm endpoints it is tried on arrival only, as warming ones get their share of arrivals
-        (rule 4).
+        Without warm endpoints a request is dispatched on arrival only: warming endpoints then get a share of
+        the arrivals, which further draws for the buffered request would exceed (rule 4).
         """
         request = self.shedder.buffered
         if request is None:
@@ -261,14 +270,17 @@
             self.send(request, endpoint)
 
     def send(self, request: Request, endpoint: Endpoint) -> None:
-        """Start an attempt, unless a rule forbids it; the only place that does so."""
+        """Start an attempt, or complete the request if a rule forbids it; every attempt starts here."""
         if self.attempts.may_start(request, endpoint):
             self.attempts.start(request, endpoint)
         else:
             self.complete(request)
 
     def complete(self, request: Request, is_shed: bool = False) -> None:
-        """Give the final answer, once; a rejection only if nothing may have run (rules 1 and 2)."""
+        """Give the final response once: a rejection if the client can safely retry, else a failure.
+
+        Rules 1 and 2 demand this.
+        """
         if request.is_done:
             return
         is_safe_to_reject = self.retry_policy.is_safe_to_reject(request)
@@ -280,7 +292,7 @@
             self.context.actions.append(api.Fail(request.id))
 
     def close(self, request: Request) -> None:
-        """Stop all work for a request; it is forgotten once no attempt is in flight."""
+        """Stop all work for a request, and remove it once no attempt is in flight."""
         request.is_done = True
         if self.shedder.buffered is request:
             self.shedder.buffered = None
@@ -291,14 +303,14 @@
     # Wake-ups
 
     def set_timer(self) -> None:
-        """Set the timer to the next wake-up, or to the next slot that opens while a request waits."""
+        """Set the timer to the next wake-up or, while a request is buffered, to the next end of a pause."""
         next_us = 0
         if self.shedder.buffered is not None:
             now_us = self.context.now_us
-            total_us = self.total_limiter.paused_until_us
+            total_reopen_us = self.total_limiter.paused_until_us
             reopen_us = self.pool.next_reopen_us()
-            if total_us > now_us:
-                next_us = total_us
+            if total_reopen_us > now_us:
+                next_us = total_reopen_us
             if reopen_us > now_us and (next_us == 0 or reopen_us < next_us):
                 next_us = reopen_us
         self.wakeups.set_timer(next_us)
@@ -311,14 +323,14 @@
             wakeup = self.wakeups.pop_due()
 
     def run_wakeup(self, wakeup: Wakeup) -> None:
-        """Run one wake-up; one whose request has gone on is ignored."""
+        """Run one wake-up, unless its request no longer waits for it."""
         request_id = wakeup.request_id
-        waiting = self.shedder.buffered
+        buffered = self.shedder.buffered
         if wakeup.kind is WakeupKind.LIST_POLL:
             self.poller.poll_if_due()
         elif wakeup.kind is WakeupKind.PROBE_DEADLINE and request_id in self.prober.waiting:
             self.continue_polling(self.prober.waiting[request_id], may_wait=False)
         elif wakeup.kind is WakeupKind.ATTEMPT_OVERDUE and request_id in self.requests:
             self.attempts.presume_lost(self.requests[request_id])
-        elif wakeup.kind is WakeupKind.BUFFER_DEADLINE and waiting is not None and waiting.id == request_id:
-            self.complete(waiting)
+        elif wakeup.kind is WakeupKind.BUFFER_DEADLINE and buffered is not None and buffered.id == request_id:
+            self.complete(buffered)
--- a/sidecar_proxy/balancer/events.py
+++ b/sidecar_proxy/balancer/events.py
@@ -1,8 +1,8 @@
-"""The interface of the balancer: settings, events in, actions out.
+"""The interface of the balancer: its settings, the events that it handles and the actions that it returns.
 
-Times are whole microseconds (`_us`) on the sidecar's own clock, which only moves forward. An embedding
-sidecar builds `Settings`, passes events to `Balancer.handle` in their order of arrival, and carries out the
-actions that are returned, in their order.
+Times are integer microseconds (`_us`) on the sidecar's monotonic clock. An embedding sidecar builds
+`Settings`, passes events to `Balancer.handle` in the order of their arrival, and carries out the returned
+actions in order.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 
 
 class Outcome(enum.Enum):
-    """How one attempt or probe ended."""
+    """The outcome of one attempt or probe."""
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # rejected by the upstream; never ran
-    TIMEOUT = "timeout"  # no answer in time; may have run or be running
-    CONNECT_FAILED = "connect_failed"  # no connection; never ran
+    FULL = "full"  # rejected by the upstream for lack of capacity; never ran
+    TIMEOUT = "timeout"  # no response in time; may have run or still be running
+    CONNECT_FAILED = "connect_failed"  # no connection could be established; never ran
     RESET = "reset"  # the connection was lost; may have run
-    CANCELLED = "cancelled"  # cancelled by us; may have run
+    CANCELLED = "cancelled"  # cancelled by the sidecar; may have run
     NOT_SENT = "not_sent"  # the sidecar could not send it; never ran
 
 
 class UpstreamState(enum.Enum):
-    """The state of an upstream by the endpoint list."""
+    """The state of an upstream according to the endpoint list."""
 
     GONE = "gone"
     READY = "ready"
@@ -37,9 +37,9 @@
 
     DELTA = "delta"  # changed entries only
     FULL = "full"  # the complete list
-    CACHED = "cached"  # the complete list as last known, possibly outdated
-    HELD = "held"  # changed entries only, by an operator's override and not from discovery
-    FAILED = "failed"  # a call failed or the subscription broke; the list stays as it was
+    CACHED = "cached"  # the complete list from a local cache, possibly outdated
+    HELD = "held"  # changed entries only, from an operator's override and not from discovery
+    FAILED = "failed"  # a call failed or the subscription broke; the list is unchanged
 
 
 EFFECTS = ("idempotent", "deduplicated", "at_most_once")
@@ -53,17 +53,17 @@
 
 @dataclass(slots=True)
 class RequestClass:
-    """One class of requests."""
+    """A request class: its objectives, its weight, and whether its requests may be repeated."""
 
     name: str
-    latency_objective_us: int  # an answer within this earns the full weight
+    latency_objective_us: int  # a response within this time earns the full weight
     deadline_us: int
     priority_weight: float = 1.0
-    late_weight: float = 0.0  # share of the weight that an answer after the objective earns
-    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
+    late_weight: float = 0.0  # share of the weight that a response after the objective earns
+    objective_stretch: float = 0.0  # the objective is extended by this multiple of the request's work
     effect: str = "idempotent"
-    group: str = "all"  # deduplicated: which upstreams drop each other's repeats
-    deduplication_window_us: int = 0  # deduplicated: how long they remember a request
+    group: str = "all"  # if deduplicated: the upstreams that drop each other's repeats
+    deduplication_window_us: int = 0  # if deduplicated: how long upstreams detect a repeat
     stream: bool = False
 
     def __post_init__(self) -> None:
@@ -89,7 +89,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """One tenant and the request rate that is within its share, over all sidecars together."""
+    """A tenant and the request rate that it is entitled to, over all sidecars together."""
 
     name: str
     allowance_per_s: float
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What the operator allows and wants; the same for all sidecars but for `self_index` and `zone`."""
+    """The operator's settings; the same for all sidecars except for `self_index` and `zone`."""
 
     classes: list[RequestClass]
     tenants: list[Tenant] = field(default_factory=list)
@@ -111,32 +111,32 @@
     instances: int = 1
     self_index: int = 0
     zone: int = 0
-    tick_us: int = 1000  # the shortest gap between batches
+    tick_us: int = 1000  # minimum interval between two batches of events
     max_attempts: int = 1
     max_retry_after_us: int = 0
     connect_timeout_us: int = 0
-    retry_after: bool = True  # rejections carry Retry-After
+    retry_after: bool = True  # whether rejections carry Retry-After
     cancel: bool = False
     probes: bool = False
-    peers: bool = False  # messages to other sidecars are allowed
-    hedging_allowed: bool = False  # two attempts of a request may be out together
-    list_on_request: bool = False  # list updates come only after Subscribe or FetchList
-    max_poll_interval_us: int = 0  # without a subscription, the list must be asked for this often
-    cold_share: float = 1.0  # an upstream starts at this share of its capacity or more
-    warm_up_us: int = 0  # and has all of it after this time
-    overload_factor: float = 1.0  # a cold upstream falls over at this multiple of its capacity
-    fall_us: int = 0  # if that lasts for this long
+    peers: bool = False  # whether messages to other sidecars are allowed
+    hedging_allowed: bool = False  # whether two attempts of a request may be in flight at once
+    list_on_request: bool = False  # whether list updates come only after Subscribe or FetchList
+    max_poll_interval_us: int = 0  # without a subscription, maximum interval between two list polls
+    cold_share: float = 1.0  # minimum share of its capacity that an upstream has when it starts
+    warm_up_us: int = 0  # time after its start when an upstream has its full capacity
+    overload_factor: float = 1.0  # multiple of its capacity at which a warming upstream fails
+    fall_us: int = 0  # time for which such an overload must last to make it fail
     cross_zone_fee: float = 0.0
-    probe_fee: float = 0.0  # points of the result for one probe a request
-    key_affinity: bool = False  # an upstream serves a key that it served lately with less work
+    probe_fee: float = 0.0  # cost of one probe per request, in points of the result
+    key_affinity: bool = False  # upstreams serve recently served keys with less work
     report_names: list[str] = field(default_factory=list)
-    weighted: bool = False  # the list's weights tell the upstreams' sizes
-    zones: list[str] = field(default_factory=list)  # names, in the order of their numbers
-    kinds: list[str] = field(default_factory=list)
-    idle_us: int = 0  # an upstream closes connections idle for this long; 0 = never
+    weighted: bool = False  # whether the weights in the list are the sizes of the upstreams
+    zones: list[str] = field(default_factory=list)  # names of the zones, by zone number
+    kinds: list[str] = field(default_factory=list)  # names of the kinds of upstreams, by number
+    idle_us: int = 0  # idle timeout of the upstreams' connections; 0 = none
     probe_timeout_us: int = 250_000
-    is_successor: bool = False  # it takes over from another process of this sidecar, alone
-    max_upstreams: int = 0  # upstreams that one sidecar may use together, of a larger fleet; 0 = any number
+    is_successor: bool = False  # this process takes over from another one while the other sidecars run on
+    max_upstreams: int = 0  # maximum size of the subset that one sidecar uses; 0 = no limit
 
     def __post_init__(self) -> None:
         _require(len(self.classes) > 0, "at least one request class", self.classes)
@@ -165,7 +165,7 @@
 
 @dataclass(slots=True)
 class Upstream:
-    """One entry of the upstream list."""
+    """One entry of the endpoint list."""
 
     id: int
     state: UpstreamState = UpstreamState.READY
@@ -173,7 +173,7 @@
     kind: int = 0
     cell: int = 0
     weight: float = 1.0
-    started_us: int = 0  # its most recent start; 0 = long ago
+    started_us: int = 0  # time of the most recent start; 0 = long ago
 
 
 # Events
@@ -181,7 +181,7 @@
 
 @dataclass(slots=True)
 class UpstreamsUpdated:
-    """The endpoint list, or changes of it; or that a call for it failed."""
+    """The endpoint list or changes to it have arrived, or a call for it has failed."""
 
     kind: ListKind
     upstreams: list[Upstream] = field(default_factory=list)
@@ -190,42 +190,42 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client sends a request."""
+    """A request has arrived from a client."""
 
     request: int
-    due_us: int  # when the client stops waiting
+    due_us: int  # when the client stops waiting for the response
     class_index: int = 0
     tenant: int = 0
-    key: int = 0  # 0 = none
-    cost_us: int = 0  # expected work on a standard core; 0 = not known
-    retried: bool = False  # the client has sent it before
+    key: int = 0  # 0 = no key
+    cost_us: int = 0  # expected work on a standard core; 0 = unknown
+    retried: bool = False  # whether the client has sent it before
     write: bool = False
-    retry_due_us: int = 0  # the time by Retry-After of an earlier rejection; 0 = none
+    retry_due_us: int = 0  # earliest retry time by Retry-After of an earlier rejection; 0 = none
 
 
 @dataclass(slots=True)
 class RequestGone:
-    """The client has gone away; no answer is due any more."""
+    """The client has disconnected; no response is due any more."""
 
     request: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has an outcome."""
+    """An attempt has ended."""
 
     request: int
     attempt: int
     upstream: int
     outcome: Outcome
     elapsed_us: int = 0
-    final: bool = False  # the request is answered; otherwise an answer is still due
+    final: bool = False  # whether the client has its response; otherwise one is still due
     report: list[float] = field(default_factory=list)  # values in the order of `report_names`
 
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The client has begun to receive a streamed answer."""
+    """The client has begun to receive a streamed response."""
 
     request: int
     attempt: int
@@ -235,7 +235,7 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """A load probe has an outcome, with a load report if one came."""
+    """A load probe has ended, with a load report if the upstream sent one."""
 
     upstream: int
     outcome: Outcome
@@ -245,29 +245,29 @@
 
 @dataclass(slots=True)
 class WarmStartUpstream:
-    """What another process of this sidecar has seen of one upstream since it started."""
+    """Measurements of one upstream by another process of this sidecar, since it started."""
 
     upstream: int
     concurrency_limit: float
-    failure_rate: float  # share of its last attempts that failed, 0 to 1
-    response_time_us: float  # smoothed; 0 = no answer was seen
+    failure_rate: float  # share of recent attempts that failed, 0 to 1
+    response_time_us: float  # smoothed; 0 = no response yet
 
 
 @dataclass(slots=True)
 class WarmStartState:
-    """What the previous process of this sidecar has seen; comes before the first request."""
+    """Measurements of the previous process of this sidecar; arrives before the first request."""
 
     response_times_us: list[float]  # by class; 0 = unknown
-    total_limit_ratio: float  # the total limit over its initial value
+    total_limit_ratio: float  # the total concurrency limit divided by its initial value
     upstreams: list[WarmStartUpstream]
 
 
 @dataclass(slots=True)
 class OutlierReported:
-    """What the other sidecars have seen of an upstream; replaces an earlier report on it."""
+    """Other sidecars report failures of an upstream; replaces earlier reports on it."""
 
     upstream: int
-    weight: float  # 0 to 1; 0 = healthy
+    weight: float  # severity, 0 to 1; 0 = healthy
 
 
 @dataclass(slots=True)
@@ -282,27 +282,27 @@
 class OverloadUpdated:
     """The limits that all sidecars have agreed on; replaces earlier ones."""
 
-    budget_share: float  # of the fleet's budgets, for this sidecar: 0 to 1
-    admitted_shares: list[float]  # by class, the share of requests to admit: 0 to 1
-    returning_shares: list[float]  # the same of those that come back as Retry-After asked
-    generation: int  # of the threshold: selects the keys that are admitted
-    retry_after_us: int  # for rejections; 0 = the sidecar's own value
-    valid_until_us: int  # the limits apply until then
-    retries_per_s: float  # of this sidecar, as is probes_per_s
-    probes_per_s: float
-    attempts_per_s: float  # of this sidecar at each failing upstream
+    budget_share: float  # share of the fleet's budgets that this sidecar has, 0 to 1
+    admitted_shares: list[float]  # by class, the share of requests to admit, 0 to 1
+    returning_shares: list[float]  # the same for requests that are retried as Retry-After said
+    generation: int  # number of the threshold; it selects the keys that are admitted
+    retry_after_us: int  # Retry-After of rejections; 0 = the sidecar chooses
+    valid_until_us: int  # when the limits expire
+    retries_per_s: float  # retries that this sidecar may send
+    probes_per_s: float  # load probes that this sidecar may send
+    attempts_per_s: float  # attempts that this sidecar may send to each failing upstream
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that SetTimer set has fired."""
+    """A timer set by SetTimer has fired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """A message of another sidecar has arrived."""
+    """A message from another sidecar has arrived."""
 
     sender: int
     payload: bytes
@@ -329,33 +329,33 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; a request's attempts are numbered 0, 1, 2 ... in the order of their sends."""
+    """Start an attempt; the attempts of a request are numbered 0, 1, 2 ... in order."""
 
     request: int
     upstream: int
-    timeout_us: int = 0  # 0 = until the client quits
-    until_us: int = 0  # rule 2: give up unless completely sent by then; 0 = no bound
+    timeout_us: int = 0  # 0 = until the client stops waiting
+    until_us: int = 0  # rule 2: abandon unless completely written by then; 0 = no limit
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: not done, and trying again is harmless."""
+    """Final response: the request is rejected, and the client can safely retry."""
 
     request: int
-    retry_after_us: int = 0  # 0 = no advice
-    shed: bool = False  # by the fleet's threshold, not for want of a slot
+    retry_after_us: int = 0  # 0 = no Retry-After
+    shed: bool = False  # rejected by the fleet's threshold, not for lack of a slot
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, with no promise about what it did."""
+    """Final response: the request has failed, and may or may not have run."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Abandon an attempt that is in flight."""
+    """Cancel an attempt that is in flight."""
 
     request: int
     attempt: int
@@ -363,7 +363,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask an upstream for a load report."""
+    """Send a load probe to an upstream."""
 
     upstream: int
 
@@ -378,19 +378,19 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask for the endpoint list and for its changes, or stop doing so."""
+    """Subscribe to the endpoint list and its changes, or end the subscription."""
 
     active: bool = True
 
 
 @dataclass(slots=True)
 class FetchList:
-    """Ask for the endpoint list once."""
+    """Request the endpoint list once."""
 
 
 @dataclass(slots=True)
 class CloseIdle:
-    """Close idle connections to an upstream that is not used any more."""
+    """Close idle connections to an upstream that has left the subset."""
 
     upstream: int
 
--- a/sidecar_proxy/balancer/load_probes.py
+++ b/sidecar_proxy/balancer/load_probes.py
@@ -1,6 +1,6 @@
-"""Polling the load of a few endpoints before a request is sent to the least loaded. Pure.
+"""Load probes: polls the load of a few endpoints and sends the request to the least loaded. No I/O.
 
-It guards against what a sidecar of little traffic cannot know: overloaded, slow or hung upstreams.
+A sidecar with little traffic can't learn from its own requests which upstreams are overloaded, slow or hung.
 """
 
 import enum
@@ -15,13 +15,13 @@
 from sidecar_proxy.balancer.response_times import ResponseTimes
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
 
-MAX_REPORT_AGE_DIVISOR: Final = 20  # a report counts for this part of the shortest latency objective
-UNKNOWN_LOAD: Final = 5.0  # of an endpoint that reports none: it comes after those known to be idle
-IDLE_LOAD: Final = 1.0  # below it, no other endpoint is polled
+MAX_REPORT_AGE_DIVISOR: Final = 20  # reports are used for this fraction of the shortest latency objective
+UNKNOWN_LOAD: Final = 5.0  # assumed where no load is reported, so that endpoints known to be idle rank first
+IDLE_LOAD: Final = 1.0  # an endpoint with less load is taken without polling others
 
 
 class LoadAction(enum.Enum):
-    """What follows for a request that waits for load reports."""
+    """What to do with a request that waits for load reports."""
 
     WAIT = "wait"
     SEND = "send"
@@ -30,7 +30,7 @@
 
 
 class LoadDecision:
-    """The action, and the endpoint to send to."""
+    """The action for a request and, for SEND, the endpoint."""
 
     def __init__(self, action: LoadAction, endpoint: Endpoint | None = None) -> None:
         self.action = action
@@ -38,7 +38,7 @@
 
 
 class LoadProber:
-    """Keeps the requests that wait for load reports, and the reports."""
+    """Sends load probes and records the reports, for the requests that wait for them."""
 
     def __init__(
         self,
@@ -53,12 +53,14 @@
         self.overload = overload
         self.response_times = response_times
         self.retry_policy = retry_policy
-        self.waiting: dict[int, Request] = {}
-        shortest_us = min(request_class.latency_objective_us for request_class in context.settings.classes)
-        self.max_report_age_us = shortest_us // MAX_REPORT_AGE_DIVISOR
+        self.waiting: dict[int, Request] = {}  # the requests that wait for load reports, by id
+        min_objective_us = min(
+            request_class.latency_objective_us for request_class in context.settings.classes
+        )
+        self.max_report_age_us = min_objective_us // MAX_REPORT_AGE_DIVISOR
 
     def begin(self, request: Request, candidates: list[Endpoint]) -> int:
-        """Let a request wait for the load of its candidates; return until when at the latest."""
+        """Make a request wait for the load of its candidates, and return the time until which it may wait."""
         request.candidates = candidates
         self.waiting[request.id] = request
         for endpoint in candidates:
@@ -66,25 +68,26 @@
         return self.context.now_us + self.max_report_age_us
 
     def end(self, request: Request) -> None:
-        """Let a request wait no more."""
+        """Remove a request from those that wait for load reports."""
         self.waiting.pop(request.id, None)
         for endpoint in request.candidates:
             endpoint.waiting_requests.pop(request.id, None)
 
     def record_report(self, endpoint: Endpoint, values: list[float]) -> None:
-        """Keep a load report, with the values in the order of the settings' `report_names`; may be empty."""
+        """Record a load report; `values` are in the order of the settings' `report_names`, or empty."""
         report = dict(zip(self.context.settings.report_names, values, strict=False))
         endpoint.load_reported_us = self.context.now_us
         endpoint.load = None
         if "in_flight" in report:
-            # what fails at once holds nothing, so its errors per second count like requests in flight
+            # An upstream that fails requests at once has few in flight and would seem idle, so its errors per
+            # second are added.
             endpoint.load = report["in_flight"] + report.get("errors_per_s", 0.0)
 
     def decide(self, request: Request, may_wait: bool) -> LoadDecision:
-        """Say what a waiting request does now; unless it waits on, it is not among the waiting any more.
+        """Decide what a waiting request does next; unless it goes on waiting, it is removed from `waiting`.
 
-        The first candidate without load is taken, polled one after another, else the least loaded; if the
-        queue there outlasts the latency objective, the request is rejected.
+        Candidates are polled one after another until one is idle, and the least loaded is picked. If even its
+        queue takes longer than the latency objective, the request is rejected.
         """
         if may_wait and self.awaits_report(request):
             return LoadDecision(LoadAction.WAIT)
@@ -104,7 +107,7 @@
         return LoadDecision(LoadAction.SEND, least_loaded)
 
     def awaits_report(self, request: Request) -> bool:
-        """Whether a candidate's load is still to come; polls the next one if no idle one is known."""
+        """Whether a load report is pending; probes the next candidate if none so far is idle."""
         for endpoint in request.candidates:
             if self.is_fresh(endpoint):
                 if self.load(endpoint) < IDLE_LOAD:
@@ -118,11 +121,14 @@
         return False
 
     def is_fresh(self, endpoint: Endpoint) -> bool:
-        """Whether the last report of an endpoint still counts."""
+        """Whether the last load report of an endpoint is recent enough to be used."""
         return self.context.now_us - endpoint.load_reported_us <= self.max_report_age_us
 
     def pick_least_loaded(self, usable: list[Endpoint], must_be_fresh: bool) -> Endpoint | None:
-        """Return the least loaded endpoint, the first of equals; key affinity prefers early ones."""
+        """Return the least loaded endpoint, the first among equals.
+
+        With key affinity, each position in the list counts as one request more.
+        """
         best: Endpoint | None = None
         best_cost = 0.0
         for position, endpoint in enumerate(usable):
@@ -137,16 +143,16 @@
         return best
 
     def load(self, endpoint: Endpoint) -> float:
-        """Return an endpoint's load per weight; another zone counts as one request more."""
-        requests = UNKNOWN_LOAD if endpoint.load is None else endpoint.load
-        load = requests / endpoint.weight
+        """Return an endpoint's load divided by its weight, plus one request if it is in another zone."""
+        in_flight = UNKNOWN_LOAD if endpoint.load is None else endpoint.load
+        load = in_flight / endpoint.weight
         home_zone = self.context.home_zone
         if home_zone != NO_HOME_ZONE and endpoint.entry.zone != home_zone:
             load += 1.0
         return load
 
     def outlasts_objective(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether the queue at an endpoint takes longer than the latency objective."""
+        """Whether the queue at an endpoint is expected to outlast the latency objective of a request."""
         if not endpoint.load:
             return False
         queue_us = self.load(endpoint) * self.response_times.smoothed_us[request.class_index]
--- a/sidecar_proxy/balancer/load_shedding.py
+++ b/sidecar_proxy/balancer/load_shedding.py
@@ -1,4 +1,4 @@
-"""What happens when capacity is exhausted: the buffer, shedding, reserved slots and Retry-After. Pure."""
+"""Load shedding while no slot is free: the buffer, rejections, reserved slots and Retry-After. No I/O."""
 
 from typing import Final
 
@@ -10,17 +10,15 @@
 from sidecar_proxy.balancer.request import Request
 from sidecar_proxy.balancer.response_times import ResponseTimes
 
-MAX_RESERVED_SLOTS: Final = 3  # of the total limit, for the class that is worth most
-RESERVATION_DURATION_US: Final = 1_000_000  # slots stay reserved so long after capacity was exhausted
-SHEDDING_DURATION_US: Final = (
-    3_000_000  # the fleet's threshold applies so long after capacity was exhausted here
-)
-RETRY_TOLERANCE_US: Final = 20_000  # a client may come back so much earlier than Retry-After asked
-ADMISSION_STEPS: Final = 2**20  # resolution of the share of keys that is admitted
+MAX_RESERVED_SLOTS: Final = 3  # slots of the total limit that only the most valuable class may take
+RESERVATION_DURATION_US: Final = 1_000_000  # slots are reserved for this long after no slot was free
+SHEDDING_DURATION_US: Final = 3_000_000  # the fleet's threshold applies for this long after no slot was free
+RETRY_TOLERANCE_US: Final = 20_000  # a client may retry this much earlier than Retry-After said
+ADMISSION_STEPS: Final = 2**20  # resolution of the admitted share of keys
 
 
 class LoadShedder:
-    """Decides which requests wait, and which are rejected, while no slot is free."""
+    """Decides which requests are buffered and which are rejected while no slot is free."""
 
     def __init__(
         self,
@@ -33,15 +31,16 @@
         self.overload = overload
         self.response_times = response_times
         self.total_limiter = total_limiter
-        self.last_exhausted_us = 0  # when a request last found no free slot
-        self.buffered: Request | None = None  # the buffer holds one request
+        self.last_exhausted_us = 0  # when no slot was free for a request, the last time
+        self.buffered: Request | None = None  # the buffer; it holds at most one request
 
     def should_shed(self, event: api.RequestArrived) -> bool:
         """Whether the fleet's threshold rejects a request that has just arrived.
 
-        It applies only while capacity is exhausted at this sidecar too. Clients that come back too early
-        are rejected, and of each class the keys beyond the admitted share, so that a repeat is decided
-        alike at all sidecars. Clients that come back as Retry-After asked have a share of their own.
+        The threshold applies only while capacity is exhausted at this sidecar too. It rejects clients that
+        retry before the time by Retry-After, and in each class the keys outside the admitted share: by a hash
+        of the key, all sidecars decide alike on repeats of a request. Clients that retry when Retry-After
+        said have a separate admitted share.
         """
         now_us = self.context.now_us
         overload = self.overload.current(now_us)
@@ -52,35 +51,39 @@
         shares = overload.returning_shares if event.retry_due_us else overload.admitted_shares
         share = shares[event.class_index]
         key = event.key or event.request
-        mixed = (key ^ overload.generation * HASH_MULTIPLIER) * HASH_MULTIPLIER >> 24
-        return mixed % ADMISSION_STEPS >= share * ADMISSION_STEPS
+        hashed_key = (key ^ overload.generation * HASH_MULTIPLIER) * HASH_MULTIPLIER >> 24
+        return hashed_key % ADMISSION_STEPS >= share * ADMISSION_STEPS
 
     def record_exhaustion(self) -> None:
-        """Remember that a request found no free slot now."""
+        """Record that no slot is free for a request now."""
         self.last_exhausted_us = self.context.now_us
 
     def class_value(self, class_index: int) -> float:
-        """Return what a slot's time is worth to a class of requests."""
+        """Return the value of a slot to a request class.
+
+        That is the priority weight, divided by the response time unless requests are weighted by their work.
+        """
         weight = self.context.settings.classes[class_index].priority_weight
         if self.context.settings.weight_by_work:
             return weight
         return weight / self.response_times.smoothed_us[class_index]
 
     def may_buffer(self, request: Request) -> bool:
-        """Whether a request may have the buffer, which holds one.
+        """Whether a request may occupy the buffer, in place of a less valuable one if necessary.
 
-        One that is worth more takes the place: otherwise the bulk of cheap requests would keep the valuable
-        ones out of every slot.
+        Without replacement, requests of low value, if they are the majority, would keep valuable ones from
+        every slot that becomes free.
         """
         if self.buffered is None:
             return True
         return self.class_value(request.class_index) > self.class_value(self.buffered.class_index)
 
     def reserved_slots(self, request: Request) -> int:
-        """Return how many of the last free slots a request must leave to the class that is worth most.
+        """Return how many free slots a request must leave to the most valuable class.
 
-        This is trunk reservation, as in telephony, while capacity is exhausted. A few slots are nearly an
-        absolute priority, as each slot that frees is one of them; half of all stay for the other classes.
+        This is trunk reservation, as in telephony, and applies while capacity is exhausted. A few reserved
+        slots give almost absolute priority, as each slot that becomes free is then a reserved one. Half of
+        all slots at least stay available to the other classes.
         """
         if self.context.now_us - self.last_exhausted_us > RESERVATION_DURATION_US:
             return 0
@@ -92,14 +95,15 @@
         return min(MAX_RESERVED_SLOTS, int(self.total_limiter.limit / 2))
 
     def retry_after_us(self, request: Request) -> int:
-        """Return when a rejected client should come back, in microseconds from now.
+        """Return the Retry-After of a rejection in microseconds from now; 0 = none is given.
 
-        That is about when a slot frees: one response time, spread so that rejected clients do not return
-        together; or what the fleet has settled on. A client that came too early keeps its time.
+        It is about the time until a slot becomes free: one response time, with jitter so that rejected
+        clients don't retry all at once. A delay that the fleet has agreed on replaces it. A
+        client that retried too early gets the rest of its previous delay.
         """
         context = self.context
-        usual_us = self.response_times.smoothed_us[request.class_index]
-        after_us = int(usual_us * (0.5 + context.random.random()))
+        response_time_us = self.response_times.smoothed_us[request.class_index]
+        after_us = int(response_time_us * (0.5 + context.random.random()))
         overload = self.overload.current(context.now_us)
         if overload is not None and overload.retry_after_us:
             remaining_us = request.event.retry_due_us - context.now_us
--- a/sidecar_proxy/balancer/picker.py
+++ b/sidecar_proxy/balancer/picker.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request may be sent to now. Pure but for the shared random number generator."""
+"""Selection of an endpoint for a request. No I/O and no clock; uses the shared random number generator."""
 
 import math
 from collections.abc import Iterable
@@ -17,18 +17,18 @@
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
 from sidecar_proxy.balancer.slow_start import SlowStart
 
-LOAD_CANDIDATES: Final = 3  # free slots whose load is polled; probing more costs more than the choice gains
-MAX_PROBE_FEE: Final = (
-    0.02  # points of the result that one probe per request can gain; dearer ones are not sent
-)
-EXPLORATION_SHARE: Final = 1 / 8  # of picks ignores failure rates, so that an endpoint's recovery is seen
-MAX_AFFINITY_CONNECT_FAILURE_RATE: Final = 0.2  # key affinity opens many connections; above it does not apply
-HOME_ZONE_AFFINITY_WEIGHT: Final = 4  # weight of the home zone's endpoints in a key's order
-HASH_RANGE: Final = 2**40  # resolution of a key's order
+LOAD_CANDIDATES: Final = 3  # endpoints whose load is polled; probing more costs more than the choice gains
+# maximum fee of one probe per request, in points of the result: about as much as a probe can gain
+MAX_PROBE_FEE: Final = 0.02
+EXPLORATION_SHARE: Final = 1 / 8  # share of picks that ignore failure rates, so that recovery is noticed
+# connect failure rate above which key affinity is not applied, as it opens many connections
+MAX_AFFINITY_CONNECT_FAILURE_RATE: Final = 0.2
+HOME_ZONE_AFFINITY_WEIGHT: Final = 4  # weight factor of the home zone's endpoints for a key
+HASH_RANGE: Final = 2**40  # number of values that the hash of a key and an endpoint can have
 
 
 class Pick:
-    """An endpoint with a free slot, if any, and the first few candidates where load is polled."""
+    """A picked endpoint with a free slot, or None, and the candidates whose load may be polled."""
 
     def __init__(self, endpoint: Endpoint | None, candidates: list[Endpoint]) -> None:
         self.endpoint = endpoint
@@ -36,7 +36,7 @@
 
 
 class Picker:
-    """Draws endpoints at random among those with a free slot, and prefers the healthy and the near."""
+    """Picks random endpoints with a free slot; prefers low failure rates and the home zone."""
 
     def __init__(
         self,
@@ -64,14 +64,17 @@
         )
 
     def polls_load(self) -> bool:
-        """Whether load is polled before a pick; a few sidecars know the endpoints by their own requests."""
+        """Whether load is polled before a request is sent.
+
+        Where few sidecars share an endpoint, each learns its load from its own requests.
+        """
         return self.may_poll_load and self.pool.sidecars_per_endpoint > INITIAL_SLOTS_PER_UPSTREAM
 
     def pick(self, request: Request) -> Pick:
-        """Draw a random free slot for a request, if possible of an endpoint that it has not tried.
+        """Pick a random endpoint with a free slot, preferably one that the request has not tried.
 
-        An idle endpoint of the home zone is preferred; when that is busy, the request goes to another zone
-        before it queues.
+        An idle endpoint of the home zone is preferred. If none is idle, the request goes to any zone rather
+        than queue in its own.
         """
         if not self.retry_policy.may_attempt(request):
             return Pick(None, [])
@@ -82,59 +85,61 @@
         pool = self.pool
         max_failure_rate = self.draw_max_failure_rate()
         tried = request.tried_endpoints()
-        wanted = FEW_SIDECARS * len(pool.warm) / pool.sidecars_per_endpoint
+        # so many that, if each sidecar uses its own first ones, few sidecars use each endpoint
+        endpoint_count = FEW_SIDECARS * len(pool.warm) / pool.sidecars_per_endpoint
         if polls_load:
-            wanted = max(wanted, LOAD_CANDIDATES)
-        first = math.ceil(wanted + len(tried))
+            endpoint_count = max(endpoint_count, LOAD_CANDIDATES)
+        candidate_count = math.ceil(endpoint_count + len(tried))
         group = self.deduplication_group(request) if tried else None
         ordered = group
         if ordered is None and self.has_key_affinity:
             ordered = self.affinity_order(request)
         if ordered is not None:
-            pick = self.pick_from_list(request, ordered, first, tried, max_failure_rate)
+            pick = self.pick_from_list(request, ordered, candidate_count, tried, max_failure_rate)
         else:
-            pick = self.pick_from_pool(first, tried, max_failure_rate, polls_load)
+            pick = self.pick_from_pool(candidate_count, tried, max_failure_rate, polls_load)
         if len(pool.warming):
             pick.endpoint = self.slow_start.choose(request, pick.endpoint, group)
         return pick
 
     def draw_max_failure_rate(self) -> float:
-        """Return the failure rate up to which endpoints are preferred in this pick; infinite in some picks.
+        """Return the failure rate up to which endpoints are preferred in this pick; infinity for some picks.
 
-        Where a few endpoints do well, picking the others alike would lose what those could have served.
+        It is relative to the lower quartile: where only a few endpoints are healthy, picking all alike would
+        fail requests that the healthy ones could have served.
         """
-        is_blind = self.context.random.random() < EXPLORATION_SHARE
-        if is_blind:
+        is_exploring = self.context.random.random() < EXPLORATION_SHARE
+        if is_exploring:
             return math.inf
         return OUTLIER_FAILURE_RATE / 2 + self.pool.failure_rate_quantile(4)
 
     def pick_from_pool(
-        self, first: int, tried: list[Endpoint], max_failure_rate: float, polls_load: bool
+        self, candidate_count: int, tried: list[Endpoint], max_failure_rate: float, polls_load: bool
     ) -> Pick:
-        """Draw one of the first open endpoints of the pool."""
+        """Pick one of the first `candidate_count` endpoints of the pool that have a free slot."""
         pool = self.pool
         rng = self.context.random
-        endpoint = pool.sample(rng, first, tried, max_failure_rate)
+        endpoint = pool.sample(rng, candidate_count, tried, max_failure_rate)
         if endpoint is None and tried:
             tried = []
-            endpoint = pool.sample(rng, first, tried, max_failure_rate)
+            endpoint = pool.sample(rng, candidate_count, tried, max_failure_rate)
         candidates: list[Endpoint] = []
         if polls_load:
-            candidates = pool.first_open(first, tried, max_failure_rate, LOAD_CANDIDATES)
+            candidates = pool.first_open(candidate_count, tried, max_failure_rate, LOAD_CANDIDATES)
             if not candidates:
-                candidates = pool.first_open(first, tried, math.inf, LOAD_CANDIDATES)
+                candidates = pool.first_open(candidate_count, tried, math.inf, LOAD_CANDIDATES)
         return Pick(endpoint, candidates)
 
     def pick_from_list(
         self,
         request: Request,
         ordered: Iterable[Endpoint],
-        first: int,
+        candidate_count: int,
         tried: list[Endpoint],
         max_failure_rate: float,
     ) -> Pick:
-        """Make the same draw from a list of endpoints in order."""
-        candidates = self.first_open_in_list(request, ordered, first)
+        """Pick in the same way from an ordered list of endpoints, for key affinity or by rule 2."""
+        candidates = self.first_open_in_list(request, ordered, candidate_count)
         candidates = [endpoint for endpoint in candidates if endpoint not in tried] or candidates
         candidates = [
             endpoint for endpoint in candidates if endpoint.failure_rate <= max_failure_rate
@@ -153,8 +158,10 @@
             weights = [1.0] * len(preferred)
         return Pick(self.context.random.choices(preferred, weights)[0], candidates)
 
-    def first_open_in_list(self, request: Request, ordered: Iterable[Endpoint], first: int) -> list[Endpoint]:
-        """Return the first warm endpoints of a list that have a free slot for this request."""
+    def first_open_in_list(
+        self, request: Request, ordered: Iterable[Endpoint], candidate_count: int
+    ) -> list[Endpoint]:
+        """Return the first warm endpoints of a list that have a free slot and may get this request."""
         pool = self.pool
         now_us = self.context.now_us
         candidates: list[Endpoint] = []
@@ -164,43 +171,43 @@
             if not self.retry_policy.is_in_deduplication_group(request, endpoint):
                 continue
             candidates.append(endpoint)
-            if len(candidates) >= first:
+            if len(candidates) >= candidate_count:
                 break
         return candidates
 
     def deduplication_group(self, request: Request) -> list[Endpoint] | None:
-        """Return the endpoints to which rule 2 restricts a repeat, in order; None = any.
+        """Return the endpoints to which rule 2 restricts a retry, in order; None = no restriction.
 
-        Of a cell all upstreams of the list count: a subset holds few of one cell, and with those alone the
-        repeat would fail for want of a slot.
+        For a cell, these are all listed upstreams of the cell and not only those of the subset. A subset has
+        few endpoints of each cell, and retries limited to these would often find no free slot.
         """
-        first = request.first_attempt_that_may_have_run()
+        earlier = request.first_attempt_that_may_have_run()
         request_class = request.request_class
-        if first is None or request_class.effect != "deduplicated" or request_class.group == "all":
+        if earlier is None or request_class.effect != "deduplicated" or request_class.group == "all":
             return None
         if request_class.group == "zone":
             group = [
-                endpoint for endpoint in self.pool.warm.items() if endpoint.entry.zone == first.entry.zone
+                endpoint for endpoint in self.pool.warm.items() if endpoint.entry.zone == earlier.entry.zone
             ]
         else:
-            group = self.endpoint_list.cell_endpoints(first.entry.cell)
+            group = self.endpoint_list.cell_endpoints(earlier.entry.cell)
         by_id = {endpoint.entry.id: endpoint for endpoint in group}
         order = sorted([(self.pool.order_key(endpoint), endpoint.entry.id) for endpoint in group])
         return [by_id[upstream] for _, upstream in order]
 
     def affinity_order(self, request: Request) -> list[Endpoint] | None:
-        """Return the endpoints in the order of the request's key, alike at all sidecars; None = no order."""
+        """Return the endpoints in the order of the request's key, equal at all sidecars, or None."""
         key = request.event.key
         if key == 0 or self.outliers.connect_failure_rate > MAX_AFFINITY_CONNECT_FAILURE_RATE:
             return None
         return sorted(self.pool.warm.items(), key=partial(self.affinity_sort_key, key))
 
     def affinity_sort_key(self, key: int, endpoint: Endpoint) -> float:
-        """Return an endpoint's place in a key's order: by hash, with large and near ones sooner.
+        """Return an endpoint's sort key in the order of a request key, by weighted rendezvous hashing.
 
-        This is weighted rendezvous hashing.
+        Endpoints of greater weight and those of the home zone tend to come first.
         """
-        mixed = (key ^ endpoint.entry.id * HASH_MULTIPLIER) * HASH_MULTIPLIER >> 24
-        chance = (mixed % HASH_RANGE + 1) / HASH_RANGE
+        hashed = (key ^ endpoint.entry.id * HASH_MULTIPLIER) * HASH_MULTIPLIER >> 24
+        unit_hash = (hashed % HASH_RANGE + 1) / HASH_RANGE
         zone_factor = HOME_ZONE_AFFINITY_WEIGHT if endpoint.entry.zone == self.context.home_zone else 1
-        return -float(chance ** (1.0 / (endpoint.weight * zone_factor)))
+        return -float(unit_hash ** (1.0 / (endpoint.weight * zone_factor)))
--- a/sidecar_proxy/balancer/request.py
+++ b/sidecar_proxy/balancer/request.py
@@ -1,4 +1,4 @@
-"""A request that is in the balancer, and its attempts. Pure."""
+"""A request that the balancer handles, and its attempts."""
 
 from typing import Final
 
@@ -13,15 +13,17 @@
 
     def __init__(self, endpoint: Endpoint, now_us: int, was_warming: bool) -> None:
         self.endpoint = endpoint
-        self.entry = endpoint.entry  # as it was then
+        self.entry = (
+            endpoint.entry
+        )  # the list entry when the attempt started; the endpoint's may change since
         self.sent_us = now_us
         self.outcome: api.Outcome | None = None  # None while it is in flight
-        self.is_presumed_lost = False  # its slot is free again, though no outcome is known
-        self.was_warming = was_warming  # its endpoint was, when it was sent
+        self.is_presumed_lost = False  # its slot was freed before its outcome was known
+        self.was_warming = was_warming  # whether the endpoint was warming up when the attempt started
 
 
 class Request:
-    """One request from its arrival until it is answered and no attempt is in flight."""
+    """One request, from its arrival until it has its final response and no attempt is in flight."""
 
     def __init__(self, event: api.RequestArrived, settings: api.Settings, now_us: int) -> None:
         self.event = event
@@ -30,13 +32,16 @@
         self.request_class = settings.classes[event.class_index]
         self.effective_deadline_us = event.due_us
         if self.request_class.late_weight <= 0.0:
-            # an answer after the objective is worth nothing; waiting for a lost one would only hold its slot
+            # A response after the objective has no value here, so the deadline is moved forward to the
+            # objective: waiting longer for a lost response would only occupy a slot.
             objective_ends_us = now_us + self.request_class.latency_objective_us - settings.tick_us
             self.effective_deadline_us = min(event.due_us, objective_ends_us)
         self.attempts: list[Attempt] = []
-        self.candidates: list[Endpoint] = []  # endpoints with a free slot whose load it waits for
-        self.last_probed: Endpoint | None = None
-        self.is_done = False
+        self.candidates: list[Endpoint] = []  # endpoints whose load the request waits for
+        self.last_probed: Endpoint | None = None  # the candidate that was probed last
+        self.is_done = (
+            False  # no response is due any more: it was given, is streaming, or the client has gone
+        )
 
     def has_attempt_in_flight(self) -> bool:
         """Whether the last attempt has no outcome yet."""
--- a/sidecar_proxy/balancer/settings.py
+++ b/sidecar_proxy/balancer/settings.py
@@ -1,6 +1,7 @@
-"""The settings of one sidecar: `path=value` lines in the platform's names to typed values. Pure.
+"""Parses the settings of one sidecar: lines of `path=value`, under the platform's names, to typed values.
 
-Also what the settings permit, and load reports in the order that they name. Errors are `SettingsError`.
+It also checks actions against the settings, and parses load reports. Settings that can't be read raise
+`SettingsError`. No I/O.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 
 from sidecar_proxy.balancer import events as api
 
-# The values of a load report: the platform's names and those of the code. Unknown names stay as they are.
+# Maps the platform's names of load report values to those used here. Other names are not changed.
 REPORT_NAMES = {
     "rif": "in_flight",
     "q": "queued",
@@ -19,7 +20,7 @@
     "rate": "served_per_s",
     "fail_rate": "errors_per_s",
 }
-# The same values under the names of an upstream's JSON report, and those above.
+# The same for the JSON reports of upstreams, which may use either set of names.
 REPORT_FIELDS = {
     "inflight": "in_flight",
     "queue": "queued",
@@ -30,22 +31,22 @@
 
 
 class SettingsError(Exception):
-    """A setting that cannot be read; the message is one line that names it."""
+    """A setting is missing or invalid; the message is one line that names it."""
 
 
-# Actions that need a permission, and the setting that grants it.
+# The setting that must be true for each of these actions to be permitted.
 REQUIRED_SETTINGS = {api.Probe: "probes", api.Cancel: "cancel", api.SendPeerMessage: "peers"}
 
 
 def check_allowed(settings: api.Settings, action: api.Action) -> None:
-    """Raise ValueError for an action that the settings forbid, so that it is never carried out."""
+    """Raise ValueError if the settings forbid an action."""
     setting = REQUIRED_SETTINGS.get(type(action))
     if setting is not None and not getattr(settings, setting):
         raise ValueError(f"{type(action).__name__} where the settings forbid it")
 
 
 def parse_report(text: bytes, names: list[str]) -> list[float]:
-    """Return a load report's values in the order of `names`; empty unless all are there and finite."""
+    """Return the values of a JSON load report in the order of `names`; empty unless all are finite."""
     try:
         report = json.loads(text) if text else {}
         values = {REPORT_FIELDS.get(name, name): float(value) for name, value in report.items()}
@@ -69,18 +70,18 @@
             self.pairs[path] = value
 
     def text(self, path: str, default: str | None = None) -> str:
-        """Return a value as it stands; without a default it must be set."""
+        """Return a value as text; it must be set if there is no default."""
         value = self.pairs.get(path, default)
         if value is None:
             raise SettingsError(f"setting {path} is missing")
         return value
 
     def names(self, path: str) -> list[str]:
-        """Return a comma-separated list, empty if it is not set."""
+        """Return the items of a comma-separated list, which is empty if not set."""
         return [name for name in self.text(path, "").split(",") if name]
 
     def number(self, path: str, default: str | None = None) -> float:
-        """Return a finite number."""
+        """Return a value as a finite number."""
         value = self.text(path, default)
         try:
             number = float(value)
@@ -91,26 +92,26 @@
         return number
 
     def integer(self, path: str, default: str | None = None) -> int:
-        """Return a whole number."""
+        """Return a value as a whole number."""
         number = self.number(path, default)
         if number != int(number):
             raise SettingsError(f"setting {path}: expected a whole number, got {self.text(path, default)!r}")
         return int(number)
 
     def choice(self, path: str, choices: tuple[str, ...], default: str | None = None) -> str:
-        """Return one of the values permitted."""
+        """Return a value that must be one of `choices`."""
         value = self.text(path, default)
         if value not in choices:
             raise SettingsError(f"setting {path}: expected one of {', '.join(choices)}, got {value!r}")
         return value
 
     def flag(self, path: str, default: str | None = None) -> bool:
-        """Return a truth value, written as true or false."""
+        """Return a value, written as true or false, as a bool."""
         return self.choice(path, ("true", "false"), default) == "true"
 
 
 def read_request_class(reader: SettingsReader, prefix: str) -> api.RequestClass:
-    """Return the request class whose settings begin with a prefix."""
+    """Return the request class whose setting paths begin with `prefix`."""
     return api.RequestClass(
         name=reader.text(prefix + "name"),
         latency_objective_us=reader.integer(prefix + "aim"),
@@ -126,7 +127,7 @@
 
 
 def read_tenant(reader: SettingsReader, prefix: str) -> api.Tenant:
-    """Return the tenant whose settings begin with a prefix."""
+    """Return the tenant whose setting paths begin with `prefix`."""
     return api.Tenant(
         reader.text(prefix + "name"),
         reader.number(prefix + "allowance-per-s"),
@@ -135,7 +136,7 @@
 
 
 def parse_settings(text: str) -> api.Settings:
-    """Return the settings of one sidecar; unknown keys are ignored. Raises SettingsError."""
+    """Return the settings of one sidecar; unknown paths are ignored. Raises SettingsError."""
     reader = SettingsReader(text)
     try:
         return api.Settings(
