--- a/tests/balancer/harness.py
+++ b/tests/balancer/harness.py
@@ -1,7 +1,7 @@
-"""A harness around a Balancer: carries out its actions and checks the four service rules.
+"""A test harness around a Balancer that carries out its actions and checks the four service rules.
 
-Tests say what happens and when. Every action is checked against the rules as the contract states them, from
-records made here and not from the balancer's own.
+Tests specify events and their times. Every action is checked against the rules in
+sidecar_proxy/balancer/__init__.py by the state that the harness keeps, independent of the balancer's own.
 """
 
 from __future__ import annotations
@@ -85,12 +85,14 @@
 
 
 def upstreams(count: int, **changes: Any) -> list[Upstream]:
-    """`count` ready upstreams, two to a cell and to a zone."""
+    """Return `count` ready upstreams, two in each cell and each zone."""
     return [Upstream(100 + i, zone=i // 2, cell=i // 2, **changes) for i in range(count)]
 
 
 @dataclass
 class AttemptState:
+    """An attempt that the balancer has started, with its time-out."""
+
     upstream: int
     zone: int
     cell: int
@@ -101,9 +103,11 @@
 
 @dataclass
 class RequestState:
+    """A request, its attempts, and how many final responses the client has got."""
+
     event: RequestArrived
     attempts: list[AttemptState] = field(default_factory=list)
-    answers: int = 0
+    response_count: int = 0
     is_closed: bool = False
     is_streaming: bool = False
 
@@ -115,17 +119,20 @@
 
 
 class BalancerHarness:
+    """One balancer with a clock, timers and upstreams that tests control."""
+
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.settings = config or settings()
         self.now_us = START_US
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.requests: dict[int, RequestState] = {}
         self.listed: dict[int, Upstream] = {}
-        self.not_ready_since_us: dict[int, int] = {}  # draining or removed upstreams, and since when
+        self.not_ready_since_us: dict[int, int] = {}  # since when upstreams have been draining or removed
         self.timers: list[tuple[int, int]] = []
         self.actions: list[Action] = []
         self.next_id = 1
-        self.reports: dict[int, float | None] = {}  # loads that upstreams report when probed
+        # load that each upstream reports when probed; None = no report
+        self.reports: dict[int, float | None] = {}
 
     # Events
 
@@ -144,18 +151,18 @@
             else:
                 self.not_ready_since_us.setdefault(entry.id, self.now_us)
         if kind in (ListKind.FULL, ListKind.CACHED):
-            for ident in self.listed.keys() - {e.id for e in entries}:
-                self.not_ready_since_us.setdefault(ident, self.now_us)
+            for upstream_id in self.listed.keys() - {e.id for e in entries}:
+                self.not_ready_since_us.setdefault(upstream_id, self.now_us)
         return self.dispatch(UpstreamsUpdated(kind, entries))
 
     def arrive(self, class_index: int = 0, client_timeout_us: int | None = None, **fields: Any) -> int:
-        ident = self.next_id
+        request_id = self.next_id
         self.next_id += 1
-        patience = client_timeout_us or self.settings.classes[class_index].deadline_us
-        event = RequestArrived(ident, self.now_us + patience, class_index, **fields)
-        self.requests[ident] = RequestState(event)
+        timeout_us = client_timeout_us or self.settings.classes[class_index].deadline_us
+        event = RequestArrived(request_id, self.now_us + timeout_us, class_index, **fields)
+        self.requests[request_id] = RequestState(event)
         self.dispatch(event)
-        return ident
+        return request_id
 
     def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
         request_state = self.requests[request]
@@ -164,7 +171,7 @@
         attempt_state.outcome = outcome
         if (outcome is Outcome.OK or request_state.is_streaming) and not request_state.is_closed:
             request_state.is_closed = True
-            request_state.answers += 1
+            request_state.response_count += 1
         return self.dispatch(
             AttemptEnded(
                 request,
@@ -183,37 +190,39 @@
 
     def disconnect_client(self, request: int) -> None:
         self.requests[request].is_closed = True
-        self.requests[request].answers = 1
+        self.requests[request].response_count = 1
         self.dispatch(RequestGone(request))
 
     def advance(self, by_us: int) -> None:
-        """Move the clock, with the timers and the attempts' time-outs that fall due on the way."""
+        """Advance the clock, firing the timers and attempt time-outs that become due."""
         end_us = self.now_us + by_us
         while True:
-            due = [(at, 1, token, 0) for at, token in self.timers]
+            due = [(at_us, 1, token, 0) for at_us, token in self.timers]
             due += [
-                (t.ends_us, 0, ident, n)
-                for ident, request_state in self.requests.items()
+                (attempt_state.ends_us, 0, request_id, number)
+                for request_id, request_state in self.requests.items()
                 if not request_state.is_streaming
-                for n, t in enumerate(request_state.attempts)
-                if t.outcome is None
+                for number, attempt_state in enumerate(request_state.attempts)
+                if attempt_state.outcome is None
             ]
-            due = [d for d in due if d[0] <= end_us]
+            due = [item for item in due if item[0] <= end_us]
             if not due:
                 break
-            at, kind, first, second = min(due)
-            self.now_us = max(self.now_us, at)
-            if kind == 0:
-                self.end(first, second, Outcome.TIMEOUT)
+            due_us, kind, identifier, attempt = min(due)
+            self.now_us = max(self.now_us, due_us)
+            if kind == 0:  # an attempt times out; 1 = a timer fires
+                self.end(identifier, attempt, Outcome.TIMEOUT)
             else:
-                self.timers.remove((at, first))
-                self.dispatch(TimerFired(first))
+                self.timers.remove((due_us, identifier))
+                self.dispatch(TimerFired(identifier))
         self.now_us = end_us
         slack_us = 4 * self.settings.tick_us
-        for ident, request_state in self.requests.items():
-            overdue = self.now_us > request_state.event.due_us + slack_us and not request_state.is_streaming
-            assert not overdue or request_state.answers == 1, (
-                f"rule 1: request {ident} is unanswered past its deadline"
+        for request_id, request_state in self.requests.items():
+            is_overdue = (
+                self.now_us > request_state.event.due_us + slack_us and not request_state.is_streaming
+            )
+            assert not is_overdue or request_state.response_count == 1, (
+                f"rule 1: request {request_id} is unanswered past its deadline"
             )
 
     # Checks
@@ -224,34 +233,42 @@
         elif isinstance(action, Refuse | Fail):
             self.check_answer(action)
         elif isinstance(action, Cancel):
-            assert self.settings.cancel, "a cancel where none is allowed"
-            assert action.attempt < len(self.requests[action.request].attempts), "a cancel of no attempt"
+            assert self.settings.cancel, "a cancellation that the settings forbid"
+            assert action.attempt < len(self.requests[action.request].attempts), (
+                "a cancellation of an unknown attempt"
+            )
         elif isinstance(action, SetTimer):
             assert action.at_us >= self.now_us
             self.timers.append((action.at_us, action.token))
         elif isinstance(action, Probe):
-            assert self.settings.probes, "a probe where none is allowed"
+            assert self.settings.probes, "a load probe that the settings forbid"
         else:
             assert not isinstance(action, Subscribe | FetchList) or self.settings.list_on_request
 
     def check_send(self, send: Send) -> None:
         request_state = self.requests[send.request]
         entry = self.listed[send.upstream]
-        kind = self.settings.classes[request_state.event.class_index]
-        assert not request_state.is_closed, "rule 1: a send after the end"
+        request_class = self.settings.classes[request_state.event.class_index]
+        assert not request_state.is_closed, "rule 1: an attempt after the final response"
         assert len(request_state.attempts) < self.settings.max_attempts, "more attempts than allowed"
-        assert send.upstream not in self.not_ready_since_us, "rule 3: a send to a draining or gone upstream"
+        assert send.upstream not in self.not_ready_since_us, (
+            "rule 3: an attempt at a draining or removed upstream"
+        )
         assert self.settings.hedging_allowed or not request_state.in_flight(), (
-            "rule 2: two attempts out together"
+            "rule 2: two attempts in flight at once"
         )
         for earlier in request_state.may_have_run():
-            assert kind.effect != "at_most_once", "rule 2: an unsafe request sent again"
-            if kind.effect == "deduplicated":
-                assert self.now_us - earlier.sent_us <= kind.deduplication_window_us, (
-                    "rule 2: past the deduplication window"
+            assert request_class.effect != "at_most_once", "rule 2: a retry of an at-most-once request"
+            if request_class.effect == "deduplicated":
+                assert self.now_us - earlier.sent_us <= request_class.deduplication_window_us, (
+                    "rule 2: a retry after the deduplication window"
+                )
+                assert request_class.group != "cell" or entry.cell == earlier.cell, (
+                    "rule 2: a retry outside the cell"
+                )
+                assert request_class.group != "zone" or entry.zone == earlier.zone, (
+                    "rule 2: a retry outside the zone"
                 )
-                assert kind.group != "cell" or entry.cell == earlier.cell, "rule 2: outside the cell"
-                assert kind.group != "zone" or entry.zone == earlier.zone, "rule 2: outside the zone"
         ends_us = request_state.event.due_us
         if send.timeout_us:
             ends_us = min(ends_us, self.now_us + send.timeout_us)
@@ -261,20 +278,23 @@
 
     def check_answer(self, answer: Refuse | Fail) -> None:
         request_state = self.requests[answer.request]
-        kind = self.settings.classes[request_state.event.class_index]
-        assert not request_state.is_closed, "rule 1: a second response"
+        request_class = self.settings.classes[request_state.event.class_index]
+        assert not request_state.is_closed, "rule 1: a second final response"
         request_state.is_closed = True
-        request_state.answers += 1
+        request_state.response_count += 1
         if isinstance(answer, Refuse):
             assert answer.retry_after_us <= self.settings.max_retry_after_us
-            is_safe = kind.effect == "idempotent" or (kind.effect == "deduplicated" and kind.group == "all")
+            is_safe = request_class.effect == "idempotent" or (
+                request_class.effect == "deduplicated" and request_class.group == "all"
+            )
             assert is_safe or not request_state.may_have_run(), (
                 "rule 2: a rejection of a request that may have run"
             )
 
-    # What tests look at
+    # Results for assertions
 
     def sends(self, request: int | None = None) -> list[Send]:
+        """Return the attempts started so far, of one request or of all."""
         return [
             action
             for action in self.actions
@@ -282,6 +302,7 @@
         ]
 
     def answer(self, request: int) -> Action | None:
+        """Return the balancer's rejection or failure of a request, or None."""
         for action in self.actions:
             if isinstance(action, Refuse | Fail) and action.request == request:
                 return action
--- a/tests/balancer/steps.py
+++ b/tests/balancer/steps.py
@@ -1,10 +1,11 @@
-"""Steps that tests of the balancer share: worlds with a list, full slots, requests in turn."""
+"""Steps that balancer tests share: harnesses with upstreams, exhausted slots, requests one after another."""
 
 from __future__ import annotations
 
 from sidecar_proxy.balancer.events import Outcome
 from tests.balancer.harness import BalancerHarness, settings, upstreams
 
+# indexes of the request classes of harness.classes: idempotent, at most once, deduplicated
 READ, PAY, MARK = 0, 1, 2
 
 
@@ -15,12 +16,12 @@
 
 
 def exhaust_slots(harness: BalancerHarness) -> list[int]:
-    """Take every slot; the last request is the one that waits in the buffer."""
-    taken = []
+    """Send requests until no slot is free, and return them; the last one is buffered."""
+    requests = []
     for _ in range(1000):
-        taken.append(harness.arrive(READ))
-        if not harness.sends(taken[-1]):
-            return taken
+        requests.append(harness.arrive(READ))
+        if not harness.sends(requests[-1]):
+            return requests
     raise AssertionError("the slots never ran out")
 
 
@@ -32,26 +33,29 @@
     class_index: int = READ,
     response_time_us: int = 10_000,
 ) -> None:
-    """A request a step; whatever is out ends at the step's end, with `fault` at the upstream `bad`."""
+    """Send one request per step, and end all attempts in flight after `response_time_us`.
+
+    Attempts end with `failure` at `failing_upstream`, with success elsewhere.
+    """
     for _ in range(steps):
         harness.arrive(class_index)
         harness.advance(response_time_us)
-        for ident in [i for i, owed in harness.requests.items() if owed.in_flight()]:
-            for attempt in harness.requests[ident].in_flight():
-                is_failing = harness.requests[ident].attempts[attempt].upstream == failing_upstream
-                harness.end(ident, attempt, failure if is_failing else Outcome.OK)
+        for request in [number for number, state in harness.requests.items() if state.in_flight()]:
+            for attempt in harness.requests[request].in_flight():
+                is_failing = harness.requests[request].attempts[attempt].upstream == failing_upstream
+                harness.end(request, attempt, failure if is_failing else Outcome.OK)
 
 
 def count_free_slots(harness: BalancerHarness) -> int:
-    """How many requests can be outstanding now; they are ended again."""
-    taken = [r for r in exhaust_slots(harness) if harness.sends(r)]
-    for request in taken:
+    """Return how many slots are free, by occupying all and then freeing them."""
+    sent = [request for request in exhaust_slots(harness) if harness.sends(request)]
+    for request in sent:
         harness.end(request, 0, Outcome.OK)
-    return len(taken)
+    return len(sent)
 
 
 def harness_with_grown_limit() -> BalancerHarness:
-    """One upstream whose slots have opened under need."""
+    """Return a harness with one upstream whose limit has grown because slots were exhausted."""
     harness = harness_with_upstreams(1)
     for _ in range(80):
         exhaust_slots(harness)
--- a/tests/balancer/test_fleet_overload.py
+++ b/tests/balancer/test_fleet_overload.py
@@ -1,4 +1,4 @@
-"""The limits that the fleet agrees on, and shedding by them."""
+"""Overload limits that the fleet has agreed on, and shedding by them."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def new_shedder(update: OverloadUpdated | None) -> LoadShedder:
-    """A shedder of a sidecar whose capacity has just been exhausted."""
+    """Return the shedder of a sidecar whose capacity has just been exhausted."""
     context = DecisionContext(settings(), 1, START_US)
     overload = FleetOverload(START_US)
     if update is not None:
@@ -43,7 +43,7 @@
     return RequestArrived(request, START_US + 1_000_000, key=request, retry_due_us=retry_due_us)
 
 
-def test_limits_are_valid_until_their_end() -> None:
+def test_limits_are_valid_until_they_expire() -> None:
     overload = FleetOverload(START_US)
     assert overload.current(START_US) is None
     overload.update(new_update(), START_US)
@@ -51,7 +51,7 @@
     assert overload.current(VALID_UNTIL_US) is None
 
 
-def test_budgets_bind_only_while_limits_are_valid() -> None:
+def test_budgets_apply_only_while_limits_are_valid() -> None:
     overload = FleetOverload(START_US)
     assert overload.take_retry(START_US)
     assert overload.take_probe(START_US)
@@ -62,7 +62,7 @@
     assert overload.take_retry(VALID_UNTIL_US)
 
 
-def test_nothing_is_shed_without_limits_or_without_own_exhaustion() -> None:
+def test_nothing_is_shed_without_limits_or_while_own_slots_are_free() -> None:
     assert not new_shedder(None).should_shed(arrival(1))
     shedder = new_shedder(new_update(admitted=0.0))
     assert shedder.should_shed(arrival(1))
@@ -70,7 +70,7 @@
     assert not shedder.should_shed(arrival(1))
 
 
-def test_admitted_share_of_keys_is_kept_and_alike_at_all_sidecars() -> None:
+def test_admitted_share_of_keys_is_met_and_equal_at_all_sidecars() -> None:
     first = new_shedder(new_update(admitted=0.25))
     second = new_shedder(new_update(admitted=0.25))
     shed = [first.should_shed(arrival(key)) for key in range(1, 4001)]
@@ -78,7 +78,7 @@
     assert 0.70 < sum(shed) / len(shed) < 0.80
 
 
-def test_client_that_returns_too_early_is_shed_and_one_in_time_has_its_own_share() -> None:
+def test_early_retry_is_shed_and_timely_retry_has_a_separate_admitted_share() -> None:
     shedder = new_shedder(new_update(admitted=0.0, returning=1.0))
     assert shedder.should_shed(arrival(1, retry_due_us=START_US + RETRY_TOLERANCE_US + 1))
     assert not shedder.should_shed(arrival(1, retry_due_us=START_US + RETRY_TOLERANCE_US))
--- a/tests/balancer/test_load_shedding.py
+++ b/tests/balancer/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""The waiting request, rejections and reserved slots while no slot is free."""
+"""The buffer, rejections and reserved slots while no slot is free."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 
 
-def test_one_request_waits_and_the_next_is_rejected_when_no_slot_is_free() -> None:
+def test_one_request_is_buffered_and_the_next_is_rejected_if_no_slot_is_free() -> None:
     harness = harness_with_upstreams()
     taken = exhaust_slots(harness)
     assert harness.answer(taken[-1]) is None
@@ -28,7 +28,7 @@
     assert answer.retry_after_us > 0
 
 
-def test_waiting_request_takes_the_first_slot_that_frees() -> None:
+def test_buffered_request_takes_the_first_slot_that_becomes_free() -> None:
     harness = harness_with_upstreams()
     taken = exhaust_slots(harness)
     freed = harness.sends(taken[0])[0].upstream
@@ -36,21 +36,21 @@
     assert [s.upstream for s in harness.sends(taken[-1])] == [freed]
 
 
-def test_request_that_waited_half_its_objective_is_rejected() -> None:
+def test_request_buffered_for_half_its_latency_objective_is_rejected() -> None:
     harness = harness_with_upstreams()
     waiting = exhaust_slots(harness)[-1]
     harness.advance(200_000)
     assert isinstance(harness.answer(waiting), Refuse)
 
 
-def test_request_too_near_its_due_time_is_rejected_unsent() -> None:
+def test_request_too_close_to_its_deadline_is_rejected_without_an_attempt() -> None:
     harness = harness_with_upstreams()
     request = harness.arrive(READ, client_timeout_us=1_000)
     assert isinstance(harness.answer(request), Refuse)
     assert not harness.sends(request)
 
 
-def test_request_without_ready_upstream_waits_and_is_then_rejected() -> None:
+def test_request_without_ready_upstream_is_buffered_and_then_rejected() -> None:
     harness = BalancerHarness()
     harness.update_list([])
     request = harness.arrive(READ)
@@ -61,7 +61,7 @@
 
 
 def test_last_slots_are_reserved_for_the_most_valuable_class_while_exhausted() -> None:
-    dear, cheap = 0, 1
+    valuable, cheap = 0, 1
     harness = BalancerHarness(
         settings(
             instances=40,
@@ -73,8 +73,8 @@
     )
     harness.update_list(upstreams(60))
 
-    def taken(class_index: int) -> list[int]:
-        """How many find a slot, till one finds none."""
+    def fill_slots(class_index: int) -> list[int]:
+        """Send requests until one finds no free slot, and return the others."""
         requests = []
         while harness.sends(request := harness.arrive(class_index)):
             requests.append(request)
@@ -85,16 +85,16 @@
         for request in requests:
             harness.end(request, 0, Outcome.OK)
 
-    first = taken(cheap)  # nothing was short till now
-    end([request for request, owed in harness.requests.items() if owed.in_flight()])
-    end([request for request, owed in harness.requests.items() if owed.in_flight()])  # the one that waited
-    again, more = taken(cheap), taken(dear)
+    first = fill_slots(cheap)  # no slots are reserved before capacity is exhausted
+    end([request for request, state in harness.requests.items() if state.in_flight()])
+    end([request for request, state in harness.requests.items() if state.in_flight()])  # the buffered request
+    again, more = fill_slots(cheap), fill_slots(valuable)
     assert len(again) < len(first)
     assert len(more) == 3
     assert len(again) >= len(first) / 2
-    end([request for request, owed in harness.requests.items() if owed.in_flight()])
+    end([request for request, state in harness.requests.items() if state.in_flight()])
     harness.advance(2_000_000)
-    assert len(taken(cheap)) >= len(first)  # and when nothing is short, none is kept free
+    assert len(fill_slots(cheap)) >= len(first)  # the reservation has ended
 
 
 def test_stale_timer_does_not_set_another() -> None:
@@ -102,27 +102,27 @@
     for _ in range(50):
         exhaust_slots(harness)
         harness.advance(1_000)
-        for ident, owed in list(harness.requests.items()):
-            for attempt in owed.in_flight():
-                harness.end(ident, attempt, Outcome.FULL)
+        for request, state in list(harness.requests.items()):
+            for attempt in state.in_flight():
+                harness.end(request, attempt, Outcome.FULL)
     harness.advance(10_000_000)
     assert len(harness.timers) == 0
 
 
-def test_more_valuable_request_takes_the_buffer_from_a_cheaper_one() -> None:
+def test_more_valuable_request_replaces_a_less_valuable_one_in_the_buffer() -> None:
     harness = harness_with_upstreams()
     cheap = exhaust_slots(harness)[-1]
-    dear = harness.arrive(PAY)
+    valuable = harness.arrive(PAY)
     assert isinstance(harness.answer(cheap), Refuse)
-    assert harness.answer(dear) is None
+    assert harness.answer(valuable) is None
     late = harness.arrive(READ)
     assert isinstance(harness.answer(late), Refuse)
     harness.end(harness.sends()[0].request, 0, Outcome.OK)
-    assert harness.sends(dear)
+    assert harness.sends(valuable)
 
 
-def test_answers_of_no_measurable_time_leave_request_values_finite() -> None:
+def test_response_times_of_zero_leave_class_values_finite() -> None:
     harness = harness_with_upstreams()
     run_steps(harness, 50, response_time_us=0)
     waiting, last = exhaust_slots(harness)[-1], harness.arrive(PAY)
-    assert [harness.answer(r) is None for r in (waiting, last)].count(True) == 1
+    assert [harness.answer(request) is None for request in (waiting, last)].count(True) == 1
--- a/tests/balancer/test_retry_policy.py
+++ b/tests/balancer/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Which requests are attempted again, where, and which are failed instead."""
+"""Which requests are retried, at which upstreams, and which are failed instead."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert len(harness.sends(request)) == 1
 
 
-def test_unsafe_request_is_waited_for_until_due() -> None:
+def test_attempt_of_unsafe_request_may_last_until_the_deadline() -> None:
     harness = harness_with_upstreams()
     request = harness.arrive(PAY)
     harness.advance(590_000)
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(("class_index", "hedging_allowed"), [(PAY, True), (READ, False), (READ, True)])
-def test_requests_are_not_hedged_even_where_that_is_allowed(class_index: int, hedging_allowed: bool) -> None:
+def test_requests_are_not_hedged_even_if_that_is_allowed(class_index: int, hedging_allowed: bool) -> None:
     harness = harness_with_upstreams(hedging_allowed=hedging_allowed)
     request = harness.arrive(class_index)
     harness.advance(250_000)
@@ -59,15 +59,15 @@
     harness.advance(140_000)
     exhaust_slots(harness)
     harness.advance(20_000)
-    assert all(len(owed.attempts) <= 1 for owed in harness.requests.values())
+    assert all(len(state.attempts) <= 1 for state in harness.requests.values())
 
 
-@pytest.mark.parametrize(("class_index", "again"), [(READ, True), (MARK, True), (PAY, False)])
-def test_error_is_retried_where_the_class_may_run_again(class_index: int, again: bool) -> None:
+@pytest.mark.parametrize(("class_index", "is_retried"), [(READ, True), (MARK, True), (PAY, False)])
+def test_error_is_retried_if_the_class_permits_repeats(class_index: int, is_retried: bool) -> None:
     harness = harness_with_upstreams()
     request = harness.arrive(class_index)
     harness.end(request, 0, Outcome.ERROR)
-    assert (len(harness.sends(request)) == 2) is again
+    assert (len(harness.sends(request)) == 2) is is_retried
 
 
 @pytest.mark.parametrize("hedging_allowed", [True, False])
@@ -79,6 +79,6 @@
         harness.advance(3_000_000)
     for class_index in (READ, PAY, MARK):
         run_steps(harness, 20, class_index=class_index)
-        before = len(harness.sends())
+        sent_before = len(harness.sends())
         run_steps(harness, 20, class_index=class_index)
-        assert len(harness.sends()) - before >= 15
+        assert len(harness.sends()) - sent_before >= 15
--- a/tests/balancer/test_service_rules.py
+++ b/tests/balancer/test_service_rules.py
@@ -1,4 +1,7 @@
-"""The four rules under arbitrary legal event sequences; tests/balancer/harness.py checks every action."""
+"""The four service rules under arbitrary legal event sequences.
+
+BalancerHarness checks rules 1 to 3 on every action; `WarmingFleet` measures rule 4.
+"""
 
 from __future__ import annotations
 
@@ -64,30 +67,30 @@
 
 
 def apply_step(harness: BalancerHarness, step: tuple[str, int, object]) -> None:
-    what, number, extra = step
-    if what == "arrive":
+    kind, number, extra = step
+    if kind == "arrive":
         assert isinstance(extra, int)
         harness.arrive(number, client_timeout_us=extra)
-    elif what == "advance":
+    elif kind == "advance":
         harness.advance(number)
-    elif what in ("list", "restart", "full", "fail"):
+    elif kind in ("list", "restart", "full", "fail"):
         apply_list_step(harness, step)
-    elif what == "quit" and harness.requests:
-        ident = list(harness.requests)[number % len(harness.requests)]
-        if not harness.requests[ident].is_closed:
-            harness.disconnect_client(ident)
-    elif what in ("end", "stream"):
+    elif kind == "quit" and harness.requests:
+        request = list(harness.requests)[number % len(harness.requests)]
+        if not harness.requests[request].is_closed:
+            harness.disconnect_client(request)
+    elif kind in ("end", "stream"):
         apply_attempt_step(harness, step)
 
 
 def apply_list_step(harness: BalancerHarness, step: tuple[str, int, object]) -> None:
-    what, number, extra = step
-    if what in ("list", "restart"):
-        started = harness.now_us - extra if isinstance(extra, int) else 0
+    kind, number, extra = step
+    if kind in ("list", "restart"):
+        started_us = harness.now_us - extra if isinstance(extra, int) else 0
         state = extra if isinstance(extra, UpstreamState) else UpstreamState.READY
-        entry = Upstream(100 + number, state, number // 2, 0, number // 2, 1.0, started)
+        entry = Upstream(100 + number, state, number // 2, 0, number // 2, 1.0, started_us)
         harness.update_list([entry], ListKind.DELTA)
-    elif what == "full":
+    elif kind == "full":
         assert isinstance(extra, ListKind)
         harness.update_list(upstreams(number), extra)
     elif harness.settings.list_on_request:
@@ -95,19 +98,21 @@
 
 
 def apply_attempt_step(harness: BalancerHarness, step: tuple[str, int, object]) -> None:
-    what, number, extra = step
-    open_tries = [(ident, n) for ident, owed in harness.requests.items() for n in owed.in_flight()]
-    if what == "end":
-        if open_tries:
+    kind, number, extra = step
+    in_flight = [
+        (request, attempt) for request, state in harness.requests.items() for attempt in state.in_flight()
+    ]
+    if kind == "end":
+        if in_flight:
             assert isinstance(extra, Outcome)
-            harness.end(*open_tries[number % len(open_tries)], extra)
+            harness.end(*in_flight[number % len(in_flight)], extra)
         return
     streams = [
-        (i, n)
-        for i, n in open_tries
-        if harness.settings.classes[harness.requests[i].event.class_index].stream
-        and not harness.requests[i].is_streaming
-        and not harness.requests[i].is_closed
+        (request, attempt)
+        for request, attempt in in_flight
+        if harness.settings.classes[harness.requests[request].event.class_index].stream
+        and not harness.requests[request].is_streaming
+        and not harness.requests[request].is_closed
     ]
     if streams:
         harness.begin_stream(*streams[number % len(streams)])
@@ -115,18 +120,18 @@
 
 @hypothesis_settings(derandomize=True, deadline=None, max_examples=400)
 @given(CONFIGS, st.integers(0, 2**64 - 1), st.lists(STEPS, max_size=80))
-def test_any_legal_events_keep_the_rules(
+def test_any_legal_events_comply_with_the_rules(
     config: dict[str, object], seed: int, steps: list[tuple[str, int, object]]
 ) -> None:
     harness = BalancerHarness(settings(classes=all_kinds_of_classes(), **config), seed)
     harness.update_list(upstreams(6), ListKind.CACHED)
     for step in steps:
         apply_step(harness, step)
-    harness.advance(5_000_000)  # everything is answered by its due time
+    harness.advance(5_000_000)  # fails if a request has no response by its deadline
 
 
 def run_busy_day(config: dict[str, object], seed: int) -> list[object]:
-    """Heavy use with every kind of fault, so that slots run out and requests wait and are reissued."""
+    """Run 1500 random events with every kind of fault, so that requests are buffered and retried."""
     rng = random.Random(seed)
     harness = BalancerHarness(settings(classes=all_kinds_of_classes(), **config), seed)
     harness.update_list(upstreams(6), ListKind.CACHED)
@@ -151,7 +156,7 @@
     return list(harness.actions)
 
 
-def test_busy_days_keep_the_rules_and_are_deterministic() -> None:
+def test_busy_days_comply_with_the_rules_and_are_deterministic() -> None:
     for seed in range(12):
         config: dict[str, object] = {
             "hedging_allowed": seed % 2 == 0,
@@ -164,25 +169,26 @@
 
 
 class WarmingFleet:
-    """Sidecars that send to ten upstreams of one core each, of which the first `new` have just started.
+    """Sidecars that send to ten upstreams of one core each, of which the first `new_count` have just started.
 
-    Upstreams serve in turn; requests take 40 ms when an upstream is warm. Upstream 1 ends all its attempts
-    with `outcome`, the others serve them.
+    Each upstream serves one request at a time, in 40 ms when it is warm. Upstream 1 ends all its attempts
+    with `outcome`; the others succeed.
     """
 
     WORK_US = 40_000
 
-    def __init__(self, sidecars: int, outcome: Outcome, new: int) -> None:
+    def __init__(self, sidecars: int, outcome: Outcome, new_count: int) -> None:
         self.config = settings(instances=sidecars, classes=[RequestClass("read", 300_000, 1_500_000)])
         self.outcome = outcome
-        self.new = new
+        self.new_count = new_count
         self.balancers = [Balancer(self.config, n, START_US) for n in range(sidecars)]
-        self.free_us = dict.fromkeys(range(1, 11), START_US)
-        self.sent: list[int] = []  # when upstream 1 got a request
+        self.free_us = dict.fromkeys(range(1, 11), START_US)  # when each upstream has served its queue
+        self.sent_us: list[int] = []  # when upstream 1 got each of its requests
+        # (end time, sidecar, request, upstream, attempt, start time) of each attempt in flight
         self.ends: list[tuple[int, int, int, int, int, int]] = []
-        self.attempts: dict[int, int] = {}
+        self.attempts: dict[int, int] = {}  # number of attempts of each request
         self.now_us = START_US
-        listed = [Upstream(n, started_us=START_US if n <= new else 0) for n in range(1, 11)]
+        listed = [Upstream(n, started_us=START_US if n <= new_count else 0) for n in range(1, 11)]
         for balancer in self.balancers:
             balancer.handle(self.now_us, UpstreamsUpdated(ListKind.FULL, listed))
 
@@ -195,9 +201,11 @@
         for end in [e for e in self.ends if e[0] <= self.now_us]:
             self.ends.remove(end)
             _, number, request, upstream, attempt, sent_us = end
-            how = self.outcome if upstream == 1 else Outcome.OK
-            took_us = self.now_us - sent_us
-            events.append((number, AttemptEnded(request, attempt, upstream, how, took_us, how is Outcome.OK)))
+            outcome = self.outcome if upstream == 1 else Outcome.OK
+            elapsed_us = self.now_us - sent_us
+            events.append(
+                (number, AttemptEnded(request, attempt, upstream, outcome, elapsed_us, outcome is Outcome.OK))
+            )
         return events
 
     def handle(self, number: int, event: RequestArrived | AttemptEnded) -> None:
@@ -210,29 +218,31 @@
         self.attempts[action.request] = attempt + 1
         upstream, ready_us = action.upstream, self.now_us + self.WORK_US
         if upstream > 1 or self.outcome is Outcome.OK:
-            weight = self.slow_start_weight(self.now_us) if upstream <= self.new else 1.0
+            weight = self.slow_start_weight(self.now_us) if upstream <= self.new_count else 1.0
             ready_us = max(self.free_us[upstream], self.now_us) + int(self.WORK_US / weight)
             self.free_us[upstream] = ready_us
         self.ends.append((ready_us, number, action.request, upstream, attempt, self.now_us))
         if upstream == 1:
-            self.sent.append(self.now_us)
+            self.sent_us.append(self.now_us)
 
     def worst_share(self) -> float:
-        """Return the most work that upstream 1 got in any `fall_us`, over its budget there."""
+        """Return the greatest ratio of the work that upstream 1 got in any `fall_us` to what it bears."""
         worst = 0.0
-        for start in self.sent:
-            pushed = self.WORK_US * sum(start <= at < start + self.config.fall_us for at in self.sent)
-            budget = self.config.overload_factor * self.slow_start_weight(start) * self.config.fall_us
-            worst = max(worst, pushed / budget)
+        for start_us in self.sent_us:
+            work_us = self.WORK_US * sum(
+                start_us <= at_us < start_us + self.config.fall_us for at_us in self.sent_us
+            )
+            budget_us = self.config.overload_factor * self.slow_start_weight(start_us) * self.config.fall_us
+            worst = max(worst, work_us / budget_us)
         return worst
 
 
-def worst_overload_share(rates: list[int], outcome: Outcome, new: int = 1) -> float:
-    """Return the most work that upstream 1 gets in any `fall_us`, over its budget there.
+def worst_overload_share(rates: list[int], outcome: Outcome, new_count: int = 1) -> float:
+    """Return the greatest ratio of the work that upstream 1 gets in any `fall_us` to what it bears.
 
-    Each sidecar gets its number of requests per tick of 4 ms.
+    `rates` has the number of requests that each sidecar gets per tick of 4 ms.
     """
-    fleet = WarmingFleet(len(rates), outcome, new)
+    fleet = WarmingFleet(len(rates), outcome, new_count)
     request = 0
     while fleet.now_us < START_US + 8_000_000:
         events: list[tuple[int, RequestArrived | AttemptEnded]] = []
@@ -248,16 +258,16 @@
 
 
 def test_warming_upstream_is_not_overloaded_by_all_sidecars_together() -> None:
-    for skew in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1], [1] * 200):
+    for rates in ([1, 1, 1], [3, 0, 0], [1] * 8, [1] * 24, [4, 1, 1, 1], [1] * 200):
         for outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.CONNECT_FAILED):
-            assert 0 < worst_overload_share(skew, outcome) <= 1, (skew, outcome)
+            assert 0 < worst_overload_share(rates, outcome) <= 1, (rates, outcome)
 
 
-def test_fleet_that_starts_as_a_whole_is_not_overloaded() -> None:
-    assert 0 < worst_overload_share([1], Outcome.OK, new=10) <= 1
+def test_fleet_whose_upstreams_all_start_at_once_is_not_overloaded() -> None:
+    assert 0 < worst_overload_share([1], Outcome.OK, new_count=10) <= 1
 
 
-def test_replacements_of_most_of_a_fleet_are_not_overloaded() -> None:
-    for skew in ([1, 1, 1], [1] * 6, [1] * 8, [2] * 8, [1] * 10, [1] * 40, [1] * 200):
+def test_fleet_of_which_most_upstreams_are_replaced_is_not_overloaded() -> None:
+    for rates in ([1, 1, 1], [1] * 6, [1] * 8, [2] * 8, [1] * 10, [1] * 40, [1] * 200):
         for outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR):
-            assert 0 < worst_overload_share(skew, outcome, new=6) <= 1, (skew, outcome)
+            assert 0 < worst_overload_share(rates, outcome, new_count=6) <= 1, (rates, outcome)
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -178,7 +178,7 @@
     after = set(serve_requests(harness, 100))
     assert after
     assert not after & {one.id for one in drained}
-    assert all(harness.requests[request].answers == 1 for request in out)
+    assert all(harness.requests[request].response_count == 1 for request in out)
 
 
 def test_failing_members_get_stand_ins_at_once_and_recover() -> None:
--- a/tests/balancer/test_unexpected_events.py
+++ b/tests/balancer/test_unexpected_events.py
@@ -23,7 +23,7 @@
 from tests.balancer.harness import START_US, BalancerHarness, settings, upstreams
 
 
-def test_events_about_unknown_ids_are_ignored() -> None:
+def test_events_with_unknown_ids_are_ignored() -> None:
     harness = BalancerHarness()
     harness.update_list(upstreams(3))
     for event in (
@@ -39,7 +39,7 @@
     assert harness.sends(harness.arrive(0))
 
 
-def test_events_after_the_final_answer_are_ignored() -> None:
+def test_events_after_the_final_response_are_ignored() -> None:
     harness = BalancerHarness()
     harness.update_list(upstreams(3))
     request = harness.arrive(0)
@@ -70,7 +70,7 @@
     assert not isinstance(harness.answer(request), Fail)
 
 
-def test_stream_that_has_begun_is_not_presumed_lost() -> None:
+def test_attempt_whose_stream_has_begun_is_not_presumed_lost() -> None:
     feed = RequestClass("feed", 100_000, 500_000, stream=True, effect="at_most_once", late_weight=0.5)
     harness = BalancerHarness(settings(classes=[feed]))
     harness.update_list(upstreams(3))
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize(
-    ("make", "words"),
+    ("make", "expected_text"),
     [
         (lambda: RequestClass("x", 0, 10), "latency_objective_us above 0"),
         (lambda: RequestClass("x", 10, -1), "deadline_us above 0"),
@@ -110,7 +110,7 @@
         (lambda: settings(classes=[]), "at least one request class"),
     ],
 )
-def test_invalid_settings_raise_with_what_was_expected(make: object, words: str) -> None:
+def test_error_for_invalid_settings_names_the_expected_value(make: object, expected_text: str) -> None:
     with pytest.raises(ValueError, match="expected") as caught:
         make()  # type: ignore[operator]
-    assert words in str(caught.value)
+    assert expected_text in str(caught.value)
--- a/tests/balancer/test_wakeups.py
+++ b/tests/balancer/test_wakeups.py
@@ -1,4 +1,4 @@
-"""The wake-ups on the one timer of the engine."""
+"""Scheduling of wake-ups on the single timer of the engine."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return context, Wakeups(context)
 
 
-def test_wakeups_are_popped_by_time_and_kind_once_due() -> None:
+def test_due_wakeups_are_popped_by_time_and_then_by_kind() -> None:
     context, wakeups = new_wakeups()
     wakeups.schedule(1_500, WakeupKind.ATTEMPT_OVERDUE, 1)
     wakeups.schedule(1_500, WakeupKind.PROBE_DEADLINE, 2)
@@ -38,7 +38,7 @@
     assert wakeups.pop_due() is not None
 
 
-def test_timer_is_set_only_for_what_comes_before_the_one_set() -> None:
+def test_timer_is_set_again_only_for_an_earlier_time() -> None:
     context, wakeups = new_wakeups()
     wakeups.schedule(2_000, WakeupKind.LIST_POLL, 0)
     wakeups.set_timer(0)
