--- a/sidecar_proxy/balancer/attempts.py
+++ b/sidecar_proxy/balancer/attempts.py
@@ -18,6 +18,7 @@
 
 RESPONSE_TIME_SMOOTHING: Final = 8  # number of responses over which an endpoint's response time is averaged
 LOST_ATTEMPT_FACTOR: Final = 3  # multiple of its endpoint's response time after which an attempt may be lost
+# outcomes with a response from the upstream
 ANSWERED_OUTCOMES: Final = (api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL)
 
 
--- a/sidecar_proxy/balancer/balancer.py
+++ b/sidecar_proxy/balancer/balancer.py
@@ -195,8 +195,8 @@
         """Send a request to an endpoint with a free slot, or else buffer it, or else reject it."""
         endpoint: Endpoint | None = None
         candidates: list[Endpoint] = []
-        is_in_time = self.is_in_time(request) and self.retry_policy.acquire_retry_budget(request)
-        if is_in_time:
+        may_start = self.is_in_time(request) and self.retry_policy.acquire_retry_budget(request)
+        if may_start:
             pick = self.picker.pick(request)
             endpoint = pick.endpoint
             candidates = pick.candidates
@@ -207,7 +207,7 @@
                 self.continue_polling(request, may_wait=True)
             else:
                 self.send(request, endpoint)
-        elif is_in_time and self.retry_policy.may_attempt(request):
+        elif may_start and self.retry_policy.may_attempt(request):
             self.shedder.record_exhaustion()
             self.buffer_or_reject(request)
         else:
@@ -240,7 +240,7 @@
     def buffer_or_reject(self, request: Request) -> None:
         """Buffer a request for at most half of its latency objective, or reject it.
 
-        A request that occupied the buffer before is rejected.
+        A request that it displaces from the buffer is rejected.
         """
         if not self.shedder.may_buffer(request):
             self.complete(request)
--- a/sidecar_proxy/balancer/load_shedding.py
+++ b/sidecar_proxy/balancer/load_shedding.py
@@ -98,8 +98,8 @@
         """Return the Retry-After of a rejection in microseconds from now; 0 = none is given.
 
         It is about the time until a slot becomes free: one response time, with jitter so that rejected
-        clients don't retry all at once. A delay that the fleet has agreed on replaces it. A
-        client that retried too early gets the rest of its previous delay.
+        clients don't retry all at once. A delay that the fleet has agreed on replaces it, and a client that
+        retried too early gets the rest of its previous delay.
         """
         context = self.context
         response_time_us = self.response_times.smoothed_us[request.class_index]
--- a/sidecar_proxy/balancer/request.py
+++ b/sidecar_proxy/balancer/request.py
@@ -5,6 +5,7 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.endpoint import Endpoint
 
+# outcomes of attempts that the upstream certainly has not run
 NEVER_RAN: Final = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.NOT_SENT)
 
 
@@ -13,9 +14,7 @@
 
     def __init__(self, endpoint: Endpoint, now_us: int, was_warming: bool) -> None:
         self.endpoint = endpoint
-        self.entry = (
-            endpoint.entry
-        )  # the list entry when the attempt started; the endpoint's may change since
+        self.entry = endpoint.entry  # the list entry when the attempt started; the endpoint's may change
         self.sent_us = now_us
         self.outcome: api.Outcome | None = None  # None while it is in flight
         self.is_presumed_lost = False  # its slot was freed before its outcome was known
@@ -32,16 +31,15 @@
         self.request_class = settings.classes[event.class_index]
         self.effective_deadline_us = event.due_us
         if self.request_class.late_weight <= 0.0:
-            # A response after the objective has no value here, so the deadline is moved forward to the
-            # objective: waiting longer for a lost response would only occupy a slot.
+            # A response after the objective has no value here, so the objective is the deadline: waiting
+            # longer for a lost response would only occupy a slot.
             objective_ends_us = now_us + self.request_class.latency_objective_us - settings.tick_us
             self.effective_deadline_us = min(event.due_us, objective_ends_us)
         self.attempts: list[Attempt] = []
         self.candidates: list[Endpoint] = []  # endpoints whose load the request waits for
         self.last_probed: Endpoint | None = None  # the candidate that was probed last
-        self.is_done = (
-            False  # no response is due any more: it was given, is streaming, or the client has gone
-        )
+        # whether no response is due any more: it was given, is streaming, or the client has gone
+        self.is_done = False
 
     def has_attempt_in_flight(self) -> bool:
         """Whether the last attempt has no outcome yet."""
--- a/tests/balancer/harness.py
+++ b/tests/balancer/harness.py
@@ -35,11 +35,13 @@
     UpstreamsUpdated,
 )
 
+# outcomes of attempts that the upstream certainly has not run
 NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT}
 START_US = 1_000_000_000
 
 
 def classes() -> list[RequestClass]:
+    """Return three request classes: idempotent, at most once, and deduplicated within a cell."""
     return [
         RequestClass(
             "read", latency_objective_us=300_000, deadline_us=1_500_000, effect="idempotent", late_weight=0.3
@@ -66,6 +68,7 @@
 
 
 def settings(**changes: object) -> Settings:
+    """Return settings for three sidecars with `classes`; keyword arguments replace single values."""
     values: dict[str, object] = {
         "classes": classes(),
         "instances": 3,
@@ -137,6 +140,7 @@
     # Events
 
     def dispatch(self, event: Event) -> list[Action]:
+        """Let the balancer handle an event; check, record and return its actions."""
         actions = self.balancer.handle(self.now_us, event)
         for action in actions:
             self.check(action)
@@ -144,6 +148,7 @@
         return actions
 
     def update_list(self, entries: list[Upstream], kind: ListKind = ListKind.FULL) -> list[Action]:
+        """Deliver a list update, and note which upstreams are not ready since when."""
         for entry in entries:
             self.listed[entry.id] = entry
             if entry.state is UpstreamState.READY:
@@ -156,6 +161,7 @@
         return self.dispatch(UpstreamsUpdated(kind, entries))
 
     def arrive(self, class_index: int = 0, client_timeout_us: int | None = None, **fields: Any) -> int:
+        """Deliver a new request, with its class's deadline unless a time-out is given; return its id."""
         request_id = self.next_id
         self.next_id += 1
         timeout_us = client_timeout_us or self.settings.classes[class_index].deadline_us
@@ -165,6 +171,7 @@
         return request_id
 
     def end(self, request: int, attempt: int, outcome: Outcome, **fields: list[float]) -> list[Action]:
+        """End an attempt; a success, or any end of a stream, is the final response."""
         request_state = self.requests[request]
         attempt_state = request_state.attempts[attempt]
         assert attempt_state.outcome is None
--- a/tests/balancer/steps.py
+++ b/tests/balancer/steps.py
@@ -10,6 +10,7 @@
 
 
 def harness_with_upstreams(count: int = 4, **changes: object) -> BalancerHarness:
+    """Return a harness whose balancer has a list of `count` ready upstreams."""
     harness = BalancerHarness(settings(**changes))
     harness.update_list(upstreams(count))
     return harness
