--- a/sidecar_proxy/balancer/response_times.py
+++ b/sidecar_proxy/balancer/response_times.py
@@ -32,7 +32,7 @@
         outage that has raised the smoothed response time.
         """
         usual_us = int(self.smoothed_us[request.class_index])
-        return request.give_up_us - min(usual_us, self.half_objectives_us[request.class_index])
+        return request.effective_deadline_us - min(usual_us, self.half_objectives_us[request.class_index])
 
     def attempt_timeout_us(self, request: Request) -> int:
         """Return the time-out of an attempt: the usual response time of its class, with a margin.
--- a/tests/balancer/test_endpoint_list_updates.py
+++ b/tests/balancer/test_endpoint_list_updates.py
@@ -17,7 +17,7 @@
     UpstreamsUpdated,
 )
 from tests.balancer.harness import START_US, BalancerHarness, settings, upstreams
-from tests.balancer.steps import READ, listed_world
+from tests.balancer.steps import READ, harness_with_upstreams
 
 
 def polling_world() -> BalancerHarness:
@@ -28,7 +28,7 @@
 
 def list_polls(harness: BalancerHarness) -> list[int]:
     """Return the positions of the subscriptions to the list in the log of actions."""
-    return [position for position, action in enumerate(harness.log) if isinstance(action, Subscribe)]
+    return [position for position, action in enumerate(harness.actions) if isinstance(action, Subscribe)]
 
 
 def test_list_that_is_not_pushed_is_subscribed_to() -> None:
@@ -194,11 +194,11 @@
     request = harness.arrive(0)
     harness.advance(2_000_000)
     assert harness.answer(request) is not None
-    assert all(action.at_us > START_US for action in harness.log if isinstance(action, SetTimer))
+    assert all(action.at_us > START_US for action in harness.actions if isinstance(action, SetTimer))
 
 
 def test_draining_upstreams_get_nothing() -> None:
-    harness = listed_world(2)
+    harness = harness_with_upstreams(2)
     harness.update_list([Upstream(100, UpstreamState.DRAINING), Upstream(101, UpstreamState.GONE)])
     request = harness.arrive(READ)
     harness.advance(1_000_000)
--- a/tests/balancer/test_outlier_reports.py
+++ b/tests/balancer/test_outlier_reports.py
@@ -21,7 +21,7 @@
 GAP_US = 50_000
 
 
-def listed_world(**changes: object) -> BalancerHarness:
+def harness_with_upstreams(**changes: object) -> BalancerHarness:
     harness = BalancerHarness(settings(**changes))
     harness.update_list(upstreams(6))
     return harness
@@ -49,7 +49,7 @@
 
 
 def test_reported_upstream_gets_one_trial_after_a_pause_and_an_answer_ends_probation() -> None:
-    harness = listed_world(instances=4)
+    harness = harness_with_upstreams(instances=4)
     harness.dispatch(OutlierReported(REPORTED, 1.0))
     begin_us = harness.now_us
     trials_us = run_requests(harness, 20.0)
@@ -64,7 +64,7 @@
 
 
 def test_unresponsive_upstream_on_probation_is_tried_rarely() -> None:
-    harness = listed_world(instances=50)
+    harness = harness_with_upstreams(instances=50)
     harness.dispatch(OutlierReported(REPORTED, 0.8))
     assert (
         len(run_requests(harness, 30.0, is_unresponsive=True)) <= 30.0 * 1e6 / (MAX_TRIAL_INTERVAL_US / 2) + 1
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("weight", [0.0, 0.1, 0.49])
 def test_low_weight_has_no_effect_and_ends_probation(weight: float) -> None:
-    harness = listed_world(instances=50)
+    harness = harness_with_upstreams(instances=50)
     harness.dispatch(OutlierReported(REPORTED, weight))
     endpoint = harness.balancer.endpoints[REPORTED]
     assert (endpoint.limit_before_probation, endpoint.limiter.limit) == (0.0, 1.0)
@@ -90,7 +90,7 @@
     If it moved down in that order, a falsely reported upstream would never get the trial that ends
     probation.
     """
-    harness = listed_world(instances=50)
+    harness = harness_with_upstreams(instances=50)
     endpoints = harness.balancer.endpoints
     first = min(endpoints.values(), key=harness.balancer.pool.order_key).entry.id
     harness.dispatch(OutlierReported(first, 1.0))
@@ -103,7 +103,7 @@
 
 def test_only_a_quarter_of_the_upstreams_is_put_on_probation() -> None:
     """Otherwise a network fault of one second could put all upstreams on probation at all sidecars."""
-    harness = listed_world(instances=4)
+    harness = harness_with_upstreams(instances=4)
     for number in range(6):
         harness.dispatch(OutlierReported(100 + number, 1.0))
     assert [endpoint.limit_before_probation > 0.0 for endpoint in harness.balancer.endpoints.values()].count(
@@ -115,7 +115,7 @@
 
 
 def test_reports_do_not_raise_a_limit_that_own_failures_lowered() -> None:
-    harness = listed_world(instances=50)
+    harness = harness_with_upstreams(instances=50)
     endpoint = harness.balancer.endpoints[REPORTED]
     endpoint.limiter.limit = 1 / 32
     for weight in (1.0, 0.0, 0.7, 0.2):
@@ -125,7 +125,7 @@
 
 def test_false_reports_cost_one_pause_at_most() -> None:
     """The bound of docs/design/gossip.md: a false report costs one pause at first, and nothing later."""
-    harness, unreported = listed_world(instances=4), listed_world(instances=4)
+    harness, unreported = harness_with_upstreams(instances=4), harness_with_upstreams(instances=4)
     unreported_count = len(run_requests(unreported, 40.0))
     begin_us = harness.now_us
     trials_us: list[int] = []
@@ -140,7 +140,7 @@
 
 
 def test_restarted_upstream_is_not_on_probation() -> None:
-    harness = listed_world(instances=50)
+    harness = harness_with_upstreams(instances=50)
     harness.dispatch(OutlierReported(REPORTED, 1.0))
     entry = harness.balancer.entries[REPORTED]
     harness.update_list(
@@ -152,7 +152,7 @@
 
 
 def test_number_of_sidecars_changes_slots_at_warming_upstreams() -> None:
-    harness = listed_world(instances=2)
+    harness = harness_with_upstreams(instances=2)
     before = harness.balancer.pool.warming_slots
     harness.dispatch(FleetResized(20, 3))
     assert harness.balancer.pool.sidecars_per_endpoint == 20.0
@@ -178,7 +178,7 @@
 )
 def test_any_reports_keep_the_rules_and_raise_no_limit(steps: list[tuple[str, int, float]]) -> None:
     """Reports raise no limit and close no endpoint for good; the harness checks the rules at each action."""
-    harness = listed_world(instances=4)
+    harness = harness_with_upstreams(instances=4)
     endpoints = harness.balancer.endpoints
     for step, number, fraction in steps:
         if step == "report":
--- a/tests/balancer/test_subsetting.py
+++ b/tests/balancer/test_subsetting.py
@@ -178,7 +178,7 @@
     after = set(serve_requests(harness, 100))
     assert after
     assert not after & {entry.id for entry in drained}
-    assert all(harness.requests[request].answers == 1 for request in in_flight_requests)
+    assert all(harness.requests[request].response_count == 1 for request in in_flight_requests)
 
 
 def test_failing_members_are_replaced_at_once_and_recover() -> None:
@@ -264,11 +264,11 @@
     harness.balancer.endpoint_list.subset.target_size = 20
     serve_requests(harness, 5)
     former_members = set(harness.balancer.endpoint_list.subset.members)
-    harness.log.clear()
+    harness.actions.clear()
     harness.update_list([Upstream(90_000 + n) for n in range(100)], ListKind.DELTA)
     left = former_members - set(harness.balancer.endpoint_list.subset.members)
     assert left
-    assert {action.upstream for action in harness.log if isinstance(action, CloseIdle)} == left
+    assert {action.upstream for action in harness.actions if isinstance(action, CloseIdle)} == left
 
 
 def test_last_entry_of_an_upstream_in_one_list_wins() -> None:
