--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,7 +19,7 @@
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.gc_control import GcController
-from sidecar_proxy.http1.upstream import Pool
+from sidecar_proxy.http1.upstream import ConnectionPool
 from sidecar_proxy.testbed.capacity import Machine
 from sidecar_proxy.testbed.checker import table
 from sidecar_proxy.testbed.scenario import Plan, Scene, settings
@@ -52,7 +52,7 @@
     """The longest time between two turns of the loop while a list comes, and while all of it is replaced."""
     told = parse_settings("\n".join(settings_lines(settings(Plan(instances=300), 0))))
     told.max_upstreams = 104
-    pool = Pool(0.2, 5.0, 104)
+    pool = ConnectionPool(0.2, 5.0, 104)
     discovery = PlatformDiscoveryClient(("127.0.0.1", 1), EndpointDirectory(told), 0, pushed=False)
     discovery.collector = GcController()
     discovery.sink = engine = Engine(told, 1, Clock(), pool, discovery)
--- a/benchmarks/grpc.py
+++ b/benchmarks/grpc.py
@@ -260,7 +260,7 @@
     from sidecar_proxy.engine.interfaces import ListedUpstream
     from sidecar_proxy.grpc.subsystem import start
     from sidecar_proxy.http1.server import Server
-    from sidecar_proxy.http1.upstream import Pool
+    from sidecar_proxy.http1.upstream import ConnectionPool
 
     class Quiet:
         def subscribe(self, active: bool) -> None: ...
@@ -274,7 +274,7 @@
             return []
 
     told = api.Settings(classes=[api.RequestClass("chapter-buy", 1_000_000, 60_000_000)])
-    pool = Pool(5.0, 60.0, 1000)
+    pool = ConnectionPool(5.0, 60.0, 1000)
     engine = Engine(told, 1, Clock(), pool, Quiet())
     engine.balancer = Sends()  # type: ignore[assignment]
     server = Server(engine, 1000)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -24,7 +24,7 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Clock, Engine
-from sidecar_proxy.http1.upstream import Pool
+from sidecar_proxy.http1.upstream import ConnectionPool
 
 
 def value(number: int, health: str) -> bytes:
@@ -84,7 +84,7 @@
     addresses = pipe.recv()
     told, clock = settings(3), Clock()
     directory = EndpointDirectory(told)
-    engine = Engine(told, 1, clock, Pool(0.2, 5.0, 104), Quiet())
+    engine = Engine(told, 1, clock, ConnectionPool(0.2, 5.0, 104), Quiet())
     before = memory_mb()
     from sidecar_proxy.config.schema import Etcd, Membership
     from sidecar_proxy.discovery.subsystem import DiscoverySubsystem
--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -29,7 +29,7 @@
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.gc_control import GcController
 from sidecar_proxy.http1.server import Server
-from sidecar_proxy.http1.upstream import Pool
+from sidecar_proxy.http1.upstream import ConnectionPool
 
 if TYPE_CHECKING:
     from sidecar_proxy.config.schema import Operator
@@ -58,7 +58,7 @@
         max_upstreams=share,  # of a fleet larger than that a part is used
         is_successor=hot_restart is not None and not hot_restart.locks.claim_serving(),
     )
-    pool = Pool(settings.connect_timeout_us / 1e6 or 1.0, settings.idle_us / 1e6, share)
+    pool = ConnectionPool(settings.connect_timeout_us / 1e6 or 1.0, settings.idle_us / 1e6, share)
     discovery = PlatformDiscoveryClient(
         config.discovery, directory, version, pushed=not settings.list_on_request
     )
--- a/sidecar_proxy/daemon/subsystems.py
+++ b/sidecar_proxy/daemon/subsystems.py
@@ -114,7 +114,7 @@
         context.config.seed,
         context.holding,
         context.door,
-        lambda: context.server.ready,
+        lambda: context.server.is_ready,
     )
     agreeing.start()
     return agreeing
--- a/sidecar_proxy/discovery/platform_client.py
+++ b/sidecar_proxy/discovery/platform_client.py
@@ -25,7 +25,7 @@
 from sidecar_proxy.engine.address import Address
 from sidecar_proxy.engine.gc_control import GcController
 from sidecar_proxy.engine.interfaces import EndpointListListener, ListedUpstream
-from sidecar_proxy.http1.upstream import MAX_HEAD, input_poll
+from sidecar_proxy.http1.upstream import MAX_HEAD_BYTES, make_input_poll
 
 log = logging.getLogger("sidecar_proxy")
 
@@ -245,7 +245,7 @@
         self.wanted = True
         self.transport: asyncio.Transport | None = None
         self.objects = Objects()
-        self.head = MAX_HEAD  # bytes that it may still take
+        self.head = MAX_HEAD_BYTES  # bytes that it may still take
         self.parser = httptools.HttpResponseParser(self)
         self.silence = owner.loop.call_later(self.patience_s(), self.silent)
         owner.calls.add(self)
@@ -343,7 +343,7 @@
     def silent(self) -> None:
         """Hazard: a loop that was held up meets its timers before what has come meanwhile."""
         transport = self.transport
-        if transport is not None and not transport.is_closing() and input_poll(transport).poll(0):
+        if transport is not None and not transport.is_closing() and make_input_poll(transport).poll(0):
             self.listen()
         else:
             self.fail("silence")
--- a/sidecar_proxy/grpc/front.py
+++ b/sidecar_proxy/grpc/front.py
@@ -20,9 +20,9 @@
 from sidecar_proxy.grpc.relay import KEPT, OWN_HEADERS, Relay
 from sidecar_proxy.grpc.status import Code, encode_message
 from sidecar_proxy.http1.client import ClientConnection
-from sidecar_proxy.http1.listener import Incoming, Listener
-from sidecar_proxy.http1.request import Rejected as HttpRejected
-from sidecar_proxy.http1.upstream import input_poll
+from sidecar_proxy.http1.listener import DownstreamConnection, Listener
+from sidecar_proxy.http1.request import RequestRejectedError as HttpRejected
+from sidecar_proxy.http1.upstream import make_input_poll
 from sidecar_proxy.http2.connection import (
     CANCEL,
     NO_ERROR,
@@ -62,7 +62,7 @@
         self.stamp = b"%x" % (nodes.now_us() & 0xFFFFFFFFFF)
         self.watches: set[tuple[GrpcConnection, int]] = set()
 
-    def first(self, plain: Incoming) -> Sniffer:
+    def protocol_for(self, plain: DownstreamConnection) -> Sniffer:
         """Who has the first bytes of a connection."""
         return Sniffer(self, cast(ClientConnection, plain))
 
@@ -73,9 +73,9 @@
     def serving(self, service: str) -> health.Serving:
         if service and service not in self.reader.methods.services:
             return health.Serving.SERVICE_UNKNOWN
-        return health.Serving.SERVING if self.server.ready else health.Serving.NOT_SERVING
+        return health.Serving.SERVING if self.server.is_ready else health.Serving.NOT_SERVING
 
-    def tell(self) -> None:
+    def readiness_changed(self) -> None:
         """Those who watch are told that we drain, end or are back."""
         for connection, stream in list(self.watches):
             connection.send_data(stream, health.response(self.serving("")))
@@ -103,7 +103,7 @@
 
     def data_received(self, data: bytes) -> None:
         transport = self.plain.transport
-        if transport is None or self.plain.deaf:
+        if transport is None or self.plain.is_discarding:
             self.plain.data_received(data)
             return
         self.data += data
@@ -112,46 +112,46 @@
             self.plain.data_received(self.data)
         elif len(self.data) >= len(PREFACE):
             connection = GrpcConnection(self.front)
-            self.front.server.swap(self.plain, connection)
+            self.front.server.replace(self.plain, connection)
             del self.plain.parser  # it holds its connection as that holds it
             transport.set_protocol(cast(asyncio.Protocol, connection))
             connection.connection_made(transport)
             connection.data_received(self.data)
         else:
-            self.plain.unparsed = len(self.data)
+            self.plain.unparsed_bytes = len(self.data)
 
 
 class GrpcConnection(Endpoint):
     """One client's connection. To the server it is as ClientConnection is."""
 
-    grace_s = 2.2  # from its accept to its first call
+    receive_timeout_s = 2.2  # from its accept to its first call
 
     def __init__(self, front: Front) -> None:
         super().__init__(Connection(False, front.limits, front.nodes.now_us()), front.server.loop)
         self.front = front
         self.server = front.server
-        self.idle_s = front.idle_s
+        self.idle_timeout_s = front.idle_s
         self.calls: dict[int, Relay] = {}
         self.starts: dict[int, asyncio.TimerHandle] = {}  # calls that are not taken yet
         self.checks: dict[int, bytearray] = {}  # health requests that are not whole
         self.slow: dict[int, Relay] = {}  # their clients have something to read
         self.finishing: dict[int, float] = {}  # answered, and not read or not ended: till when
         self.sender_open: set[int] = set()  # streams whose client has not ended its side
-        self.since = self.loop.time()
-        self.deaf = False
+        self.phase_began_s = self.loop.time()
+        self.is_discarding = False
         self.leaving = 0  # GOAWAYs that were sent: the first tells, the second refuses
-        self.asked, self.reading, self.unparsed = True, False, 0
+        self.has_received_request, self.is_receiving, self.unparsed_bytes = True, False, 0
         self.sweeper: asyncio.TimerHandle | None = None
 
     @property
     def pending(self) -> bool:
         """Something is owed here."""
-        return bool(self.calls) or (self.server.closing and self.leaving < 2)
+        return bool(self.calls) or (self.server.is_closing and self.leaving < 2)
 
     # The transport
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.server.lost(self)
+        self.server.remove(self)
         self.abandoned()
         self.front.watches = {one for one in self.front.watches if one[0] is not self}
         if self.sweeper is not None:
@@ -162,10 +162,10 @@
         self.abandoned()
 
     def data_received(self, data: bytes) -> None:
-        if self.deaf:
+        if self.is_discarding:
             return
-        self.server.busy(self)
-        self.since = self.loop.time()
+        self.server.mark_busy(self)
+        self.phase_began_s = self.loop.time()
         for event in self.http2.receive(data, self.front.nodes.now_us()):
             match event:
                 case HeadersReceived():
@@ -180,8 +180,8 @@
                     self.broke(event)
         self.front.nodes.relieve()
         self.schedule()
-        if not self.pending and not self.deaf:
-            self.server.rests(self)
+        if not self.pending and not self.is_discarding:
+            self.server.mark_waiting(self)
 
     def flush(self) -> None:
         if not self.write():
@@ -221,12 +221,12 @@
 
     def take(self, event: HeadersReceived) -> None:
         request = self.front.reader.read(event.headers, self.front.nodes.now_us(), self.front.ident())
-        if request.ident in self.server.open:
+        if request.ident in self.server.open_request_ids:
             # hazard: nodes tell calls apart by it; two at once could get each other's answer
             raise Rejected(Code.ALREADY_EXISTS, "a call with this req-id is open")
         kind = self.front.reader.settings.classes[request.class_index]
         relay = Relay(self, event.stream, request, self.front.nodes, kind.stream)
-        self.server.open.add(request.ident)
+        self.server.open_request_ids.add(request.ident)
         self.calls[event.stream] = relay
         relay.whole = event.ended
         if event.ended or kind.stream:
@@ -280,7 +280,7 @@
 
     def abandoned(self) -> None:
         """Nothing is read here any more, and nobody waits for what is open."""
-        self.deaf = True
+        self.is_discarding = True
         for stream in list(self.calls):
             self.forget(stream)
 
@@ -290,7 +290,7 @@
         self.unstart(stream)
         relay = self.calls.pop(stream, None)
         if relay is not None:
-            self.server.open.discard(relay.request.ident)
+            self.server.open_request_ids.discard(relay.request.ident)
         return relay
 
     def unstart(self, stream: int) -> None:
@@ -376,9 +376,9 @@
         self.finishing[stream] = self.loop.time() + LINGER_S
         if self.sweeper is None:
             self.sweeper = self.loop.call_later(LINGER_S, self.sweep)
-        if not self.pending and not self.deaf:
-            self.since = self.loop.time()
-            self.server.rests(self)
+        if not self.pending and not self.is_discarding:
+            self.phase_began_s = self.loop.time()
+            self.server.mark_waiting(self)
         self.schedule()
 
     def sweep(self) -> None:
@@ -392,22 +392,22 @@
 
     # From the server
 
-    def quiet(self) -> bool:
+    def can_close(self) -> bool:
         if self.transport is None or self.transport.is_closing():
             return True
         if self.pending or self.finishing:
             return False
-        return not input_poll(self.transport).poll(0)
+        return not make_input_poll(self.transport).poll(0)
 
-    def backlog(self) -> bool:
+    def has_unsent_output(self) -> bool:
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def reject(self, error: HttpRejected) -> None:
-        self.drop()
+        self.close()
 
-    def drop(self) -> None:
+    def close(self) -> None:
         """No more is taken; a GOAWAY says which streams have been."""
-        self.deaf = True
+        self.is_discarding = True
         if self.transport is None or self.transport.is_closing():
             return
         self.http2.refuse_new()
@@ -415,7 +415,7 @@
             self.transport.write(self.http2.outgoing())
         (self.transport.abort if self.transport.get_write_buffer_size() else self.transport.close)()
 
-    def leave(self) -> None:
+    def announce_shutdown(self) -> None:
         """A planned end (RFC 9113, 6.8): a GOAWAY that refuses nothing, and one that does a round trip later;
         calls that are open are finished."""
         if self.leaving == 0:
@@ -437,10 +437,10 @@
     def broke(self, event: Ended) -> None:
         """It is of no more use; its GOAWAY says why."""
         if event.code != NO_ERROR:
-            self.server.complain(f"a gRPC client: HTTP/2: {event.why}")
+            self.server.warn_rate_limited(f"a gRPC client: HTTP/2: {event.why}")
         self.abandoned()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(self.http2.outgoing())
             self.transport.close()
-            if self.backlog():  # hazard: who does not read would keep a closing connection for good
+            if self.has_unsent_output():  # hazard: who does not read would keep a closing connection for good
                 self.loop.call_later(LINGER_S, self.transport.abort)
--- a/sidecar_proxy/grpc/metadata.py
+++ b/sidecar_proxy/grpc/metadata.py
@@ -11,7 +11,13 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.grpc.deadline import DeadlineError, format_us, parse_us
 from sidecar_proxy.grpc.status import Code
-from sidecar_proxy.http1.request import ANSWER_MARGIN_US, REQ_ID, cost_us, decimal_us, key_number
+from sidecar_proxy.http1.request import (
+    REQUEST_ID_PATTERN,
+    RESPONSE_MARGIN_US,
+    hash_key,
+    parse_cost_us,
+    parse_decimal_us,
+)
 
 Headers = list[tuple[bytes, bytes]]
 ONCE = frozenset(
@@ -122,7 +128,7 @@
         kind = self.settings.classes[class_index]
         timeout_us = self.timeout_us(found, kind)
         ident = found.get(b"req-id", made)
-        if not REQ_ID.match(ident):
+        if not REQUEST_ID_PATTERN.match(ident):
             raise Rejected(Code.INVALID_ARGUMENT, "bad req-id")
         keyed = kind.effect == "deduplicated"
         if keyed and not found.get(b"idempotency-key"):
@@ -132,11 +138,11 @@
         return Request(
             path,
             class_index,
-            now_us + timeout_us - min(ANSWER_MARGIN_US, timeout_us // 4),
+            now_us + timeout_us - min(RESPONSE_MARGIN_US, timeout_us // 4),
             ident,
             self.tenants.get(found.get(b"req-owner", b""), 0),
-            key_number(found.get(b"req-key", b"")),
-            cost_us(found.get(b"req-cost", b"")),
+            hash_key(found.get(b"req-key", b"")),
+            parse_cost_us(found.get(b"req-cost", b"")),
             found.get(b"grpc-previous-rpc-attempts", b"0") != b"0",
             (*onward, (b"te", b"trailers"), (b"req-id", ident)),
         )
@@ -170,4 +176,4 @@
 
 def retry_after_us(head: bytes) -> int:
     """Of the engine's refusal, whose only header line is HTTP/1.1's Retry-After; 0 = none."""
-    return decimal_us(head.partition(b":")[2].strip()) if head else 0
+    return parse_decimal_us(head.partition(b":")[2].strip()) if head else 0
--- a/sidecar_proxy/grpc/nodes.py
+++ b/sidecar_proxy/grpc/nodes.py
@@ -14,7 +14,7 @@
 from sidecar_proxy.grpc.message import first_size
 from sidecar_proxy.grpc.metadata import Headers, Request, value_of
 from sidecar_proxy.grpc.outcome import End, Ended
-from sidecar_proxy.http1.upstream import LOCAL_ERRORS, Pool, input_poll, itself
+from sidecar_proxy.http1.upstream import LOCAL_ERRNOS, ConnectionPool, as_protocol, make_input_poll
 from sidecar_proxy.http2.connection import (
     CANCEL,
     NO_ERROR,
@@ -310,7 +310,7 @@
         assert self.transport is not None
         # hazard: what sits in the loop's own buffer can't be taken back; see `fresh`
         self.transport.set_write_buffer_limits(high=0)
-        self.poll = input_poll(transport)
+        self.poll = make_input_poll(transport)
         self.heard = self.loop.time()
 
     def flush(self) -> None:
@@ -405,7 +405,7 @@
         """The connection is of no more use."""
         self.retire()
         if event.code != NO_ERROR:
-            self.nodes.pool.complain(f"node {self.host.address[0]}: HTTP/2: {event.why}")
+            self.nodes.pool.warn_rate_limited(f"node {self.host.address[0]}: HTTP/2: {event.why}")
         self.flush()
         for attempt in list(self.streams.values()):
             attempt.closed(End.BROKEN if event.code != NO_ERROR else End.CLOSED)
@@ -419,7 +419,7 @@
         if self in self.host.multiplexed:
             self.host.multiplexed.remove(self)
         self.nodes.connections.discard(self)
-        self.nodes.pool.closed(self.host)
+        self.nodes.pool.connection_closed(self.host)
         for attempt in list(self.streams.values()):
             attempt.closed(End.CLOSED)
         waiting, self.waiting = self.waiting, []
@@ -464,14 +464,14 @@
 
     def __init__(self, engine: Engine, idle_s: float, ping_s: float, most_held: int) -> None:
         self.engine = engine
-        self.pool = cast(Pool, engine.transport)
+        self.pool = cast(ConnectionPool, engine.transport)
         self.loop = engine.loop
         self.idle_s = idle_s
         self.ping_s = ping_s
         self.held = Held(most_held)
         self.connections: set[NodeConnection] = set()
         self.dials: set[asyncio.Task[None]] = set()
-        self.pool.spare = self.spare
+        self.pool.evict_multiplexed = self.spare
         self.timer = self.loop.call_later(SWEEP_S, self.sweep)
 
     def now_us(self) -> int:
@@ -496,7 +496,7 @@
             if isinstance(one, NodeConnection) and one.room():
                 one.place(attempt)
                 return
-        full = self.pool.open >= self.pool.most and not self.pool.evict()
+        full = self.pool.open_connections >= self.pool.max_connections and not self.pool.evict()
         if full or len(host.multiplexed) >= MOST_CONNECTIONS or not host.is_ready():
             attempt.finish(api.Outcome.NOT_SENT)
             return
@@ -504,7 +504,7 @@
         connection.waiting.append(attempt)
         host.multiplexed.append(connection)
         self.connections.add(connection)
-        self.pool.open += 1
+        self.pool.open_connections += 1
         host.open_connections += 1
         task = self.loop.create_task(self.dial(connection))
         self.dials.add(task)
@@ -513,14 +513,14 @@
     async def dial(self, connection: NodeConnection) -> None:
         host = connection.host
         try:
-            async with asyncio.timeout(self.pool.connect_s):
+            async with asyncio.timeout(self.pool.connect_timeout_s):
                 await self.loop.create_connection(
-                    partial(itself, connection), *(host.grpc_address or host.address)
+                    partial(as_protocol, connection), *(host.grpc_address or host.address)
                 )
         except (OSError, TimeoutError, ValueError) as error:  # ValueError: a name that is none
-            ours = isinstance(error, OSError) and error.errno in LOCAL_ERRORS
+            ours = isinstance(error, OSError) and error.errno in LOCAL_ERRNOS
             if ours:
-                self.pool.complain(f"no connection could be opened: {error}")
+                self.pool.warn_rate_limited(f"no connection could be opened: {error}")
             waiting, connection.waiting = connection.waiting, []
             if connection.transport is not None:
                 connection.transport.abort()
--- a/sidecar_proxy/http1/admission.py
+++ b/sidecar_proxy/http1/admission.py
@@ -19,69 +19,76 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-YOUNG_S = 0.05  # a connection's first request follows its accept; the loop may be busy meanwhile
-BEGUN_S = 0.05  # longer ones shut others out: at 0.1 s a first attempt came 66 ms after its request (p99)
-STALL_S = 0.7  # between two pieces of a request that is written over 2 s
-CROWD = 1 / 4  # of all places, held by those that have asked nothing: who has been of use keeps its place
+SILENT_GRACE_S = 0.05  # a connection's first request follows its accept; the loop may be busy meanwhile
+STARTED_GRACE_S = (
+    0.05  # longer ones shut others out: at 0.1 s a first attempt came 66 ms after its request (p99)
+)
+IN_PROGRESS_GRACE_S = 0.7  # between two pieces of a request that is written over 2 s
+MAX_SHARE_WITHOUT_REQUEST = (
+    1 / 4
+)  # of all places, held by those that have asked nothing: who has been of use keeps its place
 
-K = TypeVar("K")
+ConnectionT = TypeVar("ConnectionT")
 
 
-class Admission(Generic[K]):
+class Admission(Generic[ConnectionT]):
     """The connections that have no request under way, and when each last showed something. O(1) a change."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most  # places, those with a request under way among them
+    def __init__(self, max_connections: int) -> None:
+        self.max_connections = max_connections  # places, those with a request under way among them
         # the longest without evidence first: who shows some goes to the end
-        self.silent: dict[K, float] = {}
-        self.begun: dict[K, float] = {}  # one piece of a request has come
-        self.writing: dict[K, float] = {}  # more than one, and it is not whole
-        self.idle: dict[K, float] = {}
+        self.silent: dict[ConnectionT, float] = {}
+        self.started: dict[ConnectionT, float] = {}  # one piece of a request has come
+        self.in_progress: dict[ConnectionT, float] = {}  # more than one, and it is not whole
+        self.idle: dict[ConnectionT, float] = {}
 
-    def accepted(self, one: K, now_s: float) -> None:
+    def add(self, one: ConnectionT, now_s: float) -> None:
         self.silent[one] = now_s
 
-    def wrote(self, one: K, now_s: float) -> None:
+    def mark_received_bytes(self, one: ConnectionT, now_s: float) -> None:
         """Bytes have come, and they are no whole request."""
-        began = one in self.begun or one in self.writing
-        self.busy(one)
-        (self.writing if began else self.begun)[one] = now_s
+        began = one in self.started or one in self.in_progress
+        self.remove(one)
+        (self.in_progress if began else self.started)[one] = now_s
 
-    def rests(self, one: K, now_s: float) -> K | None:
+    def mark_idle(self, one: ConnectionT, now_s: float) -> ConnectionT | None:
         """All that it asked is answered. Hazard: clients may open only so many connections; if each asks once
         and stays, nobody could ask any more. So of more than half of all places the oldest is told, to be
         ended."""
-        self.busy(one)
+        self.remove(one)
         self.idle[one] = now_s
         oldest = next(iter(self.idle))
-        return oldest if len(self.idle) > self.most // 2 and oldest != one else None
+        return oldest if len(self.idle) > self.max_connections // 2 and oldest != one else None
 
-    def busy(self, one: K) -> None:
+    def remove(self, one: ConnectionT) -> None:
         """It has a request under way, or is gone."""
         self.silent.pop(one, None)
-        self.begun.pop(one, None)
-        self.writing.pop(one, None)
+        self.started.pop(one, None)
+        self.in_progress.pop(one, None)
         self.idle.pop(one, None)
 
-    def unasked(self) -> Iterator[K]:
+    def without_request(self) -> Iterator[ConnectionT]:
         """Those of which no whole request has come."""
-        for group in (self.silent, self.begun, self.writing):
+        for group in (self.silent, self.started, self.in_progress):
             yield from list(group)
 
-    def spare(self, now_s: float) -> Iterator[K]:
+    def eviction_candidates(self, now_s: float) -> Iterator[ConnectionT]:
         """Whom to end for a new connection, the first best; none: the new one waits. Hazard: a usual client
         that has just connected has not asked yet."""
-        yield from older(self.silent, now_s - YOUNG_S)
+        yield from iterate_older(self.silent, now_s - SILENT_GRACE_S)
         # hazard: the one accepted last is always young; to wait for it each time lets one in in YOUNG_S
-        if len(self.silent) + len(self.begun) + len(self.writing) < CROWD * self.most:
+        if (
+            len(self.silent) + len(self.started) + len(self.in_progress)
+            < MAX_SHARE_WITHOUT_REQUEST * self.max_connections
+        ):
             yield from self.idle
-        if len(self.silent) < CROWD * self.most:
-            yield from older(self.begun, now_s - BEGUN_S)
+        if len(self.silent) < MAX_SHARE_WITHOUT_REQUEST * self.max_connections:
+            yield from iterate_older(self.started, now_s - STARTED_GRACE_S)
         if not self.silent:
-            yield from older(self.writing, now_s - STALL_S)
+            yield from iterate_older(self.in_progress, now_s - IN_PROGRESS_GRACE_S)
 
 
-def older(group: dict[K, float], than_s: float) -> Iterator[K]:
+def iterate_older(group: dict[ConnectionT, float], than_s: float) -> Iterator[ConnectionT]:
     for one, since_s in group.items():
         if since_s > than_s:
             return
--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -14,7 +14,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.interfaces import ListedUpstream
-from sidecar_proxy.http1.upstream import Exchange, Pool
+from sidecar_proxy.http1.upstream import ConnectionPool, Exchange
 from tests.admin.admin_sidecar import AdminSidecar
 from tests.sockets import LONG_S, Client, Discovery, Message, Upstream, answer, eventually
 
@@ -74,7 +74,7 @@
             new = stack.enter_context(AdminSidecar(upstreams, shared_folder, listener=listener))
             assert new.call("STATUS") == "done"
             answers_before = count_answers(clients)
-            assert old.stop() == 0, old.lines
+            assert old.stop() == 0, old.log_lines
             eventually(partial(has_more_answers_than, clients, answers_before + 50))
             old = new
         for client in clients:
@@ -177,9 +177,9 @@
         self.released = threading.Event()
         super().__init__(hosts)
 
-    def line(self, client: socket.socket, data: bytes) -> None:
+    def send_chunk(self, client: socket.socket, data: bytes) -> None:
         self.released.wait(LONG_S)
-        super().line(client, data)
+        super().send_chunk(client, data)
 
 
 def test_successor_reports_ready_only_once_its_endpoint_list_shows_who_drains(
@@ -232,7 +232,7 @@
 def test_connection_pool_keeps_to_half_of_its_limit_while_there_are_two_processes() -> None:
     async def check_pool() -> None:
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
-        pool = Pool(connect_s=5.0, idle_s=60.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=5.0, idle_timeout_s=60.0, max_connections=8)
         host = ListedUpstream(api.Upstream(7), server.sockets[0].getsockname())
         pool.update([host], whole=True)
         for _ in range(8):
@@ -241,12 +241,12 @@
         while len(pool.idle) < 8:
             await asyncio.sleep(0)
         pool.shrink(True)
-        while pool.open > 4:
+        while pool.open_connections > 4:
             await asyncio.sleep(0)
         assert len(pool.idle) == 4
-        assert pool.most == 4
+        assert pool.max_connections == 4
         pool.shrink(False)
-        assert pool.most == 8
+        assert pool.max_connections == 8
         pool.close()
         server.close()
 
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -74,7 +74,7 @@
         requests_before = len(first_upstream.requests)
         # healthy, restarted, removed and listed again
         for changes in ({}, {"born_ms": 5}, {"health": "terminated"}, {"health": "in_service"}):
-            discovery.tell(first_upstream.entry(**changes))
+            discovery.send_changes(first_upstream.entry(**changes))
             for _ in range(10):
                 assert sidecar.request("GET", "/read/7").body == b"two"
         metrics = sidecar.metrics()
@@ -94,7 +94,7 @@
         AdminSidecar(upstreams, shared_folder, discovery=discovery) as sidecar,
     ):
         sidecar.call(f"SUSPEND {first_upstream.name}")
-        discovery.tell(first_upstream.entry(health="terminating"))
+        discovery.send_changes(first_upstream.entry(health="terminating"))
         sidecar.call(f"RESTORE {first_upstream.name}")
         sidecar.call("STATUS")
         eventually(lambda: sidecar.metrics()["app.members_unavailable"] == 1)
--- a/tests/admin/test_warm_start_codec.py
+++ b/tests/admin/test_warm_start_codec.py
@@ -189,7 +189,7 @@
             requests_before = len(faulty.requests)
             with AdminSidecar(servers, shared_folder, listener=listener) as new:
                 log_line = "sidecar_proxy: took over the warm-start state of 3 upstreams"
-                eventually(lambda: log_line in new.lines)
+                eventually(lambda: log_line in new.log_lines)
                 assert old.stop() == 0
                 for _ in range(60):
                     new.request("GET", "/read/7")
@@ -198,4 +198,4 @@
                 assert path.stat().st_size < 400
                 other_folder = {"TMPDIR": shared_folder + "/none"}  # there is no state to take over
                 with AdminSidecar(servers, shared_folder, listener=listener, env=other_folder) as third:
-                    assert not [line for line in third.lines if "took over" in line]
+                    assert not [line for line in third.log_lines if "took over" in line]
--- a/tests/crossings/test_answers.py
+++ b/tests/crossings/test_answers.py
@@ -12,7 +12,14 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.body_buffers import MAX_BUFFERED_BODY_BYTES
 from sidecar_proxy.engine.interfaces import ListedUpstream, UpstreamResponse
-from sidecar_proxy.http1.upstream import FIRST_S, ODD_REST_S, REST_S, Connection, Exchange, Pool
+from sidecar_proxy.http1.upstream import (
+    MISBEHAVED_REUSE_DELAY_S,
+    REUSE_DELAY_S,
+    STREAM_AFTER_S,
+    ConnectionPool,
+    Exchange,
+    UpstreamConnection,
+)
 from tests.sockets import LONG_S, Message, Upstream, answer
 
 
@@ -35,7 +42,7 @@
         return answer(message.body)
 
     async def test(upstream: Upstream) -> None:
-        pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=LONG_S, idle_timeout_s=5.0, max_connections=8)
         host = host_of(upstream)
         pool.update([host], whole=True)
         got: list[UpstreamResponse | None] = []
@@ -68,7 +75,7 @@
         return answer(b"x") * (2 if twice and twice.pop() else 1)
 
     async def test(upstream: Upstream) -> None:
-        pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=LONG_S, idle_timeout_s=5.0, max_connections=8)
         host = host_of(upstream)
         pool.update([host], whole=True)
 
@@ -80,24 +87,24 @@
         await exchange()
         assert not host.idle and host.has_misbehaved
         await exchange()
-        (one,) = [cast(Connection, idle) for idle in host.idle]
+        (one,) = [cast(UpstreamConnection, idle) for idle in host.idle]
         before_s = time.monotonic()
-        over_s = one.rest_left_s() + before_s
+        over_s = one.reuse_delay_left_s() + before_s
         assert (
-            one.idle_since + ODD_REST_S
+            one.idle_since_s + MISBEHAVED_REUSE_DELAY_S
             >= over_s
-            >= one.idle_since + ODD_REST_S - (time.monotonic() - before_s)
+            >= one.idle_since_s + MISBEHAVED_REUSE_DELAY_S - (time.monotonic() - before_s)
         )
-        one.idle_since += LONG_S  # however busy the machine is, it rests
+        one.idle_since_s += LONG_S  # however busy the machine is, it rests
         await exchange()
         assert upstream.accepted == 3  # a new one
         for each in host.idle:
-            cast(Connection, each).idle_since = time.monotonic() - ODD_REST_S
+            cast(UpstreamConnection, each).idle_since_s = time.monotonic() - MISBEHAVED_REUSE_DELAY_S
         await exchange()
         assert upstream.accepted == 3
         restarted = ListedUpstream(api.Upstream(1, started_us=9), host.address)
         pool.update([restarted], whole=True)
-        assert not host.has_misbehaved and REST_S < ODD_REST_S
+        assert not host.has_misbehaved and REUSE_DELAY_S < MISBEHAVED_REUSE_DELAY_S
         pool.close()
 
     with Upstream(script=script) as upstream:
@@ -130,7 +137,7 @@
 
     async def test(listener: socket.socket) -> None:
         loop = asyncio.get_running_loop()
-        pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=LONG_S, idle_timeout_s=5.0, max_connections=8)
         pool.update([ListedUpstream(api.Upstream(1), listener.getsockname())], whole=True)
         sunk: list[Sunk] = []
         ends: list[tuple[api.Outcome, UpstreamResponse | None]] = []
@@ -150,7 +157,7 @@
         connection = first.connection
         assert connection is not None
         await loop.sock_sendall(upstream, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
-        while connection.watch is None:
+        while connection.body_timer is None:
             await asyncio.sleep(0)
         began_s = loop.time()
         await loop.sock_sendall(
@@ -161,11 +168,11 @@
             await asyncio.sleep(0)
         await sunk[0].ends.wait()
         assert sunk[0].got == b"x" + bytes(2 * MAX_BUFFERED_BODY_BYTES) and not ends
-        connection.idle_since -= REST_S
+        connection.idle_since_s -= REUSE_DELAY_S
         second = exchange(b"second")
         assert second.connection is connection
         await loop.sock_recv(upstream, 1000)
-        while loop.time() < began_s + 2 * FIRST_S:
+        while loop.time() < began_s + 2 * STREAM_AFTER_S:
             await asyncio.sleep(0.001)
         assert not ends and len(sunk) == 1
         await loop.sock_sendall(upstream, answer(b"second"))
@@ -185,7 +192,7 @@
     meet the next request after 3."""
 
     async def test(upstream: Upstream) -> None:
-        pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=LONG_S, idle_timeout_s=5.0, max_connections=8)
         pool.update([host_of(upstream)], whole=True)
         answered, rested = [0.0], []
 
@@ -207,7 +214,9 @@
         await exchange(0.0)
         for turn in range(60):
             await exchange(turn % 6 / 1000)
-        assert min(rested[1:]) >= REST_S - 0.0005 and upstream.accepted == 1  # its parking is just before
+        assert (
+            min(rested[1:]) >= REUSE_DELAY_S - 0.0005 and upstream.accepted == 1
+        )  # its parking is just before
         pool.close()
 
     with Upstream() as upstream:
--- a/tests/crossings/test_dials.py
+++ b/tests/crossings/test_dials.py
@@ -12,7 +12,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.interfaces import ListedUpstream
-from sidecar_proxy.http1.upstream import Connection, Exchange, Pool
+from sidecar_proxy.http1.upstream import ConnectionPool, Exchange, UpstreamConnection
 from tests.crossings.test_answers import host_of, request
 from tests.sockets import LONG_S, Upstream
 
@@ -46,7 +46,7 @@
     that such a connection has ended, so its place was taken for good."""
 
     async def test(listener: socket.socket) -> None:
-        pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=0.2, idle_timeout_s=5.0, max_connections=8)
         loop = HeldUp(pool.loop, 0.4)
         pool.loop = cast(Any, loop)
         host = ListedUpstream(api.Upstream(1), listener.getsockname())
@@ -56,7 +56,7 @@
         while not ends:
             await asyncio.sleep(0)
         assert ends == [api.Outcome.CONNECT_FAILED] and loop.held == 1
-        assert (pool.open, host.open_connections, len(pool.idle)) == (0, 0, 0)
+        assert (pool.open_connections, host.open_connections, len(pool.idle)) == (0, 0, 0)
         pool.close()
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -67,23 +67,23 @@
     """Kept, it would stand among those that make room at the limit of descriptors, and make none."""
 
     async def test(upstream: Upstream) -> None:
-        pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=LONG_S, idle_timeout_s=5.0, max_connections=8)
         host = host_of(upstream)
         pool.update([host], whole=True)
         first = asyncio.Event()
         pool.start(1, Exchange(lambda: request(b"x"), lambda outcome, found: first.set()), LONG_S)
         await first.wait()
-        (connection,) = [cast(Connection, idle) for idle in host.idle]
-        connection.idle_since = time.monotonic() + LONG_S  # no turn of the loop is to see it rested
+        (connection,) = [cast(UpstreamConnection, idle) for idle in host.idle]
+        connection.idle_since_s = time.monotonic() + LONG_S  # no turn of the loop is to see it rested
         waits = Exchange(lambda: request(b"y"), lambda outcome, found: None)
         pool.start(1, waits, LONG_S)
         assert not host.idle and waits.connection is None  # kept for it
         waits.finish(api.Outcome.CANCELLED)
-        upstream.hang_up()
-        while pool.open:
+        upstream.close_connections()
+        while pool.open_connections:
             await asyncio.sleep(0)
-        connection.rested(waits)
-        assert not pool.idle and not host.idle and not pool.open
+        connection.begin_after_reuse_delay(waits)
+        assert not pool.idle and not host.idle and not pool.open_connections
         pool.close()
 
     with Upstream() as upstream:
--- a/tests/crossings/test_grpc_leaving.py
+++ b/tests/crossings/test_grpc_leaving.py
@@ -57,7 +57,7 @@
             await client.until(lambda: client.of(HeadersReceived, large[0]))
             assert client.transport is not None
             client.transport.pause_reading()
-            while not any(one.backlog() for one in rig.server.connections):
+            while not any(one.has_unsent_output() for one in rig.server.connections):
                 await asyncio.sleep(0)
         before = sum(len(node.calls()) for node in rig.made[0])
         stream = client.call("/t.T/Pay")
--- a/tests/crossings/test_making_room.py
+++ b/tests/crossings/test_making_room.py
@@ -31,7 +31,7 @@
             await asyncio.sleep(0)
         (one,) = server.connections
         second = socket.create_connection((host, port))  # it waits in the backlog
-        server.pause()
+        server.pause_accepting()
         first.send(ASK % 1)  # both are ready when the loop looks next, in this order
         loop.add_reader(other, accept, server)
         wakes.send(b"x")
--- a/tests/crossings/test_time_out.py
+++ b/tests/crossings/test_time_out.py
@@ -10,7 +10,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.interfaces import ListedUpstream
-from sidecar_proxy.http1.upstream import Exchange, Pool
+from sidecar_proxy.http1.upstream import ConnectionPool, Exchange
 from tests.crossings.stand_ins import narrow
 from tests.engine.test_engine import make_call, make_engine
 from tests.sockets import LONG_S
@@ -21,9 +21,9 @@
 
 async def sent(
     listener: socket.socket, size: int, ends: list[api.Outcome]
-) -> tuple[Pool, Exchange, socket.socket]:
+) -> tuple[ConnectionPool, Exchange, socket.socket]:
     """A request with a body of so many bytes, as far as the kernel takes it; and the upstream's side."""
-    pool = Pool(connect_s=LONG_S, idle_s=5.0, most=8)
+    pool = ConnectionPool(connect_timeout_s=LONG_S, idle_timeout_s=5.0, max_connections=8)
     pool.update([ListedUpstream(api.Upstream(1), listener.getsockname())], whole=True)
     exchange = Exchange(lambda: [HEAD % size, bytes(size)], lambda outcome, answer: ends.append(outcome))
     pool.start(1, exchange, LONG_S)
@@ -41,7 +41,7 @@
     async def test(listener: socket.socket) -> None:
         ends: list[api.Outcome] = []
         pool, exchange, upstream = await sent(listener, BODY, ends)
-        assert exchange.connection is not None and not exchange.connection.written
+        assert exchange.connection is not None and not exchange.connection.is_request_written
         size = 0
 
         def take() -> int:
@@ -137,7 +137,7 @@
         ends: list[api.Outcome] = []
         pool, exchange, upstream = await sent(listener, size, ends)
         whole = len(HEAD % size) + size
-        half = exchange.connection is not None and not exchange.connection.written
+        half = exchange.connection is not None and not exchange.connection.is_request_written
         upstream.shutdown(socket.SHUT_WR)
         got, closed = 0, False
         if reads == "after":
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -23,7 +23,7 @@
 from sidecar_proxy.discovery.platform_client import SILENCE_S
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient as Watcher
 from sidecar_proxy.engine.interfaces import ListedUpstream
-from sidecar_proxy.http1.upstream import input_poll
+from sidecar_proxy.http1.upstream import make_input_poll
 from tests.balancer.harness import settings
 from tests.sockets import LONG_S, Discovery, Sidecar, Upstream, eventually
 
@@ -155,7 +155,7 @@
         while not sink.heard:
             await asyncio.sleep(0)
         assert watcher.watch is not None and watcher.watch.transport is not None
-        waits = input_poll(watcher.watch.transport)
+        waits = make_input_poll(watcher.watch.transport)
 
         def tell() -> None:
             agent.sendall(chunk(line(8, entry("one", "terminating")) + line(9, entry("two", "terminating"))))
@@ -199,7 +199,7 @@
     """An object was taken to be one line, so the watch failed each time."""
     with Upstream() as one, Upstream() as two, Upstream() as left, Discovery([]) as discovery:
         discovery.hosts = [one.entry(), two.entry(), left.entry()]
-        discovery.whole = lambda: (  # type: ignore[method-assign]
+        discovery.full_list = lambda: (  # type: ignore[method-assign]
             json.dumps({"seq": 1, "whole": True, "hosts": discovery.hosts}, indent=indent).encode() + b"\n"
         )
         with Sidecar([one], discovery) as sidecar:
@@ -208,10 +208,12 @@
             text = b"\n\n" + line(2, odd, indent=indent) + b"\n"
             text += line(3, one.entry(health="terminating"), indent=indent)
             for at in range(0, len(text), 7):  # braces, strings and lines are cut anywhere
-                discovery.line(discovery.watches[0], text[at : at + 7])
+                discovery.send_chunk(discovery.watches[0], text[at : at + 7])
             eventually(lambda: spared(sidecar, one, two))
             alone(sidecar, left, one, two)
-            assert len(discovery.calls) == 1 and not [text for text in sidecar.lines if "bad list" in text]
+            assert len(discovery.calls) == 1 and not [
+                text for text in sidecar.log_lines if "bad list" in text
+            ]
 
 
 def test_a_pushed_watch_that_falls_silent_is_opened_anew() -> None:
@@ -221,5 +223,5 @@
         sidecar.discovery.hosts = [one.entry(health="terminating"), left.entry()]  # told on no open watch
         sidecar.discovery.seq = 2
         eventually(lambda: spared(sidecar, one))
-        assert [text for text in sidecar.lines if "silence" in text]
+        assert [text for text in sidecar.log_lines if "silence" in text]
         alone(sidecar, left, one)
--- a/tests/discovery/test_sidecar.py
+++ b/tests/discovery/test_sidecar.py
@@ -85,8 +85,8 @@
             etcd.put(one, health="terminating")
             eventually(lambda: bodies(sidecar) == {b"two"})
             before = len(one.requests)
-            discovery.tell(one.entry())
-            discovery.tell(one.entry(born_ms=0, share=2.0))
+            discovery.send_changes(one.entry())
+            discovery.send_changes(one.entry(born_ms=0, share=2.0))
             assert bodies(sidecar) == {b"two"} and len(one.requests) == before
             etcd.put(one)
             eventually(lambda: b"one" in bodies(sidecar))
@@ -99,12 +99,12 @@
         etcd.put(two)
         with scene([one, two], etcd) as (sidecar, discovery):
             eventually(lambda: etcd.member.watchers)
-            discovery.tell(one.entry(health="terminating"))
+            discovery.send_changes(one.entry(health="terminating"))
             eventually(lambda: bodies(sidecar) == {b"two"})
             before = len(one.requests)
             etcd.put(one, share=2.0)
             assert bodies(sidecar) == {b"two"} and len(one.requests) == before
-            discovery.tell(one.entry(health="terminated"))
+            discovery.send_changes(one.entry(health="terminated"))
             assert bodies(sidecar) == {b"two"} and len(one.requests) == before
 
 
@@ -204,9 +204,9 @@
         sidecar = sidecar_of([], discovery, path)
         starting = threading.Thread(target=enter, args=(sidecar,))
         starting.start()
-        eventually(lambda: sidecar.lines)
+        eventually(lambda: sidecar.log_lines)
         assert sidecar.process.wait(LONG_S) == 2
-        assert len(sidecar.lines) == 1 and key in sidecar.lines[0]
+        assert len(sidecar.log_lines) == 1 and key in sidecar.log_lines[0]
         starting.join(2 * LONG_S)
 
 
--- a/tests/engine/test_engine.py
+++ b/tests/engine/test_engine.py
@@ -13,7 +13,7 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.interfaces import Call, ListedUpstream, UpstreamResponse
-from sidecar_proxy.http1.upstream import Connection, Exchange, Pool
+from sidecar_proxy.http1.upstream import ConnectionPool, Exchange, UpstreamConnection
 from tests.balancer.harness import settings
 
 Handle = Callable[[int, api.Event], list[api.Action]]
@@ -46,7 +46,7 @@
 
 
 def make_engine(act: Callable[[api.Event], list[api.Action]]) -> tuple[Engine, ScriptedBalancer]:
-    pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
+    pool = ConnectionPool(connect_timeout_s=0.2, idle_timeout_s=5.0, max_connections=8)
     engine = Engine(settings(), 1, Clock(), pool, NoDiscovery())
     balancer = ScriptedBalancer(act)
     engine.balancer = cast(Any, balancer)
@@ -207,10 +207,10 @@
     buffered_bytes: int, is_drained: bool, lost: api.Outcome, timed_out: api.Outcome, ends: str
 ) -> None:
     async def test() -> None:
-        pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=0.2, idle_timeout_s=5.0, max_connections=8)
         upstream = ListedUpstream(api.Upstream(7), ("127.0.0.1", 1))
         pool.update([upstream], whole=True)
-        connection = Connection(pool, upstream)
+        connection = UpstreamConnection(pool, upstream)
         transport = FullTransport(buffered_bytes)
         connection.connection_made(cast(Any, transport))
         outcomes: list[api.Outcome] = []
@@ -231,12 +231,12 @@
 
 def test_nothing_is_written_for_a_finished_request_or_to_a_draining_upstream() -> None:
     async def test() -> None:
-        pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=0.2, idle_timeout_s=5.0, max_connections=8)
         upstream = ListedUpstream(api.Upstream(7), ("127.0.0.1", 1))
         outcomes: list[api.Outcome] = []
         for state, data in ((api.UpstreamState.READY, None), (api.UpstreamState.DRAINING, b"request")):
             upstream.entry.state = state
-            connection = Connection(pool, upstream)
+            connection = UpstreamConnection(pool, upstream)
             connection.connection_made(cast(Any, FullTransport(0)))
             connection.begin(Exchange(lambda data=data: data, lambda end, answer: outcomes.append(end)))  # type: ignore[misc]
         assert outcomes == [api.Outcome.NOT_SENT] * 2
--- a/tests/engine/test_reference_counting.py
+++ b/tests/engine/test_reference_counting.py
@@ -16,7 +16,7 @@
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.http1.server import Server
-from sidecar_proxy.http1.upstream import Pool
+from sidecar_proxy.http1.upstream import ConnectionPool
 from tests.balancer.harness import settings
 from tests.engine.test_engine import NoDiscovery
 from tests.grpc.rig import Node, Rig, run
@@ -67,7 +67,7 @@
         return answer(b"w" * 150_000 if request.start.startswith("GET") else b"ok")
 
     async def test(upstream: Upstream) -> tuple[list[int], list[object]]:
-        pool = Pool(connect_s=5.0, idle_s=5.0, most=16)
+        pool = ConnectionPool(connect_timeout_s=5.0, idle_timeout_s=5.0, max_connections=16)
         engine = Engine(settings(instances=1), 1, Clock(), pool, NoDiscovery())
         server = Server(engine, 16)
         host, _, port = upstream.address.partition(":")
@@ -77,7 +77,7 @@
 
         async def play() -> None:
             statuses.extend(await asyncio.to_thread(send_requests, address))
-            while server.connections or pool.open > len(pool.upstreams[7].idle):
+            while server.connections or pool.open_connections > len(pool.upstreams[7].idle):
                 await asyncio.sleep(0.01)
 
         await asyncio.to_thread(send_requests, address)  # what is made once is there
--- a/tests/gossip/sidecars.py
+++ b/tests/gossip/sidecars.py
@@ -87,7 +87,7 @@
 def gossip_addresses(sidecar: Sidecar) -> list[str]:
     """Return the address in the sidecar's log as a list of seeds, once it is there."""
     addresses: list[str] = eventually(
-        lambda: [line.split()[-1] for line in sidecar.lines if " is reachable at " in line]
+        lambda: [line.split()[-1] for line in sidecar.log_lines if " is reachable at " in line]
     )
     return addresses
 
--- a/tests/gossip/test_sidecars.py
+++ b/tests/gossip/test_sidecars.py
@@ -43,7 +43,7 @@
 
 
 def trusts_fleet_keys(sidecar: Sidecar, count: int) -> bool:
-    return any(f"{count} fleet keys" in line for line in sidecar.lines)
+    return any(f"{count} fleet keys" in line for line in sidecar.log_lines)
 
 
 def replace_certificate(folder: Path, fleet_key: Path, name: str, serial: int) -> None:
@@ -69,7 +69,7 @@
         files.write_file(str(old_public), both, replace=True)
         eventually(lambda: trusts_fleet_keys(one, 2) and trusts_fleet_keys(two, 2))
         files.write_file(str(tmp_path / "one.cert"), "00", replace=True)
-        eventually(lambda: any("keeping the previous credentials" in line for line in one.lines))
+        eventually(lambda: any("keeping the previous credentials" in line for line in one.log_lines))
         for number, name in enumerate(("one", "two")):
             replace_certificate(tmp_path, new, name, 100 + number)
             statuses = [sidecar.request("POST", "/pay/7", b"x").status for sidecar in (one, two)]
@@ -178,6 +178,6 @@
         sidecar.env["CODE"] = code
         with sidecar:
             assert [sidecar.request("POST", "/pay/7", b"x").status for _ in range(5)] == [200] * 5
-            logged = [line for line in sidecar.lines if "recording of outcomes failed" in line]
+            logged = [line for line in sidecar.log_lines if "recording of outcomes failed" in line]
             assert len(logged) == 1
-            sidecar.lines.clear()  # the expected traceback
+            sidecar.log_lines.clear()  # the expected traceback
--- a/tests/grpc/rig.py
+++ b/tests/grpc/rig.py
@@ -15,7 +15,7 @@
 from sidecar_proxy.grpc.message import framed
 from sidecar_proxy.grpc.subsystem import start
 from sidecar_proxy.http1.server import Server
-from sidecar_proxy.http1.upstream import Pool
+from sidecar_proxy.http1.upstream import ConnectionPool
 from sidecar_proxy.http2.connection import (
     Connection,
     DataReceived,
@@ -212,7 +212,7 @@
             api.RequestClass("stream", 500_000, 5_000_000, effect="at_most_once", stream=True),
         ]
         self.settings.max_attempts = 4
-        self.pool = Pool(connect_s=connect_s, idle_s=5.0, most=64)
+        self.pool = ConnectionPool(connect_timeout_s=connect_s, idle_timeout_s=5.0, max_connections=64)
         self.engine = Engine(self.settings, 1, Clock(), self.pool, NoDiscovery())
         self.decisions: ScriptedBalancer | None = None
         if act is not None:
@@ -274,8 +274,8 @@
         for node in [one for made in self.made for one in made]:
             if node.transport is not None:
                 node.transport.abort()
-        self.server.pause()
-        taken, self.server.listener = self.server.listener, None
+        self.server.pause_accepting()
+        taken, self.server.listening_socket = self.server.listening_socket, None
         if taken is not None:
             taken.close()
 
--- a/tests/grpc/test_front.py
+++ b/tests/grpc/test_front.py
@@ -93,7 +93,7 @@
         async with asyncio.timeout(10):
             while rig.engine.requests or len(rig.server.connections) > 1:
                 await asyncio.sleep(0.005)
-        assert rig.nodes.held.size == 0 and not rig.server.open
+        assert rig.nodes.held.size == 0 and not rig.server.open_request_ids
         rig.close()
 
     run(test)
--- a/tests/grpc/test_hard_cases.py
+++ b/tests/grpc/test_hard_cases.py
@@ -79,7 +79,7 @@
         assert (await client.answer(client.call(path, b"hello", True, **more)))[0] == code
         assert rig.decisions is not None
         assert not any(isinstance(one, api.RequestArrived) for one in rig.decisions.events)
-        assert rig.made[0] == [] and not rig.server.open
+        assert rig.made[0] == [] and not rig.server.open_request_ids
         rig.close()
 
     run(test)
@@ -322,7 +322,7 @@
         node = rig.made[0][0]
         await node.until(lambda: node.of(StreamReset, 1))
         await settled(rig)
-        assert outcomes(rig) == [(1, O.CANCELLED)] and not rig.server.open
+        assert outcomes(rig) == [(1, O.CANCELLED)] and not rig.server.open_request_ids
         rig.close()
 
     run(test)
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -64,13 +64,13 @@
     return f"HTTP/1.1 {status}\r\n{headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-class Listener:
+class ThreadedServer:
     """A thread accepts, and one thread serves each connection."""
 
     def __init__(self) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.socket.getsockname()[1]}"
-        self.open: list[socket.socket] = []
+        self.open_sockets: list[socket.socket] = []
         self.accepted = 0
         threading.Thread(target=self.accept, daemon=True).start()
 
@@ -81,10 +81,10 @@
             except OSError:
                 return
             self.accepted += 1
-            self.open.append(client)
-            threading.Thread(target=self.guarded, args=(client,), daemon=True).start()
+            self.open_sockets.append(client)
+            threading.Thread(target=self.serve_and_close, args=(client,), daemon=True).start()
 
-    def guarded(self, client: socket.socket) -> None:
+    def serve_and_close(self, client: socket.socket) -> None:
         try:
             self.serve(client)
         except OSError:
@@ -95,9 +95,9 @@
     def serve(self, client: socket.socket) -> None:
         raise NotImplementedError
 
-    def hang_up(self) -> None:
+    def close_connections(self) -> None:
         """End the connections that are open now."""
-        for client in self.open[:]:
+        for client in self.open_sockets[:]:
             with contextlib.suppress(OSError):
                 client.shutdown(socket.SHUT_RDWR)
 
@@ -108,13 +108,13 @@
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)  # a thread in accept() would keep the port open
         self.socket.close()
-        self.hang_up()
+        self.close_connections()
 
 
 Script = Callable[[Message, socket.socket], bytes | None]
 
 
-class Upstream(Listener):
+class Upstream(ThreadedServer):
     """Answers each request as `script` says: bytes to send, or None to end the connection."""
 
     names = iter(range(1_000_000))
@@ -150,7 +150,7 @@
         } | changes
 
 
-class Discovery(Listener):
+class Discovery(ThreadedServer):
     """Answers calls as `reply` says, or with what was told; `tell` writes a line to the watches."""
 
     def __init__(self, hosts: list[dict[str, Any]]) -> None:
@@ -168,22 +168,22 @@
                     client.sendall(self.reply)
                     continue
                 client.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                self.line(client, self.whole())
+                self.send_chunk(client, self.full_list())
                 self.watches.append(client)
 
-    def whole(self) -> bytes:
+    def full_list(self) -> bytes:
         return json.dumps({"seq": self.seq, "whole": True, "hosts": self.hosts}).encode() + b"\n"
 
-    def line(self, client: socket.socket, data: bytes) -> None:
+    def send_chunk(self, client: socket.socket, data: bytes) -> None:
         client.sendall(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def tell(self, *changed: dict[str, Any], pieces: int = 1) -> None:
+    def send_changes(self, *changed: dict[str, Any], pieces: int = 1) -> None:
         self.seq += 1
         data = json.dumps({"seq": self.seq, "whole": False, "hosts": changed}).encode() + b"\n"
         size = -(-len(data) // pieces)
         for client in eventually(lambda: self.watches):
             for at in range(0, len(data), size):
-                self.line(client, data[at : at + size])
+                self.send_chunk(client, data[at : at + size])
 
 
 def settings(**changes: Any) -> dict[str, Any]:
@@ -252,7 +252,7 @@
     ) -> None:
         entries = [upstream.entry() for upstream in upstreams] if known is None else known
         self.discovery = discovery or Discovery(entries)
-        self.own_discovery = discovery is None
+        self.owns_discovery = discovery is None
         self.before = before
         self.command = str(DEPLOY["run"])
         self.env = env or {}
@@ -264,7 +264,7 @@
             "settings": settings(**{"request-classes.1.deadline": "20000000"} | options),
             "known": {"seq": 1, "whole": True, "hosts": entries},
         }
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
 
     def __enter__(self) -> Self:
         self.folder = tempfile.TemporaryDirectory()
@@ -289,21 +289,21 @@
             pass_fds=held,
         )
         threading.Thread(target=self.read_log, daemon=True).start()
-        eventually(lambda: self.listening() or self.process.poll() is not None)
-        assert self.listening(), f"it has ended: {self.lines}"
-        line = self.listening()[0]
+        eventually(lambda: self.startup_lines() or self.process.poll() is not None)
+        assert self.startup_lines(), f"it has ended: {self.log_lines}"
+        line = self.startup_lines()[0]
         host, _, port = line.split()[-1].partition(":")
         self.address = (host, int(port))
         assert self.request("GET", "/ready").status == 200
         return self
 
-    def listening(self) -> list[str]:
-        return [line for line in self.lines if " listens on " in line]
+    def startup_lines(self) -> list[str]:
+        return [line for line in self.log_lines if " listens on " in line]
 
     def read_log(self) -> None:
         assert self.process.stderr is not None
         for line in self.process.stderr:
-            self.lines.append(line.rstrip())
+            self.log_lines.append(line.rstrip())
 
     def client(self) -> Client:
         return Client(self.address)
@@ -330,7 +330,7 @@
         if self.process.poll() is None:
             self.process.kill()
             self.process.wait(LONG_S)
-        if self.own_discovery:
+        if self.owns_discovery:
             self.discovery.__exit__()
         self.folder.cleanup()
-        assert not [line for line in self.lines if "Traceback" in line], "\n".join(self.lines)
+        assert not [line for line in self.log_lines if "Traceback" in line], "\n".join(self.log_lines)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -22,7 +22,7 @@
     BodyMemoryBudget,
     Upload,
 )
-from sidecar_proxy.http1.outflow import Outflow
+from sidecar_proxy.http1.response_stream import ResponseStream
 from tests.sockets import LONG_S, Message, Script, Sidecar, Upstream, answer, eventually
 
 MB = 1024 * 1024
@@ -383,12 +383,12 @@
 
 def test_a_large_answer_that_breaks_before_its_turn_fails_and_cuts_nobody_off() -> None:
     line: Any = Line()
-    flow = Outflow(line, b"", 100_000, line, line.told.append)
-    line.flow = flow
+    flow = ResponseStream(line, b"", 100_000, line, line.told.append)
+    line.stream = flow
     flow.write(b"x")
     assert flow.waits()  # in line: no stall of its upstream's
     flow.fail()
-    assert line.told == ["pause", False, 502] and line.flow is None and not flow.waits()
+    assert line.told == ["pause", False, 502] and line.stream is None and not flow.waits()
 
 
 @pytest.mark.parametrize("size", [200_000, 2 * MB])
--- a/tests/test_compiled.py
+++ b/tests/test_compiled.py
@@ -212,11 +212,13 @@
                 with AdminSidecar(
                     [one, two], shared, listener=listener, env={"SIDECAR_PROXY_PURE": second}
                 ) as new:
-                    states = [next(line for line in each.lines if " runs " in line) for each in (old, new)]
+                    states = [
+                        next(line for line in each.log_lines if " runs " in line) for each in (old, new)
+                    ]
                     assert sorted("compiled" in line for line in states) == [False, True]
                     eventually(
                         lambda new=new: [  # type: ignore[misc]
-                            line for line in new.lines if "took over the warm-start state" in line
+                            line for line in new.log_lines if "took over the warm-start state" in line
                         ]
                     )
                     assert old.stop() == 0
@@ -242,4 +244,4 @@
 
 def test_the_sidecar_says_first_which_of_the_two_it_runs() -> None:
     with Upstream() as upstream, Sidecar([upstream], env={"SIDECAR_PROXY_PURE": "1"}) as sidecar:
-        assert sidecar.lines[0] == "sidecar_proxy: runs from its sources, as SIDECAR_PROXY_PURE says"
+        assert sidecar.log_lines[0] == "sidecar_proxy: runs from its sources, as SIDECAR_PROXY_PURE says"
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient as Watcher
 from sidecar_proxy.engine.engine import Clock, Engine
-from sidecar_proxy.http1.upstream import Exchange, Pool
+from sidecar_proxy.http1.upstream import ConnectionPool, Exchange
 from tests.balancer.harness import settings
 from tests.sockets import LONG_S, Discovery, Message, Sidecar, Upstream, answer, eventually
 
@@ -27,9 +27,9 @@
     with Upstream(body=b"ok") as old, Upstream(body=b"ok") as new, Sidecar([old]) as sidecar:
         assert served_by(sidecar, old)
         assert eventually(lambda: sidecar.discovery.calls)[0] == "GET /v1/endpoints?stream=1&index=1 HTTP/1.1"
-        sidecar.discovery.tell(new.entry(), pieces=9)
+        sidecar.discovery.send_changes(new.entry(), pieces=9)
         eventually(lambda: served_by(sidecar, new))
-        sidecar.discovery.tell(old.entry(health="terminating"))
+        sidecar.discovery.send_changes(old.entry(health="terminating"))
         eventually(lambda: not served_by(sidecar, old))
         before = len(old.requests)
         for _ in range(10):
@@ -39,7 +39,7 @@
 
 def test_a_gone_upstream_needs_no_address() -> None:
     with Upstream(body=b"ok") as old, Upstream(body=b"ok") as new, Sidecar([old, new]) as sidecar:
-        sidecar.discovery.tell(old.entry(health="terminated", dial=""))
+        sidecar.discovery.send_changes(old.entry(health="terminated", dial=""))
         eventually(lambda: not served_by(sidecar, old))
         assert served_by(sidecar, new)
 
@@ -47,7 +47,7 @@
 def test_an_upstream_that_moved_is_reached_at_its_new_address() -> None:
     with Upstream(body=b"ok") as old, Upstream(body=b"ok") as new, Sidecar([old]) as sidecar:
         assert served_by(sidecar, old)
-        sidecar.discovery.tell(old.entry(dial=new.address))
+        sidecar.discovery.send_changes(old.entry(dial=new.address))
         eventually(lambda: served_by(sidecar, new))
 
 
@@ -67,7 +67,7 @@
         discovery.reply = reply
         discovery.hosts = [new.entry()]
         with Sidecar([old], discovery) as sidecar:
-            eventually(lambda: [line for line in sidecar.lines if "discovery: " in line])
+            eventually(lambda: [line for line in sidecar.log_lines if "discovery: " in line])
             assert served_by(sidecar, old)
             eventually(lambda: len(discovery.calls) >= 2)
             discovery.reply = None
@@ -76,9 +76,9 @@
 
 def test_a_watch_that_ends_is_taken_up_where_it_was() -> None:
     with Upstream(body=b"ok") as one, Upstream(body=b"ok") as two, Sidecar([one]) as sidecar:
-        sidecar.discovery.tell(two.entry())
+        sidecar.discovery.send_changes(two.entry())
         eventually(lambda: served_by(sidecar, two))
-        sidecar.discovery.hang_up()
+        sidecar.discovery.close_connections()
         eventually(lambda: "GET /v1/endpoints?stream=1&index=2 HTTP/1.1" in sidecar.discovery.calls)
 
 
@@ -87,7 +87,7 @@
     with Upstream(body=b"ok") as one, Sidecar([one]) as sidecar:
         eventually(lambda: sidecar.discovery.watches)
         eventually(lambda: len(sidecar.discovery.calls) >= 2)
-        assert [line for line in sidecar.lines if "silence" in line]
+        assert [line for line in sidecar.log_lines if "silence" in line]
 
 
 def test_an_empty_line_alone_answers_the_call() -> None:
@@ -97,7 +97,9 @@
         with Sidecar([one], discovery) as sidecar:
             eventually(lambda: discovery.calls)
             assert served_by(sidecar, one)
-            assert len(discovery.calls) == 1 and not [line for line in sidecar.lines if "bad list" in line]
+            assert len(discovery.calls) == 1 and not [
+                line for line in sidecar.log_lines if "bad list" in line
+            ]
 
 
 def test_a_new_configuration_moves_the_watch_and_the_old_version_does_not_go_along() -> None:
@@ -118,7 +120,7 @@
         eventually(lambda: watched.fileno() == -1)  # the old watch is ended
         assert not served_by(sidecar, old)
         sidecar.reload(changed)  # nothing has changed: the watch stays
-        eventually(lambda: len([line for line in sidecar.lines if "is read again" in line]) >= 2)
+        eventually(lambda: len([line for line in sidecar.log_lines if "is read again" in line]) >= 2)
         assert len(second.calls) == 1 and sidecar.stop() == 0
 
 
@@ -126,8 +128,8 @@
     with Upstream(body=b"ok") as one, Upstream(body=b"ok") as two, Sidecar([one]) as sidecar:
         eventually(lambda: sidecar.discovery.watches)
         sidecar.reload("{")
-        eventually(lambda: [line for line in sidecar.lines if "is not taken" in line])
-        sidecar.discovery.tell(two.entry())
+        eventually(lambda: [line for line in sidecar.log_lines if "is not taken" in line])
+        sidecar.discovery.send_changes(two.entry())
         eventually(lambda: served_by(sidecar, two))
         assert len(sidecar.discovery.calls) == 1
 
@@ -161,7 +163,7 @@
 def test_upstreams_that_are_gone_are_forgotten_and_a_name_may_come_back() -> None:
     async def test() -> None:
         told = settings()
-        pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=0.2, idle_timeout_s=5.0, max_connections=8)
         directory = EndpointDirectory(told)
         discovery = Watcher(("127.0.0.1", 1), directory, 0, pushed=False)
         discovery.sink = engine = Engine(told, 1, Clock(), pool, discovery)
@@ -186,7 +188,7 @@
         tell("s-busy", "terminated")
         while not ends or pool.upstreams:
             await asyncio.sleep(0)
-        assert ends == [api.Outcome.CONNECT_FAILED] and pool.open == 0
+        assert ends == [api.Outcome.CONNECT_FAILED] and pool.open_connections == 0
         discovery.close()
 
     asyncio.run(asyncio.wait_for(test(), LONG_S))
@@ -196,6 +198,6 @@
     with Upstream(body=b"ok") as old, Upstream(body=b"ok") as new, Discovery([new.entry()]) as discovery:
         discovery.reply = b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000
         with Sidecar([old], discovery) as sidecar:
-            eventually(lambda: [line for line in sidecar.lines if "a head too long" in line])
+            eventually(lambda: [line for line in sidecar.log_lines if "a head too long" in line])
             discovery.reply = None
             eventually(lambda: served_by(sidecar, new))
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -22,9 +22,9 @@
     ROOT,
     Client,
     Discovery,
-    Listener,
     Message,
     Sidecar,
+    ThreadedServer,
     Upstream,
     answer,
     eventually,
@@ -52,7 +52,7 @@
         super().serve(client)
 
 
-class Crowded(Listener):
+class Crowded(ThreadedServer):
     """Has no room: takes a connection and closes it at once."""
 
     def serve(self, client: socket.socket) -> None:
@@ -75,7 +75,7 @@
         before = len(old.requests)
         eventually(lambda: serves(sidecar) and new.requests)
         assert len(old.requests) <= before + 1  # one may have been on its way when the list came
-        told = [line for line in sidecar.lines if "discovery: " in line]
+        told = [line for line in sidecar.log_lines if "discovery: " in line]
         assert 1 <= len(told) <= 2, told
 
 
@@ -127,7 +127,7 @@
             for n, client in enumerate(clients):
                 client.send("POST", "/pay/7", b"held %d" % n)
             eventually(lambda: sum(len(one.requests) for one in old) == len(clients))
-            sidecar.discovery.tell(
+            sidecar.discovery.send_changes(
                 *[one.entry(health="terminating") for one in old[:6]], *[one.entry() for one in new]
             )
             go.set()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -24,7 +24,7 @@
 from sidecar_proxy.discovery.platform_client import PlatformDiscoveryClient as Watcher
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.interfaces import ListedUpstream
-from sidecar_proxy.http1.upstream import Pool
+from sidecar_proxy.http1.upstream import ConnectionPool
 from tests.balancer.harness import settings
 from tests.sockets import LONG_S, Discovery, Sidecar, Upstream, eventually
 
@@ -260,7 +260,7 @@
 
     async def test() -> None:
         told = settings(max_upstreams=64)
-        pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=0.2, idle_timeout_s=5.0, max_connections=8)
         one = Watcher(("127.0.0.1", 1), EndpointDirectory(told), 0, pushed=False)
         one.sink = engine = Engine(told, 1, Clock(), pool, one)
         one.told(text([entry(n) for n in range(3000)], 5).encode())
@@ -291,7 +291,9 @@
     with Upstream(body=b"ok") as old, Upstream(body=b"ok") as new, Sidecar([old]) as sidecar:
         assert sidecar.request("POST", "/pay/7", b"x").status == 200
         dead = [entry(n, host=f"d-{n}", health="terminating") for n in range(MANY)]
-        sidecar.discovery.tell(*dead[:5000], old.entry(health="terminating"), new.entry(), *dead[5000:])
+        sidecar.discovery.send_changes(
+            *dead[:5000], old.entry(health="terminating"), new.entry(), *dead[5000:]
+        )
         eventually(lambda: new.requests or sidecar.request("POST", "/pay/7", b"x").status == 0)
         before = len(old.requests)
         for _ in range(5):
@@ -304,5 +306,5 @@
         body = text([entry(n, site="x" * 400) for n in range(MANY)]).encode()
         discovery.reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n" % (len(body) + 1, body)
         with Sidecar([old], discovery) as sidecar:
-            eventually(lambda: [line for line in sidecar.lines if "a line too long" in line])
+            eventually(lambda: [line for line in sidecar.log_lines if "a line too long" in line])
             assert sidecar.request("POST", "/pay/7", b"x").status == 200
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -15,7 +15,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.engine.interfaces import ListedUpstream
-from sidecar_proxy.http1.upstream import REST_S, Exchange, Pool
+from sidecar_proxy.http1.upstream import REUSE_DELAY_S, ConnectionPool, Exchange
 from tests.sockets import LONG_S, Message, Script, Sidecar, Upstream, answer, eventually
 
 
@@ -117,7 +117,7 @@
         while reports:
             for _ in range(4):  # each slot that were lost would show
                 assert sidecar.request("POST", "/pay/7", b"x").status == 200
-                time.sleep(2 * REST_S)
+                time.sleep(2 * REUSE_DELAY_S)
             reports.pop(0)
         assert upstream.accepted == 1
 
@@ -132,7 +132,7 @@
         for _ in range(20):
             assert sidecar.request("POST", "/pay/7", b"bad").status == 400
         assert sidecar.request("POST", "/pay/7", b"x").status == 200
-        assert len(upstream.requests) == 21 and not [line for line in sidecar.lines if "rests" in line]
+        assert len(upstream.requests) == 21 and not [line for line in sidecar.log_lines if "rests" in line]
 
 
 @pytest.mark.parametrize("status", ["503 Service Unavailable", "504 Gateway Timeout"])
@@ -219,7 +219,7 @@
         client = sidecar.client()
         for _ in range(5):
             assert client.request("POST", "/pay/7", b"x").status == 200
-            time.sleep(2 * REST_S)  # no shorter: the sidecar's clock began before the answer was here
+            time.sleep(2 * REUSE_DELAY_S)  # no shorter: the sidecar's clock began before the answer was here
         client.close()
         assert upstream.accepted == 1
 
@@ -233,14 +233,14 @@
         for number in range(5):
             assert sidecar.request("POST", "/pay/7", b"x").status == 200
             if end == "quietly":
-                upstream.hang_up()
+                upstream.close_connections()
             assert upstream.accepted == number + 1
 
 
 def test_idle_connections_retire_before_the_upstream_closes_them() -> None:
     with Upstream() as upstream, Sidecar([upstream], conn_idle="600000") as sidecar:
         assert sidecar.request("POST", "/pay/7", b"x").status == 200
-        first = upstream.open[0]
+        first = upstream.open_sockets[0]
         eventually(lambda: first.fileno() == -1)  # the sidecar has ended it: the stand-in never does
         assert sidecar.request("POST", "/pay/7", b"x").status == 200
 
@@ -249,8 +249,8 @@
 def test_idle_connections_end_when_the_upstream_restarts_or_drains(changes: dict[str, object]) -> None:
     with Upstream() as upstream, Sidecar([upstream]) as sidecar:
         assert sidecar.request("POST", "/pay/7", b"x").status == 200
-        first = upstream.open[0]
-        sidecar.discovery.tell(upstream.entry(**changes))
+        first = upstream.open_sockets[0]
+        sidecar.discovery.send_changes(upstream.entry(**changes))
         eventually(lambda: first.fileno() == -1)
 
 
@@ -269,7 +269,7 @@
                         writer.write(answer(b"ok"))
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        pool = Pool(connect_s=5.0, idle_s=60.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=5.0, idle_timeout_s=60.0, max_connections=8)
         host = ListedUpstream(api.Upstream(7), server.sockets[0].getsockname())
         pool.update([host], whole=True)
 
