--- a/sidecar_proxy/http1/__init__.py
+++ b/sidecar_proxy/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1, the application's side and the nodes'."""
+"""HTTP/1.1: the listener and its client connections, and the connections to upstreams."""
--- a/sidecar_proxy/http1/admission.py
+++ b/sidecar_proxy/http1/admission.py
@@ -1,17 +1,19 @@
-"""Who holds a place at the limit of connections, and who makes room for a new one.
-
-Pure: no sockets, no clock. A place goes by evidence, not by age alone. Who has written nothing since it was
-accepted has shown none; who sends a second piece of a request shows that it goes on with it; who rests
-between requests has been of use. So room is made in this order, the longest without evidence first:
-
-1. silent: accepted, and no byte has come;
-2. resting between requests, unless those that have asked nothing hold a quarter of all places;
-3. begun: one piece of a request has come, and nothing more for a moment. Hazard: a crowd sends such a piece
-   as well and stays; held for longer, a few hundred a second of them shut everybody out;
-4. stalled: it went on, and nothing more has come for a while; only if nobody is silent.
-
-A request that goes on coming is never ended for room: it ends by its own time limit (client.py), so a crowd
-of such holds a place for that long at most. Who finds no room waits in the backlog, where nothing is lost.
+"""Decides which client connection is closed to admit a new one at the limit of connections.
+
+Has no sockets and no clock. The decision depends on what a connection has sent, not on its age alone. One
+that has sent nothing since it was accepted has shown no use; one that sends a second piece of a request is
+likely to complete it; one that is idle between requests has been of use. Connections are therefore closed in
+this order, within each state the one without activity for longest first:
+
+1. silent: accepted, and no byte has arrived;
+2. idle between requests, unless connections without a complete request take a quarter of the limit;
+3. started: one piece of a request has arrived, and nothing more for a moment. A flood of clients may send
+   such a piece and stay; kept for longer, a few hundred of them per second would block all new connections;
+4. in progress: more pieces have followed, and nothing more has arrived for a while; only if none is silent.
+
+A connection whose request keeps arriving is never closed for a new one: its own time limit ends it
+(client.py), so a flood of them blocks new connections for that long at most. A new connection that can't be
+admitted waits in the listen backlog, where nothing is lost.
 """
 
 from __future__ import annotations
@@ -19,64 +21,67 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-SILENT_GRACE_S = 0.05  # a connection's first request follows its accept; the loop may be busy meanwhile
-STARTED_GRACE_S = (
-    0.05  # longer ones shut others out: at 0.1 s a first attempt came 66 ms after its request (p99)
-)
-IN_PROGRESS_GRACE_S = 0.7  # between two pieces of a request that is written over 2 s
-MAX_SHARE_WITHOUT_REQUEST = (
-    1 / 4
-)  # of all places, held by those that have asked nothing: who has been of use keeps its place
+SILENT_GRACE_S = 0.05  # the first request follows the accept at once, but a busy loop may read it late
+STARTED_GRACE_S = 0.05  # at 0.1 s, a flood delayed the first attempt of other requests by 66 ms (p99)
+IN_PROGRESS_GRACE_S = 0.7  # longer than the gap between the pieces of a request that is written over 2 s
+MAX_SHARE_WITHOUT_REQUEST = 1 / 4  # of the limit; beyond it, idle connections are kept: they have been of use
 
 ConnectionT = TypeVar("ConnectionT")
 
 
 class Admission(Generic[ConnectionT]):
-    """The connections that have no request under way, and when each last showed something. O(1) a change."""
+    """The connections without a request in flight, with the time of their last activity. O(1) per change."""
 
     def __init__(self, max_connections: int) -> None:
-        self.max_connections = max_connections  # places, those with a request under way among them
-        # the longest without evidence first: who shows some goes to the end
+        self.max_connections = max_connections  # including those with a request in flight
+        # Each is ordered by the time of the last activity, oldest first; activity moves an entry to the end.
         self.silent: dict[ConnectionT, float] = {}
-        self.started: dict[ConnectionT, float] = {}  # one piece of a request has come
-        self.in_progress: dict[ConnectionT, float] = {}  # more than one, and it is not whole
+        self.started: dict[ConnectionT, float] = {}  # one piece of a request has arrived
+        self.in_progress: dict[ConnectionT, float] = {}  # several pieces of a request have arrived
         self.idle: dict[ConnectionT, float] = {}
 
-    def add(self, one: ConnectionT, now_s: float) -> None:
-        self.silent[one] = now_s
-
-    def mark_received_bytes(self, one: ConnectionT, now_s: float) -> None:
-        """Bytes have come, and they are no whole request."""
-        began = one in self.started or one in self.in_progress
-        self.remove(one)
-        (self.in_progress if began else self.started)[one] = now_s
-
-    def mark_idle(self, one: ConnectionT, now_s: float) -> ConnectionT | None:
-        """All that it asked is answered. Hazard: clients may open only so many connections; if each asks once
-        and stays, nobody could ask any more. So of more than half of all places the oldest is told, to be
-        ended."""
-        self.remove(one)
-        self.idle[one] = now_s
+    def add(self, connection: ConnectionT, now_s: float) -> None:
+        """Add a connection that has just been accepted."""
+        self.silent[connection] = now_s
+
+    def mark_received_bytes(self, connection: ConnectionT, now_s: float) -> None:
+        """Note that bytes have arrived, and that the request is still incomplete."""
+        has_started = connection in self.started or connection in self.in_progress
+        self.remove(connection)
+        (self.in_progress if has_started else self.started)[connection] = now_s
+
+    def mark_idle(self, connection: ConnectionT, now_s: float) -> ConnectionT | None:
+        """Note that all its requests are answered; return the oldest idle connection if it is to be closed.
+
+        That is the case if more than half of the limit is idle. If clients that may open only so many
+        connections each sent one request and kept theirs, no further client could connect.
+        """
+        self.remove(connection)
+        self.idle[connection] = now_s
         oldest = next(iter(self.idle))
-        return oldest if len(self.idle) > self.max_connections // 2 and oldest != one else None
+        return oldest if len(self.idle) > self.max_connections // 2 and oldest != connection else None
 
-    def remove(self, one: ConnectionT) -> None:
-        """It has a request under way, or is gone."""
-        self.silent.pop(one, None)
-        self.started.pop(one, None)
-        self.in_progress.pop(one, None)
-        self.idle.pop(one, None)
+    def remove(self, connection: ConnectionT) -> None:
+        """Remove a connection that has a request in flight or is closed."""
+        self.silent.pop(connection, None)
+        self.started.pop(connection, None)
+        self.in_progress.pop(connection, None)
+        self.idle.pop(connection, None)
 
     def without_request(self) -> Iterator[ConnectionT]:
-        """Those of which no whole request has come."""
+        """Yield the connections that wait for a request to begin or to be complete, but for the idle ones."""
         for group in (self.silent, self.started, self.in_progress):
             yield from list(group)
 
     def eviction_candidates(self, now_s: float) -> Iterator[ConnectionT]:
-        """Whom to end for a new connection, the first best; none: the new one waits. Hazard: a usual client
-        that has just connected has not asked yet."""
+        """Yield the connections that may be closed to admit a new one, the best first.
+
+        If there is none, the new connection waits. A usual client that has just connected has not sent its
+        request yet, so silent connections are spared for SILENT_GRACE_S.
+        """
         yield from iterate_older(self.silent, now_s - SILENT_GRACE_S)
-        # hazard: the one accepted last is always young; to wait for it each time lets one in in YOUNG_S
+        # The newest silent connection is always within its grace time: if new ones waited for that, only one
+        # per SILENT_GRACE_S would be admitted. So idle connections are closed as well.
         if (
             len(self.silent) + len(self.started) + len(self.in_progress)
             < MAX_SHARE_WITHOUT_REQUEST * self.max_connections
@@ -89,7 +94,8 @@
 
 
 def iterate_older(group: dict[ConnectionT, float], than_s: float) -> Iterator[ConnectionT]:
-    for one, since_s in group.items():
-        if since_s > than_s:
+    """Yield the connections whose last activity was no later than `than_s`."""
+    for connection, active_s in group.items():
+        if active_s > than_s:
             return
-        yield one
+        yield connection
--- a/sidecar_proxy/http1/client.py
+++ b/sidecar_proxy/http1/client.py
@@ -1,4 +1,4 @@
-"""One connection of the application's: its requests are read, its answers are written in order."""
+"""A client connection: parses its requests, and writes their responses in order."""
 
 from __future__ import annotations
 
@@ -26,18 +26,17 @@
 log = logging.getLogger("sidecar_proxy")
 
 LINGER_TIMEOUT_S = 3.0
-HEAD_TIMEOUT_S = 2.3  # from its accept to its first head, and for each later one from its first byte
-BODY_TIMEOUT_S = (
-    2.0  # from its head to the end of a body, and a second more for each SLOWEST bytes that have come
-)
+HEAD_TIMEOUT_S = 2.3  # from the accept to the end of the first head; for later ones from their first byte
+# From the head to the end of the body, plus a second per MIN_UPLOAD_BYTES_PER_S bytes that have arrived.
+BODY_TIMEOUT_S = 2.0
 MIN_UPLOAD_BYTES_PER_S = 16 * 1024
-DISCARD_INTERVAL_S = 0.02  # between two reads of what is dropped
+DISCARD_INTERVAL_S = 0.02  # between two reads of input that is discarded
 MAX_PIPELINED_REQUESTS = 16
 REASON_PHRASES = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 
 
 class PendingRequest:
-    """One request on a client's connection, and its answer when it is there."""
+    """A request in the queue of its connection, with its response once there is one."""
 
     __slots__ = (
         "connection",
@@ -50,17 +49,18 @@
         "request_id",
     )
 
-    def __init__(self, connection: ClientConnection, keep: bool, old: bool = False) -> None:
+    def __init__(self, connection: ClientConnection, keep_alive: bool, is_http_1_0: bool = False) -> None:
         self.connection = connection
-        self.keep_alive = keep
-        self.is_http_1_0 = old  # it speaks HTTP/1.0
-        self.response: tuple[int, bytes, bytes] | None = None
-        self.stream: ResponseStream | None = None  # in place of `answer`: a large one
+        self.keep_alive = keep_alive
+        self.is_http_1_0 = is_http_1_0
+        self.response: tuple[int, bytes, bytes] | None = None  # status, header lines, body
+        self.stream: ResponseStream | None = None  # in place of `response`, for a streamed response
         self.upload: Upload | None = None  # its body, if that is large
-        self.request_number = 0  # its number in the engine
-        self.request_id = b""  # its Req-Id, once it is taken
+        self.request_number = 0  # the engine's number of the request
+        self.request_id = b""  # its Req-Id, set once the request is accepted
 
     def reply(self, status: int, head: bytes = b"", body: bytes = b"") -> None:
+        """Take a complete response; a second response is ignored."""
         if self.response is None and self.stream is None:
             self.response = status, head, body
             self.complete()
@@ -69,28 +69,29 @@
     def open_stream(
         self, head: bytes, length: int | None, source: ResponseSource, ended: Callable[[bool | None], None]
     ) -> ResponseSink:
-        """Its answer is a large one."""
+        """Open a streamed response."""
         self.stream = ResponseStream(self, head, length, source, ended)
         if self.upload is not None and not self.upload.is_streaming:
-            self.upload.discard()  # it won't be sent again
+            self.upload.discard()  # no other attempt will need it
         self.connection.flush()
         return self.stream
 
     def complete(self) -> None:
-        """Nothing more is done for it."""
+        """Note that the request is over: its Req-Id is free again and the rest of its body is discarded."""
         self.connection.server.open_request_ids.discard(self.request_id)
         if self.upload is not None:
-            # hazard: behind an answer to half a request its other half would be read as the next one
+            # After a response to an incomplete request, the rest of that request would be parsed as the next
+            # one.
             self.keep_alive = self.keep_alive and self.upload.is_complete
             self.upload.discard()
 
     def release_stream(self) -> None:
-        """Its large answer has ended, and holds it as it holds that."""
+        """Drop the reference to a stream that has ended: the two refer to each other."""
         if self.stream is not None:
             self.response, self.stream = (0, b"", b""), None
 
     def abandon(self) -> None:
-        """Its client is gone."""
+        """Give the request up because its client has left."""
         if self.stream is not None:
             self.stream.abandon()
             self.complete()
@@ -102,50 +103,59 @@
 
 
 class ClientConnection:
-    """An asyncio.Protocol in all but its bases: with one that is not compiled, each attribute would be looked
-    up in a dictionary."""
+    """A connection from the application.
+
+    It has the methods of an asyncio.Protocol but does not inherit from it: with a base class that is not
+    compiled, each attribute would be looked up in a dictionary.
+    """
 
     __deletable__ = ("parser",)
-    idle_timeout_s = 4.0  # between requests, at most
+    idle_timeout_s = 4.0  # between two requests
 
     def __init__(self, server: Listener) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.pending: deque[PendingRequest] = deque()  # answered in the order that they came
-        self.phase_began_s = server.loop.time()  # it was accepted, came to rest, or began a later request
-        self.has_received_request = False  # a whole request has come
-        self.is_receiving = False  # a request has begun and is not whole
+        self.pending: deque[PendingRequest] = deque()  # in the order of their arrival, which is also answered
+        # loop time at which the connection was accepted, became idle or began to receive a later request
+        self.phase_began_s = server.loop.time()
+        self.has_received_request = False  # at least one complete request has arrived
+        self.is_receiving = False  # a request has begun to arrive and is incomplete
         self.is_in_head = True
-        self.is_discarding = False  # what still comes is dropped
-        self.is_paused = False
+        self.is_discarding = False  # any further input is discarded
+        self.is_paused = False  # reading is paused
         self.paused_at_s = 0.0
-        self.is_write_paused = False  # the client does not read what it is given
+        self.is_write_paused = False  # the client does not read its responses
         self.unparsed_bytes = 0
-        self.body_bytes = 0  # of the body so far
-        self.upload: Upload | None = None  # the body that is being read, if it is large
-        self.streamed_request: PendingRequest | None = None  # its request, where that has been taken already
-        self.is_continue_due = False  # 100 Continue is owed
+        self.body_bytes = 0  # received of the current body
+        self.upload: Upload | None = None  # the body that is being received, if it is large
+        self.streamed_request: PendingRequest | None = (
+            None  # its request, if that was accepted before its end
+        )
+        self.is_continue_due = False  # a 100 Continue is to be sent
         self.linger_timer: asyncio.TimerHandle | None = None
 
     # The transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        if self.is_discarding:  # ended before it was ours
+        """Take the transport, or abort it if the connection was closed before it had one."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's has the methods but not the base class
+        if self.is_discarding:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Give up what is pending, and break the reference cycle with the parser."""
         self.server.remove(self)
         if self.linger_timer is not None:
             self.linger_timer.cancel()
         self.server.paused_connections.pop(self, None)
         self.abandon()
-        del self.parser  # it holds us as we hold it
+        del self.parser
 
     def data_received(self, data: bytes) -> None:
+        """Parse input; on an error reject the request."""
         if self.is_discarding:
-            # hazard: 60 MB dropped as fast as they come take the CPU of everybody
+            # Read slowly: 60 MB discarded at full speed would take the CPU from all other connections.
             if self.transport is not None and not self.transport.is_closing():
                 self.pause_reading()
                 self.server.loop.call_later(DISCARD_INTERVAL_S, self.resume_reading)
@@ -157,9 +167,9 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.is_discarding = True  # upgrades are not for us: what follows is no request
-            for one in self.pending:
-                one.keep_alive = False
+            self.is_discarding = True  # upgrades are not supported, and what follows is not HTTP/1.1
+            for request in self.pending:
+                request.keep_alive = False
             if not self.pending and self.transport is not None:
                 self.close_after_response(self.transport)
         except httptools.HttpParserError as error:
@@ -176,18 +186,21 @@
             self.server.mark_waiting(self)
 
     def eof_received(self) -> None:
-        """The client has left: asyncio closes the connection. Hazard: it does so once all that is written has
-        gone, which a client that does not read puts off; what waits here would be sent on meanwhile."""
+        """Give up what is pending: the client has left, and asyncio closes the connection.
+
+        It does so once all output has been sent, which a client that does not read delays. Queued requests
+        would be forwarded meanwhile.
+        """
         self.abandon()
 
     def abandon(self) -> None:
-        """Nothing is read or owed here any more."""
+        """Discard further input, and give up all that is pending."""
         self.is_discarding = True
         self.abort_upload()
         self.abandon_pending()
 
     def is_client_gone(self) -> bool:
-        """While we do not read, the loop tells nothing of a client that leaves; the kernel knows."""
+        """Say whether the client has left; while reading is paused, the loop does not notice."""
         return bool(
             self.pending
             and self.transport is not None
@@ -196,42 +209,51 @@
         )
 
     def pause_writing(self) -> None:
+        """Note that the transport's buffer is full."""
         self.is_write_paused = True
 
     def resume_writing(self) -> None:
+        """Continue the streamed response, if there is one: the client reads again."""
         self.is_write_paused = False
-        if self.pending and (flow := self.pending[0].stream) is not None:
-            flow.resume()
+        if self.pending and (stream := self.pending[0].stream) is not None:
+            stream.resume()
 
     @property
     def receive_timeout_s(self) -> float:
-        """How long after `since` what is being read may take."""
+        """The time limit, counted from `phase_began_s`, for what is being received."""
         return (
             HEAD_TIMEOUT_S if self.is_in_head else BODY_TIMEOUT_S + self.body_bytes / MIN_UPLOAD_BYTES_PER_S
         )
 
     def can_close(self) -> bool:
-        """Hazard: a request may be waiting unread; closing on top of it would lose it for the client."""
+        """Say whether there is no unread input: closing would lose the request that it may hold."""
         if self.transport is None or self.transport.is_closing():
             return True
         return not make_input_poll(self.transport).poll(0)
 
     def has_unsent_output(self) -> bool:
+        """Say whether the transport still buffers output."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def close(self) -> None:
+        """End the connection, and drop output that the client does not read.
+
+        A graceful close would wait for such a client forever.
+        """
         self.is_discarding = True
         if self.transport is not None:
-            # hazard: a client that does not read its answer would keep a closing connection for good
             (self.transport.abort if self.has_unsent_output() else self.transport.close)()
 
     def announce_shutdown(self) -> None:
-        """The sidecar ends: each answer from now on says so by itself."""
+        """Do nothing: while the listener is closing, each response carries `Connection: close`."""
 
     # The parser
 
     def on_message_begin(self) -> None:
-        # hazard: one read may hold hundreds of requests; pausing works on later reads only
+        """Begin a request, unless too many are pending.
+
+        One read may hold hundreds of requests, and pausing takes effect only on later reads.
+        """
         if self.is_discarding or len(self.pending) >= MAX_PIPELINED_REQUESTS:
             raise RequestRejectedError(400, "too many requests at once")
         self.is_receiving = self.is_in_head = True
@@ -241,42 +263,47 @@
         self.body = bytearray()
 
     def on_url(self, url: bytes) -> None:
+        """Add a piece of the request target."""
         self.target += url
         self.head_bytes += len(url)
         if self.head_bytes > MAX_HEAD_BYTES:
             raise RequestRejectedError(431, "headers too large")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.is_in_head:  # trailers go no further
-            self.headers.append((name, value.rstrip(b" \t")))  # RFC 9110, 5.5: no part of the value
+        """Add a header; trailers are dropped."""
+        if self.is_in_head:
+            # Trailing whitespace is not part of the value (RFC 9110, 5.5).
+            self.headers.append((name, value.rstrip(b" \t")))
         self.head_bytes += len(name) + len(value) + 4
         if self.head_bytes > MAX_HEAD_BYTES:
             raise RequestRejectedError(431, "headers too large")
 
     def on_headers_complete(self) -> None:
+        """Check the framing of the body. Two framings of one body would allow request smuggling."""
         self.is_in_head = False
-        names = [name.lower() for name, _ in self.headers]
-        lengths = names.count(b"content-length")
-        if lengths > 1 or (lengths and b"transfer-encoding" in names):
-            raise RequestRejectedError(400, "two framings of one body")  # hazard: request smuggling
+        lower_names = [name.lower() for name, _ in self.headers]
+        lengths = lower_names.count(b"content-length")
+        if lengths > 1 or (lengths and b"transfer-encoding" in lower_names):
+            raise RequestRejectedError(400, "two framings of one body")
         self.content_length: int | None = None
         self.phase_began_s = self.server.loop.time()
-        for low, (_, value) in zip(names, self.headers, strict=True):
-            if low == b"content-length":
+        for lower_name, (_, value) in zip(lower_names, self.headers, strict=True):
+            if lower_name == b"content-length":
                 self.content_length = int(value)
                 if self.content_length > MAX_BODY_BYTES:
                     raise RequestRejectedError(413, "body too large")
-            if low == b"expect" and value.lower() == b"100-continue":
+            if lower_name == b"expect" and value.lower() == b"100-continue":
                 self.is_continue_due = True
                 self.send_continue()
 
     def send_continue(self) -> None:
-        """Hazard: ahead of an answer that is still owed, 100 Continue would be taken for that answer."""
+        """Send 100 Continue if it is due and no earlier response is pending, for which it would be taken."""
         if self.is_continue_due and not self.pending and self.transport is not None:
             self.is_continue_due = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
+        """Buffer a piece of the body, or stream it if the body is too large to be buffered."""
         if self.is_discarding:
             return
         self.body_bytes += len(body)
@@ -296,14 +323,15 @@
             self.pause_reading()
 
     def stream_upload(self, upload: Upload) -> None:
-        """Too large to be held: the request is taken now, and its body passed on as it comes."""
+        """Submit the request now and stream its body: it is too large to be buffered whole."""
         upload.is_streaming, upload.on_capacity = True, self.resume_reading
-        one = self.streamed_request = self.queue_request()
-        one.upload = upload
+        request = self.streamed_request = self.queue_request()
+        request.upload = upload
         self.server.uploads[self] = None
-        self.submit(one, b"", upload)
+        self.submit(request, b"", upload)
 
     def on_message_complete(self) -> None:
+        """Submit the request, or complete the body of one that is being streamed."""
         (
             self.is_receiving,
             self.is_in_head,
@@ -313,79 +341,90 @@
         ) = False, True, False, 0, True
         if self.is_discarding:
             return
-        upload, one = self.upload, self.streamed_request
+        upload, request = self.upload, self.streamed_request
         self.upload = self.streamed_request = None
-        if one is not None and upload is not None:
+        if request is not None and upload is not None:
             self.server.uploads.pop(self, None)
-            one.keep_alive = self.parser.should_keep_alive()
-            self.server.engine.upload_complete(one.request_number)
+            request.keep_alive = self.parser.should_keep_alive()
+            self.server.engine.upload_complete(request.request_number)
             upload.complete()
             return
-        one = self.queue_request()
-        one.upload = upload
-        self.submit(one, bytes(self.body) if upload is None else upload.take_whole(), None)
+        request = self.queue_request()
+        request.upload = upload
+        self.submit(request, bytes(self.body) if upload is None else upload.take_whole(), None)
 
     def queue_request(self) -> PendingRequest:
-        """The request that is being read stands in line for its answer."""
-        one = PendingRequest(self, self.parser.should_keep_alive(), self.parser.get_http_version() == "1.0")
-        self.pending.append(one)
+        """Append the request that is being received to the queue."""
+        request = PendingRequest(
+            self, self.parser.should_keep_alive(), self.parser.get_http_version() == "1.0"
+        )
+        self.pending.append(request)
         if len(self.pending) >= MAX_PIPELINED_REQUESTS and self.transport is not None:
             self.pause_reading()
-        return one
+        return request
 
-    def submit(self, one: PendingRequest, body: bytes, upload: Upload | None) -> None:
+    def submit(self, request: PendingRequest, body: bytes, upload: Upload | None) -> None:
+        """Pass a request to the server. An unexpected exception fails only this request."""
         try:
-            self.server.accept_request(one, self.parser.get_method(), self.target, self.headers, body, upload)
+            self.server.accept_request(
+                request, self.parser.get_method(), self.target, self.headers, body, upload
+            )
         except RequestRejectedError as error:
-            self.reject_request(one, error)
+            self.reject_request(request, error)
         except Exception:
-            # hazard: a fault here costs this one request, not its connection or the sidecar
-            log.exception("a request could not be taken")
-            one.reply(500)
+            log.exception("accepting a client's request failed; answered 500")
+            request.reply(500)
 
     def abort_upload(self) -> None:
-        """What is being read will not become whole."""
+        """Fail the upload that is being received, if any: the rest of it will not arrive."""
         upload, self.upload, self.streamed_request = self.upload, None, None
         self.server.uploads.pop(self, None)
         if upload is not None:
             upload.fail()
             upload.discard()
 
-    # Answers
+    # Responses
 
     def reject(self, error: RequestRejectedError) -> None:
-        """What can't be framed can't be followed by anything."""
-        one = self.streamed_request
-        if one is None:
-            one = PendingRequest(self, False)
-            self.pending.append(one)
-            self.reject_request(one, error)
+        """Reject the request that is being received, and end the connection after the response.
+
+        Where a request ends is unknown if it can't be parsed, so nothing can follow it.
+        """
+        request = self.streamed_request
+        if request is None:
+            request = PendingRequest(self, False)
+            self.pending.append(request)
+            self.reject_request(request, error)
             return
-        self.is_discarding, one.keep_alive = True, False
-        self.server.engine.fail_request(one.request_number, error.status)  # it has been taken
+        self.is_discarding, request.keep_alive = True, False
+        self.server.engine.fail_request(request.request_number, error.status)  # the engine has it already
 
-    def reject_request(self, one: PendingRequest, error: RequestRejectedError) -> None:
-        """Answer and end the connection. Hazard: what comes behind a bad request is mostly bad as well, by
-        hundreds in one read; none of it is looked at."""
-        self.is_discarding, one.keep_alive = True, False
+    def reject_request(self, request: PendingRequest, error: RequestRejectedError) -> None:
+        """Answer with an error and end the connection.
+
+        What follows a bad request is mostly bad as well, and one read may hold hundreds of requests; none of
+        them is looked at.
+        """
+        self.is_discarding, request.keep_alive = True, False
         self.abort_upload()
-        one.reply(error.status, b"Content-Type: text/plain\r\n", str(error).encode() + b"\n")
+        request.reply(error.status, b"Content-Type: text/plain\r\n", str(error).encode() + b"\n")
 
     def flush(self) -> None:
+        """Write the responses that are there, in the order of their requests."""
         transport = self.transport
         while self.pending and transport is not None:
-            one = self.pending[0]
-            # hazard: while stopping, requests behind this one have been taken as well
-            keep = one.keep_alive and (not self.server.is_closing or len(self.pending) > 1)
-            if one.stream is not None:
-                if one.stream.transport is None:
-                    one.stream.begin(transport, keep and one is not self.streamed_request)
-                if not one.stream.has_ended:
+            request = self.pending[0]
+            # While the listener is closing, requests that are queued behind this one are answered as well.
+            keep_alive = request.keep_alive and (not self.server.is_closing or len(self.pending) > 1)
+            if request.stream is not None:
+                if request.stream.transport is None:
+                    request.stream.begin(transport, keep_alive and request is not self.streamed_request)
+                if not request.stream.has_ended:
                     break
-                keep = one.stream.keep_alive
-            elif one.response is not None:
-                status, head, body = one.response
-                close = b"" if keep else b"Connection: close\r\n"
+                keep_alive = request.stream.keep_alive
+            elif request.response is not None:
+                status, head, body = request.response
+                close = b"" if keep_alive else b"Connection: close\r\n"
                 transport.write(
                     b"HTTP/1.1 %d %s\r\n%s%sContent-Length: %d\r\n\r\n%s"
                     % (status, REASON_PHRASES.get(status, b""), head, close, len(body), body)
@@ -393,8 +432,8 @@
             else:
                 break
             self.pending.popleft()
-            one.release_stream()
-            if not keep:
+            request.release_stream()
+            if not keep_alive:
                 self.close_after_response(transport)
         if not self.pending:
             self.resume_reading()
@@ -404,33 +443,38 @@
                     self.phase_began_s = self.server.loop.time()
                 self.server.mark_waiting(self)
 
-    def abort(self, one: QueuedRequest) -> None:
-        """Its answer can't be finished."""
+    def abort(self, request: QueuedRequest) -> None:
+        """Abort the connection, because the response to `request` can't be completed."""
         if self.transport is not None:
             self.transport.abort()
 
     def pause_reading(self) -> None:
+        """Stop reading; the server polls for the client's departure meanwhile."""
         if not self.is_paused and self.transport is not None and not self.transport.is_closing():
             self.is_paused, self.paused_at_s = True, self.server.loop.time()
             self.transport.pause_reading()
             self.server.watch_for_hangup(self)
 
     def resume_reading(self) -> None:
+        """Read again; the pause does not count against the client's time limit."""
         if self.is_paused and self.transport is not None and not self.transport.is_closing():
             self.is_paused = False
             self.server.paused_connections.pop(self, None)
-            self.phase_began_s += self.server.loop.time() - self.paused_at_s  # it was we who did not read
+            self.phase_began_s += self.server.loop.time() - self.paused_at_s
             self.transport.resume_reading()
 
     def abandon_pending(self) -> None:
-        """Nobody waits for what is pending here any more."""
+        """Give up all queued requests: no client waits for them."""
         pending, self.pending = self.pending, deque()
-        for one in pending:
-            one.abandon()
+        for request in pending:
+            request.abandon()
 
     def close_after_response(self, transport: asyncio.Transport) -> None:
-        """Close after the answer. Hazard: closing on top of unread input resets the connection, and the
-        client may lose the answer; so what still comes is read and dropped for a while."""
+        """Close the connection so that the client receives the response that was just written.
+
+        Closing while there is unread input resets the connection, and the client may lose the response. So if
+        input may still arrive, it is read and discarded for up to LINGER_TIMEOUT_S.
+        """
         self.abandon_pending()
         if self.is_discarding or self.is_receiving:
             self.is_discarding = True
--- a/sidecar_proxy/http1/listener.py
+++ b/sidecar_proxy/http1/listener.py
@@ -1,4 +1,4 @@
-"""What the listener and the connections of its clients are to one another, by any protocol."""
+"""The interface between the listener and its client connections, for any protocol."""
 
 from __future__ import annotations
 
@@ -12,131 +12,144 @@
 
 
 class DownstreamConnection(Protocol):
-    """A connection of the application's, by any protocol."""
+    """A connection from the application, of any protocol."""
 
-    phase_began_s: float  # it was accepted, came to rest, or began a later request
-    has_received_request: bool  # a whole request has come
-    is_receiving: bool  # a request has begun and is not whole
+    # loop time at which the connection was accepted, became idle or began to receive a later request
+    phase_began_s: float
+    has_received_request: bool  # at least one complete request has arrived
+    is_receiving: bool  # a request has begun to arrive and is incomplete
     unparsed_bytes: int
-    is_discarding: bool  # what still comes is dropped
+    is_discarding: bool  # any further input is discarded
     idle_timeout_s: float
 
     @property
     def receive_timeout_s(self) -> float:
-        """How long after `since` what is being read may take."""
+        """The time limit, counted from `phase_began_s`, for what is being received."""
 
     transport: asyncio.Transport | None
 
     @property
     def pending(self) -> object:
-        """True in a condition while something is owed here."""
+        """Truthy while a response or another message is still to be sent on this connection."""
 
-    def can_close(self) -> bool: ...
+    def can_close(self) -> bool:
+        """Say whether closing the connection now would lose neither a request nor a response."""
 
-    def has_unsent_output(self) -> bool: ...
+    def has_unsent_output(self) -> bool:
+        """Say whether the transport still buffers output."""
 
-    def reject(self, error: RequestRejectedError) -> None: ...
+    def reject(self, error: RequestRejectedError) -> None:
+        """Reject the request that is being received, and end the connection."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """End the connection; output that the client does not read is dropped."""
 
-    def announce_shutdown(self) -> None: ...
+    def announce_shutdown(self) -> None:
+        """Tell the client, where the protocol can, that no new requests will be accepted."""
 
 
 class PausedConnection(Protocol):
-    """A connection that is not read from just now."""
+    """A connection whose reading is paused."""
 
     def is_client_gone(self) -> bool:
-        """Somebody waited there, and has gone."""
+        """Say whether a client that waited for a response has left."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """End the connection."""
 
 
 class UploadingConnection(Protocol):
-    """A connection that sends a body which is passed on as it comes."""
+    """A connection that receives a request body which is streamed to the upstream."""
 
     is_paused: bool
     phase_began_s: float
 
     @property
-    def receive_timeout_s(self) -> float: ...
+    def receive_timeout_s(self) -> float:
+        """The time limit, counted from `phase_began_s`, for the whole body."""
 
-    def reject(self, error: RequestRejectedError) -> None: ...
+    def reject(self, error: RequestRejectedError) -> None:
+        """Reject the request whose body is being received."""
 
 
 class ResponseTarget(Protocol):
-    """A request that stands in line on its connection."""
+    """A request that waits in its connection's queue, and takes the response to it."""
 
-    request_number: int  # its number in the engine
-    request_id: bytes  # its Req-Id, once it is taken
+    request_number: int  # the engine's number of the request
+    request_id: bytes  # its Req-Id, set once the request is accepted
 
-    def reply(self, status: int, head: bytes = b"", body: bytes = b"") -> None: ...
+    def reply(self, status: int, head: bytes = b"", body: bytes = b"") -> None:
+        """Take a complete response: status, header lines and body."""
 
     def open_stream(
         self, head: bytes, length: int | None, source: ResponseSource, ended: Callable[[bool | None], None]
-    ) -> ResponseSink: ...
+    ) -> ResponseSink:
+        """Open a streamed response. `length` is None if it is unknown; `ended` is called at its end."""
 
 
 class ProtocolFront(Protocol):
-    """A front of another protocol on the same listener."""
+    """A server of another protocol on the same listener."""
 
     def protocol_for(self, plain: DownstreamConnection) -> object:
-        """Who has the first bytes of a connection: an asyncio.Protocol in all but its bases."""
+        """Return what receives the first bytes of a connection: it has the methods of an asyncio.Protocol."""
 
     def readiness_changed(self) -> None:
-        """We drain, end or are back."""
+        """Note that the sidecar drains, stops or is ready again."""
 
 
 class Listener:
-    """What connections need of their listener."""
+    """What client connections of any protocol need of the listener that accepted them."""
 
     def __init__(self, engine: Engine, body_budget: BodyMemoryBudget) -> None:
         self.engine = engine
         self.loop = engine.loop
         self.body_budget = body_budget
-        self.uploads: dict[UploadingConnection, None] = {}  # bodies that are passed on as they come
-        self.paused_connections: dict[
-            PausedConnection, None
-        ] = {}  # connections that are not read from just now
-        self.open_request_ids: set[bytes] = set()  # Req-Ids of requests that are not answered
-        self.is_closing = False  # each answer ends its connection
+        self.uploads: dict[UploadingConnection, None] = {}  # connections whose request body is being streamed
+        self.paused_connections: dict[PausedConnection, None] = {}  # connections whose reading is paused
+        self.open_request_ids: set[bytes] = set()  # Req-Ids of unanswered requests
+        self.is_closing = False  # every response ends its connection
         self.front: ProtocolFront | None = None
 
     @property
     def is_ready(self) -> bool:
-        """New connections are wanted."""
+        """Whether the sidecar wants new connections."""
         raise NotImplementedError
 
     def accept_request(
         self,
-        one: ResponseTarget,
+        request: ResponseTarget,
         method: bytes,
         target: bytes,
         headers: list[tuple[bytes, bytes]],
         body: bytes,
         upload: Upload | None = None,
     ) -> None:
-        """A request has come, or its head has and `upload` will hold the rest. Raises Rejected."""
+        """Pass a request to the engine, complete or with an `upload` that receives the rest of its body.
+
+        Raises RequestRejectedError.
+        """
         raise NotImplementedError
 
     def watch_for_hangup(self, connection: PausedConnection) -> None:
-        """It is not read from until it is out of `unheard`."""
+        """Poll a paused connection for its client's departure while it is in `paused_connections`."""
         raise NotImplementedError
 
     def mark_busy(self, connection: DownstreamConnection) -> None:
-        """Something is owed there."""
+        """Note that a request is in flight on the connection."""
         raise NotImplementedError
 
     def mark_waiting(self, connection: DownstreamConnection) -> None:
-        """Nothing is."""
+        """Note that no request is in flight: the connection is idle or its next request is incomplete."""
         raise NotImplementedError
 
     def remove(self, connection: DownstreamConnection) -> None:
+        """Note that the connection is closed."""
         raise NotImplementedError
 
     def replace(self, old: DownstreamConnection, new: DownstreamConnection) -> None:
-        """It speaks another protocol than was thought."""
+        """Replace a connection by one of the protocol that its first bytes showed."""
         raise NotImplementedError
 
     def warn_rate_limited(self, text: str) -> None:
-        """One log line a second at most."""
+        """Log a warning, at most one per second."""
         raise NotImplementedError
--- a/sidecar_proxy/http1/request.py
+++ b/sidecar_proxy/http1/request.py
@@ -1,4 +1,4 @@
-"""What a request of the application's must be, by the settings: headers to a typed call."""
+"""Validates a client's request against the settings, and turns its headers into a Call."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from sidecar_proxy.engine.interfaces import Call
 from sidecar_proxy.http1.upstream import HOP_BY_HOP_HEADERS, format_end_to_end_headers
 
-# The answer is under way, and the loop may be busy, when the client's time is out.
+# Time before the client's deadline at which a response is sent at the latest: the loop may be busy just then.
 RESPONSE_MARGIN_US = 10_000
-MAX_UPLOAD_DURATION_US = 600_000_000  # an upload may take so long before its time begins to count
+MAX_UPLOAD_DURATION_US = 600_000_000  # allowed for an upload in addition to the deadline
 REQUEST_ID_PATTERN = re.compile(rb"[0-9A-Za-z_.-]{1,128}\Z")
 DEADLINE_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?\Z")
 COST_PATTERN = re.compile(rb"[0-9]{1,9}\Z")
@@ -24,12 +24,12 @@
     b"req-cost",
     b"req-retry",
 )
-REGENERATED_HEADERS = frozenset({b"req-deadline"})  # told anew with each attempt: what is left of it
+REGENERATED_HEADERS = frozenset({b"req-deadline"})  # sent anew with each attempt, with the time that is left
 DROPPED_REQUEST_HEADERS = REGENERATED_HEADERS | HOP_BY_HOP_HEADERS
 
 
 class RequestRejectedError(Exception):
-    """A request that is answered here and never forwarded."""
+    """A request that the sidecar answers itself, with `status`, and never forwards."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -37,25 +37,30 @@
 
 
 def parse_decimal_us(text: bytes) -> int:
-    whole, _, part = text.partition(b".")
-    return int(whole) * 1_000_000 + int(part[:6].ljust(6, b"0") or b"0")
+    """Convert a decimal number of seconds to microseconds."""
+    integer, _, fraction = text.partition(b".")
+    return int(integer) * 1_000_000 + int(fraction[:6].ljust(6, b"0") or b"0")
 
 
 def hash_key(key: bytes) -> int:
-    """What a request is about, as the decisions know it; 0 = nothing is told."""
+    """Return the number by which the balancer knows a request's key; 0 if the request has none."""
     return int.from_bytes(hashlib.blake2b(key, digest_size=8).digest(), "little") if key else 0
 
 
 def parse_cost_us(text: bytes) -> int:
-    """A guess at the work; 0 for one that can't be read."""
+    """Return the client's estimate of the work, in microseconds; 0 if it can't be parsed."""
     return min(int(text), 0xFFFFFFFF) if COST_PATTERN.match(text) else 0
 
 
 class RequestParser:
+    """Turns the parts of a request into a Call."""
+
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
-        self.class_indexes = {one.name.encode(): number for number, one in enumerate(settings.classes)}
-        self.tenant_indexes = {one.name.encode(): number for number, one in enumerate(settings.tenants)}
+        self.class_indexes = {
+            request_class.name.encode(): number for number, request_class in enumerate(settings.classes)
+        }
+        self.tenant_indexes = {tenant.name.encode(): number for number, tenant in enumerate(settings.tenants)}
 
     def parse(
         self,
@@ -66,65 +71,68 @@
         now_us: int,
         upload: Upload | None = None,
     ) -> Call:
-        parts = target.partition(b"?")[0].split(b"/")[1:]
-        class_index = self.class_indexes.get(parts[0]) if parts else None
+        """Return the Call for a request. Raises RequestRejectedError if the request is not valid."""
+        segments = target.partition(b"?")[0].split(b"/")[1:]
+        class_index = self.class_indexes.get(segments[0]) if segments else None
         if class_index is None:
-            named = len(parts) > 1 and parts[0] != b""
-            raise RequestRejectedError(400 if named else 404, "unknown class" if named else "unknown path")
-        found: dict[bytes, bytes] = {}
+            has_class = len(segments) > 1 and segments[0] != b""
+            raise RequestRejectedError(
+                400 if has_class else 404, "unknown class" if has_class else "unknown path"
+            )
+        values: dict[bytes, bytes] = {}
         lines: list[bytes] = []
         for name, value in headers:
-            low = name.lower()
-            if low in found and low in SINGLE_VALUE_HEADERS:
-                raise RequestRejectedError(400, f"{low.decode()} twice")
-            found[low] = value
-            if low not in DROPPED_REQUEST_HEADERS:
+            lower_name = name.lower()
+            if lower_name in values and lower_name in SINGLE_VALUE_HEADERS:
+                raise RequestRejectedError(400, f"{lower_name.decode()} twice")
+            values[lower_name] = value
+            if lower_name not in DROPPED_REQUEST_HEADERS:
                 lines += (name, b": ", value, b"\r\n")
-        if not REQUEST_ID_PATTERN.match(found.get(b"req-id", b"")):
+        if not REQUEST_ID_PATTERN.match(values.get(b"req-id", b"")):
             raise RequestRejectedError(400, "missing or bad Req-Id")
-        deadline = found.get(b"req-deadline", b"")
+        deadline = values.get(b"req-deadline", b"")
         if not DEADLINE_PATTERN.match(deadline):
             raise RequestRejectedError(400, "missing or bad Req-Deadline")
-        kind = self.settings.classes[class_index]
-        effect = kind.effect
+        request_class = self.settings.classes[class_index]
+        effect = request_class.effect
         if method != (b"GET" if effect == "idempotent" else b"POST"):
             raise RequestRejectedError(400, "the method contradicts the class")
-        keyed = effect == "deduplicated"
-        if bool(found.get(b"idempotency-key")) != keyed or (b"idempotency-key" in found) != keyed:
+        needs_key = effect == "deduplicated"
+        if bool(values.get(b"idempotency-key")) != needs_key or (b"idempotency-key" in values) != needs_key:
             raise RequestRejectedError(400, "the Idempotency-Key contradicts the class")
         if effect == "idempotent" and (body or upload is not None):
             raise RequestRejectedError(400, "a body where the class has none")
-        tenant = self.tenant_indexes.get(found.get(b"req-owner", b""), 0)
+        tenant = self.tenant_indexes.get(values.get(b"req-owner", b""), 0)
         size = len(body) if upload is None else upload.length
-        length = (
+        framing = (
             b""
             if method != b"POST"
             else b"Transfer-Encoding: chunked\r\n"
             if size is None
             else b"Content-Length: %d\r\n" % size
         )
-        # hazard: by a deadline of hours one client would keep slots and the buffer for hours
-        after_us = min(parse_decimal_us(deadline), kind.deadline_us) - RESPONSE_MARGIN_US
-        coming_us = 0 if upload is None else MAX_UPLOAD_DURATION_US
+        # The class limits the deadline: otherwise a client could occupy slots and the buffer for hours.
+        allowed_us = min(parse_decimal_us(deadline), request_class.deadline_us) - RESPONSE_MARGIN_US
+        upload_us = 0 if upload is None else MAX_UPLOAD_DURATION_US
         return Call(
             class_index=class_index,
-            due_us=now_us + coming_us + after_us,
-            time_after_upload_us=after_us,
+            due_us=now_us + upload_us + allowed_us,
+            time_after_upload_us=allowed_us,
             upload=upload,
-            request_id=found[b"req-id"],
-            # a Connection header may name others that go no further
+            request_id=values[b"req-id"],
+            # A Connection header may name further headers that must not be forwarded.
             head=b"%s %s HTTP/1.1\r\n%s%s"
             % (
                 method,
                 target,
                 format_end_to_end_headers(headers, DROPPED_REQUEST_HEADERS)
-                if b"connection" in found
+                if b"connection" in values
                 else b"".join(lines),
-                length,
+                framing,
             ),
             body=body,
             tenant=tenant,
-            key=hash_key(parts[-1]) if len(parts) > 1 else 0,
-            cost_us=parse_cost_us(found.get(b"req-cost", b"")),
-            is_retry=found.get(b"req-retry") == b"1",
+            key=hash_key(segments[-1]) if len(segments) > 1 else 0,
+            cost_us=parse_cost_us(values.get(b"req-cost", b"")),
+            is_retry=values.get(b"req-retry") == b"1",
         )
--- a/sidecar_proxy/http1/response_stream.py
+++ b/sidecar_proxy/http1/response_stream.py
@@ -1,4 +1,4 @@
-"""One large answer on its way to a client: what the upstream gives is passed on as it comes."""
+"""A streamed response to a client: passes on the upstream's response as it arrives."""
 
 from __future__ import annotations
 
@@ -10,31 +10,36 @@
 
 
 class ResponseConnection(Protocol):
-    """The client's connection."""
+    """The client connection that a response is written to."""
 
-    is_write_paused: bool  # the client does not read what it is given
+    is_write_paused: bool  # the client does not read its responses
 
-    def flush(self) -> None: ...
+    def flush(self) -> None:
+        """Write the responses that are there, in the order of their requests."""
 
-    def abort(self, one: QueuedRequest) -> None: ...
+    def abort(self, request: QueuedRequest) -> None:
+        """Abort the connection, because the response to `request` can't be completed."""
 
 
 class QueuedRequest(Protocol):
-    """The request on it that the answer is for."""
+    """The request, in the queue of its connection, that the response is for."""
 
-    is_http_1_0: bool  # it speaks HTTP/1.0
+    is_http_1_0: bool
     stream: ResponseStream | None
 
     @property
-    def connection(self) -> ResponseConnection: ...
+    def connection(self) -> ResponseConnection:
+        """The connection that the request arrived on."""
 
-    def reply(self, status: int) -> None: ...
+    def reply(self, status: int) -> None:
+        """Answer with a status alone."""
 
-    def complete(self) -> None: ...
+    def complete(self) -> None:
+        """Note that the request is over."""
 
 
 class ResponseStream:
-    """Begins when its request is the first in line on its connection; till then its source waits."""
+    """Sends a response once its request is the first in the queue; until then the source is paused."""
 
     def __init__(
         self,
@@ -46,24 +51,24 @@
     ) -> None:
         self.pending = pending
         self.head = head
-        self.content_length = length  # None = not known before its end
+        self.content_length = length  # None = unknown until its end
         self.source = source
         self.on_end = ended
-        self.transport: asyncio.Transport | None = None  # None = not begun
-        self.unsent_pieces: list[bytes] = []
+        self.transport: asyncio.Transport | None = None  # None until the response begins
+        self.unsent_pieces: list[bytes] = []  # that arrived before the response could begin
         self.is_chunked = self.keep_alive = False
-        self.has_ended = False  # all that will come has come
+        self.has_ended = False  # nothing more will arrive
 
     def waits(self) -> bool:
-        """Its turn has not come."""
+        """Say whether other responses have to be sent before this one."""
         return self.transport is None and not self.has_ended
 
-    def begin(self, transport: asyncio.Transport, keep: bool) -> None:
-        """It is the first in line."""
+    def begin(self, transport: asyncio.Transport, keep_alive: bool) -> None:
+        """Write the head and what has arrived: the request is now the first in the queue."""
         self.transport = transport
         self.is_chunked = self.content_length is None and not self.pending.is_http_1_0
-        # hazard: to a client of HTTP/1.0 the end of an answer of unknown length is the end of the connection
-        self.keep_alive = keep and (self.content_length is not None or self.is_chunked)
+        # In HTTP/1.0 the end of the connection marks the end of a response of unknown length.
+        self.keep_alive = keep_alive and (self.content_length is not None or self.is_chunked)
         framing = (
             b"Transfer-Encoding: chunked\r\n"
             if self.is_chunked
@@ -73,8 +78,8 @@
         )
         close = b"" if self.keep_alive else b"Connection: close\r\n"
         transport.write(b"HTTP/1.1 200 OK\r\n%s%s%s\r\n" % (self.head, close, framing))
-        waiting, self.unsent_pieces = self.unsent_pieces, []
-        for data in waiting:
+        pieces, self.unsent_pieces = self.unsent_pieces, []
+        for data in pieces:
             self.write(data)
         if self.has_ended:
             self.write_last_chunk()
@@ -82,6 +87,7 @@
             self.source.resume()
 
     def write(self, data: bytes) -> None:
+        """Send a piece, or keep it until the response can begin; apply backpressure to the source."""
         if self.transport is None:
             self.unsent_pieces.append(data)
             self.source.pause()
@@ -91,15 +97,17 @@
             self.source.pause()
 
     def resume(self) -> None:
-        """The client has read on."""
+        """Read on from the source: the client reads again."""
         if not self.has_ended:
             self.source.resume()
 
     def write_last_chunk(self) -> None:
+        """Write the end of a chunked response."""
         if self.is_chunked and self.transport is not None:
             self.transport.write(b"0\r\n\r\n")
 
     def end(self) -> None:
+        """Note that the response is complete."""
         self.has_ended = True
         if self.transport is not None:
             self.write_last_chunk()
@@ -108,10 +116,15 @@
         self.pending.connection.flush()
 
     def fail(self) -> None:
-        """Hazard: ended like a whole one, an answer that was cut off would be taken for whole."""
+        """Note that the rest will never arrive.
+
+        The connection is aborted: with a regular end, the client would take the response for complete. If
+        nothing was sent yet, the request is answered with 502 instead, so that earlier responses in the queue
+        are not lost.
+        """
         self.has_ended = True
         self.on_end(False)
-        if self.transport is None:  # nothing of it has gone: those before it in line are not to suffer
+        if self.transport is None:
             self.pending.stream = None
             self.pending.reply(502)
             return
@@ -119,7 +132,7 @@
         self.pending.connection.abort(self.pending)
 
     def abandon(self) -> None:
-        """The client has left."""
+        """Stop reading from the source: the client has left."""
         if not self.has_ended:
             self.has_ended = True
             self.on_end(None)
--- a/sidecar_proxy/http1/server.py
+++ b/sidecar_proxy/http1/server.py
@@ -1,4 +1,4 @@
-"""The application's side: accepts its connections, within a budget, and ends those that only hold it."""
+"""The HTTP/1.1 server: accepts clients within a limit of connections, and closes idle and stalled ones."""
 
 from __future__ import annotations
 
@@ -21,18 +21,20 @@
 
 ACCEPT_BACKLOG = 512
 SWEEP_INTERVAL_S = 0.2
-DRAIN_NOTICE_S = 0.4  # the front asks ten times a second, and sends new connections for 0.2 s after a no
-ACCEPT_AFTER_STOP_S = 0.5  # new connections go on coming for up to 0.4 s after SIGTERM
+# Readiness is polled ten times a second, and new connections are sent for 0.2 s after a negative answer.
+DRAIN_NOTICE_S = 0.4
+ACCEPT_AFTER_STOP_S = 0.5  # new connections keep arriving for up to 0.4 s after SIGTERM
 POLL_INTERVAL_S = 0.01
-HANGUP_POLL_INTERVAL_S = 0.1  # who leaves is noticed within it, also where we do not read
-MAX_DEADLINE_BEFORE_KILL_S = 3.0  # SIGKILL comes the longest deadline, at most this, and 0.7 s after SIGTERM
+HANGUP_POLL_INTERVAL_S = 0.1  # delay within which a client's departure is noticed while reading is paused
+# SIGKILL follows SIGTERM after the longest deadline, at most this long, and 0.7 s.
+MAX_DEADLINE_BEFORE_KILL_S = 3.0
 KILL_MARGIN_S = 0.5
 FLUSH_TIMEOUT_S = 1.0
 ACCEPT_RETRY_DELAY_S = 0.05
 
 
 class Server(Listener):
-    """The listener, within a budget of client connections."""
+    """Accepts client connections, up to a limit, and passes their requests to the engine."""
 
     def __init__(
         self, engine: Engine, max_connections: int, body_budget: BodyMemoryBudget | None = None
@@ -46,7 +48,7 @@
         self.listening_socket: socket.socket | None = None
         self.is_accepting = False
         self.is_stopping = False
-        self.is_socket_inherited = False  # the listener is shared with other processes
+        self.is_socket_inherited = False  # other processes accept on the listening socket as well
         self.drain_task: asyncio.Task[None] | None = None
         self.next_warning_s = 0.0
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
@@ -54,10 +56,15 @@
 
     @property
     def is_ready(self) -> bool:
+        """Whether the sidecar neither drains nor stops."""
         return not self.is_stopping and self.drain_task is None
 
     def listen(self, address: Address, inherited: int | None = None) -> Address:
-        """Take clients at the address, or by the listening socket that the platform gave. Raises OSError."""
+        """Start to accept clients and return the bound address.
+
+        Listens at `address`, or on the platform's listening socket if its descriptor is given as `inherited`.
+        Raises OSError.
+        """
         self.is_socket_inherited = inherited is not None
         if inherited is not None:
             self.listening_socket = socket.socket(fileno=inherited)
@@ -72,11 +79,15 @@
         return bound
 
     def mark_busy(self, connection: DownstreamConnection) -> None:
+        """Note that a request is in flight on the connection."""
         self.admission.remove(connection)
 
     def mark_waiting(self, connection: DownstreamConnection) -> None:
-        """Nothing is pending. Hazard: at the limit it makes room for those that wait to be accepted; if only
-        closed ones did, kept connections would shut new ones out."""
+        """Note that no request is in flight: the connection is idle or its next request is incomplete.
+
+        At the limit, an idle connection may be closed for one in the backlog. If only closed connections made
+        room, kept ones would block new clients.
+        """
         now = self.loop.time()
         if connection.has_received_request and not connection.is_receiving:
             oldest = self.admission.mark_idle(connection, now)
@@ -87,19 +98,22 @@
         self.resume_accepting()
 
     def sweep(self) -> None:
-        """Hazard: clients that connect and say nothing, or send half a request, would stay for good."""
+        """End connections that exceed a time limit.
+
+        Clients that connect and send nothing, or only part of a request, would otherwise stay forever.
+        """
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         now = self.loop.time()
-        for sender in [
-            one
-            for one in self.uploads
-            if not one.is_paused and now - one.phase_began_s >= one.receive_timeout_s
+        for uploading in [
+            connection
+            for connection in self.uploads
+            if not connection.is_paused and now - connection.phase_began_s >= connection.receive_timeout_s
         ]:
-            sender.reject(RequestRejectedError(408, "the request did not come whole in time"))
+            uploading.reject(RequestRejectedError(408, "the request did not come whole in time"))
         for connection in [
-            one
-            for one in self.admission.without_request()
-            if now - one.phase_began_s >= one.receive_timeout_s
+            candidate
+            for candidate in self.admission.without_request()
+            if now - candidate.phase_began_s >= candidate.receive_timeout_s
         ]:
             if connection.is_receiving or connection.unparsed_bytes:
                 self.mark_busy(connection)
@@ -107,18 +121,24 @@
             elif connection.can_close():
                 self.close_connection(connection)
         for connection in [
-            one for one in self.admission.idle if now - one.phase_began_s >= one.idle_timeout_s
+            candidate
+            for candidate in self.admission.idle
+            if now - candidate.phase_began_s >= candidate.idle_timeout_s
         ]:
             if connection.can_close():
                 self.close_connection(connection)
 
     def watch_for_hangup(self, connection: PausedConnection) -> None:
+        """Poll a paused connection for its client's departure while it is in `paused_connections`."""
         self.paused_connections[connection] = None
         if self.hangup_timer is None:
             self.hangup_timer = self.loop.call_later(HANGUP_POLL_INTERVAL_S, self.check_hangups)
 
     def check_hangups(self) -> None:
-        """Hazard: what waits for a client that has left would be sent on once its turn comes."""
+        """Close the paused connections whose client has left.
+
+        Queued requests of a client that has left would otherwise be sent to an upstream later.
+        """
         for connection in list(self.paused_connections):
             if connection.is_client_gone():
                 del self.paused_connections[connection]
@@ -130,33 +150,44 @@
         )
 
     def resume_accepting(self) -> None:
+        """Accept new connections again."""
         if self.listening_socket is not None and not self.is_accepting:
             self.is_accepting = True
             self.loop.add_reader(self.listening_socket.fileno(), self.accept)
 
     def pause_accepting(self) -> None:
+        """Leave new connections in the backlog."""
         if self.listening_socket is not None and self.is_accepting:
             self.is_accepting = False
             self.loop.remove_reader(self.listening_socket.fileno())
 
     def pause_accepting_briefly(self) -> None:
+        """Leave new connections in the backlog for ACCEPT_RETRY_DELAY_S."""
         self.pause_accepting()
         self.loop.call_later(ACCEPT_RETRY_DELAY_S, self.resume_accepting)
 
     def find_evictable(self) -> DownstreamConnection | None:
-        """At the limit, the one to end for a new one."""
+        """Return the connection to close for a new one at the limit, or None."""
         return next(
-            (one for one in self.admission.eviction_candidates(self.loop.time()) if one.can_close()), None
+            (
+                candidate
+                for candidate in self.admission.eviction_candidates(self.loop.time())
+                if candidate.can_close()
+            ),
+            None,
         )
 
     def accept(self) -> None:
-        """Hazard: the loop's own server closes what it has no descriptor for, and a request already
-        written to it would be lost. Here it waits in the backlog until there is room."""
+        """Accept the connections in the backlog, as far as the limit allows.
+
+        The loop's own server closes a connection for which it has no descriptor, and a request that was
+        already written to it would be lost. Here such a connection waits in the backlog.
+        """
         while self.listening_socket is not None:
-            full = len(self.connections) >= self.max_connections
-            spare = self.find_evictable() if full else None
-            if full and spare is None:
-                self.pause_accepting_briefly()  # or until a connection rests or is lost
+            is_full = len(self.connections) >= self.max_connections
+            evictable = self.find_evictable() if is_full else None
+            if is_full and evictable is None:
+                self.pause_accepting_briefly()  # ends early when a connection becomes idle or is closed
                 return
             try:
                 client, _ = self.listening_socket.accept()
@@ -166,9 +197,10 @@
                 self.warn_rate_limited(f"accept: {error}")
                 self.pause_accepting_briefly()
                 return
-            if spare is not None:  # hazard: no sooner, or one would be closed though nobody waits
-                self.connections.discard(spare)
-                self.close_connection(spare)
+            # Closed only now: before accept() succeeds it is not known that a client waits for the place.
+            if evictable is not None:
+                self.connections.discard(evictable)
+                self.close_connection(evictable)
             connection = ClientConnection(self)
             self.connections.add(connection)
             self.admission.add(connection, connection.phase_began_s)
@@ -177,75 +209,86 @@
             task.add_done_callback(self.attach_tasks.discard)
 
     async def attach(self, client: socket.socket, connection: ClientConnection) -> None:
+        """Attach an accepted socket to its protocol object."""
         try:
             client.setblocking(False)
-            first: object = connection if self.front is None else self.front.protocol_for(connection)
-            await self.loop.connect_accepted_socket(partial(as_protocol, first), client)
+            protocol: object = connection if self.front is None else self.front.protocol_for(connection)
+            await self.loop.connect_accepted_socket(partial(as_protocol, protocol), client)
         except OSError:
             client.close()
             self.remove(connection)
 
     def replace(self, old: DownstreamConnection, new: DownstreamConnection) -> None:
+        """Replace a connection by one of the protocol that its first bytes showed."""
         self.mark_busy(old)
         self.connections.discard(old)
         self.connections.add(new)
 
     def close_connection(self, connection: DownstreamConnection) -> None:
+        """Close a connection."""
         self.mark_busy(connection)
         connection.close()
 
     def remove(self, connection: DownstreamConnection) -> None:
+        """Note that the connection is closed."""
         self.mark_busy(connection)
         self.connections.discard(connection)
         self.resume_accepting()
 
     def warn_rate_limited(self, text: str) -> None:
+        """Log a warning, at most one per second."""
         if self.loop.time() >= self.next_warning_s:
             self.next_warning_s = self.loop.time() + 1.0
             log.warning("%s", text)
 
     def accept_request(
         self,
-        one: ResponseTarget,
+        request: ResponseTarget,
         method: bytes,
         target: bytes,
         headers: list[tuple[bytes, bytes]],
         body: bytes,
         upload: Upload | None = None,
     ) -> None:
+        """Answer /ready, and pass any other request to the engine. Raises RequestRejectedError."""
         if target == b"/ready" and method == b"GET":
-            one.reply(200 if self.is_ready else 503)
+            request.reply(200 if self.is_ready else 503)
             return
         call = self.request_parser.parse(method, target, headers, body, self.engine.clock.now_us(), upload)
         if call.request_id in self.open_request_ids:
-            # hazard: upstreams tell requests apart by it; two at once could get each other's answer
+            # Upstreams tell requests apart by their Req-Id: with two of the same, each could get the other's
+            # response.
             raise RequestRejectedError(409, "a request with this Req-Id is open")
-        call.open_stream = one.open_stream
-        one.request_id = call.request_id
+        call.open_stream = request.open_stream
+        request.request_id = call.request_id
         self.open_request_ids.add(call.request_id)
-        one.request_number = self.engine.accept(call, one.reply)
+        request.request_number = self.engine.accept(call, request.reply)
 
     def shrink(self, half: bool) -> None:
-        """Keep to half of the connections, or no more."""
+        """Halve the limit of connections, or restore it; close what may be closed above the limit."""
         self.max_connections = self.admission.max_connections = (
             max(1, self.configured_max_connections // 2) if half else self.configured_max_connections
         )
         for _ in range(len(self.connections) - self.max_connections):
-            spare = self.find_evictable()
-            if spare is None:
+            evictable = self.find_evictable()
+            if evictable is None:
                 break
-            self.connections.discard(spare)
-            self.close_connection(spare)
+            self.connections.discard(evictable)
+            self.close_connection(evictable)
 
     # Drains
 
     def drain(self) -> None:
-        """Clients are sent elsewhere until `undrain`: first no new connections, then none at all."""
+        """Send clients elsewhere until `undrain`.
+
+        /ready answers 503 at once; existing connections are ended once new ones have stopped arriving.
+        """
         if self.drain_task is None and not self.is_stopping:
             self.drain_task = self.loop.create_task(self.close_idle_while_draining())
             self.notify_front()
 
     def undrain(self) -> None:
+        """End a drain: clients are served as before."""
         if self.drain_task is not None and not self.is_stopping:
             self.drain_task.cancel()
             self.drain_task = None
@@ -253,16 +296,20 @@
             self.notify_front()
 
     def notify_front(self) -> None:
+        """Tell the other protocol's server that `is_ready` has changed."""
         if self.front is not None:
             self.front.readiness_changed()
 
     async def close_idle_while_draining(self) -> None:
-        """A drain: who has no request under way is let go as soon as new connections have ceased to come, and
-        each answer ends its connection. New ones still are served, once each."""
+        """End connections for as long as the drain lasts.
+
+        Once new connections have stopped arriving, those without a request in flight are closed, and each
+        response ends its connection. Connections that still arrive are served, for one request each.
+        """
         await asyncio.sleep(DRAIN_NOTICE_S)
         self.is_closing = True
         while True:
-            old = self.loop.time() - DRAIN_NOTICE_S
+            accepted_before_s = self.loop.time() - DRAIN_NOTICE_S
             for connection in list(self.connections):
                 connection.announce_shutdown()
                 if (
@@ -271,7 +318,7 @@
                     and not connection.is_receiving
                     and (
                         connection.has_received_request
-                        or (connection.phase_began_s <= old and not connection.unparsed_bytes)
+                        or (connection.phase_began_s <= accepted_before_s and not connection.unparsed_bytes)
                     )
                     and connection.can_close()
                 ):
@@ -279,51 +326,62 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def max_stop_wait_s(self) -> float:
-        """How long after SIGTERM requests may still be under way; a kill comes soon after."""
-        longest_us = max(one.deadline_us for one in self.engine.settings.classes)
+        """Return how long after SIGTERM requests may stay in flight; SIGKILL follows soon after."""
+        longest_us = max(request_class.deadline_us for request_class in self.engine.settings.classes)
         return min(longest_us / 1e6, MAX_DEADLINE_BEFORE_KILL_S) + KILL_MARGIN_S
 
     async def stop(self) -> None:
-        """A planned restart: what was taken is finished, and nobody is cut off on the way here. Until new
-        connections have ceased to come, the old ones are served as ever: who waits for us to be back has
-        nowhere to go."""
+        """Shut down gracefully, for a planned restart.
+
+        Accepted requests are completed, and connections on their way here are still accepted. Until new ones
+        have stopped arriving, existing connections are served as usual: their clients wait for the next
+        process and have nowhere else to go.
+        """
         self.is_stopping, began = True, self.loop.time()
         if self.drain_task is not None:
             self.drain_task.cancel()
         self.notify_front()
-        late = began + self.max_stop_wait_s()
+        deadline = began + self.max_stop_wait_s()
         if not self.is_socket_inherited:
             await asyncio.sleep(ACCEPT_AFTER_STOP_S)
         self.is_closing = True
         if not self.is_socket_inherited and self.listening_socket is not None:
             self.accept()
-            # hazard: what still waits in the backlog is reset with the listener, and lost; at the limit it
-            # waits for the answers of others
+            # Closing the listening socket resets the connections in its backlog, and their requests are lost.
+            # At the limit of connections these have to wait until others have been answered.
             backlog = make_poll(self.listening_socket.fileno(), select.POLLIN)
-            while self.loop.time() < late and backlog.poll(0):
+            while self.loop.time() < deadline and backlog.poll(0):
                 await asyncio.sleep(POLL_INTERVAL_S)
                 self.accept()
         self.pause_accepting()
-        listener, self.listening_socket = self.listening_socket, None
-        if listener is not None:
-            listener.close()
+        listening_socket, self.listening_socket = self.listening_socket, None
+        if listening_socket is not None:
+            listening_socket.close()
         await asyncio.gather(*self.attach_tasks)
-        while left := [one for one in self.connections if one.pending or not one.is_discarding]:
-            for connection in left:
+        while unfinished := [
+            connection
+            for connection in self.connections
+            if connection.pending or not connection.is_discarding
+        ]:
+            for connection in unfinished:
                 connection.announce_shutdown()
                 if not connection.pending and not connection.is_receiving and connection.can_close():
                     self.close_connection(connection)
-            if self.loop.time() >= late:  # hazard: clients send on what is open till the kill
-                for ident in list(self.engine.requests):
-                    self.engine.fail_request(ident, 504)  # hazard: what a kill finds unanswered is lost
-            if self.loop.time() >= late + FLUSH_TIMEOUT_S:
-                for connection in left:
-                    self.close_connection(
-                        connection
-                    )  # large answers on their way: they are seen not to be whole
+            # SIGKILL would lose every request that is unanswered by then, and clients keep sending on open
+            # connections until it comes. So each request is answered with 504 from the deadline on.
+            if self.loop.time() >= deadline:
+                for number in list(self.engine.requests):
+                    self.engine.fail_request(number, 504)
+            if self.loop.time() >= deadline + FLUSH_TIMEOUT_S:
+                for connection in unfinished:
+                    # A large response that is cut off here is recognizably incomplete.
+                    self.close_connection(connection)
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
-        end = self.loop.time() + FLUSH_TIMEOUT_S  # a client that does not read its answer holds nobody up
-        while self.loop.time() < end and any(one.has_unsent_output() for one in self.connections):
+        # A client that does not read its response delays the end by no more than this.
+        flush_deadline = self.loop.time() + FLUSH_TIMEOUT_S
+        while self.loop.time() < flush_deadline and any(
+            connection.has_unsent_output() for connection in self.connections
+        ):
             await asyncio.sleep(POLL_INTERVAL_S)
         self.sweep_timer.cancel()
--- a/sidecar_proxy/http1/upstream.py
+++ b/sidecar_proxy/http1/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to upstreams: a pool of them, and the attempts and probes that they carry."""
+"""Connections to upstreams over HTTP/1.1: their pool, and the attempts and load probes that they carry."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 log = logging.getLogger("sidecar_proxy")
 
 MAX_HEAD_BYTES = 16 * 1024
-MAX_BUFFERED_RESPONSE_BYTES = (
-    MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES
-)  # an answer that is held whole, with its framing: chunks may be small
-STREAM_AFTER_S = 0.1  # an answer of unknown length that takes longer than this is passed on as it comes
-BODY_STALL_TIMEOUT_S = 10.0  # no byte of a body moves for so long: it is given up
+# A buffered response with its framing, which takes several times the body if the chunks are small.
+MAX_BUFFERED_RESPONSE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES
+STREAM_AFTER_S = 0.1  # a response of unknown length that is incomplete after this time is streamed
+BODY_STALL_TIMEOUT_S = 10.0  # a body of which no byte has moved for this long is given up
 SWEEP_INTERVAL_S = 0.25
-# What a connection rests between two requests, and where the upstream has been out of step with us. Hazard: a
-# second answer that comes late, by 1 to 4 ms, would be taken for the next request's. The short rest is waited
-# for, as a new connection takes about as long; instead of the long one a new one is opened.
+# Minimum time between two requests on a connection, usually and if the upstream has sent bytes that belong to
+# no request. A second response to one request that arrives 1 to 4 ms late would be taken for the response to
+# the next request. The usual delay is waited for, as a new connection takes about as long; instead of the
+# longer one, a new connection is opened.
 REUSE_DELAY_S = 0.005
 MISBEHAVED_REUSE_DELAY_S = 0.05
-# Ours, not the upstream's: too many descriptors, no memory, no free port.
+# Errors of this machine, not of the upstream: too many descriptors, no memory, no free port.
 LOCAL_ERRNOS = {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL}
-# Headers that speak of one connection only, or that we set ourselves, and so go no further.
+# Headers that concern a single connection, or that the sidecar sets itself, and that are not forwarded.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -56,39 +56,44 @@
         b"content-length",
     }
 )
-DROPPED_RESPONSE_HEADERS = HOP_BY_HOP_HEADERS | {b"srv-load"}  # of an answer: the load is for us
-
-
-def format_end_to_end_headers(headers: list[tuple[bytes, bytes]], stopped: frozenset[bytes]) -> bytes:
-    """The header lines that go on to the next hop: without the stopped ones, and those that a Connection
-    header names (RFC 9110, 7.6.1)."""
-    lows = [name.lower() for name, _ in headers]
-    if b"connection" in lows:
-        stopped = stopped.union(
-            part.strip().lower()
-            for low, (_, value) in zip(lows, headers, strict=True)
-            if low == b"connection"
-            for part in value.split(b",")
+DROPPED_RESPONSE_HEADERS = HOP_BY_HOP_HEADERS | {b"srv-load"}  # load reports are for the sidecar only
+
+
+def format_end_to_end_headers(headers: list[tuple[bytes, bytes]], dropped: frozenset[bytes]) -> bytes:
+    """Return the header lines that are forwarded to the next hop.
+
+    Leaves out the dropped headers, and those that a Connection header names (RFC 9110, 7.6.1).
+    """
+    lower_names = [name.lower() for name, _ in headers]
+    if b"connection" in lower_names:
+        dropped = dropped.union(
+            option.strip().lower()
+            for lower_name, (_, value) in zip(lower_names, headers, strict=True)
+            if lower_name == b"connection"
+            for option in value.split(b",")
         )
-    parts: list[bytes] = []
-    for low, (name, value) in zip(lows, headers, strict=True):
-        if low not in stopped:
-            parts += (name, b": ", value, b"\r\n")
-    return b"".join(parts)
+    lines: list[bytes] = []
+    for lower_name, (name, value) in zip(lower_names, headers, strict=True):
+        if lower_name not in dropped:
+            lines += (name, b": ", value, b"\r\n")
+    return b"".join(lines)
 
 
-def as_protocol(one: object) -> asyncio.Protocol:
-    """For the loop, which wants to make it. Hazard: compiled, a lambda and what it closes over hold one
-    another until the cycle collector comes: a connection, and all that it holds."""
-    return cast(asyncio.Protocol, one)
+def as_protocol(protocol: object) -> asyncio.Protocol:
+    """Return the argument; with `partial`, this makes the protocol factory that the loop calls.
+
+    A compiled lambda and the variables that it closes over form a reference cycle, so a connection and all
+    that belongs to it would stay until the cycle collector runs.
+    """
+    return cast(asyncio.Protocol, protocol)
 
 
 def render_nothing() -> None:
-    """What is to be written for an exchange that has ended."""
+    """Stand in for the `render` of an exchange that has ended."""
 
 
 class Exchange:
-    """One request to an upstream and its one end: an attempt or a probe."""
+    """One request to an upstream, an attempt or a load probe, whose end is reported once."""
 
     __slots__ = (
         "render",
@@ -110,19 +115,21 @@
         opens: ResponseStreamOpener | None = None,
         upload: Upload | None = None,
     ) -> None:
-        self.render = render  # the parts, asked for when they are to be written; None = no longer wanted
+        # Returns the parts of the request when they are to be written; None = it is no longer wanted.
+        self.render = render
         self.on_end = ended
         self.on_written = wrote  # called once the kernel has the whole request
-        # a large answer: its header lines, length and Srv-Load go in, where it goes comes out; the exchange
-        # has then ended well. None from it: nobody wants the answer. None in its place: it is held whole.
+        # Opens a streamed response, by which the exchange has ended successfully. It returns None if the
+        # response is no longer wanted. If it is None itself, the response is always buffered whole.
         self.open_response_stream = opens
-        self.upload = upload  # the body, where it is passed on as it comes
-        self.timeout_s = 0.0  # from when the kernel has the whole request
+        self.upload = upload  # the body, if it is streamed
+        self.timeout_s = 0.0  # counted from when the kernel has the whole request
         self.timer: Timer | None = None
         self.connection: UpstreamConnection | None = None
         self.is_done = False
 
-    def finish(self, outcome: api.Outcome, answer: UpstreamResponse | None = None) -> None:
+    def finish(self, outcome: api.Outcome, response: UpstreamResponse | None = None) -> None:
+        """End the exchange, unless it has ended: give its connection up and report the outcome."""
         if self.is_done:
             return
         self.is_done = True
@@ -131,90 +138,104 @@
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.abort_exchange()
-        self.on_end(outcome, answer)
+        self.on_end(outcome, response)
 
     def abandon_unsent(self, outcome: api.Outcome) -> None:
-        """Its request is over. Hazard: the rest of one that is half written would go once the upstream reads
-        on, and it would run for nobody."""
+        """End it with this outcome if it is partly written: the request is over.
+
+        Otherwise the rest would be sent once the upstream reads on, and the request would run for nobody.
+        """
         connection = self.connection
         if connection is not None and not connection.is_request_written:
             self.finish(outcome)
 
     def expire_unsent(self) -> None:
-        """It must not go out any more. A dial that comes up later serves the next one."""
+        """End it as NOT_SENT unless it is completely written: it must not be sent any more.
+
+        A connection that is still being made for it is kept for the next request.
+        """
         if self.connection is None or not self.connection.is_request_written:
             self.finish(api.Outcome.NOT_SENT)
 
     def expire(self) -> None:
-        """We stop waiting. What was not written whole has never run."""
+        """End it at its time-out. A request that was not completely written has not run."""
         connection = self.connection
         if connection is not None and not connection.is_request_submitted:
             now = connection.loop.time()
-            waits = connection.transport is not None and not connection.transport.get_write_buffer_size()
-            if (
-                waits or now - connection.last_progress_s < BODY_STALL_TIMEOUT_S
-            ):  # it waits for the client: the front's matter
+            has_no_backlog = (
+                connection.transport is not None and not connection.transport.get_write_buffer_size()
+            )
+            # The upload waits for its client, whose time limits the server enforces.
+            if has_no_backlog or now - connection.last_progress_s < BODY_STALL_TIMEOUT_S:
                 self.timer = connection.pool.timers.later(self.timeout_s, self.expire)
                 return
         if connection is None or not connection.is_request_written:
             self.finish(api.Outcome.CONNECT_FAILED)
             return
-        host = connection.upstream
-        if host.last_received_s < connection.began_s:
-            # hazard: a machine that vanished leaves its connections open and silent; an unsafe request on
-            # one is lost, while a new connection fails before anything can run
-            host.close_idle()
+        upstream = connection.upstream
+        if upstream.last_received_s < connection.began_s:
+            # A machine that has vanished leaves its connections open and silent. An unsafe request sent on
+            # one of them is lost, while a new connection fails before anything can run.
+            upstream.close_idle()
         self.finish(api.Outcome.TIMEOUT)
 
 
 def make_poll(descriptor: int, events: int) -> select.poll:
-    """Its poll(0) tells whether one of them is there."""
+    """Return a poll object whose poll(0) says whether one of the events has occurred."""
     poll = select.poll()
     poll.register(descriptor, events)
     return poll
 
 
 def make_hangup_poll(transport: asyncio.BaseTransport) -> select.poll:
-    """Its poll(0) tells whether the peer has closed or reset, whatever waits unread before that."""
+    """Return one whose poll(0) says whether the remote end has closed or reset, even behind unread input."""
     return make_poll(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
 
 
 def make_input_poll(transport: asyncio.BaseTransport) -> select.poll:
-    """Its poll(0) tells whether something waits unread."""
+    """Return one whose poll(0) says whether there is unread input."""
     return make_poll(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
 
 class UpstreamConnection:
-    """A connection carries one exchange at a time and is pooled in between. An asyncio.Protocol in all but
-    its bases: with one that is not compiled, each attribute would be looked up in a dictionary."""
+    """A connection that carries one exchange at a time and is kept in the pool in between.
 
-    def __init__(self, pool: ConnectionPool, host: ListedUpstream) -> None:
+    It has the methods of an asyncio.Protocol but does not inherit from it: with a base class that is not
+    compiled, each attribute would be looked up in a dictionary.
+    """
+
+    def __init__(self, pool: ConnectionPool, upstream: ListedUpstream) -> None:
         self.pool = pool
-        self.upstream = host
-        self.generation = host.generation
+        self.upstream = upstream
+        self.generation = upstream.generation
         self.loop = pool.loop
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
         self.is_request_written = False  # the kernel has the whole request
-        self.is_request_submitted = False  # nothing of the request is still to come
-        self.sink: ResponseSink | None = None  # where the answer goes that is passed on as it comes
-        self.is_paused = False  # ... and is not read just now
+        self.is_request_submitted = False  # the transport was given the whole request
+        self.sink: ResponseSink | None = None  # where a streamed response goes
+        self.is_paused = False  # reading is paused, as the sink takes no more for now
         self.began_s = self.last_progress_s = 0.0
-        # monotonic. Hazard: the loop's clock has whole milliseconds, and stands for as long as a turn takes
+        # By the monotonic clock: the loop's clock has whole milliseconds and stands still during an
+        # iteration.
         self.idle_since_s = 0.0
         self.is_response_complete = self.keep_alive = self.ends_with_connection = False
-        self.is_closed_locally = False  # it ends by our doing
-        self.is_lost = False  # its place is free again
-        self.body_timer: asyncio.TimerHandle | None = None  # of an answer under way
+        self.is_closed_locally = False
+        self.is_lost = False  # it no longer counts against the pool's limit
+        self.body_timer: asyncio.TimerHandle | None = None  # opens the stream, or finds it stalled
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is one in all but its bases
-        # hazard: by default a request may sit in the loop's own buffer; with no buffer allowed, write()
-        # hands it to the kernel at once, and resume_writing() tells when a rest of it has followed
+        """Take the transport, and have it pass each write to the kernel at once.
+
+        By default a request may stay in the loop's own buffer. With no buffer allowed, resume_writing() tells
+        when the kernel has taken what it could not take at once.
+        """
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's has the methods but not the base class
         self.transport.set_write_buffer_limits(high=0)
         self.unread_poll = make_input_poll(transport)
 
     def reuse_delay_left_s(self) -> float:
+        """Return the time until the connection may carry the next request; negative once it may."""
         return (
             self.idle_since_s
             + (MISBEHAVED_REUSE_DELAY_S if self.upstream.has_misbehaved else REUSE_DELAY_S)
@@ -222,11 +243,11 @@
         )
 
     def begin_after_reuse_delay(self, exchange: Exchange) -> None:
-        """It has been kept for this one till now."""
+        """Begin an exchange for which the connection was reserved during its reuse delay."""
         left_s = self.reuse_delay_left_s()
         if exchange.is_done:
             self.return_to_pool()
-        elif left_s > 0.0 and not self.upstream.has_misbehaved:  # that timer counted by the loop's clock
+        elif left_s > 0.0 and not self.upstream.has_misbehaved:  # the timer went by the loop's coarser clock
             self.pool.timers.later(left_s, self.begin_after_reuse_delay, exchange)
         elif (
             self.is_usable()
@@ -239,7 +260,10 @@
             self.pool.dispatch(self.upstream, exchange)
 
     def is_usable(self) -> bool:
-        """Hazard: an upstream's close may be waiting unread; a request written after it is a reset."""
+        """Say whether a request can be written to it.
+
+        The upstream's close may be unread yet: a request that is written after it is answered by a reset.
+        """
         return (
             self.transport is not None
             and not self.transport.is_closing()
@@ -248,6 +272,7 @@
         )
 
     def begin(self, exchange: Exchange) -> None:
+        """Write the request of an exchange, as far as it is there."""
         data = exchange.render() if self.upstream.is_ready() else None
         if data is None:
             self.return_to_pool()
@@ -259,9 +284,9 @@
         self.has_second_response = self.is_response_complete = self.ends_with_connection = False
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = bytearray()
-        self.response_bytes = 0  # bytes of this answer so far
+        self.response_bytes = 0  # received of this response
         self.is_in_head = True
-        self.content_length: int | None = None  # as the answer's head tells it
+        self.content_length: int | None = None  # of the response
         self.began_s = self.last_progress_s = self.loop.time()
         self.is_request_written = False
         self.is_request_submitted = exchange.upload is None
@@ -272,22 +297,23 @@
         self.write_body()
 
     def write_body(self) -> None:
-        """Write what there is of a request's body; note when the kernel has the whole request."""
+        """Write what has arrived of a streamed body; note when the kernel has the whole request."""
         exchange, transport = self.exchange, self.transport
         if exchange is None or transport is None or transport.is_closing() or self.is_request_written:
             return
         upload = exchange.upload
         while upload is not None and not self.is_request_submitted and not transport.get_write_buffer_size():
             if upload.has_failed:
-                exchange.finish(api.Outcome.NOT_SENT)  # closing it here: the last byte never comes
+                # This closes the connection, so the upstream never receives the whole request.
+                exchange.finish(api.Outcome.NOT_SENT)
                 return
             piece = upload.consume()
             if piece is None and not upload.is_complete:
                 return
             self.last_progress_s = self.loop.time()
             if piece is not None:
-                chunked = upload.length is None
-                transport.write(b"%x\r\n%s\r\n" % (len(piece), piece) if chunked else piece)
+                is_chunked = upload.length is None
+                transport.write(b"%x\r\n%s\r\n" % (len(piece), piece) if is_chunked else piece)
             if upload.is_complete and not upload.data:
                 self.is_request_submitted = True
                 if upload.length is None:
@@ -302,19 +328,22 @@
             exchange.on_written()
 
     def eof_received(self) -> None:
-        """The upstream has sent all that it will: asyncio closes the connection. Hazard: it does so once all
-        that is written has gone; the rest of a request would go to one that may still read, and run it."""
+        """Abort a request that is partly written: the upstream sends nothing more.
+
+        asyncio closes the connection only once all output has been sent; the upstream may still read, and
+        would run the request.
+        """
         if not self.is_request_written and self.transport is not None:
             self.transport.abort()
 
     def pause_writing(self) -> None:
-        """The kernel has not all that was written; resume_writing() follows."""
+        """Do nothing: the kernel lacks part of the output, and resume_writing() follows."""
 
     def resume_writing(self) -> None:
-        """The kernel has all that was written."""
+        """Continue: the kernel has all output so far."""
         transport = self.transport
         if transport is not None and transport.is_closing():
-            # hazard: in the turn in which its end was read, before it is closed, the rest may still go
+            # After the end of input was read and before the transport is closed, the rest may still be sent.
             self.is_request_written = self.is_request_written or (
                 self.is_request_submitted and not transport.get_write_buffer_size()
             )
@@ -322,8 +351,9 @@
             self.write_body()
 
     def data_received(self, data: bytes) -> None:
+        """Parse a response; bytes that belong to no request end the connection."""
         self.upstream.last_received_s = self.loop.time()
-        if self.exchange is None:  # nothing was asked: out of step
+        if self.exchange is None:
             self.upstream.has_misbehaved = True
             self.close()
             return
@@ -332,12 +362,12 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            why = "an upgrade that nobody asked for"
+            why = "a protocol upgrade that was not requested"
         except httptools.HttpParserError as error:
             why = str(error.__context__ or error)
         if self.is_response_complete:
-            # hazard: what comes behind a whole answer is none of its own, but an answer to what is asked next
-            # on this connection could not be told from it
+            # Bytes behind a complete response don't belong to it, but on this connection they could not be
+            # told from the response to the next request.
             self.keep_alive = self.keep_alive and not why
             self.finish()
         elif why:
@@ -345,7 +375,7 @@
         elif self.sink is not None:
             self.last_progress_s = self.loop.time()
         elif self.response_bytes > (MAX_HEAD_BYTES if self.is_in_head else MAX_BUFFERED_RESPONSE_BYTES):
-            # hazard: the parser keeps a header to itself until it is whole, and 1xx answers need not end
+            # The parser buffers a header until it is complete, and there may be any number of 1xx responses.
             self.fail("too large")
         elif (
             not self.is_in_head
@@ -355,9 +385,10 @@
         ):
             self.body_timer = self.loop.call_later(STREAM_AFTER_S, self.open_stream)
 
-    # An answer that is passed on as it comes
+    # Streamed responses
 
     def may_stream(self) -> bool:
+        """Say whether the response may be streamed: it is a 200, and the exchange provides for it."""
         return (
             self.exchange is not None
             and self.exchange.open_response_stream is not None
@@ -365,26 +396,24 @@
         )
 
     def open_stream(self) -> None:
-        """Pass on what has come, and what will. The exchange has ended well; its connection stays in use."""
+        """Stream the response. The exchange ends successfully; its connection stays in use."""
         exchange = self.exchange
         if exchange is None or exchange.open_response_stream is None or self.sink is not None:
             return
-        # hazard: it would open the next exchange's answer, of which nothing has come
+        # Otherwise the timer would stream the next exchange's response before anything of it has arrived.
         self.cancel_body_timer()
-        if exchange.is_done:  # nobody waits for it any more
+        if exchange.is_done:  # the response is no longer wanted
             self.close()
             return
-        found = {name.lower(): value for name, value in self.headers}
+        values = {name.lower(): value for name, value in self.headers}
         head = format_end_to_end_headers(self.headers, DROPPED_RESPONSE_HEADERS)
         exchange.is_done = True
         if exchange.timer is not None:
             exchange.timer.cancel()
         self.last_progress_s = self.loop.time()
-        exchange.render = (
-            render_nothing  # hazard: it holds the request's body, for as long as the answer takes
-        )
+        exchange.render = render_nothing  # releases the request's body, which `render` refers to
         self.sink = exchange.open_response_stream(
-            head, self.content_length, found.get(b"srv-load", b""), self
+            head, self.content_length, values.get(b"srv-load", b""), self
         )
         if self.sink is None:
             self.close()
@@ -395,11 +424,16 @@
         self.body_timer = self.loop.call_later(BODY_STALL_TIMEOUT_S / 2, self.check_stall)
 
     def cancel_body_timer(self) -> None:
+        """Cancel the timer that opens the stream or finds it stalled."""
         if self.body_timer is not None:
             self.body_timer.cancel()
             self.body_timer = None
 
     def check_stall(self) -> None:
+        """Close the connection if the streamed response has stalled.
+
+        Waiting for earlier responses to the same client is no stall.
+        """
         if self.sink is not None and self.sink.waits():
             self.last_progress_s = self.loop.time()
         if self.loop.time() - self.last_progress_s >= BODY_STALL_TIMEOUT_S:
@@ -408,24 +442,27 @@
             self.body_timer = self.loop.call_later(BODY_STALL_TIMEOUT_S / 2, self.check_stall)
 
     def pause(self) -> None:
+        """Stop reading the streamed response."""
         if not self.is_paused and self.transport is not None and not self.transport.is_closing():
             self.is_paused = True
             self.transport.pause_reading()
 
     def resume(self) -> None:
+        """Read on."""
         self.last_progress_s = self.loop.time()
         if self.is_paused and self.transport is not None and not self.transport.is_closing():
             self.is_paused = False
             self.transport.resume_reading()
 
     def abandon(self) -> None:
+        """Close the connection: the rest of the streamed response is not wanted."""
         self.sink = None
         self.close()
 
     def fail(self, why: str) -> None:
-        """Hazard: an answer that is not whole and well formed is never passed on as served."""
+        """Fail the exchange: an incomplete or malformed response is never passed on as a success."""
         self.pool.warn_rate_limited(
-            f"upstream {self.upstream.address[0]}:{self.upstream.address[1]}: bad answer: {why}"
+            f"upstream {self.upstream.address[0]}:{self.upstream.address[1]}: bad response: {why}"
         )
         if self.sink is not None:
             self.close()
@@ -433,36 +470,45 @@
             self.exchange.finish(api.Outcome.ERROR)
 
     def on_message_begin(self) -> None:
-        if self.is_response_complete:  # a second answer to one request: the connection is out of step
+        """Note a second response to one request: responses can no longer be matched to requests."""
+        if self.is_response_complete:
             self.has_second_response = self.upstream.has_misbehaved = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header."""
         if not self.is_response_complete:
-            self.headers.append((name, value.rstrip(b" \t")))  # RFC 9110, 5.5: no part of the value
+            # Trailing whitespace is not part of the value (RFC 9110, 5.5).
+            self.headers.append((name, value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
+        """Check the framing and size of the response, and stream one that is known to be large.
+
+        Without the limit on its length, a response of 3 GB would be received until the time-out.
+        """
         if self.is_response_complete or 100 <= self.parser.get_status_code() < 200:
             return
         self.is_in_head = False
-        size = sum(len(name) + len(value) + 4 for name, value in self.headers)  # it may all come in one read
-        framed = closes = False
+        # The size is checked here too, as the whole response may arrive in one read.
+        head_bytes = sum(len(name) + len(value) + 4 for name, value in self.headers)
+        is_framed = closes = False
         for name, value in self.headers:
-            low = name.lower()
-            if low == b"content-length":
-                self.content_length, framed = int(value), True
-            elif low == b"transfer-encoding":
-                framed = True
-            elif low == b"connection":
+            lower_name = name.lower()
+            if lower_name == b"content-length":
+                self.content_length, is_framed = int(value), True
+            elif lower_name == b"transfer-encoding":
+                is_framed = True
+            elif lower_name == b"connection":
                 closes = closes or b"close" in value.lower()
-        most = MAX_BODY_BYTES if self.may_stream() else MAX_BUFFERED_BODY_BYTES
-        if size > MAX_HEAD_BYTES or (self.content_length or 0) > most:
-            raise ValueError("too large")  # hazard: 3 GB would keep coming until the time-out
-        # RFC 9112, 6.3: it ends with its connection
-        self.ends_with_connection = closes and not framed
+        max_body_bytes = MAX_BODY_BYTES if self.may_stream() else MAX_BUFFERED_BODY_BYTES
+        if head_bytes > MAX_HEAD_BYTES or (self.content_length or 0) > max_body_bytes:
+            raise ValueError("too large")
+        # A body without framing ends with its connection (RFC 9112, 6.3).
+        self.ends_with_connection = closes and not is_framed
         if (self.content_length or 0) > MAX_BUFFERED_BODY_BYTES:
             self.open_stream()
 
     def on_body(self, body: bytes) -> None:
+        """Buffer or stream a piece of the body."""
         if self.is_response_complete:
             return
         if self.sink is None:
@@ -475,6 +521,7 @@
             self.sink.write(body)
 
     def on_message_complete(self) -> None:
+        """Note that the response is complete; 1xx responses are skipped."""
         if self.is_response_complete:
             return
         if 100 <= self.parser.get_status_code() < 200:
@@ -485,77 +532,81 @@
         self.keep_alive = self.parser.should_keep_alive()
 
     def finish(self) -> None:
+        """End the exchange with its complete response, and keep the connection if it can be reused."""
         exchange = self.exchange
         assert exchange is not None
         self.cancel_body_timer()
         if self.sink is not None:
-            flow, self.sink, self.exchange, exchange.connection = self.sink, None, None, None
+            sink, self.sink, self.exchange, exchange.connection = self.sink, None, None, None
             self.resume()
             (
                 self.return_to_pool()
                 if self.keep_alive and self.is_request_written and not self.has_second_response
                 else self.close()
             )
-            flow.end()
+            sink.end()
             return
-        found = {name.lower(): value for name, value in self.headers}
-        answer = UpstreamResponse(
+        values = {name.lower(): value for name, value in self.headers}
+        response = UpstreamResponse(
             self.status,
             format_end_to_end_headers(self.headers, DROPPED_RESPONSE_HEADERS),
             bytes(self.body),
-            found.get(b"srv-load", b""),
+            values.get(b"srv-load", b""),
         )
-        if answer.status == 200:
+        if response.status == 200:
             outcome = api.Outcome.OK
-        elif answer.status in (503, 504) and found.get(b"srv-declined") == b"1":
+        elif response.status in (503, 504) and values.get(b"srv-declined") == b"1":
             outcome = api.Outcome.FULL
         else:
-            outcome = api.Outcome.ERROR  # hazard: a bare 503 does not say that nothing ran
+            # A 503 without Srv-Declined does not say that the request has not run.
+            outcome = api.Outcome.ERROR
         if exchange.upload is not None:
             exchange.upload.on_data = None
         if self.keep_alive and self.is_request_written and not self.has_second_response:
             self.exchange = exchange.connection = None
             self.return_to_pool()
-        exchange.finish(outcome, answer)
+        exchange.finish(outcome, response)
 
     def return_to_pool(self) -> None:
-        """Back to the pool, unless the upstream has restarted, left or is not to be used any more."""
-        host = self.upstream
-        if self.is_lost or self.generation != host.generation or not host.is_ready():
+        """Keep the connection for reuse, unless it is closed or its upstream has restarted or isn't ready."""
+        upstream = self.upstream
+        if self.is_lost or self.generation != upstream.generation or not upstream.is_ready():
             self.close()
             return
         self.idle_since_s = time.monotonic()
-        host.idle[self] = self.pool.idle[self] = None
+        upstream.idle[self] = self.pool.idle[self] = None
 
     def abort_exchange(self) -> None:
-        """The exchange ends before its answer is whole: closing gives the attempt up."""
+        """Give the exchange up by closing the connection: it ends before its response is complete."""
         if self.exchange is not None and self.exchange.upload is not None:
             self.exchange.upload.on_data = None
         self.exchange = None
         self.close()
 
     def remove_from_pool(self) -> None:
-        """Out of the pool, if it is there."""
+        """Remove the connection from the idle ones, if it is among them."""
         self.upstream.idle.pop(self, None)
         self.pool.idle.pop(self, None)
 
     def close(self) -> None:
+        """Abort the connection."""
         self.remove_from_pool()
         self.is_closed_locally = True
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Free the connection's place, and end its exchange: successfully if the response ends with it."""
         if self.is_lost:
             return
         self.is_lost = True
         self.remove_from_pool()
         self.pool.connection_closed(self.upstream)
         self.cancel_body_timer()
-        whole = (
+        completes_response = (
             error is None and self.exchange is not None and self.ends_with_connection and not self.is_in_head
         )
-        if whole and not self.is_response_complete and not self.is_closed_locally:
+        if completes_response and not self.is_response_complete and not self.is_closed_locally:
             self.is_response_complete, self.keep_alive, self.status = (
                 True,
                 False,
@@ -563,54 +614,55 @@
             )
             self.finish()
             return
-        flow, self.sink = self.sink, None
+        sink, self.sink = self.sink, None
         exchange, self.exchange = self.exchange, None
-        if flow is not None:
-            flow.fail()
+        if sink is not None:
+            sink.fail()
         elif exchange is not None and not exchange.is_done:
             exchange.connection = None
             exchange.finish(api.Outcome.RESET if self.is_request_written else api.Outcome.CONNECT_FAILED)
 
 
 class ConnectionPool:
-    """The connections to all upstreams, within a budget of descriptors."""
+    """The connections to all upstreams, within a limit. Connections of other protocols count as well."""
 
     def __init__(self, connect_timeout_s: float, idle_timeout_s: float, max_connections: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.connect_timeout_s = connect_timeout_s
-        # hazard: a request written to a connection that the upstream is closing is a reset
+        # Shorter than the upstream's: a request on a connection that it closes just then is answered by a
+        # reset.
         self.idle_timeout_s = (
             max(idle_timeout_s / 2, idle_timeout_s - 0.5) if idle_timeout_s > 0 else float("inf")
         )
         self.max_connections = self.configured_max_connections = max_connections
-        self.open_connections = 0  # connections, those being made among them
+        self.open_connections = 0  # including those that are being made
         self.upstreams: dict[int, ListedUpstream] = {}
-        # all that are idle, the one that has been so for longest first; a plain dict would search its head
+        # All idle connections, longest idle first. In a plain dict, finding the first would take linear time.
         self.idle: OrderedDict[UpstreamConnection, None] = OrderedDict()
         self.dial_tasks: set[asyncio.Task[None]] = set()
-        self.evict_multiplexed: Callable[[], bool] = (
-            bool  # closes a shared connection that is idle; False: there is none
-        )
+        # Closes an idle multiplexed connection; returns False if there is none.
+        self.evict_multiplexed: Callable[[], bool] = bool
         self.next_warning_s = 0.0
         self.timers = TimerQueue(self.loop)
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
-    def update(self, hosts: list[ListedUpstream], whole: bool) -> None:
+    def update(self, upstreams: list[ListedUpstream], whole: bool) -> None:
+        """Apply changed entries of the endpoint list, or with `whole` the complete list."""
         if whole:
-            listed = {host.entry.id for host in hosts}
-            for ident, host in list(self.upstreams.items()):
-                if ident not in listed:
-                    host.entry = replace(host.entry, state=api.UpstreamState.GONE)
-                    host.close_idle()
-                    self.remove_if_gone(host)
-        for new in hosts:
+            listed_ids = {upstream.entry.id for upstream in upstreams}
+            for upstream_id, upstream in list(self.upstreams.items()):
+                if upstream_id not in listed_ids:
+                    upstream.entry = replace(upstream.entry, state=api.UpstreamState.GONE)
+                    upstream.close_idle()
+                    self.remove_if_gone(upstream)
+        for new in upstreams:
             old = self.upstreams.setdefault(new.entry.id, new)
             if (old.address, old.grpc_address, old.entry.started_us) != (
                 new.address,
                 new.grpc_address,
                 new.entry.started_us,
             ):
-                # hazard: connections to the process before are dead, though they look open
+                # Connections to the upstream's previous process are dead, even if they still look open.
                 old.generation += 1
                 old.has_misbehaved = False
                 old.close_idle()
@@ -624,16 +676,20 @@
                 old.close_idle()
             self.remove_if_gone(old)
 
-    def connection_closed(self, host: ListedUpstream) -> None:
+    def connection_closed(self, upstream: ListedUpstream) -> None:
+        """Note that a connection to the upstream is closed, or could not be made."""
         self.open_connections -= 1
-        host.open_connections -= 1
-        self.remove_if_gone(host)
+        upstream.open_connections -= 1
+        self.remove_if_gone(upstream)
+
+    def remove_if_gone(self, upstream: ListedUpstream) -> None:
+        """Remove an upstream that is no longer listed, once it has no connection.
 
-    def remove_if_gone(self, host: ListedUpstream) -> None:
-        """Hazard: where upstreams are replaced all day, those that are gone would be kept for good; one that
-        has something out is kept, as its name may come back meanwhile."""
-        if host.entry.state is api.UpstreamState.GONE and not host.open_connections:
-            self.upstreams.pop(host.entry.id, None)
+        Where upstreams are replaced all day, those that are gone would otherwise accumulate. One with a
+        connection is kept, as its name may be listed again meanwhile.
+        """
+        if upstream.entry.state is api.UpstreamState.GONE and not upstream.open_connections:
+            self.upstreams.pop(upstream.entry.id, None)
 
     def exchange(
         self,
@@ -643,86 +699,90 @@
         opens: ResponseStreamOpener | None = None,
         upload: Upload | None = None,
     ) -> Exchange:
+        """Return an exchange that has not begun."""
         return Exchange(render, ended, wrote, opens, upload)
 
     def start(self, upstream: int, exchange: Attempt, timeout_s: float) -> None:
+        """Begin an exchange with the upstream of this number; it may end before this returns."""
         assert isinstance(exchange, Exchange)
-        host = self.upstreams.get(upstream)
-        if host is None:
+        listed_upstream = self.upstreams.get(upstream)
+        if listed_upstream is None:
             exchange.finish(api.Outcome.NOT_SENT)
             return
         exchange.timeout_s = timeout_s
         exchange.timer = self.timers.later(timeout_s, exchange.expire)
-        self.dispatch(host, exchange)
+        self.dispatch(listed_upstream, exchange)
 
-    def dispatch(self, host: ListedUpstream, exchange: Exchange) -> None:
-        """By an idle connection that has rested, by one that soon will have, or by a new one."""
-        if not host.is_ready():
+    def dispatch(self, upstream: ListedUpstream, exchange: Exchange) -> None:
+        """Give an exchange an idle connection, one whose reuse delay will soon be over, or a new one."""
+        if not upstream.is_ready():
             exchange.finish(api.Outcome.NOT_SENT)
             return
-        rested: UpstreamConnection | None = None
-        resting: UpstreamConnection | None = None
-        broken: list[UpstreamConnection] = []  # to close one takes it out of what is walked
-        for idle in reversed(host.idle):
+        reusable: UpstreamConnection | None = None
+        delayed: UpstreamConnection | None = None
+        unusable: list[UpstreamConnection] = []  # closed after the loop, as closing removes them from `idle`
+        for idle in reversed(upstream.idle):
             connection = cast(UpstreamConnection, idle)
             if not connection.is_usable():
-                broken.append(connection)
+                unusable.append(connection)
             elif connection.reuse_delay_left_s() > 0.0:
-                resting = connection
+                delayed = connection
             else:
-                rested = connection
+                reusable = connection
                 break
-        for connection in broken:
+        for connection in unusable:
             connection.close()
-        if rested is not None:
-            rested.remove_from_pool()
-            rested.begin(exchange)
+        if reusable is not None:
+            reusable.remove_from_pool()
+            reusable.begin(exchange)
             return
-        if resting is not None and not host.has_misbehaved:
-            resting.remove_from_pool()
-            self.timers.later(resting.reuse_delay_left_s(), resting.begin_after_reuse_delay, exchange)
+        if delayed is not None and not upstream.has_misbehaved:
+            delayed.remove_from_pool()
+            self.timers.later(delayed.reuse_delay_left_s(), delayed.begin_after_reuse_delay, exchange)
             return
         if self.open_connections >= self.max_connections and not self.evict():
             exchange.finish(api.Outcome.NOT_SENT)
             return
         self.open_connections += 1
-        host.open_connections += 1
-        task = self.loop.create_task(self.dial(host, exchange))
+        upstream.open_connections += 1
+        task = self.loop.create_task(self.dial(upstream, exchange))
         self.dial_tasks.add(task)
         task.add_done_callback(self.dial_tasks.discard)
 
-    async def dial(self, host: ListedUpstream, exchange: Exchange) -> None:
-        connection = UpstreamConnection(self, host)
+    async def dial(self, upstream: ListedUpstream, exchange: Exchange) -> None:
+        """Open a connection and begin the exchange on it."""
+        connection = UpstreamConnection(self, upstream)
         try:
             async with asyncio.timeout(self.connect_timeout_s):
-                await self.loop.create_connection(partial(as_protocol, connection), *host.address)
-        except (OSError, TimeoutError, ValueError) as error:  # ValueError: a name that is none
+                await self.loop.create_connection(partial(as_protocol, connection), *upstream.address)
+        except (OSError, TimeoutError, ValueError) as error:  # ValueError: not a valid host name
             connection.close()
-            connection.connection_lost(error)  # hazard: of one that came up just now the loop never says so
-            ours = isinstance(error, OSError) and error.errno in LOCAL_ERRNOS
-            if ours:
+            # The loop does not call this for a connection that was made just before the time-out.
+            connection.connection_lost(error)
+            is_local = isinstance(error, OSError) and error.errno in LOCAL_ERRNOS
+            if is_local:
                 self.warn_rate_limited(f"no connection could be opened: {error}")
-            exchange.finish(api.Outcome.NOT_SENT if ours else api.Outcome.CONNECT_FAILED)
+            exchange.finish(api.Outcome.NOT_SENT if is_local else api.Outcome.CONNECT_FAILED)
             return
         if connection.transport is None or connection.transport.is_closing():
             exchange.finish(api.Outcome.CONNECT_FAILED)
-        elif exchange.is_done:  # given up meanwhile: the connection is paid for and serves the next one
+        elif exchange.is_done:  # given up meanwhile; the connection is kept for the next request
             connection.return_to_pool()
-        elif connection.generation != host.generation:
+        elif connection.generation != upstream.generation:
             connection.close()
             exchange.finish(api.Outcome.CONNECT_FAILED)
         else:
             connection.begin(exchange)
 
     def evict(self) -> bool:
-        """At the limit the connection that has been idle for longest makes room."""
+        """Close the connection that has been idle for longest; return False if none is idle."""
         if not self.idle:
             return self.evict_multiplexed()
         next(iter(self.idle)).close()
         return True
 
     def shrink(self, half: bool) -> None:
-        """Keep to half of the connections, or no more."""
+        """Halve the limit of connections, or restore it; close idle ones above the limit."""
         self.max_connections = (
             max(1, self.configured_max_connections // 2) if half else self.configured_max_connections
         )
@@ -731,22 +791,25 @@
                 break
 
     def close_idle(self, upstream: int) -> None:
+        """Close the idle connections to the upstream of this number."""
         if upstream in self.upstreams:
             self.upstreams[upstream].close_idle()
 
     def sweep(self) -> None:
-        oldest = time.monotonic() - self.idle_timeout_s
-        while self.idle and (first := next(iter(self.idle))).idle_since_s <= oldest:
+        """Close the connections that have been idle for the idle timeout."""
+        oldest_s = time.monotonic() - self.idle_timeout_s
+        while self.idle and (first := next(iter(self.idle))).idle_since_s <= oldest_s:
             first.close()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def warn_rate_limited(self, text: str) -> None:
-        """Never a log line for each request."""
+        """Log a warning, at most one per second, so that no fault logs a line for each request."""
         if self.loop.time() >= self.next_warning_s:
             self.next_warning_s = self.loop.time() + 1.0
             log.warning("%s", text)
 
     def close(self) -> None:
+        """Stop all timers and dials, and close the idle connections."""
         self.timers.close()
         self.sweep_timer.cancel()
         for task in self.dial_tasks:
