--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback sockets: upstreams and discovery that do as they are told, and `run` between them."""
+"""Upstreams and a discovery service on loopback sockets, clients, and a sidecar process, all run by tests."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-LONG_S = 20.0  # a bound for a machine that is very busy; nothing waits so long when all is well
+LONG_S = 20.0  # a time limit for a very busy machine; usually nothing takes this long
 
 
 @dataclass
 class Message:
-    """A request or an answer as it came."""
+    """A request or response as it was received."""
 
     start: str
     headers: dict[str, str]
@@ -34,11 +34,12 @@
 
     @property
     def status(self) -> int:
+        """The status of a response."""
         return int(self.start.split(" ")[1])
 
 
 def read_message(file: Any) -> Message | None:
-    """One message with a Content-Length or none; None at the end of input."""
+    """Read a message whose body has a Content-Length, or that has no body; None at the end of input."""
     start = file.readline()
     if not start.endswith(b"\r\n"):
         return None
@@ -51,21 +52,22 @@
     return Message(start.decode().strip(), headers, body) if len(body) == size else None
 
 
-def eventually(what: Callable[[], Any]) -> Any:
-    """Wait until `what` holds, with a wide bound."""
-    end = time.monotonic() + LONG_S
-    while not (found := what()):
-        assert time.monotonic() < end, "it never came to be"
+def eventually(condition: Callable[[], Any]) -> Any:
+    """Wait until the condition returns a true value, for LONG_S at most, and return the value."""
+    deadline = time.monotonic() + LONG_S
+    while not (value := condition()):
+        assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.005)
-    return found
+    return value
 
 
 def answer(body: bytes = b"", status: str = "200 OK", headers: str = "") -> bytes:
+    """Return a response with a Content-Length."""
     return f"HTTP/1.1 {status}\r\n{headers}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
 class ThreadedServer:
-    """A thread accepts, and one thread serves each connection."""
+    """A server with a thread that accepts, and one per connection."""
 
     def __init__(self) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0))
@@ -88,7 +90,7 @@
         try:
             self.serve(client)
         except OSError:
-            pass  # the sidecar, or the test, has closed it
+            pass  # the sidecar or the test has closed the connection
         finally:
             client.close()
 
@@ -96,7 +98,7 @@
         raise NotImplementedError
 
     def close_connections(self) -> None:
-        """End the connections that are open now."""
+        """Shut down all connections that have been accepted."""
         for client in self.open_sockets[:]:
             with contextlib.suppress(OSError):
                 client.shutdown(socket.SHUT_RDWR)
@@ -106,7 +108,7 @@
 
     def __exit__(self, *_: object) -> None:
         with contextlib.suppress(OSError):
-            self.socket.shutdown(socket.SHUT_RDWR)  # a thread in accept() would keep the port open
+            self.socket.shutdown(socket.SHUT_RDWR)  # otherwise the thread in accept() keeps the port open
         self.socket.close()
         self.close_connections()
 
@@ -115,7 +117,7 @@
 
 
 class Upstream(ThreadedServer):
-    """Answers each request as `script` says: bytes to send, or None to end the connection."""
+    """Answers each request with the bytes that `script` returns; None ends the connection."""
 
     names = iter(range(1_000_000))
 
@@ -135,9 +137,11 @@
                 client.sendall(data)
 
     def bodies(self) -> list[bytes]:
+        """Return the bodies of all requests so far."""
         return [request.body for request in self.requests]
 
     def entry(self, **changes: Any) -> dict[str, Any]:
+        """Return its entry of the endpoint list, with these values changed."""
         return {
             "host": self.name,
             "dial": self.address,
@@ -151,7 +155,7 @@
 
 
 class Discovery(ThreadedServer):
-    """Answers calls as `reply` says, or with what was told; `tell` writes a line to the watches."""
+    """Answers with `reply` if that is set, otherwise with the endpoint list, kept open as a watch."""
 
     def __init__(self, hosts: list[dict[str, Any]]) -> None:
         self.hosts, self.seq = hosts, 1
@@ -172,12 +176,15 @@
                 self.watches.append(client)
 
     def full_list(self) -> bytes:
+        """Return the complete endpoint list."""
         return json.dumps({"seq": self.seq, "whole": True, "hosts": self.hosts}).encode() + b"\n"
 
     def send_chunk(self, client: socket.socket, data: bytes) -> None:
+        """Send data as one chunk."""
         client.sendall(b"%x\r\n%s\r\n" % (len(data), data))
 
     def send_changes(self, *changed: dict[str, Any], pieces: int = 1) -> None:
+        """Send changed entries on all watches, in so many chunks."""
         self.seq += 1
         data = json.dumps({"seq": self.seq, "whole": False, "hosts": changed}).encode() + b"\n"
         size = -(-len(data) // pieces)
@@ -187,34 +194,35 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The settings of tests/options.py as the JSON of a configuration."""
+    """Return the settings of tests/options.py as the JSON of a configuration."""
     pairs = dict(line.split("=", 1) for line in OPTIONS.splitlines())
     pairs |= {"granularity": "1000", "accounts.count": "0", "areas": "a,b"}
     for name, value in changes.items():
         name = name.replace("_", "-")
         pairs[f"bounds.{name}" if f"bounds.{name}" in pairs else name] = value
-    told: dict[str, Any] = {}
+    tree: dict[str, Any] = {}
     for path, value in pairs.items():
         if path.endswith(".count"):
             continue
         *parents, last = path.split(".")
-        at = told
+        node = tree
         for name in parents:
-            at = at.setdefault(name, {})
-        at[last] = value
-    told["request-classes"] = list(told["request-classes"].values())
-    told.pop("accounts", None)
-    return told
+            node = node.setdefault(name, {})
+        node[last] = value
+    tree["request-classes"] = list(tree["request-classes"].values())
+    tree.pop("accounts", None)
+    return tree
 
 
 class Client:
-    """A connection of the application's."""
+    """A connection from the application."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.socket = socket.create_connection(address, timeout=LONG_S)
         self.file = self.socket.makefile("rb")
 
     def send(self, method: str, target: str, body: bytes = b"", **headers: str) -> None:
+        """Send a request with the usual headers; an empty value leaves a header out."""
         lines = {"Host": "backend.local", "Req-Id": os.urandom(8).hex(), "Req-Deadline": "5.0"}
         if body or method == "POST":
             lines["Content-Length"] = str(len(body))
@@ -223,22 +231,24 @@
         self.socket.sendall(f"{method} {target} HTTP/1.1\r\n{head}\r\n".encode() + body)
 
     def read(self) -> Message | None:
-        """The next answer; None if the sidecar has ended the connection."""
+        """Read the next response; None if the sidecar has closed the connection."""
         return read_message(self.file)
 
     def request(self, method: str, target: str, body: bytes = b"", **headers: str) -> Message:
+        """Send a request and read the response to it."""
         self.send(method, target, body, **headers)
-        found = self.read()
-        assert found is not None
-        return found
+        response = self.read()
+        assert response is not None
+        return response
 
     def close(self) -> None:
+        """Close the connection."""
         self.file.close()
         self.socket.close()
 
 
 class Sidecar:
-    """`run` of the deploy file, ready."""
+    """A sidecar process, started with the deploy file's `run` command and ready."""
 
     def __init__(
         self,
@@ -256,11 +266,11 @@
         self.before = before
         self.command = str(DEPLOY["run"])
         self.env = env or {}
-        self.listener = listener  # the platform's, which every process inherits
+        self.listener = listener  # the platform's listening socket, which every process inherits
         self.config = {
             "seed": "8c1f30d27a5be964",
             "limits": {"sockets": 1024},
-            # time enough for what tests hold back
+            # long enough for responses that a test withholds
             "settings": settings(**{"request-classes.1.deadline": "20000000"} | options),
             "known": {"seq": 1, "whole": True, "hosts": entries},
         }
@@ -277,7 +287,7 @@
             "PROXY_CONFIG": str(self.path),
             "PROXY_DISCOVERY": self.discovery.address,
         } | self.env
-        held = () if self.listener is None else (self.listener.fileno(),)
+        inherited = () if self.listener is None else (self.listener.fileno(),)
         if self.listener is not None:
             env["PROXY_ACCEPT_FD"] = str(self.listener.fileno())
         self.process = subprocess.Popen(
@@ -286,11 +296,11 @@
             env=env,
             stderr=subprocess.PIPE,
             text=True,
-            pass_fds=held,
+            pass_fds=inherited,
         )
         threading.Thread(target=self.read_log, daemon=True).start()
         eventually(lambda: self.startup_lines() or self.process.poll() is not None)
-        assert self.startup_lines(), f"it has ended: {self.log_lines}"
+        assert self.startup_lines(), f"the sidecar ended before it listened: {self.log_lines}"
         line = self.startup_lines()[0]
         host, _, port = line.split()[-1].partition(":")
         self.address = (host, int(port))
@@ -298,17 +308,21 @@
         return self
 
     def startup_lines(self) -> list[str]:
+        """Return the log lines that name the address it listens on."""
         return [line for line in self.log_lines if " listens on " in line]
 
     def read_log(self) -> None:
+        """Collect the log lines until the process ends."""
         assert self.process.stderr is not None
         for line in self.process.stderr:
             self.log_lines.append(line.rstrip())
 
     def client(self) -> Client:
+        """Open a connection."""
         return Client(self.address)
 
     def request(self, method: str, target: str, body: bytes = b"", **headers: str) -> Message:
+        """Send a request on a connection of its own."""
         client = self.client()
         try:
             return client.request(method, target, body, **headers)
@@ -316,13 +330,14 @@
             client.close()
 
     def reload(self, text: str) -> None:
-        """Replace the file of the configuration and tell the sidecar so."""
+        """Replace the configuration file and send SIGHUP."""
         new = self.path.with_suffix(".new")
         new.write_text(text)
         new.replace(self.path)
         self.process.send_signal(signal.SIGHUP)
 
     def stop(self) -> int:
+        """Send SIGTERM and return the exit status."""
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(LONG_S)
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Who makes room at the limit of connections, over any order of arrivals, bytes and ends."""
+"""Which connection is closed at the limit, over any order of accepts, bytes, responses and closes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["accept", "bytes", "whole", "answered", "gone", "room"]),
+        st.sampled_from(["accept", "bytes", "complete", "answered", "closed", "evict"]),
         st.integers(0, 11),
         st.sampled_from([0.0, 0.01, 0.06, 0.3, 0.8]),
     ),
@@ -25,45 +25,62 @@
 
 @given(STEPS)
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_what_comes_on_is_never_ended_and_nobody_goes_before_one_with_less_to_show(
+def test_candidates_are_ordered_by_state_and_active_connections_are_never_among_them(
     steps: list[tuple[str, int, float]],
 ) -> None:
-    places: Admission[int] = Admission(12)
-    state: dict[int, str] = {}  # a model of its own: what each connection has shown last, and when
-    at: dict[int, float] = {}
-    now = 0.0
-    for what, one, wait in steps:
-        now += wait
-        if what == "accept" and one not in state:
-            places.add(one, now)
-            state[one], at[one] = "silent", now
-        elif what == "bytes" and state.get(one) in ("silent", "begun", "writing", "idle"):
-            places.mark_received_bytes(one, now)
-            state[one], at[one] = "writing" if state[one] in ("begun", "writing") else "begun", now
-        elif what == "whole" and one in state:
-            places.remove(one)
-            state[one] = "busy"
-        elif what == "answered" and state.get(one) == "busy":
-            told = places.mark_idle(one, now)
-            state[one], at[one] = "idle", now
-            resting = [other for other in state if state[other] == "idle"]
-            assert told is None or (len(resting) > 6 and told == min(resting, key=lambda k: at[k]) != one)
-        elif what == "gone" and one in state:
-            places.remove(one)
-            del state[one]
-        elif what == "room":
-            ended = list(places.eviction_candidates(now))
-            kinds = [state[other] for other in ended]
+    admission: Admission[int] = Admission(12)
+    state: dict[int, str] = {}  # a model, independent of the code: the state of each connection
+    active_s: dict[int, float] = {}  # the time of the last activity of each
+    now_s = 0.0
+    for step, connection, wait_s in steps:
+        now_s += wait_s
+        if step == "accept" and connection not in state:
+            admission.add(connection, now_s)
+            state[connection], active_s[connection] = "silent", now_s
+        elif step == "bytes" and state.get(connection) in ("silent", "started", "in progress", "idle"):
+            admission.mark_received_bytes(connection, now_s)
+            state[connection], active_s[connection] = (
+                "in progress" if state[connection] in ("started", "in progress") else "started",
+                now_s,
+            )
+        elif step == "complete" and connection in state:
+            admission.remove(connection)
+            state[connection] = "busy"
+        elif step == "answered" and state.get(connection) == "busy":
+            evicted = admission.mark_idle(connection, now_s)
+            state[connection], active_s[connection] = "idle", now_s
+            idle = [other for other in state if state[other] == "idle"]
+            assert evicted is None or (
+                len(idle) > 6 and evicted == min(idle, key=lambda k: active_s[k]) != connection
+            )
+        elif step == "closed" and connection in state:
+            admission.remove(connection)
+            del state[connection]
+        elif step == "evict":
+            candidates = list(admission.eviction_candidates(now_s))
+            states = [state[other] for other in candidates]
             silent = [other for other in state if state[other] == "silent"]
-            assert kinds == sorted(kinds, key=["silent", "idle", "begun", "writing"].index)
-            assert all(now - at[other] >= SILENT_GRACE_S for other in ended if state[other] == "silent")
-            assert all(now - at[other] >= IN_PROGRESS_GRACE_S for other in ended if state[other] == "writing")
-            assert all(now - at[other] >= STARTED_GRACE_S for other in ended if state[other] == "begun")
-            assert not (silent and "writing" in kinds)
-            unasked = [other for other in state if state[other] in ("silent", "begun", "writing")]
-            assert ("idle" in kinds) <= (len(unasked) < MAX_SHARE_WITHOUT_REQUEST * 12)
-            # whoever may go is told: an accept that finds nobody waits
-            assert {other for other in silent if now - at[other] > SILENT_GRACE_S} <= set(ended)
-    assert set(places.without_request()) == {
-        other for other in state if state[other] in ("silent", "begun", "writing")
+            assert states == sorted(states, key=["silent", "idle", "started", "in progress"].index)
+            assert all(
+                now_s - active_s[other] >= SILENT_GRACE_S for other in candidates if state[other] == "silent"
+            )
+            assert all(
+                now_s - active_s[other] >= IN_PROGRESS_GRACE_S
+                for other in candidates
+                if state[other] == "in progress"
+            )
+            assert all(
+                now_s - active_s[other] >= STARTED_GRACE_S
+                for other in candidates
+                if state[other] == "started"
+            )
+            assert not (silent and "in progress" in states)
+            without_request = [
+                other for other in state if state[other] in ("silent", "started", "in progress")
+            ]
+            assert ("idle" in states) <= (len(without_request) < MAX_SHARE_WITHOUT_REQUEST * 12)
+            # every silent one past its grace time is a candidate: without a candidate, accept waits
+            assert {other for other in silent if now_s - active_s[other] > SILENT_GRACE_S} <= set(candidates)
+    assert set(admission.without_request()) == {
+        other for other in state if state[other] in ("silent", "started", "in progress")
     }
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts on real sockets: what each end means for the effect, and which connection is used."""
+"""Attempts on real sockets: the outcome of each way in which they end, and which connection they use."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from tests.sockets import LONG_S, Message, Script, Sidecar, Upstream, answer, eventually
 
 
-def then_close(data: bytes) -> Script:
+def send_and_close(data: bytes) -> Script:
     def script(request: Message, client: socket.socket) -> None:
         client.sendall(data)
 
     return script
 
 
-def close_in_one_go(data: bytes) -> Script:
-    """The answer and the end of the connection in one segment: no request fits in between."""
+def send_and_close_in_one_segment(data: bytes) -> Script:
+    """Send the response and the end of the connection in one segment, so that no request fits in between."""
 
     def script(request: Message, client: socket.socket) -> None:
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_CORK, 1)
@@ -55,15 +55,15 @@
         lambda request, client: answer(b"", "204 No Content"),
         reset,
         lambda request, client: None,
-        then_close(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"),
-        then_close(b"HTTP/1.1 200 OK\r\n\r\nno length, so whole or not"),
-        then_close(CHUNKED + b"4\r\nhalf\r\n"),
+        send_and_close(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"),
+        send_and_close(b"HTTP/1.1 200 OK\r\n\r\nno length, so whole or not"),
+        send_and_close(CHUNKED + b"4\r\nhalf\r\n"),
         lambda request, client: CHUNKED + b"zz\r\nhalf\r\n0\r\n\r\n",
         lambda request, client: CHUNKED.replace(b"\r\n\r\n", b"\r\nContent-Length: 2\r\n\r\n") + b"0\r\n\r\n",
         lambda request, client: b"garbage\r\n\r\n",
         lambda request, client: answer(b"", headers="X: " + "x" * 100_000 + "\r\n"),
-        then_close(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000),
-        then_close(b"HTTP/1.1 100 Continue\r\n\r\n" * 4000),
+        send_and_close(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 40_000),
+        send_and_close(b"HTTP/1.1 100 Continue\r\n\r\n" * 4000),
         lambda request, client: b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbegun",
         lambda request, client: b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nok",
         lambda request, client: b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok",
@@ -90,40 +90,40 @@
         "below 0",
     ],
 )
-def test_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(script: Script) -> None:
+def test_unsafe_request_that_may_have_run_fails_and_is_not_retried(script: Script) -> None:
     with Upstream(script=script) as one, Upstream(script=script) as two, Sidecar([one, two]) as sidecar:
         assert sidecar.request("POST", "/pay/7", b"x").status == 502
         assert len(one.requests) + len(two.requests) == 1
         assert sidecar.request("GET", "/nowhere").status == 404
 
 
-@pytest.mark.parametrize("more", [b"\xff" * 48 + b"\r\n\r\n", answer(b"other"), b"HTTP/1.1 200 OK\r\nX: "])
-def test_a_whole_answer_is_served_whatever_comes_behind_it_and_its_connection_is_done(more: bytes) -> None:
+@pytest.mark.parametrize("surplus", [b"\xff" * 48 + b"\r\n\r\n", answer(b"other"), b"HTTP/1.1 200 OK\r\nX: "])
+def test_complete_response_is_served_and_bytes_behind_it_end_its_connection(surplus: bytes) -> None:
     def script(request: Message, client: socket.socket) -> bytes:
-        return b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answer(request.body) + more
+        return b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answer(request.body) + surplus
 
     with Upstream(script=script) as upstream, Sidecar([upstream]) as sidecar:
         for number in range(4):
             body = b"%d" % number
-            found = sidecar.request("POST", "/pay/7", body)
-            assert (found.status, found.body, upstream.accepted) == (200, body, number + 1)
-            assert "link" not in found.headers
+            response = sidecar.request("POST", "/pay/7", body)
+            assert (response.status, response.body, upstream.accepted) == (200, body, number + 1)
+            assert "link" not in response.headers
 
 
-def test_a_load_report_that_cannot_be_read_spoils_nothing() -> None:
+def test_malformed_load_report_loses_neither_slot_nor_connection() -> None:
     reports = ["{", "[1]", '{"inflight":1e999}', '{"inflight":' + "9" * 400 + "}", "[" * 5000]
     script: Script = lambda request, client: answer(b"ok", headers=f"Srv-Load: {reports[0]}\r\n")  # noqa: E731
     with Upstream(script=script) as upstream, Sidecar([upstream], instances="1") as sidecar:
         while reports:
-            for _ in range(4):  # each slot that were lost would show
+            for _ in range(4):  # a slot lost by any of them would show
                 assert sidecar.request("POST", "/pay/7", b"x").status == 200
                 time.sleep(2 * REUSE_DELAY_S)
             reports.pop(0)
         assert upstream.accepted == 1
 
 
-def test_a_4xx_is_about_the_request_and_says_nothing_of_the_upstream() -> None:
-    """A bad client may send by hundreds what only an upstream can tell from good requests."""
+def test_4xx_does_not_count_against_the_upstream() -> None:
+    """A bad client may send hundreds of requests that only the upstream can tell from good ones."""
 
     def script(request: Message, client: socket.socket) -> bytes:
         return answer(b"", "400 Bad Request") if request.body == b"bad" else answer(b"ok")
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("status", ["503 Service Unavailable", "504 Gateway Timeout"])
-def test_a_declined_unsafe_request_is_sent_elsewhere(status: str) -> None:
+def test_declined_unsafe_request_is_retried_at_another_upstream(status: str) -> None:
     declined = answer(b"", status, "Srv-Declined: 1\r\n")
     with (
         Upstream(script=lambda request, client: declined) as full,
@@ -148,7 +148,7 @@
         assert full.requests and len(free.requests) == 8
 
 
-def test_a_refused_connection_is_no_attempt_and_another_upstream_is_taken() -> None:
+def test_request_whose_connection_is_refused_goes_to_another_upstream() -> None:
     with Upstream() as dead, Upstream(body=b"ok") as alive:
         dead.__exit__()
         with Sidecar([dead, alive]) as sidecar:
@@ -157,9 +157,12 @@
         assert len(alive.requests) == 8
 
 
-def test_an_answer_that_is_lost_frees_its_slot_where_others_are_answered() -> None:
-    """A part of all answers is lost. Hazard: each unsafe one would hold its slot till due, and upstreams that
-    answer the others at once would stand idle while requests are refused."""
+def test_lost_response_frees_its_slot_while_others_are_answered() -> None:
+    """Some responses are lost.
+
+    If each unsafe request kept its slot until its deadline, requests would be rejected while upstreams that
+    answer all others at once are idle.
+    """
 
     def script(request: Message, client: socket.socket) -> bytes:
         return b"" if request.body == b"lost" else answer(b"ok")
@@ -172,14 +175,14 @@
             waiting[-1].send("POST", "/pay/7", b"lost", Req_Deadline="600")
             eventually(lambda: upstream.bodies().count(b"lost") == number)  # noqa: B023
             eventually(lambda: sidecar.request("POST", "/pay/7", b"x").status == 200)
-        # nobody has been given up on meanwhile, and nothing was sent twice
+        # no waiting request has been given up meanwhile, and none was sent twice
         assert not select.select([client.socket for client in waiting], [], [], 0)[0]
         assert upstream.bodies().count(b"lost") == len(waiting)
         for client in waiting:
             client.close()
 
 
-def test_what_waited_for_a_sidecar_to_start_finds_two_slots_of_each_upstream() -> None:
+def test_sidecar_starts_with_two_slots_per_upstream() -> None:
     release = threading.Event()
 
     def script(request: Message, client: socket.socket) -> bytes:
@@ -193,12 +196,12 @@
         eventually(lambda: len(upstream.requests) == 2)
         release.set()
         for client in clients:
-            found = client.read()
-            assert found is not None and found.status == 200
+            response = client.read()
+            assert response is not None and response.status == 200
             client.close()
 
 
-def test_a_keyed_request_that_may_have_run_stays_in_its_cell() -> None:
+def test_deduplicated_request_that_may_have_run_is_retried_only_in_its_cell() -> None:
     def entry(upstream: Upstream, block: int) -> dict[str, object]:
         return upstream.entry(block=block)
 
@@ -212,41 +215,43 @@
                 assert not (cells[0] | cells[1]) & cells[2]
 
 
-def test_requests_in_turn_share_one_connection() -> None:
-    """A new connection costs the upstream work, and the first request on it time. Between two it rests: see
-    tests/crossings/test_answers.py."""
+def test_consecutive_requests_share_one_connection() -> None:
+    """A new connection costs the upstream work, and delays its first request.
+
+    tests/crossings/test_answers.py tests the delay between two requests.
+    """
     with Upstream() as upstream, Sidecar([upstream]) as sidecar:
         client = sidecar.client()
         for _ in range(5):
             assert client.request("POST", "/pay/7", b"x").status == 200
-            time.sleep(2 * REUSE_DELAY_S)  # no shorter: the sidecar's clock began before the answer was here
+            time.sleep(2 * REUSE_DELAY_S)  # no shorter: the sidecar counts from before the response is here
         client.close()
         assert upstream.accepted == 1
 
 
-@pytest.mark.parametrize("end", ["quietly", "in one go with the answer"])
-def test_a_connection_that_the_upstream_has_closed_is_not_used(end: str) -> None:
-    """An unsafe request written to a closed connection is lost: its reset says that it may have run."""
+@pytest.mark.parametrize("end", ["while idle", "in one segment with the response"])
+def test_connection_closed_by_the_upstream_is_not_reused(end: str) -> None:
+    """An unsafe request on a closed connection fails: after the reset it is unknown whether it has run."""
     with Upstream() as upstream, Sidecar([upstream]) as sidecar:
-        if end != "quietly":
-            upstream.script = close_in_one_go(answer(b"ok"))
+        if end != "while idle":
+            upstream.script = send_and_close_in_one_segment(answer(b"ok"))
         for number in range(5):
             assert sidecar.request("POST", "/pay/7", b"x").status == 200
-            if end == "quietly":
+            if end == "while idle":
                 upstream.close_connections()
             assert upstream.accepted == number + 1
 
 
-def test_idle_connections_retire_before_the_upstream_closes_them() -> None:
+def test_idle_connections_are_closed_before_the_upstream_closes_them() -> None:
     with Upstream() as upstream, Sidecar([upstream], conn_idle="600000") as sidecar:
         assert sidecar.request("POST", "/pay/7", b"x").status == 200
         first = upstream.open_sockets[0]
-        eventually(lambda: first.fileno() == -1)  # the sidecar has ended it: the stand-in never does
+        eventually(lambda: first.fileno() == -1)  # closed by the sidecar: the stand-in never closes it
         assert sidecar.request("POST", "/pay/7", b"x").status == 200
 
 
 @pytest.mark.parametrize("changes", [{"born_ms": 1_000}, {"health": "terminating"}])
-def test_idle_connections_end_when_the_upstream_restarts_or_drains(changes: dict[str, object]) -> None:
+def test_idle_connections_are_closed_when_the_upstream_restarts_or_drains(changes: dict[str, object]) -> None:
     with Upstream() as upstream, Sidecar([upstream]) as sidecar:
         assert sidecar.request("POST", "/pay/7", b"x").status == 200
         first = upstream.open_sockets[0]
@@ -254,7 +259,7 @@
         eventually(lambda: first.fileno() == -1)
 
 
-def test_silence_ends_the_idle_connections_to_that_upstream() -> None:
+def test_timeout_closes_the_idle_connections_to_that_upstream() -> None:
     """A vanished machine leaves its connections open: the next unsafe request on one would be lost too."""
 
     async def test() -> None:
@@ -277,7 +282,7 @@
             ended: asyncio.Future[api.Outcome] = pool.loop.create_future()
             pool.start(
                 7,
-                Exchange(lambda: [b"GET / HTTP/1.1\r\n\r\n"], lambda end, _: ended.set_result(end)),
+                Exchange(lambda: [b"GET / HTTP/1.1\r\n\r\n"], lambda outcome, _: ended.set_result(outcome)),
                 timeout_s,
             )
             return ended
