--- a/sidecar_proxy/http1/admission.py
+++ b/sidecar_proxy/http1/admission.py
@@ -24,7 +24,8 @@
 SILENT_GRACE_S = 0.05  # the first request follows the accept at once, but a busy loop may read it late
 STARTED_GRACE_S = 0.05  # at 0.1 s, a flood delayed the first attempt of other requests by 66 ms (p99)
 IN_PROGRESS_GRACE_S = 0.7  # longer than the gap between the pieces of a request that is written over 2 s
-MAX_SHARE_WITHOUT_REQUEST = 1 / 4  # of the limit; beyond it, idle connections are kept: they have been of use
+# Above this share of the limit, idle connections are kept, as they have been of use.
+MAX_SHARE_WITHOUT_REQUEST = 1 / 4
 
 ConnectionT = TypeVar("ConnectionT")
 
--- a/sidecar_proxy/http1/client.py
+++ b/sidecar_proxy/http1/client.py
@@ -30,7 +30,7 @@
 # From the head to the end of the body, plus a second per MIN_UPLOAD_BYTES_PER_S bytes that have arrived.
 BODY_TIMEOUT_S = 2.0
 MIN_UPLOAD_BYTES_PER_S = 16 * 1024
-DISCARD_INTERVAL_S = 0.02  # between two reads of input that is discarded
+DISCARD_INTERVAL_S = 0.02  # interval between two reads of input that is discarded
 MAX_PIPELINED_REQUESTS = 16
 REASON_PHRASES = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 
@@ -80,8 +80,7 @@
         """Note that the request is over: its Req-Id is free again and the rest of its body is discarded."""
         self.connection.server.open_request_ids.discard(self.request_id)
         if self.upload is not None:
-            # After a response to an incomplete request, the rest of that request would be parsed as the next
-            # one.
+            # After a response to an incomplete request, its rest would be parsed as the next request.
             self.keep_alive = self.keep_alive and self.upload.is_complete
             self.upload.discard()
 
@@ -110,13 +109,13 @@
     """
 
     __deletable__ = ("parser",)
-    idle_timeout_s = 4.0  # between two requests
+    idle_timeout_s = 4.0  # maximum time between two requests
 
     def __init__(self, server: Listener) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.pending: deque[PendingRequest] = deque()  # in the order of their arrival, which is also answered
+        self.pending: deque[PendingRequest] = deque()  # in order of arrival and of the responses
         # loop time at which the connection was accepted, became idle or began to receive a later request
         self.phase_began_s = server.loop.time()
         self.has_received_request = False  # at least one complete request has arrived
--- a/sidecar_proxy/http1/response_stream.py
+++ b/sidecar_proxy/http1/response_stream.py
@@ -55,7 +55,7 @@
         self.source = source
         self.on_end = ended
         self.transport: asyncio.Transport | None = None  # None until the response begins
-        self.unsent_pieces: list[bytes] = []  # that arrived before the response could begin
+        self.unsent_pieces: list[bytes] = []  # pieces that arrived before the response could begin
         self.is_chunked = self.keep_alive = False
         self.has_ended = False  # nothing more will arrive
 
--- a/sidecar_proxy/http1/upstream.py
+++ b/sidecar_proxy/http1/upstream.py
@@ -188,12 +188,15 @@
 
 
 def make_hangup_poll(transport: asyncio.BaseTransport) -> select.poll:
-    """Return one whose poll(0) says whether the remote end has closed or reset, even behind unread input."""
+    """Return a poll object whose poll(0) says whether the remote end has closed or reset the connection.
+
+    It reports that even if there is unread input before the close.
+    """
     return make_poll(transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
 
 
 def make_input_poll(transport: asyncio.BaseTransport) -> select.poll:
-    """Return one whose poll(0) says whether there is unread input."""
+    """Return a poll object whose poll(0) says whether there is unread input."""
     return make_poll(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
 
@@ -213,11 +216,10 @@
         self.exchange: Exchange | None = None
         self.is_request_written = False  # the kernel has the whole request
         self.is_request_submitted = False  # the transport was given the whole request
-        self.sink: ResponseSink | None = None  # where a streamed response goes
+        self.sink: ResponseSink | None = None  # destination of a streamed response
         self.is_paused = False  # reading is paused, as the sink takes no more for now
         self.began_s = self.last_progress_s = 0.0
-        # By the monotonic clock: the loop's clock has whole milliseconds and stands still during an
-        # iteration.
+        # By the monotonic clock: the loop's clock counts milliseconds and stands still during an iteration.
         self.idle_since_s = 0.0
         self.is_response_complete = self.keep_alive = self.ends_with_connection = False
         self.is_closed_locally = False
@@ -286,7 +288,7 @@
         self.body = bytearray()
         self.response_bytes = 0  # received of this response
         self.is_in_head = True
-        self.content_length: int | None = None  # of the response
+        self.content_length: int | None = None  # as the head of the response gives it
         self.began_s = self.last_progress_s = self.loop.time()
         self.is_request_written = False
         self.is_request_submitted = exchange.upload is None
