--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -28,7 +28,7 @@
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.gc_control import GcController
 from sidecar_proxy.http1.server import Server
-from sidecar_proxy.http1.upstream import Pool
+from sidecar_proxy.http1.upstream import ConnectionPool
 
 if TYPE_CHECKING:
     from sidecar_proxy.config.schema import Operator
@@ -63,7 +63,7 @@
         max_upstreams=max_connections,  # of a larger fleet a subset is used
         is_successor=hot_restart is not None and not hot_restart.locks.claim_serving(),
     )
-    pool = Pool(settings.connect_timeout_us / 1e6 or 1.0, settings.idle_us / 1e6, max_connections)
+    pool = ConnectionPool(settings.connect_timeout_us / 1e6 or 1.0, settings.idle_us / 1e6, max_connections)
     discovery = PlatformDiscoveryClient(
         config.discovery, directory, version, pushed=not settings.list_on_request
     )
@@ -143,7 +143,7 @@
     try:
         uvloop.run(serve(platform_settings.load(os.environ), operator_file.load(os.environ)))
     except EndpointListError as error:
-        print(f"sidecar_proxy: the configuration's cached endpoint list: {error}", file=sys.stderr)
+        print(f"sidecar_proxy: the configuration's known list: {error}", file=sys.stderr)
         return 2
     except (platform_settings.ConfigError, OperatorError) as error:
         print(f"sidecar_proxy: {error}", file=sys.stderr)
--- a/sidecar_proxy/daemon/subsystems.py
+++ b/sidecar_proxy/daemon/subsystems.py
@@ -124,7 +124,7 @@
         context.config.seed,
         context.overrides,
         context.admin_server,
-        lambda: context.server.ready,
+        lambda: context.server.is_ready,
     )
     consensus.start()
     return consensus
--- a/sidecar_proxy/discovery/platform_client.py
+++ b/sidecar_proxy/discovery/platform_client.py
@@ -25,7 +25,7 @@
 from sidecar_proxy.engine.address import Address
 from sidecar_proxy.engine.gc_control import GcController
 from sidecar_proxy.engine.interfaces import EndpointListListener, ListedUpstream
-from sidecar_proxy.http1.upstream import MAX_HEAD, input_poll
+from sidecar_proxy.http1.upstream import MAX_HEAD_BYTES, make_input_poll
 
 log = logging.getLogger("sidecar_proxy")
 
@@ -272,7 +272,7 @@
         self.is_wanted = True
         self.transport: asyncio.Transport | None = None
         self.splitter = JsonObjectSplitter()
-        self.head_bytes_left = MAX_HEAD
+        self.head_bytes_left = MAX_HEAD_BYTES
         self.parser = httptools.HttpResponseParser(self)
         self.idle_timer = client.loop.call_later(self.idle_timeout_s(), self.idle_timeout)
         client.calls.add(self)
@@ -311,7 +311,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.fail(f"malformed HTTP response: {error.__context__ or error}")
         if self.head_bytes_left < 0:  # the parser buffers an incomplete header line without a limit
-            self.fail(f"response head is larger than {MAX_HEAD} bytes")
+            self.fail(f"response head is larger than {MAX_HEAD_BYTES} bytes")
 
     def on_headers_complete(self) -> None:
         """Check the status (called by the HTTP parser)."""
@@ -390,7 +390,7 @@
         After a turn of the loop that took long, timers run before the data that arrived in the meantime.
         """
         transport = self.transport
-        if transport is not None and not transport.is_closing() and input_poll(transport).poll(0):
+        if transport is not None and not transport.is_closing() and make_input_poll(transport).poll(0):
             self.restart_idle_timer()
         else:
             self.fail("idle timeout: no data received")
--- a/tests/discovery/test_sidecar.py
+++ b/tests/discovery/test_sidecar.py
@@ -87,8 +87,8 @@
             etcd.put(one, health="terminating")
             eventually(lambda: bodies(sidecar) == {b"two"})
             before = len(one.requests)
-            discovery.tell(one.entry())
-            discovery.tell(one.entry(born_ms=0, share=2.0))
+            discovery.send_changes(one.entry())
+            discovery.send_changes(one.entry(born_ms=0, share=2.0))
             assert bodies(sidecar) == {b"two"} and len(one.requests) == before
             etcd.put(one)
             eventually(lambda: b"one" in bodies(sidecar))
@@ -101,12 +101,12 @@
         etcd.put(two)
         with running_sidecar([one, two], etcd) as (sidecar, discovery):
             eventually(lambda: etcd.member.watchers)
-            discovery.tell(one.entry(health="terminating"))
+            discovery.send_changes(one.entry(health="terminating"))
             eventually(lambda: bodies(sidecar) == {b"two"})
             before = len(one.requests)
             etcd.put(one, share=2.0)
             assert bodies(sidecar) == {b"two"} and len(one.requests) == before
-            discovery.tell(one.entry(health="terminated"))
+            discovery.send_changes(one.entry(health="terminated"))
             assert bodies(sidecar) == {b"two"} and len(one.requests) == before
 
 
@@ -210,9 +210,9 @@
         sidecar = new_sidecar([], discovery, path)
         starting = threading.Thread(target=enter_ignoring_failure, args=(sidecar,))
         starting.start()
-        eventually(lambda: sidecar.lines)
+        eventually(lambda: sidecar.log_lines)
         assert sidecar.process.wait(LONG_S) == 2
-        assert len(sidecar.lines) == 1 and key in sidecar.lines[0]
+        assert len(sidecar.log_lines) == 1 and key in sidecar.log_lines[0]
         starting.join(2 * LONG_S)
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -25,9 +25,9 @@
     ROOT,
     Client,
     Discovery,
-    Listener,
     Message,
     Sidecar,
+    ThreadedServer,
     Upstream,
     answer,
     eventually,
@@ -55,7 +55,7 @@
         super().serve(client)
 
 
-class ClosingListener(Listener):
+class ClosingListener(ThreadedServer):
     """Accepts a connection and closes it at once, as an upstream without free descriptors does."""
 
     def serve(self, client: socket.socket) -> None:
@@ -81,7 +81,7 @@
         before = len(old.requests)
         eventually(lambda: is_serving(sidecar) and new.requests)
         assert len(old.requests) <= before + 1  # one may have been in flight when the list arrived
-        warnings = [line for line in sidecar.lines if "discovery: " in line]
+        warnings = [line for line in sidecar.log_lines if "discovery: " in line]
         assert 1 <= len(warnings) <= 2, warnings
 
 
@@ -133,7 +133,7 @@
             for n, client in enumerate(clients):
                 client.send("POST", "/pay/7", b"held %d" % n)
             eventually(lambda: sum(len(one.requests) for one in old) == len(clients))
-            sidecar.discovery.tell(
+            sidecar.discovery.send_changes(
                 *[one.entry(health="terminating") for one in old[:6]], *[one.entry() for one in new]
             )
             release.set()
--- a/tests/test_listing.py
+++ b/tests/test_listing.py
@@ -23,7 +23,7 @@
 from sidecar_proxy.discovery.platform_client import DiscoveryCall, PlatformDiscoveryClient
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.interfaces import ListedUpstream
-from sidecar_proxy.http1.upstream import Pool
+from sidecar_proxy.http1.upstream import ConnectionPool
 from tests.balancer.harness import settings
 from tests.sockets import LONG_S, Discovery, Sidecar, Upstream, eventually
 
@@ -274,7 +274,7 @@
 
     async def test() -> None:
         test_settings = settings(max_upstreams=64)
-        pool = Pool(connect_s=0.2, idle_s=5.0, most=8)
+        pool = ConnectionPool(connect_timeout_s=0.2, idle_timeout_s=5.0, max_connections=8)
         client = PlatformDiscoveryClient(("127.0.0.1", 1), EndpointDirectory(test_settings), 0, pushed=False)
         client.listener = engine = Engine(test_settings, 1, Clock(), pool, client)
         client.enqueue(list_json([entry(n) for n in range(3000)], 5).encode())
@@ -305,7 +305,7 @@
     with Upstream(body=b"ok") as old, Upstream(body=b"ok") as new, Sidecar([old]) as sidecar:
         assert sidecar.request("POST", "/pay/7", b"x").status == 200
         draining = [entry(n, host=f"d-{n}", health="terminating") for n in range(LARGE_LIST_ENTRIES)]
-        sidecar.discovery.tell(
+        sidecar.discovery.send_changes(
             *draining[:5000], old.entry(health="terminating"), new.entry(), *draining[5000:]
         )
         eventually(lambda: new.requests or sidecar.request("POST", "/pay/7", b"x").status == 0)
@@ -320,5 +320,5 @@
         body = list_json([entry(n, site="x" * 400) for n in range(LARGE_LIST_ENTRIES)]).encode()
         discovery.reply = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s\n" % (len(body) + 1, body)
         with Sidecar([old], discovery) as sidecar:
-            eventually(lambda: [line for line in sidecar.lines if "endpoint list is larger than" in line])
+            eventually(lambda: [line for line in sidecar.log_lines if "endpoint list is larger than" in line])
             assert sidecar.request("POST", "/pay/7", b"x").status == 200
