--- a/tests/grpc/test_hard_cases.py
+++ b/tests/grpc/test_hard_cases.py
@@ -366,7 +366,7 @@
         assert rig.nodes.held.size == 0
         # others are not in its way
         await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
-        rig.decisions.act = send_to(2)  # type: ignore[union-attr]
+        rig.decisions.choose_actions = send_to(2)  # type: ignore[union-attr]
         assert (await client.answer(client.call("/t.T/Read")))[0] == 0
         rig.close()
 
