--- a/benchmarks/gossip_fuzz.py
+++ b/benchmarks/gossip_fuzz.py
@@ -94,7 +94,7 @@
             (Ping(number, "i2"), Ack(number), Nack(number), PingReq(number, "i0"), UrgentBroadcasts())
         )
         data = keyring.seal_packet(message, statements, wall_us)
-    payload = mutate(data[codec.HEADER_BYTES :], rng)
+    payload = mutate(data[codec.ENVELOPE_HEADER_BYTES :], rng)
     if rng.random() < RESIGNED_SHARE:
         return codec.join_envelope(keyring.key.sign(payload).signature, payload), is_state
     return mutate(data, rng), is_state
--- a/benchmarks/gossip_parts.py
+++ b/benchmarks/gossip_parts.py
@@ -65,7 +65,7 @@
     file = descriptor_pb2.FileDescriptorProto(name="gossip.proto", syntax="proto3")
     upstream_type = file.message_type.add(name="UpstreamReport")
     for number, name in enumerate(FIELDS, 1):
-        field_type = TYPE_STRING if name == "upstream" else TYPE_UINT64
+        field_type = TYPE_STRING if name == "name" else TYPE_UINT64
         upstream_type.field.add(name=name, number=number, label=LABEL_OPTIONAL, type=field_type)
     file.message_type.add(name="OutlierReport").field.add(
         name="upstreams", number=1, label=LABEL_REPEATED, type=TYPE_MESSAGE, type_name=".UpstreamReport"
--- a/benchmarks/gossip_scale.py
+++ b/benchmarks/gossip_scale.py
@@ -83,7 +83,7 @@
         peer.name not in starved_names
         for member in fleet.all()
         if member not in starved
-        for peer in member.instance.core.members.dead()
+        for peer in member.instance.core.members.dead_peers()
     )
     return {
         f"suspicions an hour and peer, {condition}": (fleet.counted("suspicions") - suspicions)
--- a/sidecar_proxy/cli/gossip.py
+++ b/sidecar_proxy/cli/gossip.py
@@ -48,7 +48,7 @@
 def revoke(arguments: argparse.Namespace) -> int:
     """Add a certificate's serial to the revocation list. Raises FileError and OSError."""
     serial = arguments.serial or files.read_certificate(arguments.certificate).serial
-    if serial in files.read_revoked(arguments.list):
+    if serial in files.read_revoked_serials(arguments.list):
         print(f"{arguments.list}: {serial} is there already")
         return 0
     with open(arguments.list, "a") as file:
--- a/sidecar_proxy/consensus/session.py
+++ b/sidecar_proxy/consensus/session.py
@@ -113,4 +113,6 @@
 
     def is_revoked(self) -> bool:
         """Tells whether the peer's certificate was revoked after the greeting."""
-        return self.peer_certificate is not None and self.peer_certificate.serial in self.keyring.revoked
+        return (
+            self.peer_certificate is not None and self.peer_certificate.serial in self.keyring.revoked_serials
+        )
--- a/sidecar_proxy/consensus/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -36,7 +36,7 @@
     Session,
 )
 from sidecar_proxy.gossip.keys import Keyring, RejectedError
-from sidecar_proxy.gossip.transport import HEADER_BYTES, frame_message, read_frame, wall_clock_us
+from sidecar_proxy.gossip.transport import FRAME_HEADER_BYTES, frame_message, read_frame, wall_clock_us
 
 log = logging.getLogger("sidecar_proxy")
 
@@ -312,7 +312,7 @@
 
     async def _read_frame(self, reader: asyncio.StreamReader, session: Session) -> bytes:
         sealed = await read_frame(reader, MAX_SEALED_BYTES)
-        self.counts["bytes in"] += len(sealed) + HEADER_BYTES
+        self.counts["bytes in"] += len(sealed) + FRAME_HEADER_BYTES
         return session.open(sealed)
 
     def _decode(self, data: bytes, session: Session) -> Frame | None:
--- a/sidecar_proxy/consensus/witness.py
+++ b/sidecar_proxy/consensus/witness.py
@@ -98,11 +98,11 @@
         assert self.gossip.transport is not None
         core = self.gossip.transport.instance.core
         yield ObservedTarget(Target(core.name, core.site, "", self.replica.process_id), False)
-        for member in core.members.living():
+        for member in core.members.live_peers():
             peer = self.replica.peers.peers.get(member.name)
             process_id = peer.status.process_id if peer else ""
             yield ObservedTarget(Target(member.name, member.site, "", process_id), False)
-        for member in core.members.dead():
+        for member in core.members.dead_peers():
             yield ObservedTarget(Target(member.name, member.site), True)
 
     def own_return_command(self, state: ReplicatedState) -> ReplicatedCommand | None:
--- a/sidecar_proxy/gossip/codec.py
+++ b/sidecar_proxy/gossip/codec.py
@@ -16,7 +16,7 @@
 
 MAGIC = b"wg\x01"
 SIGNATURE_BYTES = 64
-HEADER_BYTES = len(MAGIC) + SIGNATURE_BYTES
+ENVELOPE_HEADER_BYTES = len(MAGIC) + SIGNATURE_BYTES
 MAX_PACKET_BYTES = 1300  # of a datagram, so that common links do not fragment it
 MAX_STATE_BYTES = 512 * 1024  # of one side of a state exchange
 MAX_BROADCASTS = 8  # of one packet
@@ -42,7 +42,7 @@
     name: Name
     site: Name
     key: Key
-    until_s: Unsigned  # end of validity, Unix time
+    expires_s: Unsigned  # end of validity, Unix time
     signature: Signature  # by the fleet key, over the other fields
 
 
@@ -65,7 +65,7 @@
 class UpstreamReport(msgspec.Struct, array_like=True, frozen=True):
     """What one instance has observed of one upstream, since that upstream's start, within the window."""
 
-    upstream: Name
+    name: Name
     started_ms: Unsigned  # the upstream's start, Unix time
     attempts: Unsigned
     timeouts: Unsigned
@@ -93,10 +93,10 @@
 
 
 class SignedStatement(msgspec.Struct, array_like=True, frozen=True):
-    """An encoded statement with its author's signature; `at_us` orders the statements of one author."""
+    """An encoded statement with its author's signature; `sequence_us` orders the statements of one author."""
 
     author: Name
-    at_us: Unsigned  # Unix time
+    sequence_us: Unsigned  # Unix time
     body: Body
     signature: Signature
 
@@ -145,7 +145,7 @@
     """The payload of a datagram: one message and the broadcasts that it carries."""
 
     certificate: Certificate
-    at_us: Unsigned
+    sequence_us: Unsigned
     message: Message
     broadcasts: Annotated[list[SignedStatement], Meta(max_length=MAX_BROADCASTS)]
 
@@ -154,7 +154,7 @@
     """The payload of one side of a push-pull state exchange."""
 
     certificate: Certificate
-    at_us: Unsigned
+    sequence_us: Unsigned
     statements: Annotated[list[SignedStatement], Meta(max_length=MAX_STATEMENTS)]
 
 
@@ -174,9 +174,9 @@
 
 def split_envelope(data: bytes, max_bytes: int) -> tuple[bytes, bytes]:
     """Return the signature and the payload of an envelope. Raises CodecError."""
-    if not HEADER_BYTES < len(data) <= max_bytes or not data.startswith(MAGIC):
+    if not ENVELOPE_HEADER_BYTES < len(data) <= max_bytes or not data.startswith(MAGIC):
         raise CodecError("no packet of this version")
-    return data[len(MAGIC) : HEADER_BYTES], data[HEADER_BYTES:]
+    return data[len(MAGIC) : ENVELOPE_HEADER_BYTES], data[ENVELOPE_HEADER_BYTES:]
 
 
 def join_envelope(signature: bytes, payload: bytes) -> bytes:
@@ -199,11 +199,11 @@
         certificate.name,
         certificate.site,
         certificate.key,
-        certificate.until_s,
+        certificate.expires_s,
     ]
     return b"wickspread certificate" + encode(fields)
 
 
-def statement_signing_input(author: str, at_us: int, body: bytes) -> bytes:
+def statement_signing_input(author: str, sequence_us: int, body: bytes) -> bytes:
     """Return the bytes that the author of a statement signs."""
-    return b"wickspread statement" + encode([author, at_us, body])
+    return b"wickspread statement" + encode([author, sequence_us, body])
--- a/sidecar_proxy/gossip/core.py
+++ b/sidecar_proxy/gossip/core.py
@@ -40,7 +40,7 @@
 from sidecar_proxy.gossip.suspicion import Awareness, LocalMember, Suspicions
 from sidecar_proxy.gossip.urgent import UrgentRelay
 
-MIN_STATEMENT_GAP_US = 80_000  # between two reports, or two broadcasts on a topic, of one author
+MIN_STATEMENT_INTERVAL_US = 80_000  # between two reports, or two broadcasts on a topic, of one author
 DEAD_RETENTION_US = 60_000_000  # the dead are remembered and pinged so long, as a partition may heal
 MAX_PEERS = 5000
 MAX_TOPICS_PER_AUTHOR = 4
@@ -106,7 +106,7 @@
         """Return this side of a state exchange: the living and their reports, this instance's first."""
         statements = self._statements_of(self.name, self.local.alive_statement)
         remaining_bytes = max_bytes - sum(map(encoded_size, statements))
-        living = self.members.living()
+        living = self.members.live_peers()
         for peer in self.rng.sample(living, len(living)):
             peer_statements = self._statements_of(peer.name, peer.alive_statement)
             remaining_bytes -= sum(map(encoded_size, peer_statements))
@@ -224,7 +224,7 @@
                 alive.incarnation,
                 certificate,
                 statement,
-                since_us=now_us,
+                state_changed_us=now_us,
             )
             self.members.add(peer)
             self._detector.join_round(peer.name)
@@ -244,7 +244,7 @@
         if peer is None or peer.state is MemberState.DEAD:
             return []
         previous = self.reports.get(statement.author)
-        if previous is not None and statement.at_us - previous.at_us < MIN_STATEMENT_GAP_US:
+        if previous is not None and statement.sequence_us - previous.sequence_us < MIN_STATEMENT_INTERVAL_US:
             return []
         self.reports[statement.author] = statement
         self.dissemination.enqueue(BroadcastKind.REPORT, statement)
@@ -257,12 +257,12 @@
         peer = self.members.get(author)
         if peer is None or peer.state is MemberState.DEAD:
             return []
-        if statement.at_us - self._topic_times_us.get((author, topic), 0) < MIN_STATEMENT_GAP_US:
+        if statement.sequence_us - self._topic_times_us.get((author, topic), 0) < MIN_STATEMENT_INTERVAL_US:
             return []
         if (author, topic) not in self._topic_times_us and self._topics_of(author) >= MAX_TOPICS_PER_AUTHOR:
             self.counts["topics over the limit"] += 1
             return []
-        self._topic_times_us[author, topic] = statement.at_us
+        self._topic_times_us[author, topic] = statement.sequence_us
         self.dissemination.enqueue(BroadcastKind.TOPIC, statement, author, topic)
         return [TopicReceived(author, topic, broadcast.body, is_direct=False)]
 
@@ -270,7 +270,9 @@
         return sum(topic_author == author for topic_author, _ in self._topic_times_us)
 
     def _forget_dead(self, now_us: int) -> None:
-        forgotten = [peer for peer in self.members.dead() if now_us >= peer.since_us + DEAD_RETENTION_US]
+        forgotten = [
+            peer for peer in self.members.dead_peers() if now_us >= peer.state_changed_us + DEAD_RETENTION_US
+        ]
         for peer in forgotten:
             self.members.remove(peer)
             self.reports.pop(peer.name, None)
--- a/sidecar_proxy/gossip/credentials.py
+++ b/sidecar_proxy/gossip/credentials.py
@@ -21,8 +21,8 @@
 
     key: SigningKey
     certificate: Certificate
-    fleet: tuple[bytes, ...]  # public keys
-    revoked: frozenset[int]  # serials
+    fleet_keys: tuple[bytes, ...]  # public keys
+    revoked_serials: frozenset[int]  # serials
 
 
 def load(config: Gossip) -> Credentials:
@@ -32,9 +32,9 @@
     if key.verify_key.encode() != certificate.key:
         raise files.FileError("gossip.certificate_file: it is not of the key in gossip.key_file")
     public_keys = (public for path in config.fleet_keys for public in files.read_fleet_keys(path))
-    fleet = tuple(dict.fromkeys(public_keys))
-    revoked = files.read_revoked(config.revoked_file) if config.revoked_file else []
-    return Credentials(key, certificate, fleet, frozenset(revoked))
+    fleet_keys = tuple(dict.fromkeys(public_keys))
+    revoked_serials = files.read_revoked_serials(config.revoked_file) if config.revoked_file else []
+    return Credentials(key, certificate, fleet_keys, frozenset(revoked_serials))
 
 
 class CredentialsWatcher:
@@ -73,7 +73,7 @@
 
     def expiry_warning(self, wall_s: float) -> str:
         """Return a warning now and then once the certificate ends soon, else an empty string."""
-        left_s = self.current.certificate.until_s - wall_s
+        left_s = self.current.certificate.expires_s - wall_s
         if left_s > EXPIRY_WARNING_S or wall_s - self._warned_s < EXPIRY_WARNING_INTERVAL_S:
             return ""
         self._warned_s = wall_s
--- a/sidecar_proxy/gossip/files.py
+++ b/sidecar_proxy/gossip/files.py
@@ -83,7 +83,7 @@
         raise FileError(f"{path}: no certificate: {error}") from error
 
 
-def read_revoked(path: str) -> list[int]:
+def read_revoked_serials(path: str) -> list[int]:
     """Read the revoked serials; a file that does not exist revokes none. Raises FileError."""
     if not os.path.exists(path):
         return []
--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -31,7 +31,7 @@
 from sidecar_proxy.gossip.observations import LocalObservations
 from sidecar_proxy.gossip.outlier_reports import ReportAggregator
 
-REPORT_GAP_US = 100_000  # between two reports of this instance
+MIN_REPORT_INTERVAL_US = 100_000  # between two reports of this instance
 REVIEW_INTERVAL_US = 500_000  # between two reviews of what fades with time
 WEIGHT_STEP = 0.05  # a weight that has changed by less is not reported again
 STATE_ENVELOPE_BYTES = 2048  # of a state exchange beside its statements, at most
@@ -238,7 +238,7 @@
         return outputs + self._update_fleet_size(now_us)
 
     def _update_fleet_size(self, now_us: int) -> list[Output]:
-        living = self.core.members.living()
+        living = self.core.members.live_peers()
         instances = self._size_estimator.update(len(living) + 1, now_us)
         if instances == self.fleet_size.instances:
             return []
@@ -273,7 +273,7 @@
             return []
         self.wall_us = wall_us
         self._has_unpublished = False
-        self._next_report_us = now_us + REPORT_GAP_US
+        self._next_report_us = now_us + MIN_REPORT_INTERVAL_US
         return self.publish_report(self.observations.report(now_us), now_us)
 
     def _outputs(self, effects: list[Effect], now_us: int) -> list[Output]:
@@ -308,7 +308,7 @@
         affected = self.aggregator.add(received.author, received.site, received.report, now_us)
         outputs = self._update_weights(affected, now_us)
         for upstream in received.report.upstreams:
-            if upstream.consecutive_failures and self.observations.contradict(upstream.upstream, now_us):
+            if upstream.consecutive_failures and self.observations.contradict(upstream.name, now_us):
                 self._has_unpublished = True
         return outputs
 
--- a/sidecar_proxy/gossip/keys.py
+++ b/sidecar_proxy/gossip/keys.py
@@ -58,14 +58,14 @@
         self,
         key: SigningKey,
         certificate: Certificate,
-        fleet: Iterable[bytes],
-        revoked: Iterable[int] = (),
+        fleet_keys: Iterable[bytes],
+        revoked_serials: Iterable[int] = (),
         budget: VerificationBudget | None = None,
     ) -> None:
         self.key = key
         self.certificate = certificate
-        self.fleet_keys = [VerifyKey(public_key) for public_key in fleet]
-        self.revoked = frozenset(revoked)
+        self.fleet_keys = [VerifyKey(public_key) for public_key in fleet_keys]
+        self.revoked_serials = frozenset(revoked_serials)
         self.budget = budget or VerificationBudget()
         self.rejections: Counter[str] = Counter()
         self.replay_windows: OrderedDict[str, ReplayWindow] = OrderedDict()  # by author
@@ -73,13 +73,17 @@
         self._verified: OrderedDict[bytes, Certificate] = OrderedDict()  # certificates by signature
 
     def replace_credentials(
-        self, key: SigningKey, certificate: Certificate, fleet: Iterable[bytes], revoked: Iterable[int]
+        self,
+        key: SigningKey,
+        certificate: Certificate,
+        fleet_keys: Iterable[bytes],
+        revoked_serials: Iterable[int],
     ) -> None:
         """Use new credentials; certificates under the old fleet keys are verified again."""
         self.key = key
         self.certificate = certificate
-        self.revoked = frozenset(revoked)
-        self.fleet_keys = [VerifyKey(public_key) for public_key in fleet]
+        self.revoked_serials = frozenset(revoked_serials)
+        self.fleet_keys = [VerifyKey(public_key) for public_key in fleet_keys]
         self._verified.clear()
 
     # Signing
@@ -126,7 +130,7 @@
 
         `known` is the author's certificate, if the author is known; an Alive statement brings its own.
         """
-        if statement.at_us > wall_us + MAX_CLOCK_SKEW_US:
+        if statement.sequence_us > wall_us + MAX_CLOCK_SKEW_US:
             raise RejectedError(RejectionReason.CLOCK_SKEW)
         content = decode_or_reject(codec.statement_decoder, statement.body)
         certificate = known
@@ -139,15 +143,15 @@
         if certificate.name != statement.author:
             raise RejectedError(RejectionReason.WRONG_NAME)
         self.check_certificate(certificate, now_us, wall_us)
-        signed = codec.statement_signing_input(statement.author, statement.at_us, statement.body)
+        signed = codec.statement_signing_input(statement.author, statement.sequence_us, statement.body)
         self.verify(certificate.key, signed, statement.signature, now_us)
         return content
 
     def check_certificate(self, certificate: Certificate, now_us: int, wall_us: int) -> None:
         """Check that a certificate is valid, not revoked and signed by a fleet key. Raises RejectedError."""
-        if certificate.serial in self.revoked:
+        if certificate.serial in self.revoked_serials:
             raise RejectedError(RejectionReason.REVOKED)
-        if certificate.until_s * 1_000_000 < wall_us:
+        if certificate.expires_s * 1_000_000 < wall_us:
             raise RejectedError(RejectionReason.EXPIRED)
         if self._verified.get(certificate.signature) == certificate:
             return
@@ -189,7 +193,7 @@
         self, content: Packet | State, signature: bytes, payload: bytes, now_us: int, wall_us: int
     ) -> None:
         """Check the sender, the time, the replay window, the certificate and the signature, in this order."""
-        certificate, sequence_us = content.certificate, content.at_us
+        certificate, sequence_us = content.certificate, content.sequence_us
         if certificate.name == self.certificate.name and certificate.key == self.certificate.key:
             raise RejectedError(RejectionReason.OWN_PACKET)
         if abs(sequence_us - wall_us) > MAX_CLOCK_SKEW_US:
@@ -223,9 +227,9 @@
 
 
 def issue_certificate(
-    fleet: SigningKey, serial: int, name: str, site: str, key: bytes, until_s: int
+    fleet_key: SigningKey, serial: int, name: str, site: str, key: bytes, expires_s: int
 ) -> Certificate:
-    """Sign a certificate with the fleet key; `until_s` is the end of its validity in Unix time."""
-    unsigned = Certificate(serial, name, site, key, until_s, bytes(codec.SIGNATURE_BYTES))
-    signature = fleet.sign(codec.certificate_signing_input(unsigned)).signature
-    return Certificate(serial, name, site, key, until_s, signature)
+    """Sign a certificate with the fleet key; `expires_s` is the end of its validity in Unix time."""
+    unsigned = Certificate(serial, name, site, key, expires_s, bytes(codec.SIGNATURE_BYTES))
+    signature = fleet_key.sign(codec.certificate_signing_input(unsigned)).signature
+    return Certificate(serial, name, site, key, expires_s, signature)
--- a/sidecar_proxy/gossip/members.py
+++ b/sidecar_proxy/gossip/members.py
@@ -9,8 +9,8 @@
 
 from sidecar_proxy.gossip.codec import Certificate, SignedStatement
 
-URGENT_GAP_US = 300_000  # between two urgent relays of one author's reports
-URGENT_INTERVAL_US = 2_000_000  # the same on average, once the burst is used up
+MIN_URGENT_INTERVAL_US = 300_000  # between two urgent relays of one author's reports
+MEAN_URGENT_INTERVAL_US = 2_000_000  # the same on average, once the burst is used up
 URGENT_BURST = 4
 
 
@@ -33,7 +33,7 @@
     certificate: Certificate
     alive_statement: SignedStatement  # its latest Alive, as it was signed
     state: MemberState = MemberState.ALIVE
-    since_us: int = 0  # of the last change of state
+    state_changed_us: int = 0  # of the last change of state
     suspecters: set[str] = field(default_factory=set)  # authors of the suspicions of this incarnation
     last_urgent_us: int = 0  # when a report of its was last relayed urgently
     urgent_paced_until_us: int = 0  # theoretical arrival time of the rate limit below
@@ -44,13 +44,13 @@
 
         The rate limit is the generic cell rate algorithm (ITU-T I.371) with a minimum gap.
         """
-        paced_us = max(self.urgent_paced_until_us, now_us) - (URGENT_BURST - 1) * URGENT_INTERVAL_US
-        return max(self.last_urgent_us + URGENT_GAP_US, paced_us)
+        paced_us = max(self.urgent_paced_until_us, now_us) - (URGENT_BURST - 1) * MEAN_URGENT_INTERVAL_US
+        return max(self.last_urgent_us + MIN_URGENT_INTERVAL_US, paced_us)
 
     def record_urgent(self, now_us: int) -> None:
         """Count an urgent relay against the rate limit."""
         self.last_urgent_us = now_us
-        self.urgent_paced_until_us = max(self.urgent_paced_until_us, now_us) + URGENT_INTERVAL_US
+        self.urgent_paced_until_us = max(self.urgent_paced_until_us, now_us) + MEAN_URGENT_INTERVAL_US
 
 
 class MemberList(dict[str, Peer]):
@@ -60,7 +60,7 @@
         super().__init__()
         self.by_state: dict[MemberState, dict[str, Peer]] = {state: {} for state in MemberState}
         self.sites: Counter[str] = Counter()  # peers per site that are not dead
-        self._living: list[Peer] | None = None  # cached answer of `living`
+        self._live_peers: list[Peer] | None = None  # cached answer of `live_peers`
 
     def add(self, peer: Peer) -> None:
         """Add a peer whose name is not in the list."""
@@ -73,7 +73,7 @@
         self._count_site(peer.site, is_living=False, was_living=peer.state is not MemberState.DEAD)
         del self.by_state[peer.state][peer.name]
         peer.state = state
-        peer.since_us = now_us
+        peer.state_changed_us = now_us
         peer.site = site or peer.site
         self.by_state[state][peer.name] = peer
         self._count_site(peer.site, is_living=state is not MemberState.DEAD, was_living=False)
@@ -84,20 +84,20 @@
         del self.by_state[peer.state][peer.name]
         self._count_site(peer.site, is_living=False, was_living=peer.state is not MemberState.DEAD)
 
-    def living(self) -> list[Peer]:
+    def live_peers(self) -> list[Peer]:
         """Return the peers that are alive or suspect, in a list that the caller must not change."""
-        if self._living is None:
-            self._living = [
+        if self._live_peers is None:
+            self._live_peers = [
                 *self.by_state[MemberState.ALIVE].values(),
                 *self.by_state[MemberState.SUSPECT].values(),
             ]
-        return self._living
+        return self._live_peers
 
-    def suspects(self) -> Iterator[Peer]:
+    def suspected_peers(self) -> Iterator[Peer]:
         """Iterate over the suspect peers."""
         return iter(self.by_state[MemberState.SUSPECT].values())
 
-    def dead(self) -> Iterator[Peer]:
+    def dead_peers(self) -> Iterator[Peer]:
         """Iterate over the dead peers that are still remembered."""
         return iter(self.by_state[MemberState.DEAD].values())
 
@@ -107,4 +107,4 @@
         self.sites[site] += 1 if is_living else -1
         if not self.sites[site]:
             del self.sites[site]
-        self._living = None
+        self._live_peers = None
--- a/sidecar_proxy/gossip/outlier_reports.py
+++ b/sidecar_proxy/gossip/outlier_reports.py
@@ -56,9 +56,9 @@
         for upstream in report.upstreams:
             age_us = upstream.age_ms * 1000
             if age_us < WINDOW_US:
-                by_author = self.by_upstream.setdefault(upstream.upstream, {})
+                by_author = self.by_upstream.setdefault(upstream.name, {})
                 by_author[author] = ReceivedReport(site, upstream, now_us - age_us)
-        names = tuple(upstream.upstream for upstream in report.upstreams)
+        names = tuple(upstream.name for upstream in report.upstreams)
         self._upstreams_by_author[author] = names
         return [*affected, *(name for name in names if name not in affected)]
 
--- a/sidecar_proxy/gossip/probing.py
+++ b/sidecar_proxy/gossip/probing.py
@@ -139,7 +139,7 @@
 
     def _probe_dead(self) -> list[SendPacket]:
         """Ping one dead peer, as a partition may have healed; its silence changes nothing."""
-        dead = list(self._members.dead())
+        dead = list(self._members.dead_peers())
         if not dead:
             return []
         seq = self._next_seq()
@@ -165,7 +165,7 @@
         """Ask other peers to probe: the fault may lie in the path to the target (SWIM, section 3.1)."""
         candidates = [
             peer
-            for peer in self._members.living()
+            for peer in self._members.live_peers()
             if peer.name != probe.target and peer.state is MemberState.ALIVE
         ]
         helpers = self._rng.sample(candidates, min(INDIRECT_PROBES, len(candidates)))
--- a/sidecar_proxy/gossip/push_pull.py
+++ b/sidecar_proxy/gossip/push_pull.py
@@ -48,7 +48,7 @@
         join_seeds = min(len(self._seeds), JOIN_SEEDS)
         if self._exchanges < JOIN_ROUNDS * join_seeds:
             return self._seeds[self._exchanges % join_seeds]
-        living = self._members.living()
+        living = self._members.live_peers()
         if living and (not self._seeds or self._rng.random() < PEER_SHARE):
             return self._rng.choice(living).address
         if self._seeds:
@@ -57,5 +57,5 @@
 
     def _interval_us(self) -> int:
         backoff_us = JOIN_INTERVAL_US << min(self._exchanges, MAX_DOUBLINGS)
-        steady_us = PUSH_PULL_INTERVAL_US * max(1, len(self._members.living()) // PEERS_PER_INTERVAL)
+        steady_us = PUSH_PULL_INTERVAL_US * max(1, len(self._members.live_peers()) // PEERS_PER_INTERVAL)
         return min(backoff_us, steady_us)
--- a/sidecar_proxy/gossip/status.py
+++ b/sidecar_proxy/gossip/status.py
@@ -17,7 +17,7 @@
         "site": core.site,
         "address": list(instance.address),
         "serial": certificate.serial,
-        "until_s": certificate.until_s,
+        "until_s": certificate.expires_s,
         "incarnation": core.local.incarnation,
         "health": core.awareness.score,
         "instances": instance.fleet_size.instances,
@@ -42,7 +42,7 @@
         "life": peer.state.value,
         "accusers": sorted(peer.suspecters),
         "serial": peer.certificate.serial,
-        "until_s": peer.certificate.until_s,
+        "until_s": peer.certificate.expires_s,
     }
 
 
--- a/sidecar_proxy/gossip/subsystem.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -42,7 +42,7 @@
         except FileError as error:
             raise OperatorError(f"gossip: {error}") from error
         current = self._credentials.current
-        self.keyring = Keyring(current.key, current.certificate, current.fleet, current.revoked)
+        self.keyring = Keyring(current.key, current.certificate, current.fleet_keys, current.revoked_serials)
         self.transport: GossipTransport | None = None
         self.listeners: dict[str, Callable[[SubsystemMessage], None]] = {}  # other subsystems, by topic
         self._status_server: asyncio.Server | None = None
@@ -175,13 +175,13 @@
         assert self.transport is not None
         is_same_certificate = credentials.certificate == self.keyring.certificate
         self.keyring.replace_credentials(
-            credentials.key, credentials.certificate, credentials.fleet, credentials.revoked
+            credentials.key, credentials.certificate, credentials.fleet_keys, credentials.revoked_serials
         )
         log.info(
             "gossip: using certificate %d, %d fleet keys, %d revoked serials",
             credentials.certificate.serial,
-            len(credentials.fleet),
-            len(credentials.revoked),
+            len(credentials.fleet_keys),
+            len(credentials.revoked_serials),
         )
         if not is_same_certificate:
             now_us = self._engine.clock.now_us()
--- a/sidecar_proxy/gossip/suspicion.py
+++ b/sidecar_proxy/gossip/suspicion.py
@@ -88,7 +88,7 @@
 
     def expiry_times_us(self) -> list[int]:
         """Return when each suspicion expires."""
-        return [peer.since_us + self.timeout_us(peer) for peer in self._members.suspects()]
+        return [peer.state_changed_us + self.timeout_us(peer) for peer in self._members.suspected_peers()]
 
     def timeout_us(self, peer: Peer) -> int:
         """Return the suspicion timeout, which shrinks with each independent suspecter (LHA-Suspicion)."""
@@ -103,7 +103,9 @@
     def expire(self, now_us: int) -> list[MemberDied]:
         """Mark as dead the suspects whose timeout is over."""
         expired = [
-            peer for peer in self._members.suspects() if now_us >= peer.since_us + self.timeout_us(peer)
+            peer
+            for peer in self._members.suspected_peers()
+            if now_us >= peer.state_changed_us + self.timeout_us(peer)
         ]
         for peer in expired:
             self._members.set_state(peer, MemberState.DEAD, now_us)
--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -30,7 +30,7 @@
 log = logging.getLogger("sidecar_proxy")
 
 EXCHANGE_TIMEOUT_S = 2.0  # for a complete state exchange
-HEADER_BYTES = 4  # a length, or the magic of another protocol
+FRAME_HEADER_BYTES = 4  # a length, or the magic of another protocol
 MAX_PENDING_CONNECTIONS = 64  # accepted, but still without a header
 MAX_EXCHANGES = 4  # at a time; more are rejected
 STATEMENTS_PER_SLICE = 20  # verified without a break, about a millisecond
@@ -145,7 +145,7 @@
         self._pending_connections += 1
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
-                header = await reader.readexactly(HEADER_BYTES)
+                header = await reader.readexactly(FRAME_HEADER_BYTES)
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             writer.transport.abort()
             return
@@ -243,12 +243,12 @@
 
 def frame_message(data: bytes) -> bytes:
     """Return the data with its length before it."""
-    return len(data).to_bytes(HEADER_BYTES, "big") + data
+    return len(data).to_bytes(FRAME_HEADER_BYTES, "big") + data
 
 
 async def read_frame(reader: asyncio.StreamReader, max_bytes: int, header: bytes = b"") -> bytes:
     """Read one frame; `header` is its length if that has been read. Raises ValueError if it is too long."""
-    size = int.from_bytes(header or await reader.readexactly(HEADER_BYTES), "big")
+    size = int.from_bytes(header or await reader.readexactly(FRAME_HEADER_BYTES), "big")
     if size > max_bytes:
         raise ValueError("too large")
     return await reader.readexactly(size)
--- a/sidecar_proxy/gossip/urgent.py
+++ b/sidecar_proxy/gossip/urgent.py
@@ -91,7 +91,7 @@
         if not self._batch or now_us < self._batch_due_us:
             return []
         self._refill(now_us)
-        living = self._members.living()
+        living = self._members.live_peers()
         packets: list[SendPacket] = []
         while self._batch:
             statements = self._next_packet()
--- a/sidecar_proxy/testbed/client_fleet.py
+++ b/sidecar_proxy/testbed/client_fleet.py
@@ -51,7 +51,7 @@
         self.key = CheapKey()  # type: ignore[assignment]
 
     def check_certificate(self, certificate: Certificate, now_us: int, wall_us: int) -> None:
-        if certificate.serial in self.revoked:
+        if certificate.serial in self.revoked_serials:
             raise RejectedError("revoked")
 
     def verify(self, key: bytes, data: bytes, signature: bytes, now_us: int) -> None:
@@ -239,4 +239,4 @@
 
     def knows_all(self) -> bool:
         living = [one for one in self.all() if not one.stopped]
-        return all(len(one.instance.core.members.living()) == len(living) - 1 for one in living)
+        return all(len(one.instance.core.members.live_peers()) == len(living) - 1 for one in living)
--- a/tests/golden/forms.py
+++ b/tests/golden/forms.py
@@ -34,25 +34,25 @@
 
 FORMS: dict[str, Form] = {
     # gossip
-    "certificate": Form(codec.Certificate, "serial name site key until_s signature"),
+    "certificate": Form(codec.Certificate, "serial name site key until_s=expires_s signature"),
     "alive": Form(codec.Alive, "host port incarnation certificate"),
     "accusation": Form(codec.Suspect, "subject incarnation"),
     "count": Form(
         codec.UpstreamReport,
-        "node=upstream born_ms=started_ms attempts timed_out=timeouts reset=resets failed=errors"
+        "node=name born_ms=started_ms attempts timed_out=timeouts reset=resets failed=errors"
         " well=successes run=consecutive_failures age_ms",
     ),
     "bulletin": Form(codec.OutlierReport, "counts=upstreams"),
     "gossip_word": Form(codec.TopicBroadcast, "topic body"),
-    "signed": Form(codec.SignedStatement, "author at_us body signature"),
+    "signed": Form(codec.SignedStatement, "author at_us=sequence_us body signature"),
     "ping": Form(codec.Ping, "seq target"),
     "ack": Form(codec.Ack, "seq"),
     "nack": Form(codec.Nack, "seq"),
     "ask_ping": Form(codec.PingReq, "seq target"),
     "news": Form(codec.UrgentBroadcasts, ""),
     "note": Form(codec.TopicMessage, "topic body"),
-    "packet": Form(codec.Packet, "certificate at_us message rumours=broadcasts"),
-    "state": Form(codec.State, "certificate at_us statements"),
+    "packet": Form(codec.Packet, "certificate at_us=sequence_us message rumours=broadcasts"),
+    "state": Form(codec.State, "certificate at_us=sequence_us statements"),
     # agreement: Raft and its log
     "entry": Form(messages.Entry, "term index data voters"),
     "hard_state": Form(messages.HardState, "term vote"),
--- a/tests/golden/test_golden_files.py
+++ b/tests/golden/test_golden_files.py
@@ -209,7 +209,7 @@
     found = read_packet(golden_hex("frames/gossip-packet/ping.hex"))
     assert codec.certificate_signing_input(found.certificate) == golden_hex("signing/certificate.hex")
     alive = found.broadcasts[0]
-    signed = codec.statement_signing_input(alive.author, alive.at_us, alive.body)
+    signed = codec.statement_signing_input(alive.author, alive.sequence_us, alive.body)
     assert signed == golden_hex("signing/statement.hex")
 
 
@@ -329,10 +329,10 @@
     west = west_keyring().certificate
     own = east_keyring()
     own.check_certificate(west, 0, WALL_US)
-    own.check_certificate(west, 0, west.until_s * 1_000_000)
+    own.check_certificate(west, 0, west.expires_s * 1_000_000)
     with pytest.raises(RejectedError, match="expired"):
-        own.check_certificate(west, 0, west.until_s * 1_000_000 + 1)
-    own.revoked = frozenset(golden_json("keys/keys.json")["revoked"])
+        own.check_certificate(west, 0, west.expires_s * 1_000_000 + 1)
+    own.revoked_serials = frozenset(golden_json("keys/keys.json")["revoked"])
     with pytest.raises(RejectedError, match="revoked"):
         own.check_certificate(west, 0, WALL_US)
 
@@ -372,7 +372,7 @@
 
 
 def test_revoke_writes_the_golden_list(keys: Path) -> None:
-    assert files.read_revoked(str(keys / "revoked")) == golden_json("keys/keys.json")["revoked"]
+    assert files.read_revoked_serials(str(keys / "revoked")) == golden_json("keys/keys.json")["revoked"]
     again = keys / "revoked-again"
     assert command.main(["revoke", str(again), str(keys / "west.certificate")]) == 0
     assert command.main(["revoke", str(again), "--serial", "77"]) == 0
@@ -390,8 +390,8 @@
         )
     )
     assert_described(found.certificate, told["east_certificate"])
-    assert [one.hex() for one in found.fleet] == [told["fleet_public"]]
-    assert found.revoked == frozenset(told["revoked"])
+    assert [one.hex() for one in found.fleet_keys] == [told["fleet_public"]]
+    assert found.revoked_serials == frozenset(told["revoked"])
 
 
 # The agreed state's store
--- a/tests/gossip/sidecars.py
+++ b/tests/gossip/sidecars.py
@@ -29,7 +29,7 @@
 
     def know_each_other(self) -> bool:
         return all(
-            len(transport.instance.core.members.living()) == 1 for transport in (self.first, self.second)
+            len(transport.instance.core.members.live_peers()) == 1 for transport in (self.first, self.second)
         )
 
 
--- a/tests/gossip/test_core.py
+++ b/tests/gossip/test_core.py
@@ -56,7 +56,7 @@
     fleet.run(3.0)
     fleet.passes = lambda source, target: (source[1] < 1010) == (target[1] < 1010)
     fleet.run(40.0)
-    assert max(len(member.instance.core.members.living()) for member in fleet.all()) == 9
+    assert max(len(member.instance.core.members.live_peers()) for member in fleet.all()) == 9
     assert {member.sized for member in fleet.all()} == {20}
     fleet.passes = lambda source, target: True
     fleet.run(40.0)
@@ -82,7 +82,7 @@
         starved.asleep_until_us = fleet.now_us + 399_500
         fleet.run(0.4)
         worst_score = max(worst_score, starved.instance.core.awareness.score)
-        dead |= {peer.name for member in others for peer in member.instance.core.members.dead()}
+        dead |= {peer.name for member in others for peer in member.instance.core.members.dead_peers()}
     assert worst_score >= 2
     assert dead <= {"i7"}
 
@@ -93,7 +93,7 @@
     core = liar.instance.core
     for _ in range(40):
         fleet.run(1.0)
-        for peer in core.members.living():
+        for peer in core.members.live_peers():
             statement = liar.instance.sign(codec.Suspect(peer.name, peer.incarnation))
             core.dissemination.enqueue(BroadcastKind.SUSPECT, statement, core.name, peer.name)
     fleet.run(10.0)
--- a/tests/gossip/test_keys.py
+++ b/tests/gossip/test_keys.py
@@ -91,14 +91,14 @@
 
 def test_certificates_that_do_not_hold_are_rejected_by_their_reason() -> None:
     stranger, key, fleet = SigningKey(bytes([9]) * 32), SigningKey((1).to_bytes(32, "big")), FLEET.fleet_key
-    public, until_s = key.verify_key.encode(), WALL_S + 100
-    untrusted = issue_certificate(stranger, 2, "i1", "s0", public, until_s)
+    public, expires_s = key.verify_key.encode(), WALL_S + 100
+    untrusted = issue_certificate(stranger, 2, "i1", "s0", public, expires_s)
     assert rejection(empty_packet(untrusted, key)) == "not of this fleet"
     expired = issue_certificate(fleet, 2, "i1", "s0", public, WALL_S - 1)
     assert rejection(empty_packet(expired, key)) == "expired"
-    valid = issue_certificate(fleet, 2, "i1", "s0", public, until_s)
+    valid = issue_certificate(fleet, 2, "i1", "s0", public, expires_s)
     assert rejection(empty_packet(valid, stranger)) == "forged"
-    renamed = codec.Certificate(valid.serial, "i7", valid.site, valid.key, valid.until_s, valid.signature)
+    renamed = codec.Certificate(valid.serial, "i7", valid.site, valid.key, valid.expires_s, valid.signature)
     assert rejection(empty_packet(renamed, key)) == "not of this fleet"
 
 
@@ -120,9 +120,9 @@
     assert receiver.open_statement(statement, SENDER.certificate, 0, WALL_US)
     body, signature = statement.body, statement.signature
     for forged in (
-        codec.SignedStatement("i0", statement.at_us, body, signature),
-        codec.SignedStatement("i1", statement.at_us + 1, body, signature),
-        codec.SignedStatement("i1", statement.at_us, body[:-1] + b"\x08", signature),
+        codec.SignedStatement("i0", statement.sequence_us, body, signature),
+        codec.SignedStatement("i1", statement.sequence_us + 1, body, signature),
+        codec.SignedStatement("i1", statement.sequence_us, body[:-1] + b"\x08", signature),
     ):
         with pytest.raises(RejectedError):
             receiver.open_statement(forged, SENDER.certificate, 0, WALL_US)
@@ -216,11 +216,11 @@
     fleet = Fleet(3, 1)
     fleet.run(1.0)
     liar, target = fleet.at(1).instance, fleet.at(2).instance
-    at_us = fleet.wall_us() + offset_us
+    sequence_us = fleet.wall_us() + offset_us
     statements = []
     for body in bodies:
-        signature = liar.keyring.key.sign(codec.statement_signing_input("i1", at_us, body)).signature
-        statements.append(codec.SignedStatement("i1", at_us, body, signature))
+        signature = liar.keyring.key.sign(codec.statement_signing_input("i1", sequence_us, body)).signature
+        statements.append(codec.SignedStatement("i1", sequence_us, body, signature))
     data = liar.keyring.seal_packet(UrgentBroadcasts(), statements[: codec.MAX_BROADCASTS], fleet.wall_us())
     outputs = target.receive(data, ("10.0.0.1", 1001), fleet.now_us, fleet.wall_us())
     assert all(isinstance(output, Datagram) for output in outputs)
--- a/tests/gossip/test_members.py
+++ b/tests/gossip/test_members.py
@@ -11,9 +11,9 @@
 from sidecar_proxy.gossip.broadcasts import MAX_PIGGYBACKED_BYTES, BroadcastQueue, encoded_size
 from sidecar_proxy.gossip.codec import Certificate, SignedStatement
 from sidecar_proxy.gossip.members import (
+    MEAN_URGENT_INTERVAL_US,
+    MIN_URGENT_INTERVAL_US,
     URGENT_BURST,
-    URGENT_GAP_US,
-    URGENT_INTERVAL_US,
     MemberList,
     MemberState,
     Peer,
@@ -48,11 +48,11 @@
             members.set_state(peer, state, now_us, site)
         living = [peer.name for peer in members.values() if peer.state is not MemberState.DEAD]
         suspects = {peer.name for peer in members.values() if peer.state is MemberState.SUSPECT}
-        assert sorted(peer.name for peer in members.living()) == sorted(living)
+        assert sorted(peer.name for peer in members.live_peers()) == sorted(living)
         assert members.sites == Counter(members[name].site for name in living)
         assert 0 not in members.sites.values()
-        assert {peer.name for peer in members.suspects()} == suspects
-        assert {peer.name for peer in members.dead()} == set(members) - set(living)
+        assert {peer.name for peer in members.suspected_peers()} == suspects
+        assert {peer.name for peer in members.dead_peers()} == set(members) - set(living)
 
 
 @given(
@@ -90,11 +90,11 @@
     relayed_us = list[int]()
     for gap_us in gaps_us:
         now_us += gap_us
-        assert peer.next_urgent_us(now_us) - now_us <= URGENT_INTERVAL_US  # no report starves
+        assert peer.next_urgent_us(now_us) - now_us <= MEAN_URGENT_INTERVAL_US  # no report starves
         if now_us >= peer.next_urgent_us(now_us):
             peer.record_urgent(now_us)
             relayed_us.append(now_us)
-    assert all(later - earlier >= URGENT_GAP_US for earlier, later in pairwise(relayed_us))
+    assert all(later - earlier >= MIN_URGENT_INTERVAL_US for earlier, later in pairwise(relayed_us))
     for index, start_us in enumerate(relayed_us):
         within = sum(start_us <= at_us < start_us + 20_000_000 for at_us in relayed_us[index:])
-        assert within <= URGENT_BURST + 20_000_000 // URGENT_INTERVAL_US
+        assert within <= URGENT_BURST + 20_000_000 // MEAN_URGENT_INTERVAL_US
--- a/tests/gossip/test_outlier_reports.py
+++ b/tests/gossip/test_outlier_reports.py
@@ -120,7 +120,7 @@
 
 
 def reported_names(observations: LocalObservations, now_us: int) -> list[str]:
-    return [upstream.upstream for upstream in observations.report(now_us).upstreams]
+    return [upstream.name for upstream in observations.report(now_us).upstreams]
 
 
 def test_report_has_failing_upstreams_first_and_never_more_than_fit() -> None:
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -11,7 +11,7 @@
 import pytest
 
 from sidecar_proxy.gossip import transport as transport_module
-from sidecar_proxy.gossip.transport import HEADER_BYTES, MAX_EXCHANGES, wall_clock_us
+from sidecar_proxy.gossip.transport import FRAME_HEADER_BYTES, MAX_EXCHANGES, wall_clock_us
 from sidecar_proxy.testbed.gossip import Keys
 from tests.gossip.sidecars import transport_pair, until
 from tests.sockets import LONG_S
@@ -71,7 +71,7 @@
     async def scenario() -> None:
         async with transport_pair(keys) as pair:
             data = keys.keyring("i9", "s").seal_state([], wall_clock_us())
-            frame = len(data).to_bytes(HEADER_BYTES, "big") + data
+            frame = len(data).to_bytes(FRAME_HEADER_BYTES, "big") + data
             address = pair.first.instance.address
             stalls = [stall_until_closed(address, stall, frame) for _ in range(MAX_EXCHANGES)]
             await asyncio.wait_for(asyncio.gather(*stalls), LONG_S)
@@ -87,7 +87,7 @@
             first = pair.first
             await until(lambda: pair.know_each_other() and not first.exchanges)
             address = first.instance.address
-            header = (100).to_bytes(HEADER_BYTES, "big")
+            header = (100).to_bytes(FRAME_HEADER_BYTES, "big")
             writers = [(await asyncio.open_connection(*address))[1] for _ in range(MAX_EXCHANGES)]
             for writer in writers:
                 writer.write(header)
@@ -116,6 +116,6 @@
                 udp.sendto(rng.randbytes(size))
             await until(lambda: pair.first.instance.keyring.rejections.total() >= 5)
             udp.close()
-            assert len(pair.first.instance.core.members.living()) == 1
+            assert len(pair.first.instance.core.members.live_peers()) == 1
 
     asyncio.run(scenario())
