--- a/sidecar_proxy/gossip/broadcasts.py
+++ b/sidecar_proxy/gossip/broadcasts.py
@@ -1,6 +1,6 @@
-"""The queue of broadcasts that are piggybacked on packets: those that were sent least go first (SWIM, 4.1).
+"""The queue of broadcasts that are piggybacked on packets, fewest transmissions first (SWIM, section 4.1).
 
-Selecting the broadcasts of a packet costs the same however many are queued.
+The cost of selecting the broadcasts of a packet does not depend on the length of the queue.
 """
 
 from __future__ import annotations
@@ -9,28 +9,28 @@
 
 from sidecar_proxy.gossip.codec import SignedStatement
 
-MAX_PIGGYBACKED = 6  # broadcasts on one packet
-MAX_PIGGYBACKED_BYTES = 900  # of broadcasts on one packet
-STATEMENT_OVERHEAD_BYTES = 84  # signature, time and headers of a SignedStatement, at most
+MAX_PIGGYBACKED = 6  # maximum number of broadcasts on one packet
+MAX_PIGGYBACKED_BYTES = 900  # maximum size of the broadcasts on one packet
+MAX_STATEMENT_OVERHEAD_BYTES = 84  # signature, time and headers of a SignedStatement
 BroadcastKey = tuple[str, ...]
 
 
 @dataclass(slots=True)
 class QueuedBroadcast:
-    """A statement in the queue."""
+    """A statement in the queue, with the number of its transmissions so far."""
 
     statement: SignedStatement
     transmissions: int = 0
-    is_deferred: bool = False  # yields to others: at a start there are as many joins as instances
+    is_deferred: bool = False  # sent after others with as many transmissions; for joins, as many come at once
 
     @property
     def rank(self) -> int:
-        """Order in the queue: lower goes first."""
+        """The position in the order of transmission; the lowest rank is sent first."""
         return 2 * self.transmissions + self.is_deferred
 
 
 class BroadcastQueue:
-    """The queued broadcasts, one for each key."""
+    """The queued broadcasts, at most one per key."""
 
     def __init__(self) -> None:
         self.by_key: dict[BroadcastKey, QueuedBroadcast] = {}
@@ -40,9 +40,10 @@
         return len(self.by_key)
 
     def put(self, key: BroadcastKey, statement: SignedStatement, is_deferred: bool = False) -> None:
-        """Queue a statement in place of the one that has its key.
+        """Queue a statement; it replaces the queued one with the same key.
 
-        A statement that no packet can hold is left to state exchanges: it would block all others.
+        A statement that is too large for any packet is not queued, as it would block all others. Peers get it
+        by state exchanges.
         """
         if key in self.by_key:
             self._remove(key)
@@ -51,12 +52,12 @@
         self._insert(key, QueuedBroadcast(statement, is_deferred=is_deferred))
 
     def clear(self) -> None:
-        """Remove all broadcasts."""
+        """Remove all broadcasts from the queue."""
         self.by_key.clear()
         self._by_rank.clear()
 
     def take(self, max_count: int, max_bytes: int, transmit_limit: int) -> list[SignedStatement]:
-        """Return the broadcasts of one packet; each leaves the queue at its last transmission."""
+        """Return the broadcasts of one packet; each is removed after `transmit_limit` transmissions."""
         chosen = self._select(max_count, max_bytes)
         for key, broadcast in chosen:
             self._remove(key)
@@ -89,5 +90,5 @@
 
 
 def encoded_size(statement: SignedStatement) -> int:
-    """Return the bytes that a statement takes on a packet, at most."""
-    return len(statement.body) + len(statement.author) + STATEMENT_OVERHEAD_BYTES
+    """Return the maximum size of an encoded statement in bytes."""
+    return len(statement.body) + len(statement.author) + MAX_STATEMENT_OVERHEAD_BYTES
--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -126,7 +126,7 @@
             rng,
             now_us,
             self.sign,
-            self._alive,
+            self._make_alive,
             incarnation=wall_us // 1000,
         )
 
@@ -248,7 +248,7 @@
 
     # Effects
 
-    def _alive(self, incarnation: int) -> Alive:
+    def _make_alive(self, incarnation: int) -> Alive:
         return Alive(*self.address, incarnation, self.keyring.certificate)
 
     def _apply_statements(
--- a/sidecar_proxy/gossip/observations.py
+++ b/sidecar_proxy/gossip/observations.py
@@ -1,4 +1,7 @@
-"""What this instance has observed of upstreams, and the outlier report that it makes of it. Pure."""
+"""Outcomes of this instance's attempts by upstream, and the outlier report that is made from them.
+
+Times are passed in; the module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -14,31 +17,31 @@
     UpstreamReport,
 )
 
-WINDOW_US = 10_000_000  # observations and reports count so long
-FULL_VOTE_FAILURES = 2  # consecutive failures that make a full vote
-MAX_UPSTREAMS = 4096  # remembered; the oldest are dropped
-UPSTREAM_REPORT_BYTES = 50  # on the wire, at most, beside the upstream's name
-MAX_REPORT_BYTES = 740  # so that the report fits on any packet
-RESERVED_FOR_CONTRADICTIONS = 2  # places of a report that healthy upstreams may take
+WINDOW_US = 10_000_000  # age after which observations and reports are ignored
+FULL_VOTE_FAILURES = 2  # consecutive failures after which a report says that an upstream certainly fails
+MAX_UPSTREAMS = 4096  # maximum number of upstreams with observations; the oldest are evicted
+MAX_UPSTREAM_REPORT_BYTES = 50  # maximum encoded size of an UpstreamReport beside its name
+MAX_REPORT_BYTES = 740  # maximum encoded size of an outlier report, so that it fits on any packet
+RESERVED_FOR_CONTRADICTIONS = 2  # entries of a report that are reserved for healthy upstreams
 FAILURES = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR})
 
 
 @dataclass(slots=True)
 class UpstreamObservation:
-    """The attempts to one upstream since it started or since the window began."""
+    """Counts of the attempts to one upstream in the current window."""
 
-    started_ms: int
-    since_us: int
+    started_ms: int  # start of the upstream, Unix time; a restart begins a new window
+    window_started_us: int
     timeouts: int = 0
-    resets: int = 0  # failed connections included
+    resets: int = 0  # including connections that could not be opened
     errors: int = 0
     successes: int = 0
     consecutive_failures: int = 0
-    last_us: int = 0  # end of the last attempt
+    last_attempt_us: int = 0  # end of the last attempt
 
     @property
     def attempts(self) -> int:
-        """Attempts that count: those that have reached the upstream or failed on the way."""
+        """The number of attempts that reached the upstream or failed on the way to it."""
         return self.timeouts + self.resets + self.errors + self.successes
 
     def record_failure(self, outcome: Outcome) -> None:
@@ -53,18 +56,18 @@
 
 
 class LocalObservations:
-    """This instance's observations by upstream name."""
+    """This instance's observations of all upstreams."""
 
     def __init__(self) -> None:
-        self.upstreams: dict[str, UpstreamObservation] = {}
-        self.contradicted: dict[str, None] = {}  # reported by others, but healthy here; in order of arrival
+        self.upstreams: dict[str, UpstreamObservation] = {}  # by name, the oldest window first
+        self.contradicted: dict[str, None] = {}  # upstreams that fail for others but not here, oldest first
 
     def record(self, upstream: str, started_ms: int, outcome: Outcome, now_us: int) -> bool:
         """Record the outcome of an attempt.
 
-        Returns True if the others should learn of it at once: the upstream begins to fail, or has recovered.
-        Attempts that never ran or were cancelled, and upstreams whose name is too long to report, do not
-        count.
+        Returns True if it should be reported at once: the upstream has begun to fail or has recovered.
+        Attempts that were cancelled or never sent, and upstreams whose name is too long for a report, are
+        ignored.
         """
         is_failure = outcome is not Outcome.OK
         if (is_failure and outcome not in FAILURES) or len(upstream) > MAX_NAME_LENGTH:
@@ -73,10 +76,10 @@
         if (
             observation is None
             or observation.started_ms != started_ms
-            or now_us - observation.since_us > WINDOW_US
+            or now_us - observation.window_started_us > WINDOW_US
         ):
             observation = self._start_window(upstream, started_ms, now_us)
-        observation.last_us = now_us
+        observation.last_attempt_us = now_us
         if is_failure:
             observation.record_failure(outcome)
             return observation.consecutive_failures <= FULL_VOTE_FAILURES
@@ -86,16 +89,17 @@
         return is_recovery
 
     def contradict(self, upstream: str, now_us: int) -> bool:
-        """Note that others report an upstream as failing.
+        """Handle a peer's report that an upstream fails.
 
-        Returns True if this instance has a recent success that it should report, and has not yet noted it.
+        Returns True if this instance should now report the upstream as healthy: its last attempt was a recent
+        success, and no earlier call has returned True for it.
         """
         observation = self.upstreams.get(upstream)
         if (
             observation is None
             or observation.consecutive_failures > 0
             or not observation.successes
-            or now_us - observation.last_us >= WINDOW_US
+            or now_us - observation.last_attempt_us >= WINDOW_US
             or upstream in self.contradicted
         ):
             return False
@@ -103,15 +107,15 @@
         return True
 
     def retain_contradicted(self, reported: Container[str]) -> None:
-        """Drop the contradictions of upstreams that nobody reports any more."""
+        """Remove the contradicted upstreams that no peer reports any more."""
         self.contradicted = {name: None for name in self.contradicted if name in reported}
 
     def report(self, now_us: int) -> OutlierReport:
-        """Make a report: failing upstreams first, then those that others are wrong about, latest first."""
+        """Make a report: failing upstreams, then contradicted ones, each with the latest attempt first."""
         recent = [
             (name, observation)
             for name, observation in self.upstreams.items()
-            if now_us - observation.last_us <= WINDOW_US
+            if now_us - observation.last_attempt_us <= WINDOW_US
         ]
         failing = [pair for pair in recent if pair[1].consecutive_failures > 0]
         healthy = [
@@ -126,7 +130,7 @@
         return OutlierReport([_upstream_report(name, observation, now_us) for name, observation in chosen])
 
     def _start_window(self, upstream: str, started_ms: int, now_us: int) -> UpstreamObservation:
-        """Start counting anew; a run of failures goes on unless the upstream has restarted."""
+        """Start a new window; consecutive failures are carried over unless the upstream has restarted."""
         previous = self.upstreams.pop(upstream, None)
         consecutive_failures = 0
         if previous is not None and previous.started_ms == started_ms:
@@ -139,11 +143,11 @@
 
 
 def _last_attempt_us(pair: tuple[str, UpstreamObservation]) -> int:
-    return pair[1].last_us
+    return pair[1].last_attempt_us
 
 
 def _report_bytes(names: list[str]) -> int:
-    return sum(len(name.encode()) + UPSTREAM_REPORT_BYTES for name in names)
+    return sum(len(name.encode()) + MAX_UPSTREAM_REPORT_BYTES for name in names)
 
 
 def _upstream_report(name: str, observation: UpstreamObservation, now_us: int) -> UpstreamReport:
@@ -156,5 +160,5 @@
         observation.errors,
         observation.successes,
         observation.consecutive_failures,
-        (now_us - observation.last_us) // 1000,
+        (now_us - observation.last_attempt_us) // 1000,
     )
