--- a/sidecar_proxy/gossip/codec.py
+++ b/sidecar_proxy/gossip/codec.py
@@ -1,7 +1,8 @@
-"""The wire format: bounded MessagePack arrays in a signed envelope. Pure.
+"""The wire format: bounded MessagePack arrays in a signed envelope. The module does no I/O.
 
-A datagram or a state exchange is `wg`, a version byte, a 64-byte Ed25519 signature, and the payload that is
-signed. A statement that other instances relay for its author (`SignedStatement`) carries its own signature.
+A datagram, or one side of a state exchange, consists of `wg`, a version byte, a 64-byte Ed25519 signature and
+the signed payload. A statement that other instances relay for its author (`SignedStatement`) has its own
+signature.
 
 The structs are encoded as arrays with integer tags: the order, the types, the limits and the tags are the
 wire format, the names of classes and fields are not.
@@ -17,14 +18,14 @@
 MAGIC = b"wg\x01"
 SIGNATURE_BYTES = 64
 ENVELOPE_HEADER_BYTES = len(MAGIC) + SIGNATURE_BYTES
-MAX_PACKET_BYTES = 1300  # of a datagram, so that common links do not fragment it
-MAX_STATE_BYTES = 512 * 1024  # of one side of a state exchange
-MAX_BROADCASTS = 8  # of one packet
-MAX_REPORTED_UPSTREAMS = 8  # of one outlier report
+MAX_PACKET_BYTES = 1300  # maximum size of a datagram, so that common links do not fragment it
+MAX_STATE_BYTES = 512 * 1024  # maximum size of one side of a state exchange
+MAX_BROADCASTS = 8  # maximum number of broadcasts on one packet
+MAX_REPORTED_UPSTREAMS = 8  # maximum number of upstreams in one outlier report
 MAX_TOPIC_BODY_BYTES = 512
 MAX_NAME_LENGTH = 64
-MAX_INTEGER = 2**53  # of incarnations, times and counters
-MAX_STATEMENTS = 5000  # of one side of a state exchange
+MAX_INTEGER = 2**53  # maximum of incarnations, times and counters
+MAX_STATEMENTS = 5000  # maximum number of statements of one side of a state exchange
 MAX_ERROR_LENGTH = 100
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
@@ -36,18 +37,18 @@
 
 
 class Certificate(msgspec.Struct, array_like=True, frozen=True):
-    """The fleet key's confirmation that a public key belongs to an instance."""
+    """A statement signed by the fleet key: a public key belongs to the instance of a name and a site."""
 
     serial: Unsigned
     name: Name
     site: Name
-    key: Key
-    expires_s: Unsigned  # end of validity, Unix time
-    signature: Signature  # by the fleet key, over the other fields
+    key: Key  # public key of the instance
+    expires_s: Unsigned  # Unix time
+    signature: Signature  # of the other fields by the fleet key
 
 
 class Alive(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """An instance's statement about itself: its address. A higher incarnation refutes a suspicion."""
+    """An instance's statement of its own address. A higher incarnation refutes a suspicion."""
 
     host: Name
     port: Port
@@ -56,34 +57,34 @@
 
 
 class Suspect(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """A statement about another instance: it does not answer the author's probes."""
+    """A statement that another instance does not answer the author's probes."""
 
     subject: Name
     incarnation: Unsigned
 
 
 class UpstreamReport(msgspec.Struct, array_like=True, frozen=True):
-    """What one instance has observed of one upstream, since that upstream's start, within the window."""
+    """Counts of one instance's attempts to one upstream since the upstream's start, within the window."""
 
     name: Name
-    started_ms: Unsigned  # the upstream's start, Unix time
+    started_ms: Unsigned  # start of the upstream, Unix time
     attempts: Unsigned
     timeouts: Unsigned
-    resets: Unsigned  # failed connections included
+    resets: Unsigned  # including connections that could not be opened
     errors: Unsigned  # error responses
     successes: Unsigned
     consecutive_failures: Unsigned
-    age_ms: Unsigned  # between the end of the last attempt and the report
+    age_ms: Unsigned  # time from the end of the last attempt to the report
 
 
 class OutlierReport(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """An instance's observations of upstreams; replaces its author's previous report."""
+    """An instance's observations of upstreams. It replaces the author's previous report."""
 
     upstreams: Annotated[list[UpstreamReport], Meta(max_length=MAX_REPORTED_UPSTREAMS)]
 
 
 class TopicBroadcast(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """Another subsystem's message to every instance; replaces its author's previous one on the topic."""
+    """A message of another subsystem to all instances. It replaces the author's previous one on the topic."""
 
     topic: Name
     body: Annotated[bytes, Meta(max_length=MAX_TOPIC_BODY_BYTES)]
@@ -93,16 +94,16 @@
 
 
 class SignedStatement(msgspec.Struct, array_like=True, frozen=True):
-    """An encoded statement with its author's signature; `sequence_us` orders the statements of one author."""
+    """An encoded statement with its author's signature. `sequence_us` orders the statements of one author."""
 
     author: Name
-    sequence_us: Unsigned  # Unix time
+    sequence_us: Unsigned  # Unix time, increasing with each signature of the author
     body: Body
     signature: Signature
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A probe. The target is named, as another process may have its address by now."""
+    """A probe. It names the target, as another process may have taken over the target's address."""
 
     seq: Unsigned
     target: Name
@@ -128,11 +129,11 @@
 
 
 class UrgentBroadcasts(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """A packet that exists for its broadcasts alone; receivers relay at once those that are new."""
+    """An empty message, whose packet has only broadcasts; receivers relay the new ones at once."""
 
 
 class TopicMessage(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """Another subsystem's message to the receiver alone."""
+    """A message of another subsystem to the receiver only."""
 
     topic: Name
     body: Annotated[bytes, Meta(max_length=MAX_TOPIC_BODY_BYTES)]
@@ -142,7 +143,7 @@
 
 
 class Packet(msgspec.Struct, array_like=True, frozen=True):
-    """The payload of a datagram: one message and the broadcasts that it carries."""
+    """The payload of a datagram: one message, and the broadcasts that are piggybacked on it."""
 
     certificate: Certificate
     sequence_us: Unsigned
@@ -162,7 +163,7 @@
 
 
 class CodecError(ValueError):
-    """The bytes do not have the expected form; the message is one line."""
+    """Bytes that can't be decoded. The message is one line."""
 
 
 encode = msgspec.msgpack.Encoder().encode
@@ -175,17 +176,17 @@
 def split_envelope(data: bytes, max_bytes: int) -> tuple[bytes, bytes]:
     """Return the signature and the payload of an envelope. Raises CodecError."""
     if not ENVELOPE_HEADER_BYTES < len(data) <= max_bytes or not data.startswith(MAGIC):
-        raise CodecError("no packet of this version")
+        raise CodecError("expected an envelope of version 1 and of a valid size")
     return data[len(MAGIC) : ENVELOPE_HEADER_BYTES], data[ENVELOPE_HEADER_BYTES:]
 
 
 def join_envelope(signature: bytes, payload: bytes) -> bytes:
-    """Return the envelope of a signature and a payload."""
+    """Return the envelope that has a signature and a payload."""
     return MAGIC + signature + payload
 
 
 def decode(decoder: msgspec.msgpack.Decoder[Decoded], data: bytes) -> Decoded:
-    """Decode with one of the decoders above. Raises CodecError."""
+    """Decode bytes with one of the decoders above. Raises CodecError."""
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -193,7 +194,7 @@
 
 
 def certificate_signing_input(certificate: Certificate) -> bytes:
-    """Return the bytes that the fleet key signs."""
+    """Return the bytes of a certificate that the fleet key signs."""
     fields = [
         certificate.serial,
         certificate.name,
@@ -205,5 +206,5 @@
 
 
 def statement_signing_input(author: str, sequence_us: int, body: bytes) -> bytes:
-    """Return the bytes that the author of a statement signs."""
+    """Return the bytes of a statement that its author signs."""
     return b"wickspread statement" + encode([author, sequence_us, body])
--- a/sidecar_proxy/gossip/effects.py
+++ b/sidecar_proxy/gossip/effects.py
@@ -1,4 +1,4 @@
-"""The effects that the SWIM core returns for its caller to carry out."""
+"""The effects that the SWIM core returns and its caller carries out."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from sidecar_proxy.gossip.codec import Message, OutlierReport, SignedStatement
 
-Address = tuple[str, int]  # host and port
+Address = tuple[str, int]  # IP address and port
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReportReceived:
-    """A new outlier report of a peer has come."""
+    """A new outlier report of a peer was received."""
 
     author: str
     site: str
@@ -36,14 +36,14 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberDied:
-    """A peer is dead: its reports count no more."""
+    """A peer is now dead, so its reports must be removed."""
 
     name: str
 
 
 @dataclass(slots=True, frozen=True)
 class TopicReceived:
-    """A peer's message for another subsystem has come, to all instances or to this one alone."""
+    """A peer's message for another subsystem was received; it is direct if sent to this instance only."""
 
     author: str
     topic: str
--- a/sidecar_proxy/gossip/files.py
+++ b/sidecar_proxy/gossip/files.py
@@ -1,4 +1,4 @@
-"""Keys, certificates and the revocation list as files: hexadecimal digits, or one serial a line."""
+"""Files of keys and certificates (hexadecimal digits) and of the revocation list (one serial per line)."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 MAX_FILE_BYTES = 1024 * 1024
 KEY_BYTES = 32
-MAX_FLEET_KEYS = 4  # each costs a verification for a certificate that none of them has signed
+MAX_FLEET_KEYS = 4  # each costs one verification of a certificate that no fleet key has signed
 
 
 class FileError(Exception):
-    """A file can't be used; the message is one line that names it."""
+    """A file that can't be used. The message is one line that names the file."""
 
 
 def read_text(path: str) -> str:
@@ -45,7 +45,7 @@
 
 
 def read_private_key(path: str) -> SigningKey:
-    """Read a private key that only its owner may read. Raises FileError."""
+    """Read a private key. Raises FileError, also if group or others have access to the file."""
     seed = read_hex(path)
     if len(seed) != KEY_BYTES:
         raise FileError(f"{path}: expected 64 hexadecimal digits of a private key")
@@ -63,7 +63,7 @@
 
 
 def read_fleet_keys(path: str) -> list[bytes]:
-    """Read the fleet's public keys, one a line; there are two during a rotation. Raises FileError."""
+    """Read the public keys of the fleet, one per line; there are two during a rotation. Raises FileError."""
     try:
         keys = [bytes.fromhex(line) for line in read_text(path).split()]
     except ValueError as error:
@@ -84,7 +84,7 @@
 
 
 def read_revoked_serials(path: str) -> list[int]:
-    """Read the revoked serials; a file that does not exist revokes none. Raises FileError."""
+    """Read the revoked serials; there are none if the file does not exist. Raises FileError."""
     if not os.path.exists(path):
         return []
     lines = [line.partition("#")[0].strip() for line in read_text(path).splitlines()]
@@ -95,7 +95,10 @@
 
 
 def write_file(path: str, text: str, secret: bool = False, replace: bool = False) -> None:
-    """Write a file atomically; one that exists stays unless `replace` is set. Raises FileError."""
+    """Write a file atomically. Raises FileError, also if it exists and `replace` is not set.
+
+    `secret` makes the file readable for its owner only.
+    """
     partial_path = f"{path}.part"
     try:
         with contextlib.suppress(FileNotFoundError):
--- a/sidecar_proxy/gossip/fleet_size.py
+++ b/sidecar_proxy/gossip/fleet_size.py
@@ -1,35 +1,35 @@
-"""A damped estimate of the fleet's size, for the decisions that divide by it. Pure."""
+"""A damped estimate of the fleet's size, for decisions that divide by it. Times are passed in."""
 
 from __future__ import annotations
 
-SHRINK_DELAY_US = 300_000_000
+SHRINK_DELAY_US = 300_000_000  # time for which the live number must be lower before the estimate falls
 
 
 class FleetSizeEstimator:
-    """The number of live instances: rises at once, falls late and never below a floor.
+    """An estimate of the number of instances that rises at once, falls after a delay, and has a minimum.
 
-    Half of a partition would otherwise take itself for the whole fleet. After the delay the estimate falls to
-    the highest number seen during it.
+    Without the delay, each side of a partition would take itself for the complete fleet. After the delay the
+    estimate falls to the highest live number during the delay.
     """
 
-    def __init__(self, floor: int) -> None:
-        self._floor = floor
-        self._estimate = floor
-        self._below_since_us = 0  # 0 = the live number is not below the estimate
-        self._max_since = 0  # highest live number since then
+    def __init__(self, min_instances: int) -> None:
+        self._min_instances = min_instances
+        self._estimate = min_instances
+        self._below_since_us = 0  # start of the delay; 0 = the live number is not below the estimate
+        self._max_live_since = 0  # highest live number since the start of the delay
 
     def update(self, live: int, now_us: int) -> int:
-        """Take the live number, this instance included, and return the estimate."""
-        live = max(live, self._floor)
+        """Update the estimate with the number of live instances, including this one, and return it."""
+        live = max(live, self._min_instances)
         if live >= self._estimate:
             self._estimate = live
             self._below_since_us = 0
         elif not self._below_since_us:
             self._below_since_us = now_us
-            self._max_since = live
+            self._max_live_since = live
         else:
-            self._max_since = max(self._max_since, live)
+            self._max_live_since = max(self._max_live_since, live)
             if now_us - self._below_since_us >= SHRINK_DELAY_US:
-                self._estimate = self._max_since
+                self._estimate = self._max_live_since
                 self._below_since_us = 0
         return self._estimate
--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -1,7 +1,8 @@
-"""One gossip instance: keyring, SWIM core, observations and outlier reports together. Pure.
+"""One gossip instance: combines the keyring, the SWIM core, the observations and the outlier reports.
 
-Datagrams, outcomes of attempts and times come in; datagrams, outlier weights and the fleet's size go out.
-Times are microseconds: `now_us` of a monotonic clock, `wall_us` of the wall clock.
+The module does no I/O. The caller passes in datagrams, outcomes of attempts and times; the instance returns
+datagrams, outlier weights, the fleet's size and messages for other subsystems. Times are microseconds:
+`now_us` of a monotonic clock, `wall_us` of the wall clock.
 """
 
 from __future__ import annotations
@@ -31,12 +32,12 @@
 from sidecar_proxy.gossip.observations import LocalObservations
 from sidecar_proxy.gossip.outlier_reports import ReportAggregator
 
-MIN_REPORT_INTERVAL_US = 100_000  # between two reports of this instance
-REVIEW_INTERVAL_US = 500_000  # between two reviews of what fades with time
-WEIGHT_STEP = 0.05  # a weight that has changed by less is not reported again
-STATE_ENVELOPE_BYTES = 2048  # of a state exchange beside its statements, at most
-# rejections that a well-behaved sender can cause: they do not count as forgeries
-INNOCENT_REJECTIONS = frozenset(
+MIN_REPORT_INTERVAL_US = 100_000  # minimum interval between two outlier reports of this instance
+REFRESH_INTERVAL_US = 500_000  # interval between two refreshes of the weights and the fleet size
+MIN_WEIGHT_CHANGE = 0.05  # a smaller change of an outlier weight is not output
+MAX_STATE_OVERHEAD_BYTES = 2048  # maximum size of one side of a state exchange beside its statements
+# rejections that a correct sender can cause, so that they do not count as forgeries
+BENIGN_REJECTIONS = frozenset(
     {RejectionReason.REPLAYED, RejectionReason.OVER_BUDGET, RejectionReason.CLOCK_SKEW}
 )
 
@@ -51,14 +52,14 @@
 
 @dataclass(slots=True, frozen=True)
 class StateExchange:
-    """Connect, send `local_state()`, and pass the answer to `open_remote_state`."""
+    """Connect, send `local_state()`, and pass the received state to `open_remote_state`."""
 
     address: Address
 
 
 @dataclass(slots=True, frozen=True)
 class OutlierWeight:
-    """How surely an upstream fails according to the other instances, 0 to 1."""
+    """The weight of the peers' reports on an upstream, 0 (healthy) to 1 (failing)."""
 
     upstream: str
     weight: float
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetSize:
-    """The estimated number of instances, this one included, and this one's place among their sorted names."""
+    """The estimated number of instances, including this one, and its index among their sorted names."""
 
     instances: int
     index: int
@@ -76,8 +77,8 @@
 class SubsystemMessage:
     """A peer's message for another subsystem, or the notice that a peer is dead.
 
-    `is_direct`: the message is to this instance alone.
-    `is_departure`: the author is dead; topic and body are empty.
+    `is_direct` means that the message was sent to this instance only. `is_departure` means that the author is
+    dead; topic and body are then empty.
     """
 
     author: str
@@ -91,7 +92,7 @@
 
 
 class GossipInstance:
-    """One member of the gossiping fleet."""
+    """One instance of the gossip protocol, as a state machine without I/O."""
 
     def __init__(
         self,
@@ -104,21 +105,25 @@
         started_ms: Callable[[str], int | None],
         min_instances: int = 1,
     ) -> None:
-        """Make an instance; `started_ms` returns the start of an upstream in use here, in Unix ms."""
+        """Create an instance.
+
+        `started_ms` returns the start of an upstream in Unix ms, None if this sidecar does not use it.
+        `min_instances` is the minimum of the estimated fleet size.
+        """
         self.keyring = keyring
         self.address = address
         self.wall_us = wall_us
         self.observations = LocalObservations()
         self.aggregator = ReportAggregator(keyring.certificate.site)
-        self.outlier_weights: dict[str, float] = {}  # by upstream, as last reported
+        self.outlier_weights: dict[str, float] = {}  # by upstream, as last output
         self.fleet_size = FleetSize(min_instances, 0)
         self.blocklist = AddressBlocklist()
         self.counts: Counter[str] = Counter()
         self._started_ms = started_ms
         self._size_estimator = FleetSizeEstimator(min_instances)
-        self._has_unpublished = False  # there is more to report than the last report has
+        self._has_unpublished = False  # whether observations have changed since the last report
         self._next_report_us = now_us
-        self._next_review_us = now_us + REVIEW_INTERVAL_US
+        self._next_refresh_us = now_us + REFRESH_INTERVAL_US
         self.core = SwimCore(
             keyring.certificate.name,
             keyring.certificate.site,
@@ -132,8 +137,8 @@
 
     @property
     def due_us(self) -> int:
-        """When `tick` has something to do."""
-        times = [self.core.due_us, self._next_review_us]
+        """The earliest time at which `tick` has something to do."""
+        times = [self.core.due_us, self._next_refresh_us]
         if self._has_unpublished:
             times.append(self._next_report_us)
         return min(times)
@@ -143,12 +148,12 @@
         return self.keyring.sign(statement, self.wall_us)
 
     def set_address(self, address: Address) -> None:
-        """Broadcast the address; a port that the system chooses is known only once the socket is open."""
+        """Set and broadcast the address. A port chosen by the system is known once the socket is open."""
         self.address = address
         self.core.update_local_statement()
 
     def announce_certificate(self, now_us: int, wall_us: int) -> list[Output]:
-        """Broadcast a replaced certificate; without it the others reject what is signed from now on."""
+        """Broadcast a new certificate, without which peers reject statements signed with the new key."""
         self.wall_us = wall_us
         self.core.raise_incarnation()
         self._has_unpublished = bool(self.observations.upstreams)
@@ -158,7 +163,7 @@
     # From the network
 
     def receive(self, data: bytes, address: Address, now_us: int, wall_us: int) -> list[Output]:
-        """Handle a datagram."""
+        """Handle a received datagram."""
         self.wall_us = wall_us
         self.counts["packets in"] += 1
         self.counts["bytes in"] += len(data)
@@ -169,7 +174,7 @@
             packet = self.keyring.open_packet(data, now_us, wall_us)
         except RejectedError as error:
             self.keyring.rejections[str(error)] += 1
-            if error.reason not in INNOCENT_REJECTIONS:
+            if error.reason not in BENIGN_REJECTIONS:
                 self.blocklist.record_forgery(address, now_us)
             return []
         effects = self._apply_statements(packet.broadcasts, now_us, wall_us)
@@ -179,17 +184,20 @@
     def local_state(self, wall_us: int) -> bytes:
         """Return this instance's side of a state exchange."""
         self.wall_us = wall_us
-        return self.keyring.seal_state(self.core.state(MAX_STATE_BYTES - STATE_ENVELOPE_BYTES), wall_us)
+        return self.keyring.seal_state(self.core.state(MAX_STATE_BYTES - MAX_STATE_OVERHEAD_BYTES), wall_us)
 
     def open_remote_state(self, data: bytes, now_us: int, wall_us: int) -> list[SignedStatement]:
-        """Return the statements of the other side, for `merge_remote_state`. Raises RejectedError."""
+        """Return the statements of the other side of a state exchange. Raises RejectedError."""
         self.wall_us = wall_us
         return self.keyring.open_state(data, now_us, wall_us).statements
 
     def merge_remote_state(
         self, statements: list[SignedStatement], now_us: int, wall_us: int
     ) -> list[Output]:
-        """Handle statements of the other side, some at a time as each may cost a verification."""
+        """Handle statements from `open_remote_state`.
+
+        The caller passes a few at a time, as each may need a signature verification.
+        """
         self.wall_us = wall_us
         return self._outputs(self._apply_statements(statements, now_us, wall_us), now_us)
 
@@ -207,31 +215,32 @@
     # From other subsystems
 
     def broadcast(self, topic: str, body: bytes, wall_us: int) -> None:
-        """Broadcast another subsystem's message; it travels with the probes."""
+        """Broadcast a message of another subsystem; it is piggybacked on the probes."""
         self.wall_us = wall_us
         self.core.broadcast_topic(codec.TopicBroadcast(topic, body))
 
     def send_message(self, name: str, topic: str, body: bytes, now_us: int, wall_us: int) -> list[Output]:
-        """Send another subsystem's message to one peer, at once and at most once."""
+        """Send a message of another subsystem to one peer at once; it is not retried."""
         self.wall_us = wall_us
         return self._outputs(self.core.send_topic_message(name, codec.TopicMessage(topic, body)), now_us)
 
     def publish_report(self, report: OutlierReport, now_us: int) -> list[Output]:
-        """Broadcast a report, whatever this instance has observed."""
+        """Broadcast an outlier report of this instance."""
         return self._outputs(self.core.publish_report(report, now_us), now_us)
 
     # Time
 
     def tick(self, now_us: int, wall_us: int) -> list[Output]:
-        """Do what is due."""
+        """Handle the timers that are due."""
         self.wall_us = wall_us
         outputs = self._outputs(self.core.tick(now_us), now_us)
-        if now_us >= self._next_review_us:
-            self._next_review_us = now_us + REVIEW_INTERVAL_US
-            outputs += self._review(now_us)
+        if now_us >= self._next_refresh_us:
+            self._next_refresh_us = now_us + REFRESH_INTERVAL_US
+            outputs += self._refresh(now_us)
         return outputs + self._publish_if_due(now_us, wall_us)
 
-    def _review(self, now_us: int) -> list[Output]:
+    def _refresh(self, now_us: int) -> list[Output]:
+        """Update what depends on the time: reports that expire, weights, contradictions, the fleet size."""
         self.aggregator.expire(now_us)
         outputs = self._update_weights({*self.outlier_weights, *self.aggregator.by_upstream}, now_us)
         self.observations.retain_contradicted(self.aggregator.by_upstream)
@@ -254,7 +263,7 @@
     def _apply_statements(
         self, statements: Iterable[SignedStatement], now_us: int, wall_us: int
     ) -> list[Effect]:
-        """Verify the statements that are new and pass them to the core."""
+        """Verify the new statements and pass them to the core."""
         effects: list[Effect] = []
         for statement in statements:
             if not self.core.is_new(statement):
@@ -313,7 +322,7 @@
         return outputs
 
     def _update_weights(self, upstreams: Iterable[str], now_us: int) -> list[Output]:
-        """Compute the weights of upstreams and return those that have changed enough to matter."""
+        """Compute the weights of upstreams and return those that have changed enough."""
         outputs: list[Output] = []
         sites = self.core.members.sites
         for name in upstreams:
@@ -322,8 +331,8 @@
             if started_ms is not None:
                 weight = self.aggregator.weight(name, started_ms, sites, now_us)
             previous = self.outlier_weights.get(name, 0.0)
-            is_same_verdict = (weight > 0.0) == (previous > 0.0)
-            if abs(weight - previous) < WEIGHT_STEP and is_same_verdict:
+            is_same_sign = (weight > 0.0) == (previous > 0.0)
+            if abs(weight - previous) < MIN_WEIGHT_CHANGE and is_same_sign:
                 continue
             if weight > 0.0:
                 self.outlier_weights[name] = weight
--- a/sidecar_proxy/gossip/keys.py
+++ b/sidecar_proxy/gossip/keys.py
@@ -1,7 +1,7 @@
-"""Authentication: certificates, signatures (Ed25519 by PyNaCl) and replay protection. Pure.
+"""Authentication: certificates, signatures (Ed25519 by PyNaCl) and replay protection. It does no I/O.
 
-Cheap checks come before signatures, and a budget bounds the verifications, so that a flood of forgeries costs
-a bounded share of a core.
+Cheap checks are done before signatures are verified, and a budget limits the verifications, so that a flood
+of forged packets takes a limited share of a CPU core.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from sidecar_proxy.gossip.verification import ReplayWindow, VerificationBudget
 
 Envelope = TypeVar("Envelope", Packet, State)
-MAX_CLOCK_SKEW_US = 60_000_000  # between the clocks of two instances, transit included
-MAX_CACHED_AUTHORS = 8192  # verified certificates, and authors with a replay window
+MAX_CLOCK_SKEW_US = 60_000_000  # maximum skew between the clocks of two instances plus the transit time
+MAX_CACHED_AUTHORS = 8192  # maximum number of verified certificates, and of replay windows, in memory
 
 
 class RejectionReason(enum.StrEnum):
-    """Why bytes were rejected; the values are counted under these names in the answers to operators."""
+    """Why bytes were rejected. The values are the keys of the rejection counts in the status."""
 
     WRONG_VERSION = "not of this version"
     MALFORMED = "malformed"
@@ -44,7 +44,7 @@
 
 
 class RejectedError(Exception):
-    """Bytes were rejected; the message is the reason as it is counted."""
+    """Bytes were rejected. The message is the reason, under which the rejection is counted."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(str(reason))
@@ -68,8 +68,8 @@
         self.revoked_serials = frozenset(revoked_serials)
         self.budget = budget or VerificationBudget()
         self.rejections: Counter[str] = Counter()
-        self.replay_windows: OrderedDict[str, ReplayWindow] = OrderedDict()  # by author
-        self.last_sequence_us = 0  # of what this instance has signed
+        self.replay_windows: OrderedDict[str, ReplayWindow] = OrderedDict()  # by author, oldest first
+        self.last_sequence_us = 0  # last sequence that this instance has signed
         self._verified: OrderedDict[bytes, Certificate] = OrderedDict()  # certificates by signature
 
     def replace_credentials(
@@ -79,7 +79,7 @@
         fleet_keys: Iterable[bytes],
         revoked_serials: Iterable[int],
     ) -> None:
-        """Use new credentials; certificates under the old fleet keys are verified again."""
+        """Use new credentials. Cached certificates are verified again, as they may be of old fleet keys."""
         self.key = key
         self.certificate = certificate
         self.revoked_serials = frozenset(revoked_serials)
@@ -97,15 +97,15 @@
         return SignedStatement(name, sequence_us, body, signature)
 
     def seal_packet(self, message: codec.Message, broadcasts: list[SignedStatement], wall_us: int) -> bytes:
-        """Return the datagram of a message and the broadcasts piggybacked on it."""
+        """Return a signed datagram that has a message and the broadcasts piggybacked on it."""
         return self._seal(Packet(self.certificate, self._next_sequence_us(wall_us), message, broadcasts))
 
     def seal_state(self, statements: list[SignedStatement], wall_us: int) -> bytes:
-        """Return this instance's side of a state exchange."""
+        """Return this instance's signed side of a state exchange."""
         return self._seal(State(self.certificate, self._next_sequence_us(wall_us), statements))
 
     def _next_sequence_us(self, wall_us: int) -> int:
-        """Return the time, or the number after the last sequence if that is higher."""
+        """Return the wall clock, or the last sequence plus one if that is higher."""
         self.last_sequence_us = max(self.last_sequence_us + 1, wall_us)
         return self.last_sequence_us
 
@@ -124,18 +124,19 @@
         return self._open(codec.state_decoder, data, codec.MAX_STATE_BYTES, now_us, wall_us)
 
     def open_statement(
-        self, statement: SignedStatement, known: Certificate | None, now_us: int, wall_us: int
+        self, statement: SignedStatement, known_certificate: Certificate | None, now_us: int, wall_us: int
     ) -> Statement:
-        """Verify and decode a statement, whoever relayed it. Raises RejectedError.
+        """Verify and decode a statement, whichever peer relayed it. Raises RejectedError.
 
-        `known` is the author's certificate, if the author is known; an Alive statement brings its own.
+        `known_certificate` is the author's certificate, None if the author is unknown. It is not used for an
+        Alive statement, which contains the author's certificate.
         """
         if statement.sequence_us > wall_us + MAX_CLOCK_SKEW_US:
             raise RejectedError(RejectionReason.CLOCK_SKEW)
         content = decode_or_reject(codec.statement_decoder, statement.body)
-        certificate = known
+        certificate = known_certificate
         if isinstance(content, codec.Alive):
-            if not is_ip_literal(content.host):  # senders would resolve a host name
+            if not is_ip_literal(content.host):  # peers would have to resolve a host name
                 raise RejectedError(RejectionReason.MALFORMED)
             certificate = content.certificate
         if certificate is None:
@@ -148,7 +149,10 @@
         return content
 
     def check_certificate(self, certificate: Certificate, now_us: int, wall_us: int) -> None:
-        """Check that a certificate is valid, not revoked and signed by a fleet key. Raises RejectedError."""
+        """Check that a certificate is not expired or revoked and has a fleet key's signature.
+
+        Raises RejectedError.
+        """
         if certificate.serial in self.revoked_serials:
             raise RejectedError(RejectionReason.REVOKED)
         if certificate.expires_s * 1_000_000 < wall_us:
@@ -170,7 +174,7 @@
         raise RejectedError(RejectionReason.UNTRUSTED)
 
     def verify(self, key: bytes, data: bytes, signature: bytes, now_us: int) -> None:
-        """Check a signature within the budget. Raises RejectedError."""
+        """Check a signature. Raises RejectedError if it is wrong or the budget is exhausted."""
         if not self.budget.take(now_us):
             raise RejectedError(RejectionReason.OVER_BUDGET)
         try:
@@ -211,7 +215,7 @@
 
 
 def decode_or_reject(decoder: Decoder[codec.Decoded], data: bytes) -> codec.Decoded:
-    """Decode, or raise RejectedError."""
+    """Decode bytes. Raises RejectedError."""
     try:
         return codec.decode(decoder, data)
     except codec.CodecError as error:
@@ -219,7 +223,7 @@
 
 
 def is_ip_literal(host: str) -> bool:
-    """Tell whether a host is an IP address that can be sent to, not a name."""
+    """Return whether a host is an IP address to which packets can be sent, and not a host name."""
     try:
         return not ipaddress.ip_address(host).is_unspecified
     except ValueError:
@@ -229,7 +233,7 @@
 def issue_certificate(
     fleet_key: SigningKey, serial: int, name: str, site: str, key: bytes, expires_s: int
 ) -> Certificate:
-    """Sign a certificate with the fleet key; `expires_s` is the end of its validity in Unix time."""
+    """Sign a certificate with the fleet key; `expires_s` is in Unix time."""
     unsigned = Certificate(serial, name, site, key, expires_s, bytes(codec.SIGNATURE_BYTES))
     signature = fleet_key.sign(codec.certificate_signing_input(unsigned)).signature
     return Certificate(serial, name, site, key, expires_s, signature)
--- a/sidecar_proxy/gossip/observations.py
+++ b/sidecar_proxy/gossip/observations.py
@@ -18,7 +18,7 @@
 )
 
 WINDOW_US = 10_000_000  # age after which observations and reports are ignored
-FULL_VOTE_FAILURES = 2  # consecutive failures after which a report says that an upstream certainly fails
+FULL_VOTE_FAILURES = 2  # number of consecutive failures from which a vote is 1, i.e. failing
 MAX_UPSTREAMS = 4096  # maximum number of upstreams with observations; the oldest are evicted
 MAX_UPSTREAM_REPORT_BYTES = 50  # maximum encoded size of an UpstreamReport beside its name
 MAX_REPORT_BYTES = 740  # maximum encoded size of an outlier report, so that it fits on any packet
--- a/sidecar_proxy/gossip/probing.py
+++ b/sidecar_proxy/gossip/probing.py
@@ -16,9 +16,8 @@
 from sidecar_proxy.gossip.suspicion import PROBE_INTERVAL_US, Awareness, Suspicions
 
 PROBE_TIMEOUT_US = 200_000  # timeout of the direct ack, and then again of an indirect ack
-NACK_DELAY_US = (
-    PROBE_TIMEOUT_US * 4 // 5
-)  # shorter, so that a nack arrives before the requester's own timeout
+# shorter than the timeout, so that a nack arrives before the requester's own timeout
+NACK_DELAY_US = PROBE_TIMEOUT_US * 4 // 5
 INDIRECT_PROBES = 3  # number of peers to which a ping-req is sent
 MAX_RELAYED_PROBES = 64  # maximum number of relayed probes in flight
 
@@ -31,7 +30,7 @@
     target: str
     direct_deadline_us: int  # when the indirect probe starts if there is no direct ack
     deadline_us: int  # when the probe has failed if there is no ack at all
-    relays: int = 0  # peers that were sent a ping-req, at least 1; 0 = the probe is still direct
+    relays: int = 0  # peers that were sent a ping-req, or 1 if there are none; 0 = no indirect probe yet
     nacks: int = 0  # received from these peers
 
 
--- a/sidecar_proxy/gossip/push_pull.py
+++ b/sidecar_proxy/gossip/push_pull.py
@@ -1,4 +1,4 @@
-"""The schedule of push-pull state exchanges: with whom and when. Pure."""
+"""The schedule of push-pull state exchanges: partners and times. Times are passed in; it does no I/O."""
 
 from __future__ import annotations
 
@@ -8,20 +8,22 @@
 from sidecar_proxy.gossip.members import MemberList
 
 PUSH_PULL_INTERVAL_US = 30_000_000
-JOIN_INTERVAL_US = 500_000  # between the first exchanges; doubled after each
-MAX_DOUBLINGS = 12
-JOIN_SEEDS = 3  # seeds that are asked before any peer
-JOIN_ROUNDS = 2  # how often each of them is asked
-PEER_SHARE = 0.9  # of the later exchanges; the others go to a seed
-PEERS_PER_INTERVAL = 32  # the interval grows with the fleet, so that the bytes a second stay constant
+JOIN_INTERVAL_US = 500_000  # interval after the first exchange, doubled after each further one
+MAX_DOUBLINGS = 12  # maximum number of doublings of this interval
+JOIN_SEEDS = 3  # number of seeds with which the first exchanges take place
+JOIN_ROUNDS = 2  # number of exchanges with each of these seeds
+PEER_SHARE = 0.9  # share of the later exchanges that are with a peer instead of a seed
+# number of live peers per PUSH_PULL_INTERVAL_US: the interval is longer in a larger fleet, so that the bytes
+# per second do not increase
+PEERS_PER_INTERVAL = 32
 
 
 class PushPullSchedule:
-    """Chooses the partners of state exchanges.
+    """Chooses the partners and times of state exchanges.
 
-    The first exchanges are with several seeds, twice: of the instances that start together some reach one
-    seed first and some another. Later ones go to a seed now and then, so that two halves of the fleet that
-    have forgotten each other meet again.
+    The first exchanges are with several seeds, twice with each, because instances that start together reach
+    different seeds first. Some of the later exchanges are with a seed, so that two parts of the fleet that
+    have evicted each other from their member lists merge again.
     """
 
     def __init__(self, seeds: list[Address], members: MemberList, rng: random.Random, now_us: int) -> None:
@@ -32,7 +34,7 @@
         self.due_us = now_us + int(JOIN_INTERVAL_US * rng.random())
 
     def tick(self, now_us: int) -> list[StartPushPull]:
-        """Start an exchange if it is due."""
+        """Start a state exchange if one is due."""
         if now_us < self.due_us:
             return []
         address = self._choose_partner()
@@ -48,14 +50,16 @@
         join_seeds = min(len(self._seeds), JOIN_SEEDS)
         if self._exchanges < JOIN_ROUNDS * join_seeds:
             return self._seeds[self._exchanges % join_seeds]
-        living = self._members.live_peers()
-        if living and (not self._seeds or self._rng.random() < PEER_SHARE):
-            return self._rng.choice(living).address
+        live_peers = self._members.live_peers()
+        if live_peers and (not self._seeds or self._rng.random() < PEER_SHARE):
+            return self._rng.choice(live_peers).address
         if self._seeds:
             return self._rng.choice(self._seeds)
         return None
 
     def _interval_us(self) -> int:
-        backoff_us = JOIN_INTERVAL_US << min(self._exchanges, MAX_DOUBLINGS)
-        steady_us = PUSH_PULL_INTERVAL_US * max(1, len(self._members.live_peers()) // PEERS_PER_INTERVAL)
-        return min(backoff_us, steady_us)
+        join_interval_us = JOIN_INTERVAL_US << min(self._exchanges, MAX_DOUBLINGS)
+        steady_interval_us = PUSH_PULL_INTERVAL_US * max(
+            1, len(self._members.live_peers()) // PEERS_PER_INTERVAL
+        )
+        return min(join_interval_us, steady_interval_us)
--- a/sidecar_proxy/gossip/status.py
+++ b/sidecar_proxy/gossip/status.py
@@ -1,4 +1,4 @@
-"""The state of gossip as a JSON object, for `gossip members` and for operators' scripts."""
+"""The status of gossip as a JSON object, for the command `gossip members` and for operators' scripts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def describe(instance: GossipInstance) -> dict[str, Any]:
-    """Return the object. Its keys are an interface: operators' scripts and older command lines read them."""
+    """Return the object. Its keys are an interface that scripts and earlier versions of the command read."""
     core, certificate = instance.core, instance.keyring.certificate
     return {
         "name": core.name,
--- a/sidecar_proxy/gossip/subsystem.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -1,4 +1,4 @@
-"""Gossip in a sidecar: wires the operator file, the engine, the balancer and other subsystems together."""
+"""Gossip in a sidecar: connects it to the operator file, the engine, the balancer and other subsystems."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from sidecar_proxy.gossip.transport import GossipTransport, log, wall_clock_us
 
 FILE_CHECK_INTERVAL_S = 1.0
-STATUS_TIMEOUT_S = 5.0  # for a reader of the status socket
+STATUS_TIMEOUT_S = 5.0  # timeout of a client of the status socket
 
 
 class GossipSubsystem:
-    """The gossip of one sidecar."""
+    """The gossip subsystem of a sidecar: credentials, transport and status socket."""
 
     def __init__(self, config: Gossip, engine: Engine, directory: EndpointDirectory, seed: int) -> None:
         """Load the credentials. Raises OperatorError for files that can't be used."""
@@ -44,9 +44,9 @@
         current = self._credentials.current
         self.keyring = Keyring(current.key, current.certificate, current.fleet_keys, current.revoked_serials)
         self.transport: GossipTransport | None = None
-        self.listeners: dict[str, Callable[[SubsystemMessage], None]] = {}  # other subsystems, by topic
+        self.listeners: dict[str, Callable[[SubsystemMessage], None]] = {}  # of other subsystems, by topic
         self._status_server: asyncio.Server | None = None
-        self._file_check: asyncio.TimerHandle | None = None
+        self._credentials_timer: asyncio.TimerHandle | None = None
 
     @property
     def name(self) -> str:
@@ -54,19 +54,19 @@
         return self.keyring.certificate.name
 
     def broadcast(self, topic: str, body: bytes) -> None:
-        """Broadcast a message to all sidecars; it takes some seconds."""
+        """Broadcast a message to all sidecars, which takes a few seconds."""
         if self.transport is not None:
             self.transport.instance.broadcast(topic, body, wall_clock_us())
 
     def send_message(self, name: str, topic: str, body: bytes) -> None:
-        """Send a message to one sidecar; it may be lost."""
+        """Send a message to one sidecar; it is not retried if it is lost."""
         if self.transport is not None:
             now_us = self._engine.clock.now_us()
             outputs = self.transport.instance.send_message(name, topic, body, now_us, wall_clock_us())
             self.transport.perform(outputs)
 
     async def start(self) -> None:
-        """Open the sockets and join the fleet. Raises OperatorError for an address that can't be used."""
+        """Open the sockets and join the fleet. Raises OperatorError if an address can't be used."""
         bind = parse_address(self._config.bind)
         instance = self._make_instance(bind)
         self.transport = GossipTransport(instance, self._engine.clock.now_us, self._on_output)
@@ -87,15 +87,15 @@
             instance.core.site,
             *instance.address,
         )
-        self._engine.on_attempt_ended = self._observe
+        self._engine.on_attempt_ended = self._record_attempt
         self.transport.start()
-        self._check_files()
+        self._check_credentials()
 
     def close(self) -> None:
-        """Leave without notice and close the sockets."""
+        """Close the sockets. Peers are not notified."""
         self._engine.on_attempt_ended = None
-        if self._file_check is not None:
-            self._file_check.cancel()
+        if self._credentials_timer is not None:
+            self._credentials_timer.cancel()
         if self.transport is not None:
             self.transport.close()
         if self._status_server is not None:
@@ -118,7 +118,7 @@
         )
 
     def _started_ms(self, name: str) -> int | None:
-        """Return the start of an upstream in use, None if there is none of that name."""
+        """Return the start of an upstream in Unix ms, None if no upstream of that name is in use."""
         number = self._directory.numbers.get(name)
         if number is None:
             return None
@@ -127,8 +127,8 @@
 
     # Between the engine and the instance
 
-    def _observe(self, upstream: int, outcome: api.Outcome) -> None:
-        """Record the outcome of an attempt. Every request passes here."""
+    def _record_attempt(self, upstream: int, outcome: api.Outcome) -> None:
+        """Record the outcome of an attempt. This is called for every attempt of every request."""
         name = self._directory.names.get(upstream)
         entry = self._engine.balancer.entries.get(upstream)
         if name is None or entry is None or self.transport is None:
@@ -139,7 +139,7 @@
             )
             if outputs:
                 self.transport.perform(outputs)
-        except Exception:  # any fault here costs the reports of this sidecar, never a request
+        except Exception:  # a fault in gossip must not fail a request; it only ends the outlier reports
             self._engine.on_attempt_ended = None
             log.exception("gossip: recording of outcomes failed and is disabled")
 
@@ -158,20 +158,20 @@
 
     # Credentials
 
-    def _check_files(self) -> None:
-        """Use the credentials that have changed, and check again later."""
+    def _check_credentials(self) -> None:
+        """Apply the credentials if their files have changed, and set the timer of the next check."""
         try:
             changed = self._credentials.reload()
             if changed is not None:
-                self._use_credentials(changed)
+                self._apply_credentials(changed)
         except FileError as error:
             log.warning("gossip: keeping the previous credentials: %s", error)
         warning = self._credentials.expiry_warning(wall_clock_us() / 1e6)
         if warning:
             log.warning("gossip: %s", warning)
-        self._file_check = self._engine.loop.call_later(FILE_CHECK_INTERVAL_S, self._check_files)
+        self._credentials_timer = self._engine.loop.call_later(FILE_CHECK_INTERVAL_S, self._check_credentials)
 
-    def _use_credentials(self, credentials: Credentials) -> None:
+    def _apply_credentials(self, credentials: Credentials) -> None:
         assert self.transport is not None
         is_same_certificate = credentials.certificate == self.keyring.certificate
         self.keyring.replace_credentials(
--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -1,7 +1,7 @@
 """The sockets of gossip: UDP datagrams, and state exchanges over TCP on the same address.
 
-It carries out what the instance returns and makes no decisions. A TCP connection begins with four bytes: the
-length of a state, or the magic of another protocol that shares the address.
+The transport carries out the outputs of a `GossipInstance`. A TCP connection begins with four bytes: the
+length of the state that follows, or the magic of another protocol that shares the address.
 """
 
 from __future__ import annotations
@@ -29,21 +29,21 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-EXCHANGE_TIMEOUT_S = 2.0  # for a complete state exchange
-FRAME_HEADER_BYTES = 4  # a length, or the magic of another protocol
-MAX_PENDING_CONNECTIONS = 64  # accepted, but still without a header
-MAX_EXCHANGES = 4  # at a time; more are rejected
-STATEMENTS_PER_SLICE = 20  # verified without a break, about a millisecond
+EXCHANGE_TIMEOUT_S = 2.0  # timeout of a complete state exchange
+FRAME_HEADER_BYTES = 4  # size of the length of a frame, and of the magic of another protocol
+MAX_PENDING_CONNECTIONS = 64  # maximum number of accepted connections that have not sent a header yet
+MAX_EXCHANGES = 4  # maximum number of concurrent state exchanges; further connections are aborted
+STATEMENTS_PER_BATCH = 20  # statements verified (in about 1 ms) before other tasks of the event loop run
 REJECTION_LOG_INTERVAL_S = 1.0
-LOGGED_REASONS = 6  # the most frequent ones
-TIMER_SLACK_S = 0.001  # the timer fires after the due time, not just before it
+MAX_LOGGED_REASONS = 6  # number of reasons in a log line, the most frequent ones first
+TIMER_SLACK_S = 0.001  # added to the delay of the timer, so that it never fires before the due time
 MAX_READ_BUFFER_BYTES = 1 << 16
 
 ProtocolHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class GossipTransport(asyncio.DatagramProtocol):
-    """One instance on its sockets."""
+    """The sockets, timer and state exchanges of one instance."""
 
     def __init__(
         self,
@@ -51,11 +51,16 @@
         now_us: Callable[[], int],
         on_output: Callable[[OutlierWeight | FleetSize | SubsystemMessage], None],
     ) -> None:
-        """Make a transport; `now_us` is the monotonic clock, `on_output` takes the other outputs."""
+        """Create a transport.
+
+        `now_us` reads the monotonic clock. `on_output` is called for each output that is not for the network.
+        """
         self.instance = instance
-        self.exchanges = 0  # running state exchanges
+        self.exchanges = 0  # number of state exchanges in progress
         self.protocol_handlers: dict[bytes, ProtocolHandler] = {}  # other protocols, by their magic
-        self.local_address: Address | None = None  # source of connections; None = the system's choice
+        self.local_address: Address | None = (
+            None  # source address of connections; None = chosen by the system
+        )
         self.now_us = now_us
         self._on_output = on_output
         self._loop = asyncio.get_running_loop()
@@ -70,7 +75,7 @@
         self._is_closed = False
 
     async def open(self, bind: Address) -> Address:
-        """Listen on TCP and UDP and return the address. Raises OSError."""
+        """Listen on TCP and UDP; return the bound address. Raises OSError."""
         self._tcp = await asyncio.start_server(self._accept, *bind, limit=MAX_READ_BUFFER_BYTES)
         host, port = self._tcp.sockets[0].getsockname()[:2]
         self.local_address = None if ipaddress.ip_address(host).is_unspecified else (host, 0)
@@ -86,7 +91,7 @@
         self._arm_timer()
 
     def close(self) -> None:
-        """Stop the timer, running exchanges and the sockets."""
+        """Stop the timer, cancel the state exchanges and close the sockets."""
         self._is_closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -98,7 +103,7 @@
             self._tcp.close()
 
     def perform(self, outputs: list[Output]) -> None:
-        """Carry out what the instance has returned."""
+        """Carry out the outputs of the instance and set the timer again."""
         if self._is_closed:
             return
         for output in outputs:
@@ -122,7 +127,7 @@
         self._log_rejections()
 
     def error_received(self, error: Exception) -> None:
-        """Ignore that a peer is unreachable: the failure detector finds out."""
+        """Ignore the error of an unreachable peer, which the failure detector will notice."""
 
     def _send_datagram(self, datagram: Datagram) -> None:
         if self._udp is not None:
@@ -135,7 +140,7 @@
         try:
             await self._serve_connection(reader, writer)
         except asyncio.CancelledError:
-            # The process ends. The streams of Python 3.11 log a traceback for a handler that is cancelled.
+            # The process ends. asyncio streams of Python 3.11 log a traceback if a handler is cancelled.
             writer.transport.abort()
 
     async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -160,7 +165,7 @@
     async def _connect_and_exchange(self, address: Address) -> None:
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
-                # from the listening address, as the other side may judge by it
+                # The source is the listening address, as peers may filter connections by it.
                 reader, writer = await asyncio.open_connection(*address, local_addr=self.local_address)
         except (OSError, TimeoutError):
             return
@@ -169,9 +174,10 @@
     async def _exchange(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, header: bytes | None
     ) -> None:
-        """Exchange states; the caller sends first, so that a stranger learns nothing.
+        """Exchange states and merge the remote one.
 
-        `header` is what has been read of the caller's state, None if this instance is the caller.
+        The connecting side sends first, so that it receives nothing unless its certificate is valid. `header`
+        is what has been read of its state, None if this instance is the connecting side.
         """
         if self.exchanges >= MAX_EXCHANGES:
             writer.transport.abort()
@@ -179,11 +185,11 @@
         self.exchanges += 1
         try:
             async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
-                statements = await self._swap_states(reader, writer, header)
+                statements = await self._send_and_receive_states(reader, writer, header)
             writer.close()
-            for start in range(0, len(statements), STATEMENTS_PER_SLICE):
-                chunk = statements[start : start + STATEMENTS_PER_SLICE]
-                self.perform(self.instance.merge_remote_state(chunk, self.now_us(), wall_clock_us()))
+            for start in range(0, len(statements), STATEMENTS_PER_BATCH):
+                batch = statements[start : start + STATEMENTS_PER_BATCH]
+                self.perform(self.instance.merge_remote_state(batch, self.now_us(), wall_clock_us()))
                 await asyncio.sleep(0)
         except RejectedError as error:
             self.instance.keyring.rejections[str(error)] += 1
@@ -193,16 +199,16 @@
         finally:
             self.exchanges -= 1
 
-    async def _swap_states(
+    async def _send_and_receive_states(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, header: bytes | None
     ) -> list[SignedStatement]:
-        is_caller = header is None
-        if is_caller:
+        is_connecting_side = header is None
+        if is_connecting_side:
             await _send_frame(writer, self.instance.local_state(wall_clock_us()))
         data = await read_frame(reader, MAX_STATE_BYTES, header or b"")
         self.instance.counts["bytes in"] += len(data)
         statements = self.instance.open_remote_state(data, self.now_us(), wall_clock_us())
-        if not is_caller:
+        if not is_connecting_side:
             await _send_frame(writer, self.instance.local_state(wall_clock_us()))
         return statements
 
@@ -223,14 +229,14 @@
         self.perform(self.instance.tick(self.now_us(), wall_clock_us()))
 
     def _log_rejections(self) -> None:
-        """Log the rejections, one line a second at most."""
+        """Log the counts of rejections by reason if they have changed, at most once per interval."""
         rejections = self.instance.keyring.rejections
         total = rejections.total()
         if total <= self._logged_rejections or self._loop.time() < self._next_rejection_log_s:
             return
         self._next_rejection_log_s = self._loop.time() + REJECTION_LOG_INTERVAL_S
         self._logged_rejections = total
-        most_common = rejections.most_common(LOGGED_REASONS)
+        most_common = rejections.most_common(MAX_LOGGED_REASONS)
         log.warning(
             "gossip: rejected so far: %s", ", ".join(f"{count} {reason}" for reason, count in most_common)
         )
@@ -242,12 +248,12 @@
 
 
 def frame_message(data: bytes) -> bytes:
-    """Return the data with its length before it."""
+    """Return a frame: the length of the data, then the data."""
     return len(data).to_bytes(FRAME_HEADER_BYTES, "big") + data
 
 
 async def read_frame(reader: asyncio.StreamReader, max_bytes: int, header: bytes = b"") -> bytes:
-    """Read one frame; `header` is its length if that has been read. Raises ValueError if it is too long."""
+    """Read one frame, whose header may have been read before. Raises ValueError if it is too large."""
     size = int.from_bytes(header or await reader.readexactly(FRAME_HEADER_BYTES), "big")
     if size > max_bytes:
         raise ValueError("too large")
@@ -255,5 +261,5 @@
 
 
 def wall_clock_us() -> int:
-    """Return the wall clock in microseconds."""
+    """Return the time of the wall clock in microseconds."""
     return wall_clock.now_ns() // 1000
--- a/sidecar_proxy/gossip/urgent.py
+++ b/sidecar_proxy/gossip/urgent.py
@@ -1,7 +1,8 @@
-"""Urgent relay of outlier reports: sent at once to a few peers, each of which relays what is new to it. Pure.
+"""Urgent relay of outlier reports: each instance sends a report that is new to it to a few peers at once.
 
-All instances have a report in about log n hops, without waiting for the next probe. Two limits keep a report
-without end from filling the network: a token bucket of packets here, and a rate for each author in `Peer`.
+A report reaches all instances in about log n hops, without waiting for probes. Two limits keep an author that
+reports without end from filling the network: a token bucket for the packets of this instance, and the rate
+limit for each author in `Peer`. Times are passed in; the module does no I/O.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 from sidecar_proxy.gossip.effects import SendPacket
 from sidecar_proxy.gossip.members import MemberList, Peer
 
-FANOUT = 3  # peers that get an urgent report at once
-PACKETS_PER_S = 60.0  # urgent packets of this instance, and their burst
-BATCH_DELAY_US = 10_000  # reports that come within it share packets
+FANOUT = 3  # number of peers to which an urgent packet is sent
+PACKETS_PER_S = 60.0  # rate and burst of the urgent packets of this instance
+BATCH_DELAY_US = 10_000  # reports received within this time share packets
 
 
 class UrgentRelay:
-    """The reports that wait for an urgent packet, and the limits on them."""
+    """The reports that are batched or deferred for urgent packets, and the limit on these packets."""
 
     def __init__(
         self,
@@ -31,16 +32,16 @@
         now_us: int,
     ) -> None:
         self._members = members
-        self._reports = reports  # the latest of each author
+        self._reports = reports  # the latest report of each author
         self._rng = rng
         self._tokens = PACKETS_PER_S
         self._refilled_us = now_us
         self._batch: list[SignedStatement] = []
         self._batch_due_us = 0
-        self._deferred: list[tuple[int, str]] = []  # heap: when whose latest report is due
+        self._deferred: list[tuple[int, str]] = []  # (due time, author) of each deferred relay, as a heap
 
     def due_times_us(self) -> list[int]:
-        """Return when the batch and the first deferred report are due, as far as there are any."""
+        """Return the due times of the batch and of the first deferred report, if there are any."""
         times = []
         if self._batch:
             times.append(self._batch_due_us)
@@ -49,10 +50,10 @@
         return times
 
     def relay(self, peer: Peer, statement: SignedStatement, now_us: int) -> list[SendPacket]:
-        """Relay a peer's new report now, or its latest one as soon as the author's rate allows.
+        """Relay a peer's new report, or defer it until the rate limit of its author allows.
 
-        It is deferred, not dropped: the second report of a fault, which makes a full vote, comes right after
-        the first.
+        At that time the latest report of the author is relayed. Reports over the limit are deferred and not
+        dropped, because the second report of a fault, which makes a full vote, follows the first at once.
         """
         if peer.has_deferred_urgent:
             return []
@@ -65,7 +66,7 @@
         return self.add(statement, now_us, BATCH_DELAY_US)
 
     def relay_deferred(self, now_us: int) -> list[SendPacket]:
-        """Relay the deferred reports that are due."""
+        """Relay the latest report of each author whose deferred relay is due."""
         packets: list[SendPacket] = []
         while self._deferred and self._deferred[0][0] <= now_us:
             _, name = heapq.heappop(self._deferred)
@@ -80,22 +81,22 @@
         return packets
 
     def add(self, statement: SignedStatement, now_us: int, delay_us: int) -> list[SendPacket]:
-        """Add a statement to the batch, which is sent once its first statement has waited `delay_us`."""
+        """Add a statement to the batch, which is sent `delay_us` after its first statement was added."""
         if not self._batch:
             self._batch_due_us = now_us + delay_us
         self._batch.append(statement)
         return self.flush(now_us)
 
     def flush(self, now_us: int) -> list[SendPacket]:
-        """Send the batch if it is due; what exceeds the limit is left to the packets of the probes."""
+        """Send the batch if it is due. Statements over the limit are sent only with the probes' packets."""
         if not self._batch or now_us < self._batch_due_us:
             return []
         self._refill(now_us)
-        living = self._members.live_peers()
+        live_peers = self._members.live_peers()
         packets: list[SendPacket] = []
         while self._batch:
-            statements = self._next_packet()
-            targets = self._rng.sample(living, min(FANOUT, len(living), int(self._tokens)))
+            statements = self._take_packet()
+            targets = self._rng.sample(live_peers, min(FANOUT, len(live_peers), int(self._tokens)))
             self._tokens -= len(targets)
             if not targets:
                 self._batch.clear()
@@ -103,12 +104,12 @@
         return packets
 
     def _refill(self, now_us: int) -> None:
-        earned = PACKETS_PER_S * (now_us - self._refilled_us) / 1e6
-        self._tokens = min(PACKETS_PER_S, self._tokens + earned)
+        new_tokens = PACKETS_PER_S * (now_us - self._refilled_us) / 1e6
+        self._tokens = min(PACKETS_PER_S, self._tokens + new_tokens)
         self._refilled_us = now_us
 
-    def _next_packet(self) -> tuple[SignedStatement, ...]:
-        """Take the statements of one packet from the batch, the latest first."""
+    def _take_packet(self) -> tuple[SignedStatement, ...]:
+        """Remove the statements of one packet from the batch and return them, the latest first."""
         chosen = [self._batch.pop()]
         remaining_bytes = MAX_PIGGYBACKED_BYTES - encoded_size(chosen[0])
         while (
--- a/sidecar_proxy/gossip/verification.py
+++ b/sidecar_proxy/gossip/verification.py
@@ -1,13 +1,13 @@
-"""Limits of what receiving may cost: a budget of signature verifications, and replay windows. Pure."""
+"""Limits on received packets: a budget of signature verifications, and replay windows. It does no I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 
-REORDER_WINDOW_US = 2_000_000  # packets of one author may come out of order by this much
-MAX_RECENT_SEQUENCES = 256  # remembered of one author
+REORDER_WINDOW_US = 2_000_000  # maximum age of a packet relative to the newest packet of its author
+MAX_RECENT_SEQUENCES = 256  # maximum number of sequences stored per author
 VERIFICATIONS_PER_S = 400.0
-VERIFICATION_BURST = 2000.0  # enough for joining a large fleet
+VERIFICATION_BURST = 2000.0  # enough to join a large fleet
 
 
 class VerificationBudget:
@@ -20,7 +20,7 @@
         self._refilled_us = 0
 
     def take(self, now_us: int) -> bool:
-        """Take a token; False if there is none."""
+        """Take one token. Returns False if there is none."""
         elapsed_us = max(0, now_us - self._refilled_us)
         self.tokens = min(self.burst, self.tokens + self.rate_per_s * elapsed_us / 1e6)
         self._refilled_us = now_us
@@ -31,10 +31,10 @@
 
 
 class ReplayWindow:
-    """The sequences of one author that have been received.
+    """The sequences received from one author.
 
-    A sequence is the author's wall clock in microseconds. One is accepted once, and only if it is not older
-    than the highest by more than the reorder window.
+    A sequence is a time of the author's wall clock in microseconds. Each is accepted once, and only if it is
+    not lower than the highest one by the reorder window or more.
     """
 
     __slots__ = ("_highest_us", "_recent")
@@ -44,10 +44,10 @@
         self._recent: deque[int] = deque(maxlen=MAX_RECENT_SEQUENCES)
 
     def is_new(self, sequence_us: int) -> bool:
-        """Tell whether a sequence may be accepted."""
+        """Return whether a sequence is acceptable."""
         return sequence_us > self._highest_us - REORDER_WINDOW_US and sequence_us not in self._recent
 
     def record(self, sequence_us: int) -> None:
-        """Remember an accepted sequence."""
+        """Record an accepted sequence."""
         self._highest_us = max(self._highest_us, sequence_us)
         self._recent.append(sequence_us)
--- a/tests/gossip/fleets.py
+++ b/tests/gossip/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets in virtual time, as several test modules need them."""
+"""Fleets in virtual time for several test modules."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def joined_fleet(count: int, sites: int = 2, seed: int = 1) -> Fleet:
-    """Return a fleet whose instances all know each other, within 30 s of virtual time."""
+    """Return a fleet once all its instances know each other, which takes at most 30 s of virtual time."""
     fleet = Fleet(count, sites, seed)
     for _ in range(60):
         fleet.run(0.5)
@@ -17,7 +17,7 @@
 
 
 def states_of(fleet: Fleet, name: str) -> set[MemberState]:
-    """Return the states in which the running instances see a peer."""
+    """Return the states that a peer has in the member lists of the running instances."""
     return {
         member.instance.core.members[name].state
         for member in fleet.all()
--- a/tests/gossip/sidecars.py
+++ b/tests/gossip/sidecars.py
@@ -1,4 +1,4 @@
-"""Gossip on loopback sockets: transports, whole sidecars with an operator file, and the `members` command."""
+"""Gossip on loopback sockets: transports, sidecar processes, and the command `gossip members`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from sidecar_proxy.testbed.history import now_us
 from tests.sockets import LONG_S, ROOT, Discovery, Sidecar, Upstream, eventually
 
-STARTED_MS = 5  # of every upstream
+STARTED_MS = 5  # start of each upstream, Unix time
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,8 +62,8 @@
         second.close()
 
 
-async def until(condition: Callable[[], Any]) -> None:
-    """Wait until a condition holds, with a wide bound."""
+async def wait_until(condition: Callable[[], Any]) -> None:
+    """Wait until a condition is true, with a long timeout."""
     async with asyncio.timeout(LONG_S):
         while not condition():
             await asyncio.sleep(0.005)
@@ -73,7 +73,7 @@
 def gossiping_sidecar(
     upstreams: list[Upstream], keys: Keys, name: str, seeds: list[str]
 ) -> Iterator[Sidecar]:
-    """Run a sidecar that gossips, and check that it stops with status 0."""
+    """Run a sidecar with gossip enabled, and check that it exits with status 0."""
     path = keys.folder / f"{name}.toml"
     path.write_text(keys.table(name, "s", seeds))
     with Discovery([upstream.entry() for upstream in upstreams]) as discovery:
@@ -85,7 +85,7 @@
 
 
 def gossip_addresses(sidecar: Sidecar) -> list[str]:
-    """Return the address in the sidecar's log as a list of seeds, once it is there."""
+    """Wait until the sidecar logs its gossip address, and return the address as a list of seeds."""
     addresses: list[str] = eventually(
         lambda: [line.split()[-1] for line in sidecar.lines if " is reachable at " in line]
     )
@@ -93,7 +93,7 @@
 
 
 def members_output(keys: Keys, name: str, *options: str) -> str:
-    """Return what `gossip members` prints for a sidecar."""
+    """Return the output of `gossip members` for a sidecar."""
     path = str(keys.folder / f"{name}.sock")
     command = [sys.executable, "-m", "sidecar_proxy", "gossip", "members", path, *options]
     completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=LONG_S, check=True)
--- a/tests/gossip/test_codec.py
+++ b/tests/gossip/test_codec.py
@@ -1,4 +1,4 @@
-"""The wire format, byte for byte as the version before the classes and fields were renamed encoded it."""
+"""The wire format: the fixed bytes of each struct, as earlier versions encode it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 CERTIFICATE_HEX = "96" + CERTIFICATE_FIELDS_HEX + "c440" + SIGNATURE.hex()
 SIGNED_HEX = "94a26931cf00066173d6044001c4069302a2693205c440" + SIGNATURE.hex()
 
-FORMS: dict[str, tuple[msgspec.Struct, str]] = {
+ENCODINGS: dict[str, tuple[msgspec.Struct, str]] = {
     "certificate": (CERTIFICATE, CERTIFICATE_HEX),
     "alive": (
         codec.Alive("10.0.0.1", 7946, 9, CERTIFICATE),
@@ -47,15 +47,15 @@
 }
 
 
-@pytest.mark.parametrize("name", FORMS)
-def test_encoding_is_unchanged_and_decodes_to_the_same(name: str) -> None:
-    value, encoded_hex = FORMS[name]
+@pytest.mark.parametrize("name", ENCODINGS)
+def test_struct_has_the_fixed_encoding_and_is_decoded_from_it(name: str) -> None:
+    value, encoded_hex = ENCODINGS[name]
     data = bytes.fromhex(encoded_hex)
     assert codec.encode(value) == data
     assert msgspec.msgpack.decode(data, type=type(value)) == value
 
 
-def test_signed_bytes_and_envelope_are_unchanged() -> None:
+def test_signing_inputs_and_envelope_are_the_fixed_bytes() -> None:
     certificate_hex = b"wickspread certificate".hex() + "95" + CERTIFICATE_FIELDS_HEX
     assert codec.certificate_signing_input(CERTIFICATE).hex() == certificate_hex
     statement_hex = b"wickspread statement".hex() + "93a2693105c40101"
--- a/tests/gossip/test_core.py
+++ b/tests/gossip/test_core.py
@@ -1,4 +1,4 @@
-"""SWIM in virtual time: joins, crashes, partitions, starved and lying instances, bounded traffic."""
+"""SWIM in virtual time: joins, crashes, partitions, CPU-starved and Byzantine instances, bounded traffic."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize(("loss", "max_deaths"), [(0.05, 0), (0.3, 30 * 29 // 10)])
 def test_lost_datagrams_cause_few_deaths_and_none_that_lasts(loss: float, max_deaths: int) -> None:
-    """With 30 % loss at most one in ten of all pairs in a minute."""
+    """With 30 % loss, at most one in ten of all (instance, peer) pairs sees a death within a minute."""
     fleet = joined_fleet(30)
     fleet.loss = loss
     fleet.run(60.0)
@@ -71,8 +71,8 @@
     assert sum(member.instance.core.counts["deaths"] for member in fleet.all()) == 0
 
 
-def test_starved_instance_causes_no_deaths_and_degrades_its_own_health() -> None:
-    """It gets half a millisecond of CPU in 400, and a third of what arrives meanwhile (Lifeguard)."""
+def test_cpu_starved_instance_causes_no_deaths_and_degrades_its_own_health() -> None:
+    """It gets 0.5 ms of CPU in 400 ms, and receives only a third of the packets in between (Lifeguard)."""
     fleet = joined_fleet(20)
     starved = fleet.at(7)
     others = [member for member in fleet.all() if member is not starved]
@@ -87,26 +87,26 @@
     assert dead <= {"i7"}
 
 
-def test_lying_suspicions_are_refuted_and_cause_no_deaths() -> None:
+def test_false_suspicions_are_refuted_and_cause_no_deaths() -> None:
     fleet = joined_fleet(20)
-    liar = fleet.at(3)
-    core = liar.instance.core
+    byzantine = fleet.at(3)
+    core = byzantine.instance.core
     for _ in range(40):
         fleet.run(1.0)
         for peer in core.members.live_peers():
-            statement = liar.instance.sign(codec.Suspect(peer.name, peer.incarnation))
+            statement = byzantine.instance.sign(codec.Suspect(peer.name, peer.incarnation))
             core.dissemination.enqueue(BroadcastKind.SUSPECT, statement, core.name, peer.name)
     fleet.run(10.0)
-    others = [member for member in fleet.all() if member is not liar]
+    others = [member for member in fleet.all() if member is not byzantine]
     assert sum(member.instance.core.counts["deaths"] for member in others) == 0
     assert sum(member.instance.core.counts["refutations"] for member in others) > 0
 
 
 def test_suspicion_of_a_future_incarnation_is_ignored() -> None:
     fleet = joined_fleet(6)
-    liar, victim = fleet.at(1), fleet.at(2).instance.core
+    byzantine, victim = fleet.at(1), fleet.at(2).instance.core
     for incarnation in (victim.local.incarnation + 1, codec.MAX_INTEGER):
-        statement = liar.instance.sign(codec.Suspect("i2", incarnation))
+        statement = byzantine.instance.sign(codec.Suspect("i2", incarnation))
         for member in fleet.all():
             member.instance.core.on_statement(statement, codec.Suspect("i2", incarnation), fleet.now_us)
     assert states_of(fleet, "i2") == {MemberState.ALIVE}
@@ -115,10 +115,10 @@
 
 def test_highest_incarnation_stays_as_it_is_when_suspected() -> None:
     fleet = joined_fleet(6)
-    liar, victim = fleet.at(1), fleet.at(2).instance.core
+    byzantine, victim = fleet.at(1), fleet.at(2).instance.core
     suspect = codec.Suspect("i2", codec.MAX_INTEGER)
     victim.local.incarnation = codec.MAX_INTEGER
-    victim.on_statement(liar.instance.sign(suspect), suspect, fleet.now_us)
+    victim.on_statement(byzantine.instance.sign(suspect), suspect, fleet.now_us)
     assert victim.local.incarnation == codec.MAX_INTEGER
 
 
@@ -128,7 +128,7 @@
         fleet = joined_fleet(count, seed=count)
         fleet.run(5.0)
         for member in fleet.all():
-            member.instance.core.dissemination.queue.clear()  # the joins: n of them, log n times each
+            member.instance.core.dissemination.queue.clear()  # the joins: n broadcasts, log n times each
         before = [member.instance.counts.copy() for member in fleet.all()]
         fleet.run(20.0)
         rates[count] = [
@@ -143,7 +143,7 @@
 
 
 def fail_and_recover(fleet: Fleet, upstream: str, stage: str) -> None:
-    """Let an upstream fail for all instances and answer again; all must follow within two seconds."""
+    """Let an upstream fail and then recover for all instances; the weights must follow within 2 s each."""
     for member in fleet.all():
         for _ in range(2):
             fleet.attempt(member, upstream, Outcome.TIMEOUT)
@@ -156,7 +156,7 @@
 
 
 def test_rotation_of_fleet_and_instance_keys_under_load_loses_no_instance() -> None:
-    """One instance after another is renewed, while all report an upstream that fails and recovers."""
+    """The keys are replaced at one instance after another, while an upstream fails and recovers."""
     fleet = joined_fleet(12)
     old, new = fleet.fleet_key, SigningKey(bytes([8]) * 32)
     old_keyring = Keyring(SigningKey((3).to_bytes(32, "big")), fleet.at(3).instance.keyring.certificate, [])
@@ -175,17 +175,17 @@
     old_packet = old_keyring.seal_packet(codec.UrgentBroadcasts(), [], fleet.wall_us())
     first.receive(old_packet, ("h", 1), fleet.now_us, fleet.wall_us())
     assert first.keyring.rejections["not of this fleet"] == rejected + 1
-    late = fleet.add(50, "s1")  # its certificate is signed by the old key alone
+    late = fleet.add(50, "s1")  # its certificate is signed by the old key only
     fleet.run(20.0)
     assert not late.instance.core.members
     assert all("i50" not in member.instance.core.members for member in fleet.all())
 
 
-def test_fleet_size_estimate_falls_late_and_never_below_its_floor() -> None:
-    estimator = FleetSizeEstimator(floor=4)
+def test_fleet_size_estimate_falls_late_and_never_below_its_minimum() -> None:
+    estimator = FleetSizeEstimator(min_instances=4)
     assert [estimator.update(live, 1) for live in (1, 3, 9)] == [4, 4, 9]
     assert estimator.update(2, 2) == 9
     assert estimator.update(6, SHRINK_DELAY_US // 2) == 9
-    assert estimator.update(3, SHRINK_DELAY_US + 2) == 6  # the highest number of the delay
+    assert estimator.update(3, SHRINK_DELAY_US + 2) == 6  # the highest number during the delay
     assert estimator.update(1, SHRINK_DELAY_US + 3) == 6
     assert estimator.update(1, 3 * SHRINK_DELAY_US) == 4
--- a/tests/gossip/test_keys.py
+++ b/tests/gossip/test_keys.py
@@ -1,4 +1,4 @@
-"""Authentication, and what hostile bytes cost: signatures, replays, floods, fuzzed packets."""
+"""Authentication and the cost of hostile input: signatures, replays, floods, fuzzed packets."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def rejection(data: bytes, wall_us: int = WALL_US, receiver: Keyring | None = None) -> str:
-    """Return the reason for which a packet is rejected."""
+    """Return the reason why a receiver rejects a packet."""
     with pytest.raises(RejectedError) as caught:
         (receiver or make_receiver()).open_packet(data, 0, wall_us)
     return str(caught.value)
@@ -75,38 +75,42 @@
     receiver, sender = make_receiver(), FLEET.keyring(1, "s0")
     sent = [sender.seal_packet(UrgentBroadcasts(), [], WALL_US + 1000 * number) for number in range(20)]
     random.Random(3).shuffle(sent)
-    accepted = 0
+    accepted_count = 0
     reasons = set[str]()
     for data in sent + sent:
         try:
             receiver.open_packet(data, 0, WALL_US)
-            accepted += 1
+            accepted_count += 1
         except RejectedError as error:
             reasons.add(error.reason)
-    assert accepted == 20
+    assert accepted_count == 20
     assert reasons == {"heard before"}
     delayed = FLEET.keyring(1, "s0").seal_packet(UrgentBroadcasts(), [], WALL_US - 5_000_000)
     assert rejection(delayed, receiver=receiver) == "heard before"
 
 
-def test_certificates_that_do_not_hold_are_rejected_by_their_reason() -> None:
-    stranger, key, fleet = SigningKey(bytes([9]) * 32), SigningKey((1).to_bytes(32, "big")), FLEET.fleet_key
-    public, expires_s = key.verify_key.encode(), WALL_S + 100
-    untrusted = issue_certificate(stranger, 2, "i1", "s0", public, expires_s)
+def test_invalid_certificates_are_rejected_with_the_reason() -> None:
+    unknown_key, key, fleet_key = (
+        SigningKey(bytes([9]) * 32),
+        SigningKey((1).to_bytes(32, "big")),
+        FLEET.fleet_key,
+    )
+    public_key, expires_s = key.verify_key.encode(), WALL_S + 100
+    untrusted = issue_certificate(unknown_key, 2, "i1", "s0", public_key, expires_s)
     assert rejection(empty_packet(untrusted, key)) == "not of this fleet"
-    expired = issue_certificate(fleet, 2, "i1", "s0", public, WALL_S - 1)
+    expired = issue_certificate(fleet_key, 2, "i1", "s0", public_key, WALL_S - 1)
     assert rejection(empty_packet(expired, key)) == "expired"
-    valid = issue_certificate(fleet, 2, "i1", "s0", public, expires_s)
-    assert rejection(empty_packet(valid, stranger)) == "forged"
+    valid = issue_certificate(fleet_key, 2, "i1", "s0", public_key, expires_s)
+    assert rejection(empty_packet(valid, unknown_key)) == "forged"
     renamed = codec.Certificate(valid.serial, "i7", valid.site, valid.key, valid.expires_s, valid.signature)
     assert rejection(empty_packet(renamed, key)) == "not of this fleet"
 
 
-def test_revoked_certificate_is_rejected_until_it_is_off_the_list() -> None:
-    key, fleet = SigningKey((1).to_bytes(32, "big")), FLEET.fleet_key
-    certificate = issue_certificate(fleet, 2, "i1", "s0", key.verify_key.encode(), WALL_S + 100)
+def test_revoked_certificate_is_rejected_until_it_is_removed_from_the_list() -> None:
+    key, fleet_key = SigningKey((1).to_bytes(32, "big")), FLEET.fleet_key
+    certificate = issue_certificate(fleet_key, 2, "i1", "s0", key.verify_key.encode(), WALL_S + 100)
     receiver = make_receiver()
-    trusted = [fleet.verify_key.encode()]
+    trusted = [fleet_key.verify_key.encode()]
     receiver.replace_credentials(receiver.key, receiver.certificate, trusted, [2])
     assert rejection(empty_packet(certificate, key), receiver=receiver) == "revoked"
     receiver.replace_credentials(receiver.key, receiver.certificate, trusted, [])
@@ -140,7 +144,7 @@
     data = bytearray(sender.seal_packet(UrgentBroadcasts(), [], fleet.wall_us()))
     tokens = receiver.keyring.budget.tokens
     for number in range(3 * MAX_FORGERIES):
-        data[10] = number  # its signature
+        data[10] = number  # a byte of the signature
         receiver.receive(bytes(data), ("10.9.9.9", 1), fleet.now_us, fleet.wall_us())
     assert tokens - receiver.keyring.budget.tokens <= MAX_FORGERIES
     assert receiver.keyring.rejections["of a barred address"] == 2 * MAX_FORGERIES
@@ -152,7 +156,7 @@
 
 def test_verifications_per_second_are_bounded() -> None:
     receiver = make_receiver()
-    for number in range(int(VERIFICATION_BURST) - 1):  # one is spent on the certificate
+    for number in range(int(VERIFICATION_BURST) - 1):  # one of the verifications is of the certificate
         with pytest.raises(RejectedError, match=r"forged|not of this fleet"):
             receiver.open_packet(unsigned_packet(number), 0, WALL_US)
     with pytest.raises(RejectedError, match="over the budget"):
@@ -170,7 +174,7 @@
 
 
 @pytest.mark.parametrize("host", ["a.example", "10.0.0.1\n", "", "0.0.0.0", "x" * 64])
-def test_host_that_is_no_usable_ip_address_is_rejected(host: str) -> None:
+def test_host_that_is_not_a_usable_ip_address_is_rejected(host: str) -> None:
     statement = SENDER.sign(codec.Alive(host, 7, 1, SENDER.certificate), WALL_US)
     with pytest.raises(RejectedError, match="malformed"):
         make_receiver().open_statement(statement, None, 0, WALL_US)
@@ -182,7 +186,7 @@
     assert not failing
 
 
-def test_inputs_that_the_fuzzer_once_found_do_not_fail() -> None:
+def test_inputs_in_the_corpus_of_the_fuzzer_do_not_fail() -> None:
     corpus = ROOT / "tests" / "gossip" / "corpus.txt"
     fleet = Fleet(4, 2)
     fleet.run(3.0)
@@ -212,16 +216,22 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(st.binary(max_size=300), max_size=5), st.integers(0, 9))
-def test_signed_nonsense_of_a_member_does_no_harm(bodies: list[bytes], offset_us: int) -> None:
+def test_arbitrary_statements_signed_by_a_member_cause_no_output_but_datagrams(
+    bodies: list[bytes], offset_us: int
+) -> None:
     fleet = Fleet(3, 1)
     fleet.run(1.0)
-    liar, target = fleet.at(1).instance, fleet.at(2).instance
+    byzantine, target = fleet.at(1).instance, fleet.at(2).instance
     sequence_us = fleet.wall_us() + offset_us
     statements = []
     for body in bodies:
-        signature = liar.keyring.key.sign(codec.statement_signing_input("i1", sequence_us, body)).signature
+        signature = byzantine.keyring.key.sign(
+            codec.statement_signing_input("i1", sequence_us, body)
+        ).signature
         statements.append(codec.SignedStatement("i1", sequence_us, body, signature))
-    data = liar.keyring.seal_packet(UrgentBroadcasts(), statements[: codec.MAX_BROADCASTS], fleet.wall_us())
+    data = byzantine.keyring.seal_packet(
+        UrgentBroadcasts(), statements[: codec.MAX_BROADCASTS], fleet.wall_us()
+    )
     outputs = target.receive(data, ("10.0.0.1", 1001), fleet.now_us, fleet.wall_us())
     assert all(isinstance(output, Datagram) for output in outputs)
     fleet.run(1.0)
--- a/tests/gossip/test_members.py
+++ b/tests/gossip/test_members.py
@@ -1,4 +1,4 @@
-"""The member list, the broadcast queue and the rate of urgent relays, against plain models."""
+"""The member list, the broadcast queue and the rate limit of urgent relays, against simple models."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @given(STEPS)
-def test_member_list_indexes_agree_with_a_walk_over_all_peers(
+def test_member_list_indexes_agree_with_a_scan_of_all_peers(
     steps: list[tuple[str, MemberState | None, str]],
 ) -> None:
     members = MemberList()
@@ -60,7 +60,7 @@
     st.integers(1, 6),
     st.integers(1, 4),
 )
-def test_broadcasts_that_fit_a_packet_are_sent_least_sent_first_up_to_the_limit(
+def test_broadcasts_that_fit_a_packet_are_sent_fewest_transmissions_first_up_to_the_limit(
     puts: list[tuple[str, bool, int]], max_count: int, transmit_limit: int
 ) -> None:
     queue = BroadcastQueue()
@@ -84,13 +84,16 @@
 
 
 @given(st.lists(st.integers(0, 3_000_000), max_size=60))
-def test_urgent_relays_of_an_author_without_end_keep_gap_burst_and_average(gaps_us: list[int]) -> None:
+def test_urgent_relays_of_one_author_keep_minimum_interval_burst_and_mean_interval(
+    gaps_us: list[int],
+) -> None:
     peer = make_peer("a", "s")
     now_us = 1_000_000_000
     relayed_us = list[int]()
     for gap_us in gaps_us:
         now_us += gap_us
-        assert peer.next_urgent_us(now_us) - now_us <= MEAN_URGENT_INTERVAL_US  # no report starves
+        # No report is deferred for longer than the mean interval.
+        assert peer.next_urgent_us(now_us) - now_us <= MEAN_URGENT_INTERVAL_US
         if now_us >= peer.next_urgent_us(now_us):
             peer.record_urgent(now_us)
             relayed_us.append(now_us)
--- a/tests/gossip/test_outlier_reports.py
+++ b/tests/gossip/test_outlier_reports.py
@@ -1,4 +1,4 @@
-"""Observations, outlier reports and the weights made of them: liars within the bound raise no weight."""
+"""Observations, outlier reports and weights: tolerated Byzantine instances do not raise a weight."""
 
 from __future__ import annotations
 
@@ -27,32 +27,37 @@
 def report_on(
     failures: int, successes: int = 0, upstream: str = "n", started_ms: int = BORN_MS, age_ms: int = 0
 ) -> UpstreamReport:
-    """Return a report of a run of time-outs after some successes."""
+    """Return a report of consecutive timeouts after some successes."""
     return UpstreamReport(
         upstream, started_ms, failures + successes, failures, 0, 0, successes, failures, age_ms
     )
 
 
-def weight_of(votes: dict[str, list[UpstreamReport]], site: str = "here", site_size: int = 10) -> float:
-    """Return the weight that the reports of some sites' instances give upstream `n`."""
+def weight_of(
+    reports_by_site: dict[str, list[UpstreamReport]], site: str = "here", site_size: int = 10
+) -> float:
+    """Return the weight of upstream `n` from the reports of instances of some sites."""
     aggregator = ReportAggregator(site)
-    for voting_site, reports in votes.items():
+    for voting_site, reports in reports_by_site.items():
         for number, report in enumerate(reports):
             aggregator.add(f"{voting_site}-{number}", voting_site, OutlierReport([report]), NOW_US)
-    return aggregator.weight("n", BORN_MS, dict.fromkeys([*votes, site], site_size), NOW_US)
+    return aggregator.weight("n", BORN_MS, dict.fromkeys([*reports_by_site, site], site_size), NOW_US)
 
 
 @given(
     voters=st.integers(1, 60),
     honest=st.lists(st.integers(0, 9), max_size=40),
-    lies=st.lists(st.tuples(st.integers(0, 1000), st.integers(0, 9999)), max_size=12),
+    false_votes=st.lists(st.tuples(st.integers(0, 1000), st.integers(0, 9999)), max_size=12),
 )
-def test_tolerated_number_of_liars_raises_no_weight(
-    voters: int, honest: list[int], lies: list[tuple[int, int]]
+def test_tolerated_number_of_byzantine_voters_raises_no_weight(
+    voters: int, honest: list[int], false_votes: list[tuple[int, int]]
 ) -> None:
-    """Whatever they report of an upstream that answers the honest instances or that those do not use."""
+    """Whatever they report, if the honest instances see only successes or do not use the upstream."""
     votes = [Vote(0.0, min(1.0, successes / 10)) for successes in honest]
-    votes += [Vote(min(1.0, run), strength / 9999) for run, strength in lies[: max_byzantine_voters(voters)]]
+    votes += [
+        Vote(min(1.0, failures), strength / 9999)
+        for failures, strength in false_votes[: max_byzantine_voters(voters)]
+    ]
     assert trimmed_mean(votes, voters) == 0.0
 
 
@@ -66,35 +71,39 @@
     assert trimmed_mean([*votes, Vote(1.0, 1.0)], voters) >= weight - 1e-9
 
 
-def test_several_instances_of_the_own_site_are_believed_and_one_alone_is_not() -> None:
+def test_several_instances_of_the_own_site_raise_a_weight_and_one_or_two_do_not() -> None:
     assert weight_of({"here": [report_on(5)]}) == 0.0
     assert weight_of({"here": [report_on(5), report_on(9)]}) == 0.0
     assert weight_of({"here": [report_on(5)] * 5}) > 0.5
 
 
-def test_few_attempts_weigh_little() -> None:
-    well_known, little_known = [report_on(0, 9)] * 3, [report_on(0, 1)] * 3
-    once, thrice = [report_on(1)] * 5, [report_on(3)] * 5
-    assert weight_of({"here": once + well_known}) < weight_of({"here": thrice + well_known})
-    assert weight_of({"here": thrice + well_known}) < weight_of({"here": thrice + little_known})
+def test_reports_of_few_attempts_have_little_strength() -> None:
+    many_successes, one_success = [report_on(0, 9)] * 3, [report_on(0, 1)] * 3
+    one_failure, three_failures = [report_on(1)] * 5, [report_on(3)] * 5
+    assert weight_of({"here": one_failure + many_successes}) < weight_of(
+        {"here": three_failures + many_successes}
+    )
+    assert weight_of({"here": three_failures + many_successes}) < weight_of(
+        {"here": three_failures + one_success}
+    )
 
 
-def test_three_liars_of_the_own_site_are_outweighed_by_one_success() -> None:
+def test_one_instance_with_successes_outweighs_three_byzantine_ones_of_the_own_site() -> None:
     assert weight_of({"here": [report_on(1000)] * 3 + [report_on(0, 3)]}) < MIN_REPORT_WEIGHT
 
 
-def test_three_liars_of_one_other_site_weigh_nothing() -> None:
+def test_three_byzantine_instances_of_one_other_site_raise_no_weight() -> None:
     assert weight_of({"there": [report_on(1000)] * 3}) == 0.0
 
 
-def test_successes_in_the_own_site_silence_other_sites() -> None:
+def test_successes_in_the_own_site_override_reports_of_other_sites() -> None:
     failing = [report_on(5)] * 8
     healthy = [report_on(0, 5), report_on(0, 2)]
     assert weight_of({"one": failing, "two": failing, "three": failing, "here": healthy}) == 0.0
     assert weight_of({"one": failing, "two": failing, "three": failing}) > 0.5
 
 
-def test_reports_fade_with_age_and_end_with_the_upstream_s_start() -> None:
+def test_reports_lose_strength_with_age_and_are_ignored_after_a_restart_of_the_upstream() -> None:
     aggregator = ReportAggregator("here")
     for number in range(6):
         aggregator.add(f"i{number}", "here", OutlierReport([report_on(5)]), NOW_US)
@@ -125,7 +134,7 @@
 
 def test_report_has_failing_upstreams_first_and_never_more_than_fit() -> None:
     observations = LocalObservations()
-    assert observations.record("good", 1, Outcome.OK, 1) is False  # nothing new to the others
+    assert observations.record("good", 1, Outcome.OK, 1) is False  # no need to report it
     assert observations.record("bad", 1, Outcome.TIMEOUT, 2) is True
     assert observations.record("bad", 1, Outcome.FULL, 3) is False
     assert observations.record("bad", 1, Outcome.NOT_SENT, 3) is False
@@ -148,7 +157,7 @@
     for number in range(MAX_REPORTED_UPSTREAMS):
         name = str(number) * MAX_NAME_LENGTH
         observations.record(name, MAX_INTEGER, Outcome.RESET, number)
-    # a longer name would make the others reject the whole report
+    # Peers would reject the complete report if it had a longer name.
     assert not observations.record("x" * (MAX_NAME_LENGTH + 1), 1, Outcome.RESET, 99)
     report = observations.report(100)
     assert len(report.upstreams) >= 4
@@ -179,12 +188,12 @@
     assert all(member.weights.get("n1", 0.0) == 0.0 for member in fleet.all())
 
 
-def test_one_liar_of_fifty_moves_no_weight_though_nobody_else_reports() -> None:
+def test_one_byzantine_instance_of_fifty_raises_no_weight_if_nobody_else_reports() -> None:
     fleet = fleet_after_15_s(50, 5)
-    liar = fleet.at(11)
-    for turn in range(20):
-        report = OutlierReport([report_on(1000 + turn, upstream=name) for name in fleet.nodes])
-        fleet.perform(liar, liar.instance.publish_report(report, fleet.now_us))
+    byzantine = fleet.at(11)
+    for round_number in range(20):
+        report = OutlierReport([report_on(1000 + round_number, upstream=name) for name in fleet.nodes])
+        fleet.perform(byzantine, byzantine.instance.publish_report(report, fleet.now_us))
         fleet.run(0.3)
     assert not any(weight for member in fleet.all() for weight in member.weights.values())
     assert any("n1" in member.instance.aggregator.by_upstream for member in fleet.all())
--- a/tests/gossip/test_sidecars.py
+++ b/tests/gossip/test_sidecars.py
@@ -1,4 +1,4 @@
-"""Whole sidecars that gossip: joins, revocation, key rotation, faults, unusable operator files."""
+"""Gossip of sidecar processes: joins, revocation, key rotation, faults, unusable operator files."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 
-def test_sidecars_join_report_failures_and_drop_the_revoked(tmp_path: Path) -> None:
+def test_sidecars_join_report_failures_and_reject_a_revoked_peer(tmp_path: Path) -> None:
     keys = Keys(str(tmp_path))
     with (
         Upstream(script=server_error) as failing,
@@ -36,7 +36,7 @@
         eventually(lambda: f"node {failing.name}: weight" in members_output(keys, "one"))
         status = json.loads(members_output(keys, "one", "--json"))
         assert status["nodes"][failing.name]["by"]["two"]["run"] >= 2
-        assert status["nodes"][failing.name]["weight"] == 0.0  # the report of one instance alone
+        assert status["nodes"][failing.name]["weight"] == 0.0  # one report alone raises no weight
         serial = next(peer["serial"] for peer in status["peers"] if peer["name"] == "two")
         assert main(["revoke", str(tmp_path / "revoked"), "--serial", str(serial)]) == 0
         eventually(lambda: " revoked" in members_output(keys, "one").splitlines()[-1])
@@ -47,7 +47,7 @@
 
 
 def replace_certificate(folder: Path, fleet_key: Path, name: str, serial: int) -> None:
-    """Give a sidecar a new key, and then a certificate for it under a fleet key."""
+    """Replace a sidecar's key, and then its certificate by one that a fleet key signs for the new key."""
     key = folder / f"{name}2"
     assert main(["keygen", str(key)]) == 0
     os.replace(key, folder / f"{name}.key")
@@ -81,7 +81,7 @@
         assert "two  alive" in members_output(keys, "one")
 
 
-def test_commands_make_certify_and_revoke_keys(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_commands_create_certify_and_revoke_keys(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     fleet, own, certificate = (str(tmp_path / name) for name in ("fleet", "own", "own.cert"))
     revoked = tmp_path / "revoked"
     assert main(["keygen", fleet]) == 0
@@ -101,7 +101,7 @@
 
 
 def write_operator_file(folder: Path, certified_key: str, changes: dict[str, Any]) -> None:
-    """Write `operator.toml` with a key and a certificate, and the changes; None leaves a setting out."""
+    """Write `operator.toml` with a key, a certificate and some changes; None omits a setting."""
     key = str(folder / "k")
     assert main(["keygen", key]) == 0
     assert main(["keygen", str(folder / "other")]) == 0
@@ -120,7 +120,7 @@
 
 
 def start_daemon(folder: Path) -> subprocess.CompletedProcess[str]:
-    """Run a daemon that is expected to end by itself."""
+    """Run a daemon that is expected to exit by itself."""
     (folder / "config.json").write_text(json.dumps({"seed": "1", "settings": settings(Plan(), 0)}))
     env = os.environ | {
         "PROXY_NAME": "n",
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "line", "certified_key"),
+    ("changes", "error", "certified_key"),
     [
         ({"key_file": None}, "gossip.key_file: missing; gossip.bind needs it", "k"),
         ({"key_file": "/nowhere"}, "gossip: /nowhere: No such file", "k"),
@@ -150,20 +150,20 @@
         ({"seeds": ["x"]}, "gossip.seeds: ", "k"),
         ({"bind": "0.0.0.0:0"}, "gossip.bind: expected an address that the others reach", "k"),
         ({"advertise": "a.example:7"}, "gossip.advertise: expected an address", "k"),
-        ({"bind": "192.0.2.1:7000"}, "gossip.bind: ", "k"),  # no address of this machine
+        ({"bind": "192.0.2.1:7000"}, "gossip.bind: ", "k"),  # not an address of this machine
     ],
 )
-def test_operator_file_that_can_not_be_used_ends_the_start_with_one_line(
-    changes: dict[str, Any], line: str, certified_key: str, tmp_path: Path
+def test_start_with_unusable_operator_file_fails_with_a_one_line_error(
+    changes: dict[str, Any], error: str, certified_key: str, tmp_path: Path
 ) -> None:
     write_operator_file(tmp_path, certified_key, changes)
     completed = start_daemon(tmp_path)
     assert completed.returncode == 2, completed.stderr
     assert len(completed.stderr.splitlines()) == 1, completed.stderr
-    assert line in completed.stderr
+    assert error in completed.stderr
 
 
-def test_fault_in_gossip_costs_no_request(tmp_path: Path) -> None:
+def test_fault_in_gossip_fails_no_request(tmp_path: Path) -> None:
     code = (
         "import sys; from sidecar_proxy.gossip.instance import GossipInstance\n"
         "def fault(*_): raise RuntimeError('a fault')\n"
--- a/tests/gossip/test_transport.py
+++ b/tests/gossip/test_transport.py
@@ -1,4 +1,4 @@
-"""The gossip transport on real sockets: stalling peers, too many exchanges, datagrams of any kind."""
+"""The gossip transport on real sockets: stalling peers, too many exchanges, arbitrary datagrams."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from sidecar_proxy.gossip import transport as transport_module
 from sidecar_proxy.gossip.transport import FRAME_HEADER_BYTES, MAX_EXCHANGES, wall_clock_us
 from sidecar_proxy.testbed.gossip import Keys
-from tests.gossip.sidecars import transport_pair, until
+from tests.gossip.sidecars import transport_pair, wait_until
 from tests.sockets import LONG_S
 
 Stall = Callable[[asyncio.StreamWriter, bytes], Awaitable[None]]
@@ -25,12 +25,12 @@
 
 
 async def send_nothing(writer: asyncio.StreamWriter, frame: bytes) -> None:
-    """Leave the connection open."""
+    """Send nothing and leave the connection open."""
 
 
 async def send_byte_by_byte(writer: asyncio.StreamWriter, frame: bytes) -> None:
-    for at in range(len(frame)):
-        writer.write(frame[at : at + 1])
+    for index in range(len(frame)):
+        writer.write(frame[index : index + 1])
         await asyncio.sleep(0.05)
 
 
@@ -54,7 +54,7 @@
 
 
 async def stall_until_closed(address: tuple[str, int], stall: Stall, frame: bytes) -> None:
-    """Open an exchange, stall, and wait until the other side ends it."""
+    """Open a connection for a state exchange, stall, and wait until the other side closes it."""
     reader, writer = await asyncio.open_connection(*address)
     with contextlib.suppress(OSError):
         await stall(writer, frame)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("stall", STALLS)
-def test_stalling_peer_is_dropped_and_costs_the_others_nothing(
+def test_stalling_peers_are_disconnected_and_do_not_disturb_others(
     stall: Stall, keys: Keys, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(transport_module, "EXCHANGE_TIMEOUT_S", 0.4)
@@ -75,7 +75,7 @@
             address = pair.first.instance.address
             stalls = [stall_until_closed(address, stall, frame) for _ in range(MAX_EXCHANGES)]
             await asyncio.wait_for(asyncio.gather(*stalls), LONG_S)
-            await until(pair.know_each_other)
+            await wait_until(pair.know_each_other)
             assert pair.first.exchanges == 0
 
     asyncio.run(scenario())
@@ -85,21 +85,21 @@
     async def scenario() -> None:
         async with transport_pair(keys) as pair:
             first = pair.first
-            await until(lambda: pair.know_each_other() and not first.exchanges)
+            await wait_until(lambda: pair.know_each_other() and not first.exchanges)
             address = first.instance.address
             header = (100).to_bytes(FRAME_HEADER_BYTES, "big")
             writers = [(await asyncio.open_connection(*address))[1] for _ in range(MAX_EXCHANGES)]
             for writer in writers:
                 writer.write(header)
-            await until(lambda: first.exchanges == MAX_EXCHANGES)
-            reader, surplus = await asyncio.open_connection(*address)
-            surplus.write(header)
-            # an end without a reset would do as well, but never a byte
+            await wait_until(lambda: first.exchanges == MAX_EXCHANGES)
+            reader, extra_writer = await asyncio.open_connection(*address)
+            extra_writer.write(header)
+            # The connection may end with or without a reset, but no byte may be received.
             with contextlib.suppress(ConnectionError):
                 assert await reader.read(1) == b""
             for writer in writers:
                 writer.transport.abort()
-            await until(lambda: first.exchanges == 0)
+            await wait_until(lambda: first.exchanges == 0)
 
     asyncio.run(scenario())
 
@@ -107,14 +107,14 @@
 def test_arbitrary_datagrams_are_rejected(keys: Keys) -> None:
     async def scenario() -> None:
         async with transport_pair(keys) as pair:
-            await until(pair.know_each_other)
+            await wait_until(pair.know_each_other)
             udp, _ = await asyncio.get_running_loop().create_datagram_endpoint(
                 asyncio.DatagramProtocol, remote_addr=pair.first.instance.address
             )
             rng = random.Random(4)
             for size in (0, 1, 60, 500, 1300, 9000):
                 udp.sendto(rng.randbytes(size))
-            await until(lambda: pair.first.instance.keyring.rejections.total() >= 5)
+            await wait_until(lambda: pair.first.instance.keyring.rejections.total() >= 5)
             udp.close()
             assert len(pair.first.instance.core.members.live_peers()) == 1
 
