--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -34,7 +34,7 @@
 
 MIN_REPORT_INTERVAL_US = 100_000  # minimum interval between two outlier reports of this instance
 REFRESH_INTERVAL_US = 500_000  # interval between two refreshes of the weights and the fleet size
-MIN_WEIGHT_CHANGE = 0.05  # a smaller change of an outlier weight is not output
+MIN_WEIGHT_CHANGE = 0.05  # a smaller change of an outlier weight is not output, unless from or to 0
 MAX_STATE_OVERHEAD_BYTES = 2048  # maximum size of one side of a state exchange beside its statements
 # rejections that a correct sender can cause, so that they do not count as forgeries
 BENIGN_REJECTIONS = frozenset(
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Datagram:
-    """Send a datagram."""
+    """A datagram to send."""
 
     address: Address
     data: bytes
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StateExchange:
-    """Connect, send `local_state()`, and pass the received state to `open_remote_state`."""
+    """A state exchange to start: send `local_state()`, pass the received state to `open_remote_state`."""
 
     address: Address
 
--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -57,10 +57,9 @@
         """
         self.instance = instance
         self.exchanges = 0  # number of state exchanges in progress
-        self.protocol_handlers: dict[bytes, ProtocolHandler] = {}  # other protocols, by their magic
-        self.local_address: Address | None = (
-            None  # source address of connections; None = chosen by the system
-        )
+        self.protocol_handlers: dict[bytes, ProtocolHandler] = {}  # of other protocols, by their magic
+        # source address of connections; None = chosen by the system
+        self.local_address: Address | None = None
         self.now_us = now_us
         self._on_output = on_output
         self._loop = asyncio.get_running_loop()
