--- a/sidecar_proxy/gossip/status.py
+++ b/sidecar_proxy/gossip/status.py
@@ -1,4 +1,4 @@
-"""The state of gossip as a JSON object, for `gossip members` and for operators' scripts."""
+"""The status of gossip as a JSON object, for the command `gossip members` and for operators' scripts."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def describe(instance: GossipInstance) -> dict[str, Any]:
-    """Return the object. Its keys are an interface: operators' scripts and older command lines read them."""
+    """Return the object. Its keys are an interface that scripts and earlier versions of the command read."""
     core, certificate = instance.core, instance.keyring.certificate
     return {
         "name": core.name,
         "site": core.site,
         "address": list(instance.address),
         "serial": certificate.serial,
-        "until_s": certificate.until_s,
+        "until_s": certificate.expires_s,
         "incarnation": core.local.incarnation,
         "health": core.awareness.score,
         "instances": instance.fleet_size.instances,
@@ -42,7 +42,7 @@
         "life": peer.state.value,
         "accusers": sorted(peer.suspecters),
         "serial": peer.certificate.serial,
-        "until_s": peer.certificate.until_s,
+        "until_s": peer.certificate.expires_s,
     }
 
 
