--- a/sidecar_proxy/overload_control/load_measurement.py
+++ b/sidecar_proxy/overload_control/load_measurement.py
@@ -1,4 +1,4 @@
-"""Measures the demand, served and rejected rates of one sidecar, and estimates the upstreams' capacity."""
+"""Measures the rates of demand, served and rejected requests of one sidecar, and estimates capacity."""
 
 from __future__ import annotations
 
@@ -9,24 +9,25 @@
 from sidecar_proxy.overload_control.messages import ClassLoad
 from sidecar_proxy.overload_control.smoothed_rate import SmoothedRate
 
-UNCONSTRAINED_BELOW = 0.05  # share of rejections below which capacity is not the limit
-# By the share of rejections for want of capacity (below the first number): the capacity in served rates.
-CAPACITY_GROWTH = ((UNCONSTRAINED_BELOW, 2.0), (0.15, 1.4))
-CAPACITY_GROWTH_AT_LIMIT = 1.15
+UNCONSTRAINED_REJECTED_SHARE = 0.05  # with a smaller share of rejections, capacity is not the limit
+# The estimated capacity is a multiple of the served rate. Each entry consists of the share of capacity
+# rejections below which it applies, and the multiple.
+CAPACITY_GROWTH_BY_SHARE = ((UNCONSTRAINED_REJECTED_SHARE, 2.0), (0.15, 1.4))
+CAPACITY_GROWTH_AT_LIMIT = 1.15  # the multiple for larger shares of capacity rejections
 # Reports are a second or two old, and in that time the capacity of upstreams in slow start doubles.
 CAPACITY_GROWTH_IN_SLOW_START = 3.0
 PEAK_TIME_CONSTANT_US = 10_000_000  # the peak served rate decays to 1/e in this time
-MIN_SERVED_PER_S = 1.0  # for an estimate of the capacity
-MIN_SERVED_FOR_MEAN_PER_S = 0.5
+MIN_SERVED_PER_S = 1.0  # minimum served rate from which the capacity is estimated
+MIN_SERVED_FOR_MEAN_PER_S = 0.5  # minimum served rate from which the mean service time is computed
 DEFAULT_SERVICE_TIME_US = 100_000.0
 
 
 @dataclass(slots=True, frozen=True)
 class CapacityEstimate:
-    """What the upstreams could serve."""
+    """The estimated capacity of the upstreams, relative to the served rate."""
 
-    permille: int  # thousandths of the served rate
-    is_unconstrained: bool  # no limit is seen
+    permille: int  # estimated capacity, in thousandths of the served rate
+    is_unconstrained: bool  # whether so few requests are rejected that capacity is not the limit
 
 
 class ClassRates:
@@ -38,7 +39,7 @@
         self.demand = SmoothedRate(now_us)  # first attempts
         self.returning = SmoothedRate(now_us)  # retries that waited for their Retry-After
         self.served = SmoothedRate(now_us)
-        self.busy_us = SmoothedRate(now_us)  # response time of the served requests, summed
+        self.busy_us = SmoothedRate(now_us)  # sum of the response times of the served requests
 
     def update(self, now_us: int) -> None:
         """Updates all rates."""
@@ -48,7 +49,7 @@
         self.busy_us.update(now_us)
 
     def class_load(self) -> ClassLoad:
-        """Returns the rates as they are reported."""
+        """Returns the rates in the units of a report."""
         return ClassLoad(
             int(self.demand.per_s * 1000),
             int(self.returning.per_s * 1000),
@@ -58,7 +59,7 @@
 
 
 class LoadMeasurement:
-    """The rates of all classes together and of each. Rates are as of the last `update`."""
+    """The rates of each request class and of all classes together, as of the last `update`."""
 
     __slots__ = (
         "attempts",
@@ -75,25 +76,25 @@
         self.attempts = SmoothedRate(now_us)
         self.early_retries = SmoothedRate(now_us)  # retries that did not wait for a Retry-After
         self.rejections = SmoothedRate(now_us)
-        self.capacity_rejections = SmoothedRate(now_us)  # the rejections for want of a free slot
+        self.capacity_rejections = SmoothedRate(now_us)  # rejections because no slot was free
         self.peak_served_per_s = 0.0
         self.peak_updated_us = now_us
 
     def record_arrival(self, class_index: int, is_retry: bool, retry_due_us: int, now_us: int) -> None:
-        """Counts a request; `retry_due_us` is when its Retry-After expires, 0 without one."""
+        """Counts a request; `retry_due_us` is when its client's Retry-After expires, 0 if it has none."""
         self.attempts.count += 1
         if retry_due_us and retry_due_us <= now_us + RETRY_TOLERANCE_US:
             if class_index < len(self.classes):
                 self.classes[class_index].returning.count += 1
         elif is_retry or retry_due_us:
-            # Shed requests are retried again and again. As demand they would lower the shedding threshold of
-            # the whole fleet.
+            # Shed requests are retried again and again. If they counted as demand, the threshold would shed
+            # more in the whole fleet.
             self.early_retries.count += 1
         elif class_index < len(self.classes):
             self.classes[class_index].demand.count += 1
 
     def record_rejection(self, is_shed: bool) -> None:
-        """Counts a rejection, by the shedding threshold or for want of a free slot."""
+        """Counts a rejection, by the shedding threshold or because no slot was free."""
         self.rejections.count += 1
         if not is_shed:
             self.capacity_rejections.count += 1
@@ -111,8 +112,8 @@
             rates.update(now_us)
         for rate in (self.attempts, self.early_retries, self.rejections, self.capacity_rejections):
             rate.update(now_us)
-        # Reports are a second or two old. A threshold by the momentary served rate would starve upstreams
-        # that have been sent less, by chance or by the threshold.
+        # Reports are a second or two old. A threshold computed from the current served rate would starve
+        # upstreams that are sent fewer requests for a moment, by chance or because of the threshold itself.
         elapsed_us = now_us - self.peak_updated_us
         self.peak_updated_us = now_us
         decayed_per_s = self.peak_served_per_s * math.exp(-elapsed_us / PEAK_TIME_CONSTANT_US)
@@ -134,34 +135,37 @@
         return sum(rates.served.per_s for rates in self.classes)
 
     def mean_service_time_us(self) -> float:
-        """Returns the mean response time of the served requests, or a default where few are served."""
+        """Returns the mean response time of the served requests, or a default if too few are served."""
         served_per_s = self.served_per_s
         if served_per_s < MIN_SERVED_FOR_MEAN_PER_S:
             return DEFAULT_SERVICE_TIME_US
         return sum(rates.busy_us.per_s for rates in self.classes) / served_per_s
 
     def class_loads(self) -> list[ClassLoad]:
-        """Returns the rates of each class as they are reported."""
+        """Returns the rates of each class in the units of a report."""
         return [rates.class_load() for rates in self.classes]
 
     def capacity_estimate(self, has_slow_start: bool) -> CapacityEstimate:
-        """Estimates the upstreams' capacity; `has_slow_start` tells whether any of them is in slow start."""
+        """Estimates the upstreams' capacity; `has_slow_start` is whether any of them is in slow start."""
         served_per_s = self.served_per_s
         if served_per_s < MIN_SERVED_PER_S:
-            # The upstreams are away. A threshold by that would shed everything once they are back.
+            # The upstreams are unavailable. A threshold computed from that would shed all requests once they
+            # are available again.
             return CapacityEstimate(1000, True)
         capacity_rejections_per_s = self.capacity_rejections.per_s
-        exhausted_share = capacity_rejections_per_s / (capacity_rejections_per_s + served_per_s)
+        capacity_rejected_share = capacity_rejections_per_s / (capacity_rejections_per_s + served_per_s)
         is_unconstrained = (
-            exhausted_share < UNCONSTRAINED_BELOW
-            and self.rejections.per_s < UNCONSTRAINED_BELOW * self.attempts.per_s
+            capacity_rejected_share < UNCONSTRAINED_REJECTED_SHARE
+            and self.rejections.per_s < UNCONSTRAINED_REJECTED_SHARE * self.attempts.per_s
+        )
+        growth = (
+            CAPACITY_GROWTH_IN_SLOW_START if has_slow_start else _capacity_growth(capacity_rejected_share)
         )
-        growth = CAPACITY_GROWTH_IN_SLOW_START if has_slow_start else _capacity_growth(exhausted_share)
         return CapacityEstimate(int(1000 * growth * self.peak_served_per_s / served_per_s), is_unconstrained)
 
 
-def _capacity_growth(exhausted_share: float) -> float:
-    for below_share, growth in CAPACITY_GROWTH:
-        if exhausted_share < below_share:
+def _capacity_growth(capacity_rejected_share: float) -> float:
+    for below_share, growth in CAPACITY_GROWTH_BY_SHARE:
+        if capacity_rejected_share < below_share:
             return growth
     return CAPACITY_GROWTH_AT_LIMIT
--- a/sidecar_proxy/overload_control/messages.py
+++ b/sidecar_proxy/overload_control/messages.py
@@ -1,9 +1,9 @@
 """Messages between the overload controllers of a fleet, and their MessagePack codec.
 
 Each message is an array with a bounded length. The order of the fields, their types and the tags are the
-wire format; the names of the fields do not appear on the wire. A decoder ignores what a newer version
+wire format; the names of the fields do not appear on the wire. A decoder ignores fields that a newer version
 appends to an array. A `Report` is broadcast to all sidecars and replaces its author's previous one; the
-other messages go from one sidecar to one other. The module is pure: it does no I/O and reads no clock.
+other messages are sent from one sidecar to another. The module is pure: it does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from msgspec import Meta
 
 TOPIC = "overload"
-MAX_CLASSES = 16
-MAX_LEASE_RECORDS = 8  # in one report
+MAX_CLASSES = 16  # maximum number of request classes in one report
+MAX_LEASE_RECORDS = 8  # maximum number of lease records in one report
 MAX_MESSAGE_BYTES = 512
 MAX_ERROR_CHARS = 100
-TOTAL_PARTS = 1_000_000  # a quota is counted in parts of a million of every budget of the fleet
-NO_LEASE = 0  # `LeaseRequest.renews` of a request for a new lease
+TOTAL_PARTS = 1_000_000  # a quota is counted in parts; one part is a millionth of each of the fleet's budgets
+NO_LEASE = 0  # value of `LeaseRequest.renews` in a request for a new lease
 
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 Parts = Annotated[int, Meta(ge=0, le=TOTAL_PARTS)]
@@ -34,26 +34,26 @@
 
 
 class ClassLoad(msgspec.Struct, array_like=True, frozen=True):
-    """The load of one request class at one sidecar. A rate per 1000 s is one in thousandths per second."""
+    """The load of one request class at one sidecar. Rates per 1000 s keep three decimals as integers."""
 
     demand_per_1000_s: Count  # first attempts
     returning_per_1000_s: Count  # retries that waited for their Retry-After
     served_per_1000_s: Count
-    busy_us_per_s: Count  # response time of the served requests, summed
+    busy_us_per_s: Count  # sum of the response times of the requests served in a second
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """The state of one sidecar. Each value is the author's claim, which the reader has to bound."""
+    """The state of one sidecar. The values are claims of its author, which a recipient has to bound."""
 
     index: Count  # the author's index in the fleet
-    generation: Count  # of the shedding threshold that the author uses
+    generation: Count  # generation of the shedding threshold that the author uses
     has_retry_storm: bool
     usable_parts: Parts
     lendable_parts: Parts
     rejected_per_1000_s: Count
     capacity_permille: Count  # estimated capacity, in thousandths of the served rate
-    is_unconstrained: bool  # the author sees no limit of capacity
-    backlog: Count  # clients whose Retry-After has not expired
+    is_unconstrained: bool  # whether so few requests are rejected that capacity is not the limit
+    backlog: Count  # number of clients whose Retry-After has not expired
     classes: Annotated[list[ClassLoad], Meta(max_length=MAX_CLASSES)]
     leases: Annotated[list[LeaseRecord], Meta(max_length=MAX_LEASE_RECORDS)]
 
@@ -62,13 +62,13 @@
     """A request to borrow quota, or to renew the lease `renews`."""
 
     lease_id: Count  # chosen by the borrower
-    requested_us: Count  # by the borrower's clock
+    requested_us: Count  # time of the request by the borrower's clock
     parts: Parts
     renews: Count
 
 
 class LeaseGrant(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """The response to a lease request; 0 parts reject it. The term starts at `requested_us`."""
+    """The response to a lease request; 0 parts reject it. The borrower's term starts at `requested_us`."""
 
     lease_id: Count
     requested_us: Count
@@ -76,7 +76,7 @@
 
 
 class LeaseReturn(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """The borrower gives a lease back before it expires."""
+    """The return of a lease by its borrower before it expires."""
 
     lease_id: Count
 
@@ -86,7 +86,7 @@
 
 
 class MessageError(ValueError):
-    """The bytes are not a valid message. The text is one line."""
+    """Bytes are not a valid message. The text of the error is one line."""
 
 
 encode = msgspec.msgpack.Encoder().encode
@@ -94,7 +94,7 @@
 
 
 def decode(data: bytes) -> OverloadMessage:
-    """Decodes one message; raises MessageError."""
+    """Decodes one message. Raises MessageError if it is too large or malformed."""
     if len(data) > MAX_MESSAGE_BYTES:
         raise MessageError("too large")
     try:
--- a/sidecar_proxy/overload_control/outputs.py
+++ b/sidecar_proxy/overload_control/outputs.py
@@ -1,4 +1,4 @@
-"""What an overload controller asks its shell to do."""
+"""The outputs of an overload controller, which its caller carries out."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Broadcast:
-    """Send a report to all sidecars, in place of the previous one."""
+    """A report to send to all sidecars, which replaces the previous one."""
 
     report: Report
 
 
 @dataclass(slots=True, frozen=True)
 class SendMessage:
-    """Send a message to one sidecar."""
+    """A message to send to one sidecar."""
 
     recipient: str
     message: LeaseMessage
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """Write a line to the log."""
+    """A line to write to the log."""
 
     text: str
 
--- a/sidecar_proxy/overload_control/quota_leases.py
+++ b/sidecar_proxy/overload_control/quota_leases.py
@@ -1,15 +1,17 @@
-"""Quota escrow: each sidecar owns a fixed part of the fleet's budgets and lends some of it for a term.
+"""Quota escrow: each sidecar owns a fixed share of the fleet's budgets and lends some of it on leases.
 
-The sum of what all sidecars may spend never exceeds the budget, whatever networks, restarts and pauses do:
+The sum of what all sidecars may spend never exceeds the budget, in spite of lost, delayed and duplicate
+messages, restarts and paused processes:
 
-- The borrower counts a term from its request, the lender from its grant, and the lender adds the highest
-  difference in clock rate (Gray and Cheriton, "Leases", SOSP 1989).
-- Borrowed quota is not lent on.
-- A process that starts may spend nothing until every lease that its predecessor may have granted or held has
-  expired.
+- The borrower counts the term from its request, the lender from its grant, and the lender's term is longer by
+  the maximum drift between two clocks (Gray and Cheriton, "Leases", SOSP 1989).
+- Borrowed quota is not lent again.
+- A process that has started may spend nothing until every lease that its predecessor may have granted or
+  borrowed has expired.
 
 Escrow: O'Neil, "The Escrow Transactional Method", TODS 1986. Times are microseconds of a monotonic clock;
-quota is counted in parts of `TOTAL_PARTS`. The module is pure: it does no I/O and reads no clock.
+quota is counted in parts, of which the fleet has `TOTAL_PARTS`. The module is pure: it does no I/O and reads
+no clock.
 """
 
 from __future__ import annotations
@@ -26,24 +28,24 @@
 )
 
 LEASE_TERM_US = 3_000_000
-MAX_CLOCK_DRIFT = 0.02  # the rates of two clocks differ by less
-MAX_CLOCK_READ_AGE_US = 100_000  # a process acts on a clock reading that is no older
-REQUEST_TIMEOUT_US = 1_000_000  # a pending request blocks another one to the same lender
+MAX_CLOCK_DRIFT = 0.02  # maximum relative difference between the rates of two clocks
+MAX_CLOCK_READ_AGE_US = 100_000  # maximum time between reading the clock and acting on the reading
+REQUEST_TIMEOUT_US = 1_000_000  # after this a new request may be sent to a lender that has not responded
 MIN_LEASE_PARTS = 1000  # smaller leases are not worth a message
-MAX_LEASES = 8  # that one sidecar grants, and that it borrows
-MAX_CLOSED_LEASES = 64 * MAX_LEASES  # remembered, so that a late request does not open them again
-RESERVED_SHARE = 0.25  # of the owned quota, never lent, so that a burst can start at once
+MAX_LEASES = 8  # maximum number of leases that a sidecar grants, and of those that it borrows
+MAX_CLOSED_LEASES = 64 * MAX_LEASES  # ids of closed leases are kept, so that a late request can't reopen one
+RESERVED_SHARE = 0.25  # share of the owned quota that is never lent, so that a burst can be served at once
 LEASE_ID_BITS = 52
 
 
 def grant_term_us() -> int:
-    """Returns how long the lender counts a lease as granted."""
+    """Returns how long the lender counts a lease as lent, in microseconds; its borrower's term is shorter."""
     return int(LEASE_TERM_US * (1 + MAX_CLOCK_DRIFT)) + MAX_CLOCK_READ_AGE_US
 
 
 @dataclass(slots=True, frozen=True)
 class Grant:
-    """One grant of a lease: the parts, and when the lender may spend them again."""
+    """The lent parts, and the time from which on the lender may spend them again."""
 
     parts: int
     expires_us: int
@@ -51,9 +53,9 @@
 
 @dataclass(slots=True)
 class GrantedLease:
-    """A lease as its lender counts it.
+    """A lease as recorded by its lender.
 
-    A renewal adds a grant, and an older and larger grant counts until it expires, because the borrower may
+    A renewal adds a grant. An older grant that is larger counts until it expires, because the borrower may
     not have received the newer one.
     """
 
@@ -61,14 +63,14 @@
     grants: list[Grant] = field(default_factory=list)
 
     def lent_parts(self, now_us: int) -> int:
-        """Returns the largest unexpired grant, and forgets the expired ones."""
+        """Returns the parts of the largest unexpired grant, and removes expired grants."""
         self.grants = [grant for grant in self.grants if grant.expires_us > now_us]
         return max((grant.parts for grant in self.grants), default=0)
 
 
 @dataclass(slots=True)
 class BorrowedLease:
-    """A lease as its borrower counts it."""
+    """A lease as recorded by its borrower."""
 
     lender: str
     parts: int
@@ -77,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PendingRequest:
-    """A lease request without a response."""
+    """A lease request that has no response yet."""
 
     lender: str
     requested_us: int
@@ -89,24 +91,24 @@
 
     def __init__(self, index: int, instances: int, rng: random.Random, now_us: int) -> None:
         self.owned_parts = TOTAL_PARTS // instances if 0 <= index < instances else 0
-        self.usable_from_us = now_us + grant_term_us()  # applies to the owned quota
+        self.usable_from_us = now_us + grant_term_us()  # the owned quota may not be spent before
         self.rng = rng
-        self.granted: dict[int, GrantedLease] = {}  # by lease id, as the three below
-        self.borrowed: dict[int, BorrowedLease] = {}
-        self.pending: dict[int, PendingRequest] = {}
-        self.closed: dict[int, None] = {}  # leases that can't be granted again, oldest first
-        self.is_suspended = False  # another process claims the same index
+        self.granted: dict[int, GrantedLease] = {}  # leases granted to peers, by lease id
+        self.borrowed: dict[int, BorrowedLease] = {}  # leases granted by peers, by lease id
+        self.pending: dict[int, PendingRequest] = {}  # requests without a response, by lease id
+        self.closed: dict[int, None] = {}  # ids of leases that can't be granted again, oldest first
+        self.is_suspended = False  # set while another process with precedence claims the same index
 
     # Usable quota
 
     def retained_parts(self, now_us: int) -> int:
-        """Returns the owned quota that may be spent here, without what is lent."""
+        """Returns the owned quota that may be spent here: what is not lent."""
         if self.is_suspended or now_us < self.usable_from_us:
             return 0
         return max(0, self.owned_parts - self.lent_parts(now_us))
 
     def lent_parts(self, now_us: int) -> int:
-        """Returns the quota that is lent, and forgets the leases that have expired."""
+        """Returns the quota that is lent, and removes leases that have expired."""
         expired = [lease_id for lease_id, lease in self.granted.items() if not lease.lent_parts(now_us)]
         for lease_id in expired:
             del self.granted[lease_id]
@@ -121,12 +123,13 @@
     def usable_parts(self, now_us: int) -> int:
         """Returns the quota that may be spent now.
 
-        Callers ask at each use, because the process may have been stopped since the last answer.
+        Callers must not cache the value: leases may have expired since, for example while the process was
+        stopped.
         """
         return self.retained_parts(now_us) + self.borrowed_parts(now_us)
 
     def lendable_parts(self, needed_parts: int, now_us: int) -> int:
-        """Returns what may be lent while this sidecar needs `needed_parts` itself."""
+        """Returns the quota that may be lent while this sidecar needs `needed_parts` itself."""
         if len(self.granted) >= MAX_LEASES:
             return 0
         return max(0, self.retained_parts(now_us) - self._reserved_parts(needed_parts))
@@ -141,8 +144,8 @@
     ) -> LeaseRequest | None:
         """Returns a request for a new lease, or for one that replaces the lease `renews`.
 
-        Returns None while the lender has a request to answer, if the lease would be too small, if there are
-        enough leases already, or while the escrow is suspended.
+        Returns None while another request to the lender is pending, if the lease would be too small, if the
+        maximum number of leases is reached, or while the escrow is suspended.
         """
         self.pending = {
             lease_id: request
@@ -162,10 +165,10 @@
         return LeaseRequest(lease_id, now_us, min(parts, TOTAL_PARTS), renews)
 
     def receive_grant(self, lender: str, grant: LeaseGrant, now_us: int) -> bool:
-        """Records a response. Returns whether there is a new lease.
+        """Records a response to a lease request. Returns whether it creates a lease.
 
-        There is none if the lender rejects the request, if the response matches no pending request, or if the
-        term has ended on the way.
+        It creates none if the lender rejects the request, if the response matches no pending request, or if
+        the term has ended before the response arrived.
         """
         request = self.pending.get(grant.lease_id)
         if request is None or request.lender != lender or request.requested_us != grant.requested_us:
@@ -179,7 +182,7 @@
         return True
 
     def release_lease(self, lease_id: int) -> LeaseReturn:
-        """Stops spending a borrowed lease, and returns the message for its lender."""
+        """Removes a borrowed lease, and returns the message that returns it to its lender."""
         del self.borrowed[lease_id]
         return LeaseReturn(lease_id)
 
@@ -188,10 +191,10 @@
     def handle_request(
         self, borrower: str, request: LeaseRequest, needed_parts: int, now_us: int
     ) -> LeaseGrant:
-        """Returns the response to a peer's request; it grants nothing that this sidecar needs itself."""
+        """Handles a peer's request and returns the response; quota that this sidecar needs is not granted."""
         rejection = LeaseGrant(request.lease_id, request.requested_us, 0)
         if request.lease_id in self.granted or request.lease_id in self.closed:
-            return rejection  # a duplicate
+            return rejection  # the request is a duplicate
         renewed = self.granted.get(request.renews)
         if renewed is not None and (renewed.borrower != borrower or not renewed.lent_parts(now_us)):
             renewed = None
@@ -209,12 +212,12 @@
     def _grantable_parts(self, renewed: GrantedLease | None, needed_parts: int, now_us: int) -> int:
         if renewed is None:
             return self.lendable_parts(needed_parts, now_us)
-        # the quota of the renewed lease can be granted again, but only to its borrower
+        # The quota of the renewed lease can be granted again, but only to its borrower.
         available_parts = self.retained_parts(now_us) + renewed.lent_parts(now_us)
         return max(0, available_parts - self._reserved_parts(needed_parts))
 
     def receive_return(self, borrower: str, message: LeaseReturn) -> None:
-        """Takes a lease back that its borrower has released."""
+        """Closes a lease that its borrower returns before it expires."""
         lease = self.granted.get(message.lease_id)
         if lease is not None and lease.borrower == borrower:
             del self.granted[message.lease_id]
@@ -226,7 +229,7 @@
             del self.closed[next(iter(self.closed))]
 
     def lent_by_borrower(self, now_us: int) -> dict[str, int]:
-        """Returns the parts that are lent, by borrower."""
+        """Returns the number of lent parts, by borrower."""
         lent: dict[str, int] = {}
         for lease in self.granted.values():
             parts = lease.lent_parts(now_us)
@@ -235,5 +238,5 @@
         return lent
 
     def expirations_us(self, now_us: int) -> list[int]:
-        """Returns when each of the borrowed leases that have not expired ends."""
+        """Returns the expiry times of the borrowed leases that have not expired."""
         return [lease.expires_us for lease in self.borrowed.values() if lease.expires_us > now_us]
--- a/sidecar_proxy/overload_control/retry_after.py
+++ b/sidecar_proxy/overload_control/retry_after.py
@@ -1,7 +1,8 @@
-"""Retry-After advice: when rejected clients shall retry, and which of them have done so.
+"""Computes the Retry-After of rejected clients, and records when each of them is due to retry.
 
-The advice spreads the fleet's backlog of rejected clients over the capacity that first attempts leave, like a
-virtual queue whose length all sidecars know. The module is pure: it does no I/O and reads no clock.
+Retry-After spreads the retries of the fleet's rejected clients over the capacity that admitted requests leave
+unused, like a virtual queue whose length all sidecars know. The module is pure: it does no I/O and reads no
+clock.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from sidecar_proxy.balancer.load_shedding import RETRY_TOLERANCE_US
 from sidecar_proxy.overload_control.shedding_threshold import SheddingThreshold
 
-MAX_SCHEDULED_RETRIES = 20_000
-MAX_LATENESS_US = 5_000_000  # an advised retry is remembered for so long after its due time
-MIN_SPARE_SHARE = 0.02  # of the capacity; with less the advice is the maximum
+MAX_SCHEDULED_RETRIES = 20_000  # maximum number of entries; the oldest are evicted
+MAX_LATENESS_US = 5_000_000  # an entry expires this long after its due time
+MIN_SPARE_SHARE = 0.02  # with a smaller share of spare capacity, Retry-After is the maximum of the settings
 
 
 class RetrySchedule:
-    """The advised retry time of each rejected client, by the key of its request."""
+    """The time at which each rejected client is due to retry, by the key of its request."""
 
     __slots__ = ("due_us_by_key",)
 
@@ -25,16 +26,16 @@
         self.due_us_by_key: OrderedDict[int, int] = OrderedDict()
 
     def add(self, key: int, due_us: int) -> None:
-        """Records that the client was advised to retry at `due_us`."""
+        """Records that the Retry-After of a client expires at `due_us`; evicts the oldest entries if full."""
         self.due_us_by_key.pop(key, None)
         self.due_us_by_key[key] = due_us
         while len(self.due_us_by_key) > MAX_SCHEDULED_RETRIES:
             self.due_us_by_key.popitem(last=False)
 
     def take_due_us(self, key: int, now_us: int) -> int:
-        """Returns when the client was advised to retry; 0 if it was not, or if that is long ago.
+        """Returns when the client's Retry-After expires; 0 if it has none or is too late.
 
-        A client that comes at its time has used its entry; the entry of one that comes too early stays.
+        A client that retries when it is due uses up its entry; the entry of one that retries too early stays.
         """
         due_us = self.due_us_by_key.get(key, 0)
         if not due_us or now_us < due_us - RETRY_TOLERANCE_US:
@@ -43,7 +44,7 @@
         return due_us if now_us <= due_us + MAX_LATENESS_US else 0
 
     def backlog(self, now_us: int) -> int:
-        """Returns how many clients still wait, and forgets the entries that are long past."""
+        """Returns the number of clients that are not due yet, and removes expired entries."""
         expired = [key for key, due_us in self.due_us_by_key.items() if now_us > due_us + MAX_LATENESS_US]
         for key in expired:
             del self.due_us_by_key[key]
@@ -53,9 +54,10 @@
 def advised_retry_after_us(
     threshold: SheddingThreshold | None, service_time_us: float, max_retry_after_us: int
 ) -> int:
-    """Returns the time in which the spare capacity serves the fleet's backlog.
+    """Returns the Retry-After: the time in which the spare capacity serves the fleet's backlog.
 
-    It lies between the mean service time of a request and the maximum of the settings.
+    It lies between the mean service time of a request and the maximum of the settings. Without a threshold or
+    spare capacity it is the maximum.
     """
     if threshold is None or threshold.spare_us <= MIN_SPARE_SHARE * threshold.capacity_us:
         return max_retry_after_us
--- a/sidecar_proxy/overload_control/retry_storm.py
+++ b/sidecar_proxy/overload_control/retry_storm.py
@@ -1,24 +1,26 @@
-"""Detects retry storms: rejected clients whose retries are rejected again."""
+"""Detects retry storms: overload that lasts because rejected clients retry and are rejected again."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-BEGIN_REJECTED_SHARE = 0.2  # of the attempts
-BEGIN_RETRY_SHARE = 0.3  # of the attempts, while at least END_REJECTED_SHARE is rejected
-END_REJECTED_SHARE = 0.05
-BEGIN_DELAY_US = 500_000  # the condition has to hold for so long, as for the end of a storm
-END_DELAY_US = 3_000_000
-MIN_ATTEMPTS_PER_S = 4.0  # shares of fewer attempts are not significant
+# A storm begins if this share of the attempts is rejected.
+BEGIN_REJECTED_SHARE = 0.2
+# It also begins if this share of the attempts is retries and END_REJECTED_SHARE of the attempts is rejected.
+BEGIN_RETRY_SHARE = 0.3
+END_REJECTED_SHARE = 0.05  # a storm ends if a smaller share of the attempts is rejected
+BEGIN_DELAY_US = 500_000  # the condition for the beginning must be met without interruption for this time
+END_DELAY_US = 3_000_000  # the condition for the end must be met without interruption for this time
+MIN_ATTEMPTS_PER_S = 4.0  # with fewer attempts the shares are not significant and count as 0
 
 
 @dataclass(slots=True)
 class RetryStormDetector:
-    """Tells whether there is a retry storm, with hysteresis."""
+    """Detects the beginning and the end of a retry storm, with hysteresis."""
 
     is_active: bool = False
-    reason: str = ""  # of the last change; operators read it
-    condition_since_us: int | None = None  # of the condition for a change
+    reason: str = ""  # text for operators: why `is_active` changed last
+    condition_since_us: int | None = None  # since when the condition for a change has been met
 
     def update(
         self,
@@ -28,9 +30,9 @@
         fleet_has_storm: bool,
         now_us: int,
     ) -> bool:
-        """Takes in the present rates, and whether most of the fleet sees a storm.
+        """Evaluates the current rates; returns whether `is_active` has changed.
 
-        Returns whether `is_active` has changed.
+        `fleet_has_storm`: sidecars with more than half of the reported quota report a storm.
         """
         rejected_share = 0.0
         retry_share = 0.0
@@ -38,12 +40,12 @@
             rejected_share = rejections_per_s / attempts_per_s
             retry_share = retries_per_s / attempts_per_s
         if self.is_active:
-            holds = rejected_share < END_REJECTED_SHARE and not fleet_has_storm
+            is_condition_met = rejected_share < END_REJECTED_SHARE and not fleet_has_storm
             delay_us = END_DELAY_US
         else:
-            holds = _begins(rejected_share, retry_share, fleet_has_storm)
+            is_condition_met = _is_beginning(rejected_share, retry_share, fleet_has_storm)
             delay_us = BEGIN_DELAY_US
-        if not holds:
+        if not is_condition_met:
             self.condition_since_us = None
             return False
         if self.condition_since_us is None:
@@ -60,7 +62,7 @@
         return True
 
 
-def _begins(rejected_share: float, retry_share: float, fleet_has_storm: bool) -> bool:
+def _is_beginning(rejected_share: float, retry_share: float, fleet_has_storm: bool) -> bool:
     if rejected_share >= BEGIN_REJECTED_SHARE:
         return True
     has_rejections = rejected_share >= END_REJECTED_SHARE
@@ -70,7 +72,7 @@
 def _begin_reason(
     attempts_per_s: float, rejected_share: float, retry_share: float, fleet_has_storm: bool
 ) -> str:
-    # the OVERLOAD command answers this text, so its words stay
+    # The answer of the OVERLOAD command contains this text, so its wording must not change.
     reason = f"{rejected_share:.0%} of {attempts_per_s:.0f} tries a second refused, {retry_share:.0%} repeats"
     if fleet_has_storm:
         reason += ", most of the fleet says so"
--- a/sidecar_proxy/overload_control/shedding_threshold.py
+++ b/sidecar_proxy/overload_control/shedding_threshold.py
@@ -1,12 +1,13 @@
 """Computes the fleet's shedding threshold from the sidecars' reports.
 
-The threshold says which request classes, and which share of the class at the threshold, fit the capacity of
-the upstreams. All sidecars that have received the same reports compute the same threshold, because nothing
-but the reports goes into it. Demand and capacity are measured in upstream time: microseconds of work per
-second.
-
-A sidecar's claims count in proportion to its quota, which it can't claim itself, so a sidecar that lies moves
-the threshold by no more than its own part. The module is pure: it does no I/O and reads no clock.
+The threshold determines which request classes, and which share of the class at the threshold, fit the
+capacity of the upstreams. All sidecars that have received the same reports compute the same threshold,
+because it depends on nothing but the reports. Demand and capacity are measured in upstream time: microseconds
+of work per second.
+
+The values in a report are claims of its author. They are bounded in proportion to the author's quota, which
+follows from the other sidecars' reports, so a false report moves the threshold by no more than the author's
+share. The module is pure: it does no I/O and reads no clock.
 """
 
 from __future__ import annotations
@@ -16,36 +17,38 @@
 
 from sidecar_proxy.overload_control.messages import TOTAL_PARTS, ClassLoad, Report
 
-UNCONSTRAINED_CAPACITY = 1.5  # of its demand, at a sidecar that sees no limit
-MAX_CLAIM = 1.25  # of a quota's proportional part of all claims; more of a claim does not count
-MIN_REPORTED_SHARE = 0.499  # of the quota; a little below half, because quotas are whole numbers
-MIN_SERVED_PER_1000_S = 500  # for a sidecar's service time of a class to count
+UNCONSTRAINED_CAPACITY_FACTOR = 1.5  # minimum ratio of capacity to demand at an unconstrained sidecar
+MAX_CLAIM_FACTOR = 1.25  # a claim counts up to this multiple of the share that its author's quota justifies
+# Minimum share of the fleet's quota that the reporting sidecars must have. It is a little below half, because
+# quotas are rounded to whole parts.
+MIN_REPORTED_SHARE = 0.499
+MIN_SERVED_PER_1000_S = 500  # service times of a class with a lower served rate are not significant
 
 
 @dataclass(slots=True, frozen=True)
 class SheddingThreshold:
-    """The share of each class that is admitted (0 to 1), and the sums that it rests on."""
+    """The share of each class that is admitted (0 to 1), and the totals from which it was computed."""
 
-    admitted_shares: tuple[float, ...]  # of first attempts
-    returning_shares: tuple[float, ...]  # of retries that waited for their Retry-After
+    admitted_shares: tuple[float, ...]  # admitted share of first attempts, by class
+    returning_shares: tuple[float, ...]  # the same for retries that waited for their Retry-After
     generation: int  # selects which requests of a class are admitted
     demand_us: float  # upstream time per second for first attempts
     capacity_us: float  # upstream time per second
-    spare_us: float  # upstream time per second that admitted requests leave
+    spare_us: float  # upstream time per second that admitted requests leave unused
     backlog: float  # clients of all sidecars whose Retry-After has not expired
-    has_retry_storm: bool  # sidecars with more than half of the quota see one
+    has_retry_storm: bool  # sidecars with more than half of the reported quota detect a retry storm
 
     @property
-    def sheds(self) -> bool:
+    def is_shedding(self) -> bool:
         """Whether first attempts of any class are shed."""
         return min(self.admitted_shares, default=1.0) < 1.0
 
 
 def reported_quotas(reports: Mapping[str, Report], instances: int) -> dict[str, int]:
-    """Returns each sidecar's quota by the word of the others.
+    """Returns each sidecar's quota in parts, by name.
 
-    A sidecar owns the part of its index, less what it reports as lent, and has what its lenders report.
-    Sidecars with the same index share its part.
+    Each index owns an equal share of the fleet's quota, and sidecars that report the same index divide it. A
+    sidecar has what it owns, less what it reports as lent, plus what its lenders report as lent to it.
     """
     parts_per_index = TOTAL_PARTS // instances
     claims_by_index: dict[int, int] = {}
@@ -58,7 +61,7 @@
     borrowed: dict[str, int] = {}
     for name, report in reports.items():
         for lease in report.leases:
-            parts = min(lease.parts, retained[name])  # nobody lends more than it owns
+            parts = min(lease.parts, retained[name])  # a sidecar can't lend more than it owns
             retained[name] -= parts
             if lease.borrower in reports and lease.borrower != name:
                 borrowed[lease.borrower] = borrowed.get(lease.borrower, 0) + parts
@@ -80,14 +83,18 @@
 
 
 def bound_claims(claims: Mapping[str, float], quotas: Mapping[str, int]) -> dict[str, float]:
-    """Limits each claim to `MAX_CLAIM` times its quota's part, by the median of the claims per quota."""
+    """Limits each claim to `MAX_CLAIM_FACTOR` times the median claim per part of quota, times its quota.
+
+    Both mappings are by name; a claim without quota is limited to 0.
+    """
     quota_by_name = {name: quotas.get(name, 0) for name in claims}
     claims_per_part = [
         (claims[name] / parts, float(parts)) for name, parts in quota_by_name.items() if parts > 0
     ]
     median_per_part = weighted_median(claims_per_part)
     return {
-        name: min(claim, MAX_CLAIM * quota_by_name[name] * median_per_part) for name, claim in claims.items()
+        name: min(claim, MAX_CLAIM_FACTOR * quota_by_name[name] * median_per_part)
+        for name, claim in claims.items()
     }
 
 
@@ -96,7 +103,7 @@
 ) -> list[float]:
     """Returns, by class, the upstream time of one request: the median of the sidecars' measurements.
 
-    A class without any measurement has the median of the other classes; 0.0 without one.
+    A class without any measurement gets the median of the other classes, or 0.0 if no class has one.
     """
     service_times_us = []
     for class_index in range(class_count):
@@ -109,23 +116,23 @@
                 time_us = load.busy_us_per_s / load.served_per_1000_s * 1000
                 measured.append((time_us, float(quotas.get(name, 0))))
         service_times_us.append(weighted_median(measured))
-    usual_us = weighted_median([(time_us, 1.0) for time_us in service_times_us if time_us > 0.0])
-    return [time_us or usual_us for time_us in service_times_us]
+    fallback_us = weighted_median([(time_us, 1.0) for time_us in service_times_us if time_us > 0.0])
+    return [time_us or fallback_us for time_us in service_times_us]
 
 
 @dataclass(slots=True, frozen=True)
 class _Demand:
-    """Upstream time per second that requests need: by sidecar and class."""
+    """Upstream time per second that requests need, by sidecar and class."""
 
     first_us: dict[str, list[float]]
     returning_us: dict[str, list[float]]
 
     def claim_us(self, name: str) -> float:
-        """Returns the demand of one sidecar."""
+        """Returns the total demand that one sidecar claims."""
         return sum(self.first_us[name]) + sum(self.returning_us[name])
 
 
-def _demand(reports: Mapping[str, Report], service_times_us: Sequence[float]) -> _Demand:
+def _compute_demand(reports: Mapping[str, Report], service_times_us: Sequence[float]) -> _Demand:
     no_load = ClassLoad(0, 0, 0, 0)
     first_us: dict[str, list[float]] = {}
     returning_us: dict[str, list[float]] = {}
@@ -150,9 +157,10 @@
 def compute_threshold(
     reports: Mapping[str, Report], priority_weights: Sequence[float], instances: int
 ) -> SheddingThreshold | None:
-    """Returns the threshold of the fresh reports (the own one included), by name.
+    """Returns the threshold that follows from the reports.
 
-    Returns None if sidecars with too little of the quota have reported.
+    `reports` are by name, without expired ones, and include this sidecar's own. `priority_weights` are by
+    class. Returns None if the sidecars that have reported have too little of the fleet's quota.
     """
     quotas = reported_quotas(reports, instances)
     total_quota = sum(quotas.values())
@@ -160,10 +168,11 @@
         return None
     class_count = len(priority_weights)
     service_times_us = median_service_times_us(reports, quotas, class_count)
-    demand = _demand(reports, service_times_us)
+    demand = _compute_demand(reports, service_times_us)
     claims_us = {name: demand.claim_us(name) for name in reports}
     bounded_us = bound_claims(claims_us, quotas)
-    # by the same service times as the demand, because measured ones vary threefold as queues come and go
+    # The capacity is computed with the same service times as the demand. Those that a sidecar measures vary
+    # threefold as queues build up and drain.
     capacity_claims_us = {
         name: claimed_capacity_us(report, service_times_us, claims_us[name])
         for name, report in reports.items()
@@ -175,7 +184,7 @@
     first_us = _sum_by_class(demand.first_us, counted_shares, class_count)
     returning_us = _sum_by_class(demand.returning_us, counted_shares, class_count)
     order = _admission_order(priority_weights, service_times_us)
-    admission = _admit(capacity_us, order, first_us, returning_us)
+    admission = _allocate_capacity(capacity_us, order, first_us, returning_us)
     backlogs = bound_claims({name: float(report.backlog) for name, report in reports.items()}, quotas)
     storm_quota = sum(quotas[name] for name, report in reports.items() if report.has_retry_storm)
     return SheddingThreshold(
@@ -200,7 +209,7 @@
 
 
 def _admission_order(priority_weights: Sequence[float], service_times_us: Sequence[float]) -> list[int]:
-    """Returns the classes by priority weight per upstream time; of equals the earlier class comes first."""
+    """Returns the classes by descending priority weight per upstream time, then by index."""
     return sorted(
         range(len(priority_weights)),
         key=lambda class_index: (
@@ -210,38 +219,41 @@
     )
 
 
-def _admit(
+def _allocate_capacity(
     capacity_us: float, order: Sequence[int], first_us: Sequence[float], returning_us: Sequence[float]
 ) -> _Admission:
-    """Allocates the capacity in order; in a class, retries that have waited go before first attempts."""
+    """Allocates the capacity to the classes in order.
+
+    Within a class, retries that waited for their Retry-After come before first attempts.
+    """
     admitted_shares = [1.0] * len(order)
     returning_shares = [1.0] * len(order)
     spare_us = capacity_us
     for class_index in order:
-        for shares, wanted_us in (
+        for shares, demand_us in (
             (returning_shares, returning_us[class_index]),
             (admitted_shares, first_us[class_index]),
         ):
-            if wanted_us > 0.0:
-                shares[class_index] = min(1.0, spare_us / wanted_us)
-                spare_us = max(0.0, spare_us - wanted_us)
+            if demand_us > 0.0:
+                shares[class_index] = min(1.0, spare_us / demand_us)
+                spare_us = max(0.0, spare_us - demand_us)
     return _Admission(admitted_shares, returning_shares, spare_us)
 
 
 def claimed_capacity_us(report: Report, service_times_us: Sequence[float], claim_us: float) -> float:
-    """Returns the upstream time per second that the author could use by its report."""
+    """Returns the upstream time per second that the author of a report claims to be available to it."""
     served_us = sum(
         load.served_per_1000_s / 1000 * time_us
         for load, time_us in zip(report.classes, service_times_us, strict=False)
     )
     capacity_us = served_us * report.capacity_permille / 1000 + max(service_times_us, default=0.0)
     if report.is_unconstrained:
-        return max(capacity_us, UNCONSTRAINED_CAPACITY * claim_us)
+        return max(capacity_us, UNCONSTRAINED_CAPACITY_FACTOR * claim_us)
     return capacity_us
 
 
 def median_generation(reports: Mapping[str, Report], quotas: Mapping[str, int]) -> int:
-    """Returns the generation by the median of the reports, so that a minority does not change it."""
+    """Returns the weighted median of the reported generations, so that a minority can't change it."""
     return int(
         weighted_median(
             [(float(report.generation), float(quotas.get(name, 0))) for name, report in reports.items()]
--- a/sidecar_proxy/overload_control/slow_start.py
+++ b/sidecar_proxy/overload_control/slow_start.py
@@ -1,4 +1,4 @@
-"""Limits the quota that is spent at upstreams in slow start while their responses queue."""
+"""Reduces the quota in use while requests queue at upstreams in slow start."""
 
 from __future__ import annotations
 
@@ -6,14 +6,19 @@
 
 from sidecar_proxy.balancer import events as api
 
-FULL_LATENCY_SHARE = 0.85  # of the slow latency, as the concurrency limit of warm upstreams allows
+# The factor decreases while the response time, scaled to that of a warm upstream, is above this share of the
+# slow latency. The concurrency limits of shared upstreams settle at the same share.
+MAX_LATENCY_SHARE = 0.85
 MIN_FACTOR = 0.55
-DECREASE = 0.95  # at each update
-INCREASE = 1.05
+DECREASE_FACTOR = 0.95  # multiplier for each update with a high latency
+INCREASE_FACTOR = 1.05  # multiplier for each update with a low latency
 
 
 def mean_slow_start_weight(upstreams: Iterable[api.Upstream], settings: api.Settings, now_us: int) -> float:
-    """Returns the mean slow-start weight of the upstreams in slow start, 1.0 if there is none."""
+    """Returns the mean slow-start weight of the upstreams in slow start, or 1.0 if there is none.
+
+    The weight of an upstream rises linearly from `cold_share` at its start to 1.0 after `warm_up_us`.
+    """
     if not settings.warm_up_us:
         return 1.0
     ages_us = [now_us - upstream.started_us for upstream in upstreams if upstream.started_us]
@@ -28,25 +33,25 @@
 
 
 class SlowStartPacing:
-    """The factor of its quota that a sidecar uses, below 1 while upstreams in slow start respond slowly.
+    """The factor by which a sidecar scales its quota, below 1 while upstreams in slow start respond slowly.
 
-    An upstream in slow start accepts more concurrent requests than it works on, and more so as it warms up.
-    The latency of that queue would count as a warm upstream's from the moment that the slow start ends, and
-    would close its concurrency limit.
+    An upstream in slow start accepts more concurrent requests than it can process, increasingly so as it
+    warms up, and the excess queues. Once slow start ends, the latency of that queue would count as that of a
+    warm upstream, and would reduce the upstream's concurrency limit drastically.
     """
 
     def __init__(self, slow_latency_us: int) -> None:
-        """`slow_latency_us`: the latency of a warm upstream that has a queue; 0 turns the pacing off."""
+        """`slow_latency_us` is the latency of a warm upstream that has a queue; 0 turns the pacing off."""
         self.slow_latency_us = slow_latency_us
         self.factor = 1.0
 
     def update(self, slow_start_weight: float, service_time_us: float) -> None:
-        """Takes in the mean slow-start weight (1.0: none is in slow start) and the mean service time."""
+        """Adjusts the factor to the mean slow-start weight (1.0: no slow start) and the mean service time."""
         if slow_start_weight >= 1.0 or not self.slow_latency_us:
             self.factor = 1.0
             return
         latency_share = service_time_us * slow_start_weight / self.slow_latency_us
-        if latency_share > FULL_LATENCY_SHARE:
-            self.factor = max(MIN_FACTOR, self.factor * DECREASE)
-        elif latency_share < FULL_LATENCY_SHARE / 2:
-            self.factor = min(1.0, self.factor * INCREASE)
+        if latency_share > MAX_LATENCY_SHARE:
+            self.factor = max(MIN_FACTOR, self.factor * DECREASE_FACTOR)
+        elif latency_share < MAX_LATENCY_SHARE / 2:
+            self.factor = min(1.0, self.factor * INCREASE_FACTOR)
--- a/sidecar_proxy/overload_control/smoothed_rate.py
+++ b/sidecar_proxy/overload_control/smoothed_rate.py
@@ -1,4 +1,4 @@
-"""A rate of events, smoothed exponentially."""
+"""An exponentially smoothed rate of events."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 @dataclass(slots=True)
 class SmoothedRate:
-    """Events per second, smoothed over about a second.
+    """Events per second, as an exponential moving average with `TIME_CONSTANT_US`.
 
-    Callers add to `count` as events happen and call `update` regularly.
+    Callers add to `count` as events happen and call `update` at regular intervals.
     """
 
     updated_us: int
     per_s: float = 0.0
-    count: int = 0  # since the last update
+    count: int = 0  # events since the last update
 
     def update(self, now_us: int) -> None:
-        """Moves the events counted since the last update into the rate."""
+        """Updates the rate with the events counted since the last update, and resets the count."""
         elapsed_us = now_us - self.updated_us
         if elapsed_us <= 0:
             return
--- a/sidecar_proxy/overload_control/status.py
+++ b/sidecar_proxy/overload_control/status.py
@@ -8,7 +8,7 @@
 
 
 def controller_status(controller: OverloadController, now_us: int) -> dict[str, object]:
-    """Returns the state of the controller under the names that operators know."""
+    """Returns the state of the controller under the keys that operators' tools read."""
     load = controller.load
     escrow = controller.escrow
     storm = controller.storm_detector
--- a/sidecar_proxy/overload_control/subsystem.py
+++ b/sidecar_proxy/overload_control/subsystem.py
@@ -1,7 +1,7 @@
 """Connects the overload controller to the engine, the gossip transport, the admin server and the log.
 
-The subsystem makes no decisions. It hands the engine's counts and the peers' messages to the controller, and
-the controller's outputs to the balancer and the peers.
+The subsystem makes no decisions. It passes events of the engine and messages of peers to the controller, and
+the controller's outputs to the balancer, the peers and the log.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 
 ADMIN_COMMAND = "OVERLOAD"
 REJECTION_LOG_INTERVAL_S = 1.0
-TIMER_SLACK_S = 0.001  # so that the timer does not fire just before the controller is due
-# Trace lines, which the testbed parses.
+TIMER_SLACK_S = 0.001  # added to each delay, so that the timer does not fire just before the tick is due
+# Log lines of the trace; the testbed parses them.
 TRACE_REPORT = "said overload %d %s"
 TRACE_QUOTA = "said lease %d %s"
 
@@ -57,23 +57,23 @@
             admin_server.commands[ADMIN_COMMAND] = self.handle_admin_command
 
     def start(self) -> None:
-        """Begins to count requests, to receive messages and to tick."""
+        """Starts to count requests, to receive messages and to tick."""
         self.gossip.listeners[messages.TOPIC] = self.receive
         self.engine.fleet_observer = self
         self._tick()
 
     def close(self) -> None:
-        """Stops; the balancer goes on with the last update until it expires."""
+        """Stops the subsystem; the balancer uses the last update until it expires."""
         self.engine.fleet_observer = None
         self.gossip.listeners.pop(messages.TOPIC, None)
         if self.timer is not None:
             self.timer.cancel()
 
-    # Events of the engine, on the path of every request. A fault in the controller must not cost a request,
-    # so any exception turns overload control off instead.
+    # Events of the engine. They are on the path of every request, and a bug in the controller must not fail a
+    # request. An exception therefore turns overload control off instead.
 
     def arrived(self, call: Call) -> int:
-        """Counts a request; returns when its Retry-After expires, 0 if it has none."""
+        """Counts a request; returns when its client's Retry-After expires, 0 if it has none."""
         try:
             return self.controller.record_arrival(
                 call.class_index, call.key, call.is_retry, self.engine.clock.now_us()
@@ -90,7 +90,7 @@
             self._turn_off()
 
     def ended(self, class_index: int, outcome: api.Outcome, elapsed_us: int) -> None:
-        """Counts an attempt that has ended."""
+        """Counts an attempt that has ended, if an upstream has served it."""
         if outcome is api.Outcome.OK:
             self.controller.record_success(class_index, elapsed_us)
 
@@ -101,7 +101,7 @@
     # Messages of the other sidecars
 
     def receive(self, delivery: SubsystemMessage) -> None:
-        """Hands a message of the gossip transport to the controller; logs a malformed one."""
+        """Passes a message of the gossip transport to the controller; logs an invalid one."""
         now_us = self.engine.clock.now_us()
         if delivery.is_departure:
             self.controller.remove_peer(delivery.author)
@@ -122,7 +122,7 @@
         self._log_rejected(f"{delivery.author}: a report to one sidecar, or a lease message to all")
 
     def _log_rejected(self, text: str) -> None:
-        """Logs at most one line per second, however many messages are rejected."""
+        """Counts a rejected message, and logs at most one line per second."""
         self.rejected_messages += 1
         now_s = self.engine.loop.time()
         if now_s >= self.next_rejection_log_s:
@@ -137,7 +137,7 @@
             upstreams = self.engine.balancer.entries.values()
             slow_start_weight = mean_slow_start_weight(upstreams, self.engine.settings, now_us)
             self._perform(self.controller.tick(now_us, slow_start_weight))
-        except Exception:  # as above: no fault here may cost a request
+        except Exception:  # a bug in the controller must not fail requests
             self._turn_off()
             return
         wait_us = max(0, self.controller.next_tick_us - self.engine.clock.now_us())
@@ -168,9 +168,8 @@
     def _trace_quota(self) -> None:
         """Logs the usable quota if it has changed: [retained, [[borrowed, expires], ...]].
 
-        The times are of the clock that all processes of a machine share, so that a checker can add the
-        quotas of a fleet up. The line is written before the outputs that follow from the change are
-        performed.
+        The times are those of a clock that all processes of a machine share, so that a checker can add up the
+        quotas of a fleet. The line is written before the outputs that follow from the change are performed.
         """
         escrow = self.controller.escrow
         now_us = self.engine.clock.now_us()
@@ -197,7 +196,7 @@
 def _new_controller(options: Overload, engine: Engine, name: str, seed: int) -> OverloadController:
     settings = engine.settings
     now_us = engine.clock.now_us()
-    # the time keeps a restarted process from drawing the lease ids of its predecessor again
+    # Without the time in the seed, a restarted process would reuse the lease ids of its predecessor.
     rng = random.Random(f"{seed} {name} {now_us}")
     return OverloadController(
         name,
--- a/tests/overload_control/conftest.py
+++ b/tests/overload_control/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the overload control tests."""
+"""Fixtures of the tests of overload control."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def new_controller() -> ControllerFactory:
-    """Makes a controller; the seed of its generator is the number in its name."""
+    """Returns a function that creates a controller; the number in its name seeds its random generator."""
 
     def make(name: str, index: int, instances: int, slow_latency_us: int = 0) -> OverloadController:
         return OverloadController(
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def new_group(new_controller: ControllerFactory) -> GroupFactory:
-    """Makes a group of so many controllers."""
+    """Returns a function that creates a group of the given number of controllers."""
 
     def make(count: int) -> ControllerGroup:
         return ControllerGroup([new_controller(f"s{index}", index, count) for index in range(count)])
--- a/tests/overload_control/controllers.py
+++ b/tests/overload_control/controllers.py
@@ -1,4 +1,4 @@
-"""Groups of controllers for the tests, and the types of the fixtures that make them."""
+"""Groups of controllers for the tests, and the types of the fixtures that create them."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @dataclass
 class ControllerGroup:
-    """Controllers that receive each other's messages at once."""
+    """Controllers that receive each other's messages without delay."""
 
     controllers: list[OverloadController]
     now_us: int = 0
 
     def run(self, seconds: float) -> None:
-        """Ticks all controllers for so long."""
+        """Advances the time in steps of 50 ms and ticks all controllers at each step."""
         for _ in range(int(seconds * STEPS_PER_S)):
             self.now_us += STEP_US
             for controller in self.controllers:
                 self.deliver(controller, controller.tick(self.now_us))
 
     def deliver(self, source: OverloadController, outputs: list[Output]) -> None:
-        """Hands the messages among the outputs to their recipients, and so on with what follows from them."""
+        """Delivers the messages among the outputs, and those that the recipients send in response."""
         for output in outputs:
             if isinstance(output, Broadcast):
                 for peer in self.controllers:
@@ -38,7 +38,7 @@
                 self.deliver(recipient, responses)
 
     def quotas(self) -> list[int]:
-        """Returns the usable quota of each controller."""
+        """Returns the usable quota of each controller, in parts."""
         return [controller.escrow.usable_parts(self.now_us) for controller in self.controllers]
 
 
--- a/tests/overload_control/reports.py
+++ b/tests/overload_control/reports.py
@@ -1,4 +1,4 @@
-"""Builds reports for the tests."""
+"""Creates reports for the tests."""
 
 from __future__ import annotations
 
--- a/tests/overload_control/test_campaign.py
+++ b/tests/overload_control/test_campaign.py
@@ -1,4 +1,4 @@
-"""Campaigns of random faults find three planted bugs, find nothing in the code itself, and are repeatable."""
+"""Campaigns of random faults find three injected bugs, find none in the code itself, and are repeatable."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ForgettingController(OverloadController):
-    """A planted bug: a lease of a peer considered dead counts as returned, though the peer may live."""
+    """An injected bug: the lease of a peer considered dead counts as returned, but the peer may be alive."""
 
     def remove_peer(self, author: str) -> None:
         super().remove_peer(author)
@@ -29,7 +29,7 @@
 
 
 class UnendingEscrow(QuotaEscrow):
-    """A planted bug: a borrowed lease never expires."""
+    """An injected bug: a borrowed lease never expires."""
 
     def borrowed_parts(self, now_us: int) -> int:
         return sum(lease.parts for lease in self.borrowed.values())
@@ -43,7 +43,7 @@
 
 
 class SynchronizingBalancer:
-    """A planted bug: all rejected clients are advised to retry at the same moment."""
+    """An injected bug: all rejected clients get a Retry-After that expires at the same moment."""
 
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         self.inner = Balancer(settings, seed, now_us)
@@ -56,19 +56,19 @@
         return actions
 
 
-def run_campaign(runs: int, **planted: Any) -> tuple[int, str]:
-    """Returns the number of the run that found something (0: none) and the output."""
-    out = io.StringIO()
-    play = virtual(SIDECARS, SECONDS, **planted)
-    return Campaign(1, runs, SIDECARS, SECONDS, play, out).run(), out.getvalue()
+def run_campaign(runs: int, **injected: Any) -> tuple[int, str]:
+    """Returns the number of the run that found a violation (0: none), and the output of the campaign."""
+    output = io.StringIO()
+    run_schedule = virtual(SIDECARS, SECONDS, **injected)
+    return Campaign(1, runs, SIDECARS, SECONDS, run_schedule, output).run(), output.getvalue()
 
 
 def test_lease_counted_twice_after_a_partition_is_found_with_a_minimal_schedule() -> None:
     run, output = run_campaign(MAX_RUNS, makes=ForgettingController)
     assert 0 < run <= MAX_RUNS
     assert "all may spend" in output
-    _, table, rest = output.partition("[[fault]]")
-    schedule = table + rest
+    _, first_table, remainder = output.partition("[[fault]]")
+    schedule = first_table + remainder
     faults = read(schedule)
     seed = int(output.partition("seed ")[2].partition(":")[0])
     assert written(faults).strip() == schedule.strip()
@@ -89,30 +89,30 @@
     assert "same moment" in output
 
 
-def test_nothing_is_found_without_a_planted_bug() -> None:
+def test_nothing_is_found_without_an_injected_bug() -> None:
     run, output = run_campaign(12)
     assert run == 0, output
 
 
 def test_runs_of_one_seed_are_equal() -> None:
-    def play() -> list[tuple[int, int]]:
+    def run_world() -> list[tuple[int, int]]:
         world = World(SIDECARS, 5, draw(5, SIDECARS))
         world.run(12.0)
         return [(mind.requests, mind.member.escrow.usable_parts(world.clock(mind))) for mind in world.minds]
 
-    assert play() == play()
+    assert run_world() == run_world()
     assert draw(5, SIDECARS) == draw(5, SIDECARS)
     assert draw(5, SIDECARS) != draw(6, SIDECARS)
 
 
 def test_failing_schedule_is_reduced_to_its_one_necessary_fault() -> None:
     faults = draw(3, SIDECARS) + draw(4, SIDECARS)
-    necessary = faults[1].kind
+    necessary_kind = faults[1].kind
 
-    def play(_: int, schedule: Sequence[Fault]) -> list[Finding]:
-        return [Finding(0.0, fault.kind) for fault in schedule if fault.kind == necessary]
+    def run_schedule(_: int, schedule: Sequence[Fault]) -> list[Finding]:
+        return [Finding(0.0, fault.kind) for fault in schedule if fault.kind == necessary_kind]
 
-    reduced = smaller(1, faults, play)
+    reduced = smaller(1, faults, run_schedule)
     assert len(reduced) == 1
-    assert reduced[0].kind == necessary
+    assert reduced[0].kind == necessary_kind
     assert reduced[0].for_s < faults[1].for_s * 8
--- a/tests/overload_control/test_controller.py
+++ b/tests/overload_control/test_controller.py
@@ -1,9 +1,13 @@
-"""The overload controller: what it dispatches, and groups of controllers that exchange messages."""
+"""The overload controller: its outputs, and groups of controllers that exchange messages."""
 
 from __future__ import annotations
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.overload_control.controller import GENERATION_US, UPDATE_VALID_US, OverloadController
+from sidecar_proxy.overload_control.controller import (
+    GENERATION_INTERVAL_US,
+    UPDATE_LIFETIME_US,
+    OverloadController,
+)
 from sidecar_proxy.overload_control.messages import TOTAL_PARTS, LeaseGrant, LeaseRequest
 from sidecar_proxy.overload_control.outputs import Broadcast, LogMessage, Output, SendMessage
 from tests.overload_control.controllers import (
@@ -16,24 +20,24 @@
 from tests.overload_control.reports import make_report
 
 
-def apply_load(group: ControllerGroup, busy: int) -> None:
-    """Plays ten seconds in which eight times as much arrives at one controller as at each other."""
+def apply_load(group: ControllerGroup, busy_index: int) -> None:
+    """Simulates ten seconds in which one controller receives eight times the requests of each other one."""
     for _ in range(200):
         group.run(0.05)
-        for number, controller in enumerate(group.controllers):
-            for _ in range(8 if number == busy else 1):
+        for index, controller in enumerate(group.controllers):
+            for _ in range(8 if index == busy_index else 1):
                 controller.record_arrival(0, 0, False, group.now_us)
                 controller.record_success(0, 50_000)
 
 
 def test_quota_moves_to_the_sidecar_with_the_load_and_back(new_group: GroupFactory) -> None:
     group = new_group(4)
-    apply_load(group, busy=0)
+    apply_load(group, busy_index=0)
     quotas = group.quotas()
     assert quotas[0] > TOTAL_PARTS // 2
     assert sum(quotas) <= TOTAL_PARTS
     assert min(quotas) >= TOTAL_PARTS // 4 // 4
-    apply_load(group, busy=2)
+    apply_load(group, busy_index=2)
     quotas = group.quotas()
     assert quotas[2] > TOTAL_PARTS // 2
     assert quotas[0] < TOTAL_PARTS // 3
@@ -50,28 +54,28 @@
     update = group.controllers[0].last_update
     assert update is not None
     assert update.valid_until_us <= group.now_us + 3_000_000
-    group.now_us += 5_000_000  # no process runs in this time
+    group.now_us += 5_000_000  # all processes are stopped during this time
     assert group.quotas()[0] == TOTAL_PARTS // 2
     assert update.valid_until_us < group.now_us
 
 
-def test_later_name_of_two_with_one_index_has_no_quota_until_the_other_is_gone(
+def test_of_two_sidecars_with_one_index_the_later_name_has_no_quota_until_the_other_is_gone(
     new_group: GroupFactory, new_controller: ControllerFactory
 ) -> None:
     group = new_group(3)
-    twin = new_controller("s9", 1, 3)
-    group.controllers.append(twin)
+    duplicate = new_controller("s9", 1, 3)
+    group.controllers.append(duplicate)
     group.run(8.0)
-    assert twin.escrow.is_suspended
-    assert twin.escrow.usable_parts(group.now_us) == 0
+    assert duplicate.escrow.is_suspended
+    assert duplicate.escrow.usable_parts(group.now_us) == 0
     assert sum(group.quotas()) <= TOTAL_PARTS
-    assert twin.last_update is not None
-    assert twin.last_update.budget_share == 0.0
+    assert duplicate.last_update is not None
+    assert duplicate.last_update.budget_share == 0.0
     group.controllers.remove(group.controllers[1])
     group.run(8.0)
-    assert not twin.escrow.is_suspended
-    assert isinstance(twin.last_update, api.OverloadUpdated)
-    assert twin.last_update.budget_share > 0.0
+    assert not duplicate.escrow.is_suspended
+    assert isinstance(duplicate.last_update, api.OverloadUpdated)
+    assert duplicate.last_update.budget_share > 0.0
 
 
 def test_index_conflict_is_logged_and_takes_effect_at_once(new_controller: ControllerFactory) -> None:
@@ -101,7 +105,7 @@
         return controller.last_update.budget_share
 
     assert budget_share_after(100_000, 1.0, 5.0) == 1.0
-    assert budget_share_after(250_000, 0.4, 5.0) == 1.0  # slow for the slow start, not for a queue
+    assert budget_share_after(250_000, 0.4, 5.0) == 1.0  # the slow start alone explains this response time
     assert 0.5 < budget_share_after(400_000, 0.9, 10.0) < 0.6
     assert budget_share_after(60_000, 0.9, 10.0) == 1.0
     assert budget_share_after(400_000, 0.9, 10.0) < 0.6
@@ -114,7 +118,7 @@
 
 
 def reject_all(controller: OverloadController, from_us: int, seconds: float) -> list[Output]:
-    """Plays a time in which every request is rejected; returns all outputs of the ticks."""
+    """Simulates a period in which every request is rejected; returns the outputs of all ticks."""
     outputs: list[Output] = []
     for step in range(1, int(seconds * STEPS_PER_S) + 1):
         now_us = from_us + step * STEP_US
@@ -135,7 +139,7 @@
     assert following.report.has_retry_storm
 
 
-def test_due_time_of_a_retry_is_answered_in_a_retry_storm_only(new_controller: ControllerFactory) -> None:
+def test_due_time_of_a_retry_is_returned_only_in_a_retry_storm(new_controller: ControllerFactory) -> None:
     controller = new_controller("s0", 0, 1)
     controller.record_rejection(7, 9_000_000, is_shed=True, now_us=0)
     assert controller.record_arrival(0, 7, True, 1_000_000) == 0
@@ -143,7 +147,7 @@
     assert controller.record_arrival(0, 7, True, 1_000_000) == 9_000_000
 
 
-def test_update_says_what_the_balancer_may_spend(new_controller: ControllerFactory) -> None:
+def test_update_limits_the_balancer_to_the_share_of_the_sidecar(new_controller: ControllerFactory) -> None:
     controller = new_controller("s0", 0, 2)
     (update,) = updates(controller.tick(10_000_000))
     assert update.budget_share == 0.5
@@ -152,17 +156,17 @@
     assert update.attempts_per_s == 2.0
     assert update.admitted_shares == [1.0, 1.0, 1.0]
     assert update.returning_shares == [1.0, 1.0, 1.0]
-    assert update.valid_until_us == 10_000_000 + UPDATE_VALID_US
+    assert update.valid_until_us == 10_000_000 + UPDATE_LIFETIME_US
 
 
 def test_unchanged_update_is_repeated_only_before_it_expires(new_controller: ControllerFactory) -> None:
     controller = new_controller("s0", 0, 2)
     assert len(updates(controller.tick(10_000_000))) == 1
     assert updates(controller.tick(11_000_000)) == []
-    assert len(updates(controller.tick(10_000_000 + UPDATE_VALID_US // 2))) == 1
+    assert len(updates(controller.tick(10_000_000 + UPDATE_LIFETIME_US // 2))) == 1
 
 
-def test_tick_before_its_time_does_nothing(new_controller: ControllerFactory) -> None:
+def test_tick_before_it_is_due_does_nothing(new_controller: ControllerFactory) -> None:
     controller = new_controller("s0", 0, 2)
     assert controller.tick(controller.next_tick_us - 1) == []
 
@@ -189,9 +193,9 @@
     assert controller.escrow.usable_parts(10_000_000) == 400_000
 
 
-def test_generation_advances_after_its_time(new_controller: ControllerFactory) -> None:
+def test_generation_advances_after_its_interval(new_controller: ControllerFactory) -> None:
     controller = new_controller("s0", 0, 1)
-    controller.tick(GENERATION_US - 1)
+    controller.tick(GENERATION_INTERVAL_US - 1)
     assert controller.generation == 0
-    controller.tick(GENERATION_US - 1 + 250_000)
+    controller.tick(GENERATION_INTERVAL_US - 1 + 250_000)
     assert controller.generation == 1
--- a/tests/overload_control/test_load_measurement.py
+++ b/tests/overload_control/test_load_measurement.py
@@ -1,4 +1,4 @@
-"""The measured rates of one sidecar and the capacity estimated from them."""
+"""The measured rates of one sidecar, and the capacity that is estimated from them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def serve(load: LoadMeasurement, served: int = 20, shed: int = 0, out_of_capacity: int = 0) -> None:
-    """Plays ten seconds with so many requests in each."""
+    """Simulates ten seconds; the arguments are numbers of requests per second, by their outcome."""
     for second in range(1, 11):
         for _ in range(served + shed + out_of_capacity):
             load.record_arrival(0, False, 0, second * SECOND_US)
@@ -57,7 +57,7 @@
     assert load.classes[1].returning.count == 0
 
 
-def test_class_beyond_the_known_ones_counts_in_the_sums_only(load: LoadMeasurement) -> None:
+def test_request_of_an_unknown_class_counts_only_as_an_attempt(load: LoadMeasurement) -> None:
     load.record_arrival(7, False, 0, 100)
     load.record_success(7, 50_000)
     load.update(SECOND_US)
@@ -66,7 +66,7 @@
     assert load.served_per_s == 0.0
 
 
-def test_only_rejections_for_want_of_a_slot_count_as_capacity_rejections(load: LoadMeasurement) -> None:
+def test_only_rejections_without_a_free_slot_count_as_capacity_rejections(load: LoadMeasurement) -> None:
     load.record_rejection(is_shed=True)
     load.record_rejection(is_shed=False)
     assert load.rejections.count == 2
--- a/tests/overload_control/test_messages.py
+++ b/tests/overload_control/test_messages.py
@@ -19,7 +19,7 @@
     Report,
 )
 
-# The bytes are those of the version before the fields were renamed.
+# The bytes were encoded by an older version, with which this one has to be compatible.
 WIRE_FORMS = [
     pytest.param(
         Report(
--- a/tests/overload_control/test_quota_leases.py
+++ b/tests/overload_control/test_quota_leases.py
@@ -1,4 +1,4 @@
-"""Quota escrow: the sum of the quotas holds in any order of requests, grants, losses and restarts."""
+"""Quota escrow: usable quotas never exceed the total, whatever is requested, granted, lost or restarted."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class SentMessage:
-    """A message on the network."""
+    """A message that was sent on the network, which may deliver it any number of times."""
 
     source: int
     target: int
@@ -40,14 +40,14 @@
 
 
 class EscrowMachine(RuleBasedStateMachine):
-    """Three sidecars with their own clocks, and a network that doubles, delays and loses messages."""
+    """Three sidecars with their own clocks, and a network that duplicates, delays and loses messages."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_us = 0
         self.incarnations = [0] * SIDECARS
         self.escrows = [self.new_escrow(index) for index in range(SIDECARS)]
-        self.sent: list[SentMessage] = []  # never forgotten
+        self.sent: list[SentMessage] = []  # all messages ever sent
         self.now_us = grant_term_us() * 2
 
     def new_escrow(self, index: int) -> QuotaEscrow:
@@ -87,7 +87,7 @@
 
     @rule(choice=st.integers(0, 1000), latest=st.booleans(), needed=st.integers(0, TOTAL_PARTS // SIDECARS))
     def deliver(self, choice: int, latest: bool, needed: int) -> None:
-        """Delivers any message that was ever sent, the last one more often."""
+        """Delivers any message that was ever sent; the latest one is chosen more often."""
         if not self.sent:
             return
         sent = self.sent[-1] if latest else self.sent[choice % len(self.sent)]
@@ -117,7 +117,7 @@
 
     @invariant()
     def usable_quotas_never_exceed_the_total(self) -> None:
-        # also for a process that was stopped for a moment after it had read its clock
+        # This must also be true for a process that was paused for a moment after it had read its clock.
         for delay_us in (0, MAX_CLOCK_READ_AGE_US // 2):
             quotas = [
                 escrow.usable_parts(self.clock_us(index) + delay_us)
@@ -130,9 +130,9 @@
 TestEscrowMachine.settings = settings(max_examples=120, stateful_step_count=40, deadline=None)
 
 
-NOW_US = 2 * grant_term_us()  # the escrows of the fixtures may spend what they own
-HALF = TOTAL_PARTS // 2
-QUARTER = TOTAL_PARTS // 4
+NOW_US = 2 * grant_term_us()  # late enough for the escrows of the fixtures to spend their owned quota
+HALF_PARTS = TOTAL_PARTS // 2
+QUARTER_PARTS = TOTAL_PARTS // 4
 
 
 @pytest.fixture
@@ -146,7 +146,7 @@
 
 
 def request_quarter(borrower: QuotaEscrow) -> LeaseRequest:
-    request = borrower.request_lease("lender", QUARTER, NOW_US)
+    request = borrower.request_lease("lender", QUARTER_PARTS, NOW_US)
     assert request is not None
     return request
 
@@ -157,40 +157,40 @@
     return borrower.receive_grant("lender", lender.handle_request("borrower", request, 0, NOW_US), NOW_US)
 
 
-def test_lent_quota_is_usable_by_the_borrower_and_expires_there_first(
+def test_lent_quota_expires_for_the_borrower_before_the_lender_may_use_it_again(
     borrower: QuotaEscrow, lender: QuotaEscrow
 ) -> None:
-    assert borrower.usable_parts(NOW_US) == HALF
-    assert lender.usable_parts(NOW_US) == HALF
-    assert borrow(borrower, lender, QUARTER)
-    assert borrower.usable_parts(NOW_US) == 3 * QUARTER
-    assert lender.usable_parts(NOW_US) == QUARTER
-    assert borrower.usable_parts(NOW_US + LEASE_TERM_US) == HALF
-    assert lender.usable_parts(NOW_US + LEASE_TERM_US) == QUARTER
-    assert lender.usable_parts(NOW_US + grant_term_us()) == HALF
+    assert borrower.usable_parts(NOW_US) == HALF_PARTS
+    assert lender.usable_parts(NOW_US) == HALF_PARTS
+    assert borrow(borrower, lender, QUARTER_PARTS)
+    assert borrower.usable_parts(NOW_US) == 3 * QUARTER_PARTS
+    assert lender.usable_parts(NOW_US) == QUARTER_PARTS
+    assert borrower.usable_parts(NOW_US + LEASE_TERM_US) == HALF_PARTS
+    assert lender.usable_parts(NOW_US + LEASE_TERM_US) == QUARTER_PARTS
+    assert lender.usable_parts(NOW_US + grant_term_us()) == HALF_PARTS
 
 
 def test_grant_received_after_the_term_is_ignored(borrower: QuotaEscrow, lender: QuotaEscrow) -> None:
     grant = lender.handle_request("borrower", request_quarter(borrower), 0, NOW_US)
     assert grant.parts
     assert not borrower.receive_grant("lender", grant, NOW_US + LEASE_TERM_US)
-    assert borrower.usable_parts(NOW_US) == HALF
+    assert borrower.usable_parts(NOW_US) == HALF_PARTS
 
 
 def test_grant_of_another_sidecar_or_another_request_is_ignored(
     borrower: QuotaEscrow, lender: QuotaEscrow
 ) -> None:
     grant = lender.handle_request("borrower", request_quarter(borrower), 0, NOW_US)
-    other_time = LeaseGrant(grant.lease_id, grant.requested_us + 1, grant.parts)
+    grant_of_another_request = LeaseGrant(grant.lease_id, grant.requested_us + 1, grant.parts)
     assert not borrower.receive_grant("another", grant, NOW_US)
-    assert not borrower.receive_grant("lender", other_time, NOW_US)
+    assert not borrower.receive_grant("lender", grant_of_another_request, NOW_US)
     assert borrower.receive_grant("lender", grant, NOW_US)
     assert not borrower.receive_grant("lender", grant, NOW_US)
 
 
 def test_reserved_share_is_never_lent(borrower: QuotaEscrow, lender: QuotaEscrow) -> None:
     assert borrow(borrower, lender, TOTAL_PARTS)
-    assert lender.usable_parts(NOW_US) == int(HALF * RESERVED_SHARE)
+    assert lender.usable_parts(NOW_US) == int(HALF_PARTS * RESERVED_SHARE)
 
 
 def test_quota_that_the_lender_needs_is_not_lent() -> None:
@@ -201,7 +201,7 @@
 
 def test_duplicate_request_is_rejected(borrower: QuotaEscrow, lender: QuotaEscrow) -> None:
     request = request_quarter(borrower)
-    assert lender.handle_request("borrower", request, 0, NOW_US).parts == QUARTER
+    assert lender.handle_request("borrower", request, 0, NOW_US).parts == QUARTER_PARTS
     assert lender.handle_request("borrower", request, 0, NOW_US).parts == 0
 
 
@@ -211,7 +211,7 @@
     request = request_quarter(borrower)
     lender.handle_request("borrower", request, 0, NOW_US)
     lender.receive_return("borrower", LeaseReturn(request.lease_id))
-    assert lender.usable_parts(NOW_US) == HALF
+    assert lender.usable_parts(NOW_US) == HALF_PARTS
     assert lender.handle_request("borrower", request, 0, NOW_US).parts == 0
 
 
@@ -219,25 +219,25 @@
     request = request_quarter(borrower)
     lender.handle_request("borrower", request, 0, NOW_US)
     lender.receive_return("another", LeaseReturn(request.lease_id))
-    assert lender.lent_by_borrower(NOW_US) == {"borrower": QUARTER}
+    assert lender.lent_by_borrower(NOW_US) == {"borrower": QUARTER_PARTS}
 
 
-def test_second_request_to_a_lender_waits_for_the_response_to_the_first(borrower: QuotaEscrow) -> None:
+def test_no_second_request_is_sent_to_a_lender_before_its_response(borrower: QuotaEscrow) -> None:
     request_quarter(borrower)
-    assert borrower.request_lease("lender", QUARTER, NOW_US) is None
-    assert borrower.request_lease("another", QUARTER, NOW_US) is not None
+    assert borrower.request_lease("lender", QUARTER_PARTS, NOW_US) is None
+    assert borrower.request_lease("another", QUARTER_PARTS, NOW_US) is not None
 
 
 def test_suspended_escrow_has_no_quota_and_borrows_none(borrower: QuotaEscrow) -> None:
     borrower.is_suspended = True
     assert borrower.usable_parts(NOW_US) == 0
-    assert borrower.request_lease("lender", QUARTER, NOW_US) is None
+    assert borrower.request_lease("lender", QUARTER_PARTS, NOW_US) is None
 
 
 def test_started_process_has_no_quota_until_leases_of_its_predecessor_have_expired() -> None:
     escrow = QuotaEscrow(0, 2, random.Random(0), 1000)
     assert escrow.usable_parts(1000 + grant_term_us() - 1) == 0
-    assert escrow.usable_parts(1000 + grant_term_us()) == HALF
+    assert escrow.usable_parts(1000 + grant_term_us()) == HALF_PARTS
 
 
 def test_index_outside_of_the_fleet_owns_nothing() -> None:
--- a/tests/overload_control/test_retry_storm.py
+++ b/tests/overload_control/test_retry_storm.py
@@ -9,7 +9,7 @@
 STEP_US = 250_000
 
 
-def test_storm_begins_after_half_a_second_and_ends_after_three_quiet_seconds() -> None:
+def test_storm_begins_after_half_a_second_and_ends_after_three_seconds_without_rejections() -> None:
     detector = RetryStormDetector()
     changes = []
     for step in range(60):
@@ -23,7 +23,7 @@
     assert not RetryStormDetector().update(2.0, 2.0, 2.0, False, 0)
 
 
-def test_few_attempts_do_not_begin_a_storm_later_either() -> None:
+def test_few_attempts_do_not_begin_a_storm_after_the_delay_either() -> None:
     detector = RetryStormDetector()
     detector.update(2.0, 2.0, 2.0, False, STEP_US)
     assert not detector.update(2.0, 2.0, 2.0, False, STEP_US + BEGIN_DELAY_US)
@@ -49,7 +49,7 @@
     assert detector.is_active is begins
 
 
-def test_reason_names_the_rates_of_the_last_change() -> None:
+def test_reason_contains_the_rates_of_the_last_change() -> None:
     detector = RetryStormDetector()
     detector.update(120.0, 36.0, 54.0, True, STEP_US)
     detector.update(120.0, 36.0, 54.0, True, STEP_US + BEGIN_DELAY_US)
@@ -59,7 +59,7 @@
     assert detector.reason == "over: 2% of 50 tries a second refused"
 
 
-def test_storm_of_the_fleet_keeps_the_own_storm_active() -> None:
+def test_storm_does_not_end_while_the_fleet_reports_a_storm() -> None:
     detector = RetryStormDetector(is_active=True)
     detector.update(50.0, 0.0, 0.0, True, STEP_US)
     assert not detector.update(50.0, 0.0, 0.0, True, STEP_US + END_DELAY_US)
--- a/tests/overload_control/test_slow_start.py
+++ b/tests/overload_control/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The pacing of upstreams in slow start."""
+"""The reduction of the quota for upstreams in slow start."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return api.Settings(classes, warm_up_us=warm_up_us, cold_share=0.2)
 
 
-def test_mean_weight_is_of_the_upstreams_in_slow_start_alone() -> None:
+def test_mean_weight_includes_only_upstreams_in_slow_start() -> None:
     upstreams = [
         api.Upstream(1),
         api.Upstream(2, started_us=NOW_US - 5_000_000),
@@ -38,7 +38,7 @@
     assert mean_slow_start_weight([api.Upstream(1, started_us=NOW_US)], settings(0), NOW_US) == 1.0
 
 
-def test_factor_falls_to_its_minimum_while_responses_queue() -> None:
+def test_factor_decreases_to_its_minimum_while_requests_queue() -> None:
     pacing = SlowStartPacing(SLOW_LATENCY_US)
     pacing.update(0.9, 400_000)
     assert pacing.factor == 0.95
@@ -47,7 +47,7 @@
     assert pacing.factor == MIN_FACTOR
 
 
-def test_factor_rises_to_one_once_responses_are_fast() -> None:
+def test_factor_increases_to_one_once_responses_are_fast() -> None:
     pacing = SlowStartPacing(SLOW_LATENCY_US)
     pacing.factor = MIN_FACTOR
     for _ in range(50):
@@ -55,7 +55,7 @@
     assert pacing.factor == 1.0
 
 
-def test_factor_stays_while_responses_are_slow_for_the_slow_start_alone() -> None:
+def test_factor_stays_while_slow_start_alone_explains_slow_responses() -> None:
     pacing = SlowStartPacing(SLOW_LATENCY_US)
     pacing.update(0.4, 400_000)
     assert pacing.factor == 1.0
--- a/tests/overload_control/test_status.py
+++ b/tests/overload_control/test_status.py
@@ -9,7 +9,7 @@
 from tests.overload_control.controllers import ControllerFactory
 from tests.overload_control.reports import make_report
 
-# The keys, in their order, of the version before the controller's attributes were renamed.
+# The keys in their order, which differ from the names of the controller's attributes.
 KEYS = [
     "tries_per_s",
     "repeats_per_s",
@@ -37,7 +37,7 @@
 ]
 
 
-def test_keys_are_those_that_operators_know(new_controller: ControllerFactory) -> None:
+def test_keys_are_those_that_operators_tools_read(new_controller: ControllerFactory) -> None:
     assert list(controller_status(new_controller("s0", 0, 1), 0)) == KEYS
 
 
--- a/tests/overload_control/test_subsystem.py
+++ b/tests/overload_control/test_subsystem.py
@@ -25,8 +25,8 @@
 from tests.testbed.playing import RIG, on_rig
 
 BUSY = replace(RIG, rate=90.0, seconds=2.0)
-LIAR = "a-braggart"  # sorts before the sidecars' names, so that it takes precedence
-LIAR_RANDOM_BITS = 50
+FALSE_REPORTER = "a-braggart"  # sorts before the sidecars' names, so that it takes precedence
+LEASE_ID_BITS = 50
 
 
 async def read_status(scene: Scene, number: int) -> dict[str, Any]:
@@ -40,7 +40,7 @@
 async def wait_for_status(
     scene: Scene, number: int, condition: Callable[[dict[str, Any]], bool]
 ) -> dict[str, Any]:
-    """Waits until the status fulfils the condition, and returns it."""
+    """Waits until the status of one sidecar meets the condition, and returns the status."""
     deadline_s = time.monotonic() + LONG_S
     while True:
         status = await read_status(scene, number)
@@ -51,7 +51,7 @@
 
 
 def is_ready(status: dict[str, Any]) -> bool:
-    """Returns whether the sidecar has its peers' reports and may spend quota."""
+    """Returns whether the sidecar has the reports of both peers and may spend quota."""
     return len(status["heard"]) == 2 and status["weight"] > 0
 
 
@@ -66,10 +66,10 @@
     on_rig(BUSY, test)
 
 
-async def send_noise(liar: Braggart) -> None:
+async def send_malformed_messages_and_requests(reporter: Braggart) -> None:
     """Sends malformed messages and lease requests to all peers."""
-    instance = liar.instance
-    now_us = liar.transport.now_us()
+    instance = reporter.instance
+    now_us = reporter.transport.now_us()
     malformed = (
         b"",
         b"\xc1noise",
@@ -79,33 +79,33 @@
     for body in malformed:
         for name in list(instance.core.members):
             outputs = instance.send_message(name, messages.TOPIC, body, now_us, wall_clock_us())
-            liar.transport.perform(outputs)
-            lease_id = instance.core.rng.getrandbits(LIAR_RANDOM_BITS)
+            reporter.transport.perform(outputs)
+            lease_id = instance.core.rng.getrandbits(LEASE_ID_BITS)
             request = messages.encode(LeaseRequest(lease_id, 1, TOTAL_PARTS, 0))
             outputs = instance.send_message(name, messages.TOPIC, request, now_us, wall_clock_us())
-            liar.transport.perform(outputs)
+            reporter.transport.perform(outputs)
 
 
 def test_false_reports_and_malformed_messages_break_no_invariant() -> None:
-    """A process with a certificate claims index 1 under a thousand times the load, and sends noise."""
+    """A process with a certificate claims index 1 and a thousand times the load, and sends bad messages."""
 
     async def test(scene: Scene) -> None:
         assert scene.keys is not None
         await wait_for_status(scene, 0, is_ready)
-        liar = Braggart(scene.keys.keyring(LIAR, "makati"), scene.gossip, 1, 30_000.0)
-        await liar.start(scene.links, 99)
+        reporter = Braggart(scene.keys.keyring(FALSE_REPORTER, "makati"), scene.gossip, 1, 30_000.0)
+        await reporter.start(scene.links, 99)
         try:
-            await wait_for_status(scene, 0, lambda status: LIAR in status["heard"])
-            await send_noise(liar)
+            await wait_for_status(scene, 0, lambda status: FALSE_REPORTER in status["heard"])
+            await send_malformed_messages_and_requests(reporter)
             await scene.play()
-            # the sidecar whose name sorts later spends nothing while another one claims its index
+            # Sidecar 1 spends nothing while a process whose name sorts earlier claims its index.
             status = await wait_for_status(scene, 1, lambda status: status["weight"] == 0)
             assert status["counts"].get("asked", 0) > 0
             rejections = [line for line in scene.sidecars[0].lines if "messages rejected" in line]
             assert rejections
-            assert LIAR in rejections[0]
+            assert FALSE_REPORTER in rejections[0]
         finally:
-            liar.close()
+            reporter.close()
         await wait_for_status(scene, 1, lambda status: status["weight"] > 0)
 
     scene = on_rig(BUSY, test)
@@ -147,7 +147,7 @@
 
 
 def refused_start(text: str, table: str, folder: Path) -> str:
-    """Starts a sidecar with an invalid operator file; returns the one line that it writes of that table."""
+    """Starts a sidecar with an invalid operator file; returns the one line that it writes about the table."""
     config = folder / "s.json"
     operator = folder / "s.toml"
     operator.write_text(text)
--- a/tests/overload_control/test_subsystem_wiring.py
+++ b/tests/overload_control/test_subsystem_wiring.py
@@ -37,7 +37,7 @@
 
 
 class StubGossip:
-    """Records what is sent."""
+    """Records the broadcasts and the messages that are sent."""
 
     name = "s0"
 
@@ -72,15 +72,15 @@
 
 @dataclass
 class Wiring:
-    """A subsystem between stand-ins."""
+    """A subsystem with stand-ins for its collaborators."""
 
     engine: StubEngine
     gossip: StubGossip
     commands: dict[str, Callable[[str], str]]
     subsystem: OverloadControlSubsystem
 
-    def deliver(self, author: str, body: bytes, alone: bool, left: bool = False) -> None:
-        message = SubsystemMessage(author, messages.TOPIC, body, alone, left)
+    def deliver(self, author: str, body: bytes, is_direct: bool, is_departure: bool = False) -> None:
+        message = SubsystemMessage(author, messages.TOPIC, body, is_direct, is_departure)
         self.gossip.listeners[messages.TOPIC](message)
 
 
@@ -106,7 +106,7 @@
 
 @pytest.fixture
 def log_lines(caplog: pytest.LogCaptureFixture) -> Callable[[], list[str]]:
-    """Returns the log lines so far."""
+    """Returns a function that returns the log lines so far."""
     caplog.set_level(logging.INFO, logger="sidecar_proxy")
     return lambda: [record.getMessage() for record in caplog.records]
 
@@ -135,14 +135,14 @@
 
 
 @pytest.mark.parametrize("event", ["arrived", "refused"])
-def test_internal_error_turns_overload_control_off_and_costs_no_request(
+def test_internal_error_turns_overload_control_off_and_fails_no_request(
     wiring: Wiring,
     monkeypatch: pytest.MonkeyPatch,
     log_lines: Callable[[], list[str]],
     event: str,
 ) -> None:
     def fail(*_: object) -> None:
-        raise RuntimeError("planted")
+        raise RuntimeError("injected")
 
     monkeypatch.setattr(wiring.subsystem.controller, "record_arrival", fail)
     monkeypatch.setattr(wiring.subsystem.controller, "record_rejection", fail)
@@ -155,21 +155,21 @@
 
 
 def test_lease_request_is_answered_to_its_author(wiring: Wiring) -> None:
-    wiring.deliver("s1", messages.encode(LeaseRequest(7, 1, 100_000, 0)), alone=True)
+    wiring.deliver("s1", messages.encode(LeaseRequest(7, 1, 100_000, 0)), is_direct=True)
     ((recipient, body),) = wiring.gossip.sent
     assert recipient == "s1"
     assert messages.decode(body) == messages.LeaseGrant(7, 1, 0)  # the quota is not usable yet
 
 
-def test_report_is_recorded_and_forgotten_once_its_author_is_dead(wiring: Wiring) -> None:
-    wiring.deliver("s1", messages.encode(make_report(1)), alone=False)
+def test_report_is_recorded_and_removed_once_its_author_is_dead(wiring: Wiring) -> None:
+    wiring.deliver("s1", messages.encode(make_report(1)), is_direct=False)
     assert list(wiring.subsystem.controller.peers.by_name) == ["s1"]
-    wiring.deliver("s1", b"", alone=False, left=True)
+    wiring.deliver("s1", b"", is_direct=False, is_departure=True)
     assert wiring.subsystem.controller.peers.by_name == {}
 
 
 @pytest.mark.parametrize(
-    ("body", "alone", "line"),
+    ("body", "is_direct", "line"),
     [
         pytest.param(
             messages.encode(make_report(1)),
@@ -187,17 +187,19 @@
     ],
 )
 def test_invalid_message_is_logged_and_has_no_effect(
-    wiring: Wiring, log_lines: Callable[[], list[str]], body: bytes, alone: bool, line: str
+    wiring: Wiring, log_lines: Callable[[], list[str]], body: bytes, is_direct: bool, line: str
 ) -> None:
-    wiring.deliver("s1", body, alone)
+    wiring.deliver("s1", body, is_direct)
     assert log_lines() == [f"overload: 1 messages rejected, the last from {line}"]
     assert len(wiring.subsystem.controller.peers) == 0
     assert wiring.gossip.sent == []
 
 
-def test_many_invalid_messages_cost_one_line(wiring: Wiring, log_lines: Callable[[], list[str]]) -> None:
+def test_many_invalid_messages_are_logged_in_one_line(
+    wiring: Wiring, log_lines: Callable[[], list[str]]
+) -> None:
     for _ in range(50):
-        wiring.deliver("s1", b"", alone=True)
+        wiring.deliver("s1", b"", is_direct=True)
     assert len(log_lines()) == 1
     assert wiring.subsystem.rejected_messages == 50
 
