--- a/sidecar_proxy/config/__init__.py
+++ b/sidecar_proxy/config/__init__.py
@@ -1,1 +1,1 @@
-"""What configures a sidecar: the platform's settings, and the operator file with a table per subsystem."""
+"""The configuration of a sidecar: the platform's settings and the operator file."""
--- a/sidecar_proxy/config/field_types.py
+++ b/sidecar_proxy/config/field_types.py
@@ -19,7 +19,7 @@
 
     annotation: Any
     default: Any = None
-    fields: dict[str, FieldType] = field(default_factory=dict)  # of a table; empty for a key
+    fields: dict[str, FieldType] = field(default_factory=dict)  # fields of a table by name; empty for a key
 
     @property
     def is_table(self) -> bool:
@@ -34,25 +34,25 @@
     @property
     def type(self) -> inspect.Type:
         """The type without its limits and description."""
-        found = inspect.type_info(self.annotation)
-        while isinstance(found, inspect.Metadata):
-            found = found.type
-        return found
+        type_info = inspect.type_info(self.annotation)
+        while isinstance(type_info, inspect.Metadata):
+            type_info = type_info.type
+        return type_info
 
     @property
     def description(self) -> str:
-        """What a key means, or the docstring of a table, on one line."""
+        """The description of a key, or the docstring of a table, on one line."""
         if self.is_table:
             return " ".join((self.annotation.__doc__ or "").split())
-        found = inspect.type_info(self.annotation)
-        if not isinstance(found, inspect.Metadata):
+        type_info = inspect.type_info(self.annotation)
+        if not isinstance(type_info, inspect.Metadata):
             return ""
-        return str((found.extra_json_schema or {}).get("description", ""))
+        return str((type_info.extra_json_schema or {}).get("description", ""))
 
     def accepts(self, value: object) -> bool:
         """Whether the key may have this value."""
         if isinstance(value, float) and not math.isfinite(value):
-            return False  # comparisons with limits do not reject nan
+            return False  # msgspec's comparisons with the limits do not reject NaN
         try:
             msgspec.convert(value, self.annotation)
         except msgspec.ValidationError:
@@ -60,7 +60,7 @@
         return True
 
     def expected_value(self) -> str:
-        """Return the values that the key may have, as error messages and the reference page say it."""
+        """Return a description of the valid values, for error messages and the reference page."""
         expected = "a table"
         match self.type:
             case inspect.BoolType():
--- a/sidecar_proxy/config/operator_file.py
+++ b/sidecar_proxy/config/operator_file.py
@@ -1,6 +1,6 @@
-"""Loads the operator file: TOML, named by SIDECAR_PROXY_OPERATOR.
+"""Loads the operator file, a TOML file whose path is in SIDECAR_PROXY_OPERATOR.
 
-The schema is imported only if there is a file, because its library takes memory.
+The schema is imported only if there is a file, because importing its library, msgspec, takes memory.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 
 def load(environment: Mapping[str, str]) -> Operator | None:
-    """Return the content of the file that the environment names, or None if it names none.
+    """Return the content of the operator file, or None if the environment names none.
 
-    Raises OperatorError.
+    Raises OperatorError if the file can't be read or used.
     """
     path = read_variable("OPERATOR", environment)
     if not path:
--- a/sidecar_proxy/config/platform_settings.py
+++ b/sidecar_proxy/config/platform_settings.py
@@ -1,6 +1,6 @@
-"""What the platform tells a sidecar at its start: PROXY_* variables and the JSON file of PROXY_CONFIG.
+"""Reads the platform's configuration of a sidecar: PROXY_* variables and the JSON file named by PROXY_CONFIG.
 
-The names of variables and JSON keys are the platform's; they are mapped to `PlatformConfig` here.
+The platform defines the names of the variables and JSON keys; this module maps them to `PlatformConfig`.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 REQUIRED_VARIABLES = ("PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_CONFIG")
 DEFAULT_FILE_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192
-MAX_DESCRIPTOR_DIGITS = 6
+MAX_DESCRIPTOR_DIGITS = 6  # maximum length of a file descriptor number
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the message is one line."""
+    """The configuration can't be used; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,16 +33,16 @@
     listen: Address
     discovery: Address
     seed: int
-    max_file_descriptors: int  # of this process
-    memory_mb: int  # of all processes of this sidecar together
+    max_file_descriptors: int  # maximum number of open file descriptors of this process
+    memory_mb: int  # memory limit of all processes of this sidecar together
     settings: api.Settings
-    cached_endpoint_list: dict[str, Any]  # as this sidecar last had it, in discovery's form
+    cached_endpoint_list: dict[str, Any]  # endpoint list of an earlier start, in the format of discovery
     admin_address: Address | None = None  # None: no admin server
-    accept_fd: int | None = None  # the clients' inherited listening socket; None: this process opens it
+    accept_fd: int | None = None  # inherited listening socket for clients; None: this process opens one
 
 
 def load(environment: Mapping[str, str]) -> PlatformConfig:
-    """Return the configuration that the environment and its file give. Raises ConfigError."""
+    """Return the configuration from the environment and the file that it names. Raises ConfigError."""
     for name in REQUIRED_VARIABLES:
         if not environment.get(name):
             raise ConfigError(f"{name} is not set")
@@ -58,16 +58,16 @@
 
 
 def parse_accept_fd(text: str) -> int | None:
-    """Return the number of the inherited socket, or None if there is none. Raises ConfigError."""
+    """Return the file descriptor of the inherited socket, or None if there is none. Raises ConfigError."""
     if not text:
         return None
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_DESCRIPTOR_DIGITS):
-        raise ConfigError(f"PROXY_ACCEPT_FD: expected a descriptor, got {text!r}")
+        raise ConfigError(f"PROXY_ACCEPT_FD: expected the number of a file descriptor, got {text!r}")
     return int(text)
 
 
 def read_json_object(path: str) -> dict[str, Any]:
-    """Return the object in a JSON file. Raises OSError, ValueError and ConfigError."""
+    """Return the object that a JSON file contains. Raises OSError, ValueError and ConfigError."""
     with open(path, "rb") as file:
         content = json.load(file)
     if not isinstance(content, dict):
@@ -78,17 +78,17 @@
 def build_config(
     environment: Mapping[str, str], content: dict[str, Any], accept_fd: int | None
 ) -> PlatformConfig:
-    """Return the configuration; the errors are those that `load` turns into ConfigError."""
+    """Return the configuration. Raises errors that `load` converts to ConfigError."""
     limits = content.get("limits", {})
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     endpoint_list = content.get("known", {"seq": 0, "whole": True, "hosts": []})
     if not isinstance(endpoint_list, dict) or not isinstance(content["settings"], dict):
-        raise ConfigError("expected objects in 'known' and 'settings'")
+        raise ConfigError("expected JSON objects in 'known' and 'settings'")
     admin_address = environment.get("PROXY_MGMT") or content.get("mgmt")
     return PlatformConfig(
         name=environment["PROXY_NAME"],
         listen=parse_address(environment["PROXY_LISTEN"]),
-        # the file's address comes first, because the file can be replaced while the process runs
+        # The address in the file takes precedence, because the file can be replaced while the process runs.
         discovery=parse_address(content.get("discovery", environment["PROXY_DISCOVERY"])),
         seed=int(str(content["seed"]), 16),
         max_file_descriptors=min(int(limits.get("sockets", DEFAULT_FILE_DESCRIPTORS)), soft_limit),
@@ -101,14 +101,14 @@
 
 
 def settings_lines(value: object, path: str = "") -> Iterator[str]:
-    """Yield the JSON settings as the path=value lines of the simulator, so that one parser reads both."""
+    """Yield the JSON settings as path=value lines in the simulator's format, so that both have one parser."""
     if isinstance(value, dict):
-        for name, inner in value.items():
-            yield from settings_lines(inner, f"{path}.{name}" if path else name)
-    elif isinstance(value, list) and any(isinstance(inner, dict) for inner in value):
+        for name, member in value.items():
+            yield from settings_lines(member, f"{path}.{name}" if path else name)
+    elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         yield f"{path}.count={len(value)}"
-        for number, inner in enumerate(value):
-            yield from settings_lines(inner, f"{path}.{number}")
+        for index, item in enumerate(value):
+            yield from settings_lines(item, f"{path}.{index}")
     elif isinstance(value, list):
         yield f"{path}={','.join(map(format_scalar, value))}"
     else:
@@ -116,7 +116,7 @@
 
 
 def format_scalar(value: object) -> str:
-    """Return a scalar as it stands in the simulator's text: without spaces and commas."""
+    """Return a scalar in the simulator's format, which allows no spaces, commas or line breaks."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_").replace("\n", "_")
--- a/sidecar_proxy/config/reader.py
+++ b/sidecar_proxy/config/reader.py
@@ -1,7 +1,7 @@
-"""Turns the text of an operator file into typed values, or into one line that names the key that is wrong.
+"""Parses an operator file into typed values; an error is one line that names the invalid key.
 
-Types and limits are the schema's. This module words the error messages and checks what depends on more than
-one key.
+The schema defines the types and limits. This module creates the error messages, and checks the form of
+addresses and method names and the conditions that involve more than one key.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from sidecar_proxy.engine.address import AddressError, parse_address
 
 MAX_FILE_BYTES = 1024 * 1024
-MAX_TOML_ERROR_LENGTH = 200  # characters, as the next
-MAX_SHOWN_VALUE_LENGTH = 60
+MAX_TOML_ERROR_CHARS = 200
+MAX_SHOWN_VALUE_CHARS = 60
 ELLIPSIS = "..."
 WILDCARD_ADDRESSES = ("0.0.0.0:", "[::]:")
 
-Path = tuple[str, ...]  # of a key: the names of its tables and its own
+KeyPath = tuple[str, ...]  # the names of the enclosing tables, outermost first, and the name of the key
 
 
 def load_file(path: str) -> Operator:
-    """Return the content of a file. Raises OperatorError, and OSError if it cannot be read."""
+    """Return the content of an operator file. Raises OperatorError, and OSError if it can't be read."""
     with open(path, "rb") as file:
         data = file.read(MAX_FILE_BYTES + 1)
     if len(data) > MAX_FILE_BYTES:
@@ -38,11 +38,11 @@
 
 
 def parse(text: str) -> Operator:
-    """Return the content of a file's text. Raises OperatorError."""
+    """Return the content of an operator file from its text. Raises OperatorError."""
     try:
         content = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
-        message = " ".join(str(error).split())[:MAX_TOML_ERROR_LENGTH]
+        message = " ".join(str(error).split())[:MAX_TOML_ERROR_CHARS]
         raise OperatorError(f"not TOML: {message}") from error
     check_types(content, operator_file_type())
     operator = msgspec.convert(content, Operator)
@@ -52,39 +52,39 @@
     return operator
 
 
-def check_types(value: object, field_type: FieldType, path: Path = ()) -> None:
-    """Raise OperatorValueError for the first key that is unknown or not of its type.
+def check_types(value: object, field_type: FieldType, path: KeyPath = ()) -> None:
+    """Raise OperatorValueError for the first key that is unknown or has an invalid value.
 
-    The messages of msgspec are not used: they quote keys of the file without escaping them, so the key
-    could not be told from the text around it.
+    The messages of msgspec are not used: they contain keys of the file without escaping them, so the key
+    could not be distinguished from the surrounding text.
     """
     if not field_type.is_table:
         if not field_type.accepts(value):
-            raise wrong_value(value, field_type, path)
+            raise invalid_value_error(value, field_type, path)
         return
     if not isinstance(value, dict):
-        raise wrong_value(value, field_type, path)
-    for key, inner in value.items():
+        raise invalid_value_error(value, field_type, path)
+    for key, member in value.items():
         if key not in field_type.fields:
             expected_keys = ", ".join(field_type.fields)
             raise OperatorValueError(format_path((*path, key)), f"unknown; expected one of {expected_keys}")
-        check_types(inner, field_type.fields[key], (*path, key))
+        check_types(member, field_type.fields[key], (*path, key))
 
 
-def wrong_value(value: object, field_type: FieldType, path: Path) -> OperatorValueError:
-    """Return the error that says which value was expected and which one was found."""
+def invalid_value_error(value: object, field_type: FieldType, path: KeyPath) -> OperatorValueError:
+    """Return an error with the expected values and the actual one."""
     if isinstance(value, dict) and field_type.is_string_table:
-        for key, inner in value.items():
-            if not isinstance(inner, str):
+        for key, member in value.items():
+            if not isinstance(member, str):
                 return OperatorValueError(
-                    format_path((*path, key)), f"expected a text, got {format_value(inner)}"
+                    format_path((*path, key)), f"expected a text, got {format_value(member)}"
                 )
     problem = f"expected {field_type.expected_value()}, got {format_value(value)}"
     return OperatorValueError(format_path(path), problem)
 
 
 def check_methods(grpc: Grpc) -> None:
-    """Check the form of method names; that their classes exist is checked where the settings are known."""
+    """Check the form of method names. The gRPC subsystem checks that their request classes exist."""
     for name in grpc.methods:
         parts = name.split("/")
         if len(parts) != 3 or parts[0] or not parts[1] or not parts[2] or not name.isascii():
@@ -95,12 +95,12 @@
 
 
 def check_etcd(etcd: Etcd) -> None:
-    """Check the form of addresses, and keys that need another one."""
+    """Check the form of the etcd endpoints, and that keys that need another key have it."""
     for number, endpoint in enumerate(etcd.endpoints, start=1):
         try:
             parse_address(endpoint)
         except AddressError as error:
-            raise OperatorValueError("membership.etcd.endpoints", f"the entry {number}: {error}") from error
+            raise OperatorValueError("membership.etcd.endpoints", f"entry {number}: {error}") from error
     if not etcd.prefix:
         raise OperatorValueError("membership.etcd.prefix", "expected a prefix, got ''")
     for key, needed_key in (
@@ -113,7 +113,7 @@
 
 
 def check_gossip(gossip: Gossip) -> None:
-    """Check the form of addresses, and keys that need another one."""
+    """Check the form of the gossip addresses, and that `bind` has the keys that it needs."""
     for key, address in (("bind", gossip.bind), ("advertise", gossip.advertise)):
         if address:
             check_gossip_address(key, address)
@@ -134,7 +134,7 @@
 
 
 def check_reachable(gossip: Gossip) -> None:
-    """Check that the address given to other sidecars is numeric and not a wildcard."""
+    """Check that the address that other sidecars connect to is numeric and not a wildcard."""
     address = gossip.advertise or gossip.bind
     if not address:
         return
@@ -143,18 +143,18 @@
         key = "advertise" if gossip.advertise else "bind"
         raise OperatorValueError(
             f"gossip.{key}",
-            f"expected an address that the others reach, as digits; got {format_value(address)}",
+            f"expected an address that the others reach, in numeric form; got {format_value(address)}",
         )
 
 
-def format_path(path: Path) -> str:
-    """Return a key's path; a part that is not one plain word is quoted."""
+def format_path(path: KeyPath) -> str:
+    """Return a key's path separated by dots; a name with other than plain characters is quoted."""
     return ".".join(key if re.fullmatch(r"[A-Za-z0-9_-]{1,60}", key) else format_value(key) for key in path)
 
 
 def format_value(value: object) -> str:
-    """Return a value on one line, cut to MAX_SHOWN_VALUE_LENGTH characters."""
+    """Return a value on one line, truncated to MAX_SHOWN_VALUE_CHARS characters."""
     text = " ".join(repr(value).split())
-    if len(text) <= MAX_SHOWN_VALUE_LENGTH:
+    if len(text) <= MAX_SHOWN_VALUE_CHARS:
         return text
-    return text[: MAX_SHOWN_VALUE_LENGTH - len(ELLIPSIS)] + ELLIPSIS
+    return text[: MAX_SHOWN_VALUE_CHARS - len(ELLIPSIS)] + ELLIPSIS
--- a/sidecar_proxy/config/schema.py
+++ b/sidecar_proxy/config/schema.py
@@ -1,8 +1,8 @@
 """The tables of the operator file as msgspec Structs: types, limits, defaults and descriptions.
 
-A field's name is the key in the file, and the name of a field of `Operator` that of a table; operators' files
-have them, so they stay. The checks, `config show` and the reference page are all derived from here. A new
-table is a Struct with a docstring, and a field of `Operator`.
+The name of a field is the key in the file, and the name of a field of `Operator` is that of a table. They
+must not change, because operators' files contain them. The checks, `config show` and the reference page are
+derived from these classes. To add a table, define a Struct with a docstring and add a field to `Operator`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def between(minimum: float, maximum: float, description: str) -> Meta:
-    """Return the limits, both included, and the description of a number."""
+    """Return the inclusive limits and the description of a number."""
     return Meta(ge=minimum, le=maximum, description=description)
 
 
@@ -27,7 +27,7 @@
 
 
 class Table(Struct, frozen=True, forbid_unknown_fields=True):
-    """The base of all tables; an unknown key is an error, as a misspelt one would have no effect."""
+    """The base of all tables. An unknown key is an error, because a misspelt key would have no effect."""
 
 
 class Grpc(Table, frozen=True):
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -49,7 +49,7 @@
 
 
 def keys_of(table: FieldType, path: str = "") -> list[tuple[str, str, FieldType]]:
-    """Return each key below a table as the path of its own table, its name and its type."""
+    """Return each key of a table and its nested tables: the path of its table, its name and its type."""
     keys: list[tuple[str, str, FieldType]] = []
     for name, field_type in table.fields.items():
         if field_type.is_table:
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("value", ["nan", "-inf", "-1", "1e99", "[[]]", "2026-12-01", "{a = {b = 1}}"])
 @pytest.mark.parametrize(("table", "key", "field_type"), keys_of(operator_file_type()))
-def test_impossible_value_of_each_key_is_an_error_of_one_line_that_names_it(
+def test_invalid_value_of_each_key_is_an_error_of_one_line_that_names_the_key(
     table: str, key: str, field_type: FieldType, value: str
 ) -> None:
     with pytest.raises(OperatorError) as raised:
@@ -75,7 +75,7 @@
     assert field_type.accepts(msgspec.to_builtins(field_type.default))
 
 
-def test_check_and_show_succeed_for_a_good_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_and_show_succeed_for_a_valid_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "good.toml"
     path.write_text("[grpc]\nstreams = 7\n")
     assert main(["check", str(path)]) == 0
--- a/tests/config/test_operator_file.py
+++ b/tests/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator file: its content as typed values, and the one line for everything that is wrong with it."""
+"""The operator file: its content as typed values, and the line that reports an error in it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from sidecar_proxy.testbed.scenario import Plan, settings
 
 
-def test_everything_is_off_without_a_file() -> None:
+def test_all_subsystems_are_off_without_a_file() -> None:
     assert load({}) is None
     assert load({"SIDECAR_PROXY_OPERATOR": ""}) is None
     assert parse("") == Operator()
@@ -95,7 +95,7 @@
 
 
 def quote(text: str) -> str:
-    """Return a TOML string with each character escaped."""
+    """Return a TOML string in which each character is escaped."""
     return '"' + "".join(f"\\U{ord(character):08x}" for character in text) + '"'
 
 
@@ -153,7 +153,7 @@
 
 
 def test_no_subsystem_or_its_library_is_imported_without_its_table() -> None:
-    """The modules that the daemon imports at its start, with everything that they import."""
+    """Importing the daemon imports neither the modules nor the libraries of optional subsystems."""
     code = (
         "import sys, sidecar_proxy.daemon.__main__\nlibraries = ('ngh2', 'grpc', 'h2', 'nacl', 'msgspec'); "
         "print([name for name in sys.modules if name.split('.')[0] in libraries"
--- a/tests/config/test_platform_settings.py
+++ b/tests/config/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the same parser as the simulator's, and one line for every error."""
+"""The platform's configuration: one parser reads it and the simulator's settings; an error is one line."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.options import OPTIONS
 from tests.sockets import DEPLOY, ROOT, settings
 
-GOOD: dict[str, Any] = {"seed": "8c1f", "limits": {"sockets": 512}, "settings": settings()}
+VALID_CONFIG: dict[str, Any] = {"seed": "8c1f", "limits": {"sockets": 512}, "settings": settings()}
 
 
 def environment_for(path: Path, **changes: str) -> dict[str, str]:
@@ -27,23 +27,23 @@
     } | changes
 
 
-def test_json_settings_mean_the_same_as_the_simulators_text() -> None:
-    nested: dict[str, Any] = {
+def test_json_settings_are_equal_to_the_same_settings_in_the_simulators_format() -> None:
+    accounts: dict[str, Any] = {
         "accounts": [
             {"allowance-per-s": 215.0, "name": "north", "share": 0.34},
             {"allowance-per-s": 152.0, "name": "hill", "share": 0.24},
         ]
     }
-    json_settings = settings(**{"areas": "a,b,c,d", "granularity": "4000"}) | nested
+    json_settings = settings(**{"areas": "a,b,c,d", "granularity": "4000"}) | accounts
     json_settings["areas"] = ["a", "b", "c", "d"]
     json_settings["bounds"]["cancel"] = True
     text = "\n".join(platform_settings.settings_lines(json_settings))
     assert parse_settings(text) == parse_settings(OPTIONS)
 
 
-def test_good_configuration_is_loaded(tmp_path: Path) -> None:
+def test_valid_configuration_is_loaded(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(GOOD))
+    path.write_text(json.dumps(VALID_CONFIG))
     config = platform_settings.load(environment_for(path))
     assert config.seed == 0x8C1F
     assert config.listen == ("127.0.0.1", 0)
@@ -53,18 +53,18 @@
 @pytest.mark.parametrize(
     ("text", "changes"),
     [
-        (json.dumps(GOOD), {"PROXY_NAME": ""}),
-        (json.dumps(GOOD), {"PROXY_LISTEN": "here"}),
-        (json.dumps(GOOD), {"PROXY_DISCOVERY": "127.0.0.1:99999"}),
-        (json.dumps(GOOD), {"PROXY_CONFIG": "/nowhere/config.json"}),
+        (json.dumps(VALID_CONFIG), {"PROXY_NAME": ""}),
+        (json.dumps(VALID_CONFIG), {"PROXY_LISTEN": "here"}),
+        (json.dumps(VALID_CONFIG), {"PROXY_DISCOVERY": "127.0.0.1:99999"}),
+        (json.dumps(VALID_CONFIG), {"PROXY_CONFIG": "/nowhere/config.json"}),
         ("{", {}),
         ("[]", {}),
-        (json.dumps(GOOD | {"seed": "xyz"}), {}),
-        (json.dumps(GOOD | {"settings": []}), {}),
+        (json.dumps(VALID_CONFIG | {"seed": "xyz"}), {}),
+        (json.dumps(VALID_CONFIG | {"settings": []}), {}),
         (json.dumps({"seed": "1"}), {}),
-        (json.dumps(GOOD | {"settings": settings(instances="none")}), {}),
-        (json.dumps(GOOD | {"known": {"seq": 1, "whole": True, "hosts": [{"host": "s-1"}]}}), {}),
-        (json.dumps(GOOD | {"limits": 7}), {}),
+        (json.dumps(VALID_CONFIG | {"settings": settings(instances="none")}), {}),
+        (json.dumps(VALID_CONFIG | {"known": {"seq": 1, "whole": True, "hosts": [{"host": "s-1"}]}}), {}),
+        (json.dumps(VALID_CONFIG | {"limits": 7}), {}),
         ('{"seed": "1", "settings": "\\ud800"}', {}),
     ],
 )
