--- a/sidecar_proxy/cli/members.py
+++ b/sidecar_proxy/cli/members.py
@@ -12,7 +12,7 @@
 from sidecar_proxy.discovery.status_socket import STATUS_TIMEOUT_S
 
 
-def read(path: str) -> Iterator[dict[str, Any]]:
+def read_status(path: str) -> Iterator[dict[str, Any]]:
     """What a sidecar tells. Raises OSError, and ValueError where it stops short."""
     with socket.socket(socket.AF_UNIX) as one:
         one.settimeout(STATUS_TIMEOUT_S)
@@ -58,10 +58,10 @@
         return 2
     try:
         if as_json:
-            for told in read(paths[0]):
+            for told in read_status(paths[0]):
                 print(json.dumps(told))
         else:
-            show(read(paths[0]), sys.stdout)
+            show(read_status(paths[0]), sys.stdout)
     except (OSError, ValueError) as error:
         print(f"sidecar_proxy: {paths[0]}: {error}", file=sys.stderr)
         return 1
--- a/tests/discovery/test_sidecar.py
+++ b/tests/discovery/test_sidecar.py
@@ -150,7 +150,7 @@
             eventually(lambda: bodies(sidecar) == {b"two"})
             assert stat.S_IMODE(path.stat().st_mode) == 0o600
             sources, first, second = sorted(
-                show.read(str(path)), key=lambda document: document.get("name", "")
+                show.read_status(str(path)), key=lambda document: document.get("name", "")
             )
             assert sources["sources"]["etcd"]["epoch"] == "7"
             assert (first["name"], first["state"], first["because"]) == (one.name, "draining", "etcd")
