--- a/sidecar_proxy/cli/__init__.py
+++ b/sidecar_proxy/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module for each group of commands."""
+"""The command line, with a module for each group of commands."""
--- a/sidecar_proxy/cli/config.py
+++ b/sidecar_proxy/cli/config.py
@@ -29,22 +29,22 @@
 
 def format_toml(value: object) -> str:
     """Return a scalar or a tuple of scalars as TOML."""
-    plain = list(value) if isinstance(value, tuple) else value
-    text = json.dumps(plain, ensure_ascii=False)
+    json_value = list(value) if isinstance(value, tuple) else value
+    text = json.dumps(json_value, ensure_ascii=False)
     return text.replace("\x7f", "\\u007f")  # JSON allows this character unescaped, TOML does not
 
 
 def format_field(name: str, value: Any, default: Any) -> str:
-    """Return the TOML line of one key; a default value is marked."""
+    """Return the TOML line of one key; a comment marks a default value."""
     if isinstance(value, dict):
-        items = ", ".join(f"{format_toml(key)} = {format_toml(inner)}" for key, inner in value.items())
+        items = ", ".join(f"{format_toml(key)} = {format_toml(member)}" for key, member in value.items())
         return f"{name} = {{{items}}}"
-    mark = "  # as without the file" if value == default else ""
-    return f"{name} = {format_toml(value)}{mark}"
+    comment = "  # as without the file" if value == default else ""
+    return f"{name} = {format_toml(value)}{comment}"
 
 
 def table_lines(table: FieldType, values: Any, defaults: Any, path: str = "") -> Iterator[str]:
-    """Yield a table and those in it as lines of TOML."""
+    """Yield a table and its nested tables as lines of TOML."""
     if path:
         yield f"[{path}]"
     for name, field_type in table.fields.items():
@@ -54,17 +54,17 @@
         yield ""
     for name, field_type in table.fields.items():
         if field_type.is_table:
-            inner_path = f"{path}.{name}" if path else name
-            yield from table_lines(field_type, getattr(values, name), getattr(defaults, name), inner_path)
+            nested_path = f"{path}.{name}" if path else name
+            yield from table_lines(field_type, getattr(values, name), getattr(defaults, name), nested_path)
 
 
 def show(operator: Operator) -> str:
-    """Return a file with all its keys, defaults included, as TOML."""
+    """Return an operator file with all keys, including those with default values, as TOML."""
     return "\n".join(table_lines(operator_file_type(), operator, Operator())).rstrip() + "\n"
 
 
 def reference_lines(table: FieldType, path: str = "") -> Iterator[str]:
-    """Yield the lines of the reference page for a table and those in it."""
+    """Yield the lines of the reference page for a table and its nested tables."""
     if path:
         yield f"\n## [{path}]\n\n{table.description}\n\n| key | value | default | meaning |"
         yield "| --- | --- | --- | --- |"
@@ -77,7 +77,7 @@
 
 
 def reference_row(name: str, field_type: FieldType) -> str:
-    """Return the row of one key in the reference page."""
+    """Return the table row of one key in the reference page."""
     default = "{}" if isinstance(field_type.default, dict) else format_toml(field_type.default)
     return f"| `{name}` | {field_type.expected_value()} | `{default}` | {field_type.description} |"
 
@@ -88,12 +88,12 @@
 
 
 def parse_arguments(arguments: list[str]) -> argparse.Namespace:
-    """Parse the command line; exits with a usage message if it is wrong."""
+    """Parse the command line; exits with a usage message if it is invalid."""
     parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy config", description=__doc__)
     commands = parser.add_subparsers(dest="command", required=True)
     for name, help_text in (
-        ("check", "report what is wrong with a file, if anything is"),
-        ("show", "print every key as it holds with a file"),
+        ("check", "report the first error in a file, if there is one"),
+        ("show", "print a file with all keys, including default values"),
     ):
         command = commands.add_parser(name, help=help_text)
         command.add_argument("file")
@@ -121,7 +121,7 @@
 
 
 def report_unusable_file(error: Exception, as_json: bool) -> None:
-    """Print what is wrong: as JSON on standard output, or as a line on standard error."""
+    """Print the error: as JSON on standard output, or as a line on standard error."""
     if as_json:
         print(json.dumps({"good": False, "error": str(error)}))
     else:
@@ -129,7 +129,7 @@
 
 
 def print_file(operator: Operator, as_json: bool) -> None:
-    """Print a file with all its keys, as JSON or as TOML."""
+    """Print an operator file with all keys, as JSON or as TOML."""
     if as_json:
         print(msgspec.json.encode(operator).decode())
     else:
--- a/sidecar_proxy/cli/fleet.py
+++ b/sidecar_proxy/cli/fleet.py
@@ -1,7 +1,7 @@
 """`python3 -m sidecar_proxy fleet …`: commands for the whole fleet, sent to the admin server of any sidecar.
 
-Exit status: 0 done; 1 an error; 2 a wrong call; 3 unknown (repeat it with the same --id); 4 no quorum,
-nothing was changed.
+Exit status: 0 success; 1 an error; 2 invalid usage; 3 unknown outcome (repeat the command with the same
+--id); 4 no quorum, nothing was changed.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 RECEIVE_BYTES = 65536
 ID_BYTES = 4
 MAX_SHOWN_SIDECARS = 5
-END_LINE = "end"  # after an answer of several values
+END_LINE = "end"  # the last line of an answer that is a JSON object
 EXIT_ERROR = 1
 EXIT_STATUS_BY_ANSWER = {"done": 0, "error": EXIT_ERROR, "unknown": 3, "no quorum": 4}
 
 
-def call(address: str, line: str) -> str:
+def send_command(address: str, line: str) -> str:
     """Sends one FLEET command to an admin server and returns the answer. Raises OSError and ValueError."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
@@ -39,27 +39,27 @@
             parts.append(data)
             size += len(data)
             if size > MAX_ANSWER_BYTES:
-                raise ValueError("an answer without end")
+                raise ValueError(f"{address}: the answer is larger than {MAX_ANSWER_BYTES} bytes")
     return b"".join(parts).decode("utf-8", "replace").rstrip("\n")
 
 
-def call_for_object(address: str, line: str) -> dict[str, Any]:
+def query_object(address: str, line: str) -> dict[str, Any]:
     """Sends one FLEET command whose answer is a JSON object. Raises OSError and ValueError."""
-    answer = call(address, line)
-    text, _, end = answer.rpartition("\n")
-    if end != END_LINE:
+    answer = send_command(address, line)
+    text, _, last_line = answer.rpartition("\n")
+    if last_line != END_LINE:
         raise ValueError(answer or "no answer")
-    decoded: dict[str, Any] = json.loads(text)
-    return decoded
+    json_object: dict[str, Any] = json.loads(text)
+    return json_object
 
 
 def format_age(seconds: float | None) -> str:
-    """Returns an age as text."""
+    """Returns the age of a sidecar's information as text."""
     return "never" if seconds is None else f"{seconds:.1f} s ago"
 
 
 def format_time(unix_ms: int | None) -> str:
-    """Returns a time in UTC as text."""
+    """Returns a Unix time in UTC as text."""
     return "?" if unix_ms is None else time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(unix_ms / 1000))
 
 
@@ -108,12 +108,12 @@
 
 
 def format_effect(effect_ms_by_sidecar: dict[str, int | None]) -> str:
-    """Returns where a command is in effect, and since when."""
+    """Returns the sidecars at which a command is not in effect yet, or since when it is in effect at all."""
     missing = [name for name, effect_ms in effect_ms_by_sidecar.items() if effect_ms is None]
     if missing:
         return f"not yet at {', '.join(missing[:MAX_SHOWN_SIDECARS])}"
-    known = [effect_ms for effect_ms in effect_ms_by_sidecar.values() if effect_ms is not None]
-    return f"in effect at all by {format_time(max(known, default=None))}"
+    effect_times_ms = [effect_ms for effect_ms in effect_ms_by_sidecar.values() if effect_ms is not None]
+    return f"in effect at all by {format_time(max(effect_times_ms, default=None))}"
 
 
 def format_state(state: dict[str, Any]) -> list[str]:
@@ -137,24 +137,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """A subcommand that shows something."""
+    """A subcommand that shows state without changing it."""
 
-    line: str  # sent to the admin server
+    line: str  # the FLEET command to send to the admin server
     format: Callable[[dict[str, Any]], list[str]]
     help: str
 
 
 QUERIES = {
-    "status": Query("STATUS", format_status, "who leads since when, who is behind and by how much"),
-    "members": Query("STATUS", format_voters, "who votes"),
-    "log": Query("LOG", format_log, "the latest commands: by whom, when, and where they are in effect"),
-    "words": Query("WORDS", format_state, "what holds, as this sidecar knows it"),
+    "status": Query("STATUS", format_status, "the leader, and how far each sidecar is behind"),
+    "members": Query("STATUS", format_voters, "the voters, and whether they are present"),
+    "log": Query(
+        "LOG", format_log, "the latest commands: their origin and time, and where they are in effect"
+    ),
+    "words": Query("WORDS", format_state, "the replicated state, as this sidecar knows it"),
 }
 COMMAND_HELP = {
-    "suspend": "send nothing new to an upstream until it is resumed",
-    "drain": "send nothing new to an upstream until its next start",
-    "resume": "send to an upstream again",
-    "permit": "take a permit to be out, for node:NAME or sidecar:NAME",
+    "suspend": "send no new requests to an upstream until it is resumed",
+    "drain": "send no new requests to an upstream until its next start",
+    "resume": "send requests to an upstream again",
+    "permit": "take a permit for node:NAME or sidecar:NAME to be out of service",
     "return": "return a permit",
     "set": "set a setting of the fleet",
     "unset": "remove a setting of the fleet",
@@ -163,21 +165,21 @@
 
 
 def run_query(options: argparse.Namespace) -> int:
-    """Runs a subcommand of QUERIES. Raises OSError and ValueError."""
+    """Runs a subcommand of QUERIES and returns the exit status. Raises OSError and ValueError."""
     query = QUERIES[options.command]
-    answer = call_for_object(options.address, query.line)
+    answer = query_object(options.address, query.line)
     print(json.dumps(answer) if options.json else "\n".join(query.format(answer)))
     return 0
 
 
 def run_command(options: argparse.Namespace) -> int:
-    """Runs a subcommand that the leader has to handle. Raises OSError and ValueError."""
+    """Runs a subcommand for the leader and returns the exit status. Raises OSError and ValueError."""
     command_id = options.id or secrets.token_hex(ID_BYTES)
     words = command_words(options, command_id)
     if any(not word.isprintable() for word in words):
-        raise ValueError("expected printable characters")
-    answer = call(options.address, " ".join(words))
-    status = next((known for known in EXIT_STATUS_BY_ANSWER if answer.startswith(known)), "error")
+        raise ValueError("expected printable characters in the name, the value and the id")
+    answer = send_command(options.address, " ".join(words))
+    status = next((prefix for prefix in EXIT_STATUS_BY_ANSWER if answer.startswith(prefix)), "error")
     if options.json:
         print(json.dumps({"answer": status, "text": answer, "id": command_id}))
     else:
@@ -187,7 +189,7 @@
 
 
 def command_words(options: argparse.Namespace, command_id: str) -> list[str]:
-    """Returns the words of the FLEET command for a subcommand."""
+    """Returns the words of the FLEET command that carries out a subcommand."""
     if options.command == "begin":
         words = ["BEGIN"]
     elif options.command == "read":
@@ -208,26 +210,34 @@
     )
     subparsers = parser.add_subparsers(dest="command", required=True)
 
-    def add(name: str, help_text: str, run: Callable[[argparse.Namespace], int]) -> argparse.ArgumentParser:
+    def add_subcommand(
+        name: str, help_text: str, run: Callable[[argparse.Namespace], int]
+    ) -> argparse.ArgumentParser:
         subparser = subparsers.add_parser(name, help=help_text)
         subparser.add_argument("address", metavar="HOST:PORT", help="a sidecar's admin server")
         subparser.add_argument("--json", action="store_true")
         subparser.set_defaults(run=run, id="", name="", value="")
         return subparser
 
-    add("begin", "create a fleet of the sidecars that know one another; once, at one of them", run_command)
+    add_subcommand(
+        "begin", "create a fleet of the sidecars that know each other; run once, at any of them", run_command
+    )
     for name, query in QUERIES.items():
-        add(name, query.help, run_query)
-    read = add("read", "what holds of an upstream or setting, as the leader knows it", run_command)
+        add_subcommand(name, query.help, run_query)
+    read = add_subcommand(
+        "read", "the replicated state of an upstream or setting, as the leader knows it", run_command
+    )
     read.add_argument("name")
     for name, help_text in COMMAND_HELP.items():
-        subparser = add(name, help_text, run_command)
+        subparser = add_subcommand(name, help_text, run_command)
         subparser.add_argument("name")
         if name == "set":
             subparser.add_argument("value")
         elif name in COMMANDS_WITH_PERMIT:
             subparser.add_argument("value", nargs="?", choices=["force", "wait"], default="")
-        subparser.add_argument("--id", default="", help="of this command; the same id repeats it")
+        subparser.add_argument(
+            "--id", default="", help="id of the command; use the same id to repeat a command"
+        )
     return parser
 
 
--- a/sidecar_proxy/cli/gossip.py
+++ b/sidecar_proxy/cli/gossip.py
@@ -17,7 +17,7 @@
 
 STATUS_TIMEOUT_S = 10.0
 DAY_S = 86_400
-SERIAL_LIMIT = 1 << 48  # of random serials
+SERIAL_LIMIT = 1 << 48  # random serials are below this number
 
 
 def generate_key(arguments: argparse.Namespace) -> int:
@@ -30,14 +30,14 @@
 
 
 def certify_key(arguments: argparse.Namespace) -> int:
-    """Write a certificate for an instance's key. Raises FileError, and ValueError for names out of range."""
+    """Write a certificate for an instance's key. Raises FileError, and ValueError for an invalid name."""
     fleet_key = files.read_private_key(arguments.fleet_key)
     public_key = files.read_public_key(arguments.public_key)
     serial = arguments.serial or random.SystemRandom().randrange(1, SERIAL_LIMIT)
     until_s = int(time.time()) + arguments.days * DAY_S
     certificate = issue_certificate(fleet_key, serial, arguments.name, arguments.site, public_key, until_s)
     data = codec.encode(certificate)
-    codec.certificate_decoder.decode(data)  # rejects here a name that every peer would reject
+    codec.certificate_decoder.decode(data)  # raises ValueError for a name that every peer would reject
     files.write_file(arguments.out, data.hex() + "\n", replace=arguments.replace)
     print(
         f"{arguments.out}: {arguments.name} of {arguments.site}, serial {serial}, for {arguments.days} days"
@@ -60,7 +60,7 @@
 
 
 def show_members(arguments: argparse.Namespace) -> int:
-    """Print what a running sidecar knows of its peers. Raises OSError."""
+    """Print the peers of a running sidecar, and their reports on upstreams. Raises OSError."""
     with socket.socket(socket.AF_UNIX) as connection:
         connection.settimeout(STATUS_TIMEOUT_S)
         connection.connect(arguments.socket)
@@ -99,10 +99,10 @@
 def _make_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(prog="python3 -m sidecar_proxy gossip", description=__doc__)
     commands = parser.add_subparsers(required=True)
-    keygen = commands.add_parser("keygen", help="a new key pair, for the fleet or an instance")
+    keygen = commands.add_parser("keygen", help="create a key pair for the fleet or an instance")
     keygen.add_argument("file")
     keygen.set_defaults(run=generate_key)
-    certify = commands.add_parser("certify", help="a certificate for an instance's key")
+    certify = commands.add_parser("certify", help="issue a certificate for an instance's key")
     certify.add_argument("fleet_key", help="the fleet's private key")
     certify.add_argument("public_key", help="the instance's FILE.pub")
     certify.add_argument("name")
@@ -110,15 +110,15 @@
     certify.add_argument("out")
     certify.add_argument("--days", type=int, default=90)
     certify.add_argument("--serial", type=int, default=0)
-    certify.add_argument("--replace", action="store_true", help="in place of the certificate that is there")
+    certify.add_argument("--replace", action="store_true", help="replace an existing certificate")
     certify.set_defaults(run=certify_key)
-    revocation = commands.add_parser("revoke", help="stop listening to a certificate")
+    revocation = commands.add_parser("revoke", help="revoke a certificate")
     revocation.add_argument("list", help="the file that gossip.revoked_file names")
-    revocation.add_argument("certificate", nargs="?", help="its file")
+    revocation.add_argument("certificate", nargs="?", help="the file of the certificate")
     revocation.add_argument("--serial", type=int, default=0)
     revocation.set_defaults(run=revoke)
     members = commands.add_parser(
-        "members", help="what a running sidecar knows of the others (gossip.socket)"
+        "members", help="print the peers that a running sidecar knows, from its gossip.socket"
     )
     members.add_argument("socket")
     members.add_argument("--json", action="store_true")
