--- a/sidecar_proxy/overload_control/controller.py
+++ b/sidecar_proxy/overload_control/controller.py
@@ -86,8 +86,8 @@
     ) -> None:
         """Creates the controller of the sidecar with number `index` in a fleet of `instances` sidecars.
 
-        `priority_weights` has an entry for each request class. `slow_latency_us` is the response time from
-        which on an upstream that is not in slow start is considered to have a queue; 0 if it is not known.
+        `priority_weights` are by request class; classes beyond `MAX_CLASSES` are ignored. `slow_latency_us`
+        is the response time of a warm upstream that has a queue; 0 if it is not known.
         """
         self.name = name
         self.index = index
--- a/sidecar_proxy/overload_control/shedding_threshold.py
+++ b/sidecar_proxy/overload_control/shedding_threshold.py
@@ -45,7 +45,7 @@
 
 
 def reported_quotas(reports: Mapping[str, Report], instances: int) -> dict[str, int]:
-    """Returns each sidecar's quota in parts, by name.
+    """Returns the quota of each sidecar that follows from all reports, in parts, by name.
 
     Each index owns an equal share of the fleet's quota, and sidecars that report the same index divide it. A
     sidecar has what it owns, less what it reports as lent, plus what its lenders report as lent to it.
