--- a/benchmarks/consensus.py
+++ b/benchmarks/consensus.py
@@ -36,7 +36,7 @@
 from sidecar_proxy.testbed.checker import table
 from sidecar_proxy.testbed.scenario import Plan, Scene
 from tests.consensus.rig import (
-    PLAN,
+    CONSENSUS_PLAN,
     create_fleet,
     fleet_command,
     fleet_object,
@@ -47,7 +47,7 @@
 )
 
 FRAME_OVERHEAD_BYTES = 20  # of a sealed frame
-OPERATOR_TABLE = PLAN.extra.replace("replace_s = 3.0", "replace_s = 60.0")
+OPERATOR_TABLE = CONSENSUS_PLAN.extra.replace("replace_s = 3.0", "replace_s = 60.0")
 POLL_S = 0.01
 ENTRY_BYTES = 150
 SNAPSHOT_KEYS = 150
@@ -68,7 +68,7 @@
 
 def create_plan(voter_count: int, sidecar_count: int) -> Plan:
     extra = OPERATOR_TABLE + f"voters = {voter_count}\n"
-    return replace(PLAN, sidecars=sidecar_count, rate=0.0, seconds=0.0, extra=extra)
+    return replace(CONSENSUS_PLAN, sidecars=sidecar_count, rate=0.0, seconds=0.0, extra=extra)
 
 
 async def run_on(plan: Plan, measure: Callable[[Scene], Awaitable[Any]]) -> Any:
@@ -334,7 +334,7 @@
 
 async def compare_served() -> None:
     plan = replace(
-        PLAN,
+        CONSENSUS_PLAN,
         sidecars=5,
         nodes=12,
         rate=150.0,
--- a/sidecar_proxy/consensus/disk.py
+++ b/sidecar_proxy/consensus/disk.py
@@ -104,7 +104,7 @@
         self._run("rename", lambda: RealDisk.rename(self, source, target), lambda: None)
 
 
-def disk_of_process() -> Disk:
+def disk_from_environment() -> Disk:
     """Returns the disk that this process's environment asks for."""
     fault_path = read_variable("DISK_FILE")
     return FaultyDisk(Path(fault_path)) if fault_path else RealDisk()
--- a/sidecar_proxy/consensus/fleet_commands.py
+++ b/sidecar_proxy/consensus/fleet_commands.py
@@ -65,7 +65,7 @@
 
     def on_result(self, result: ProposalResult) -> None:
         """Passes a result on to the command that waits for it."""
-        future = self.futures.pop(result.context, None)
+        future = self.futures.pop(result.request_id, None)
         if future is not None and not future.done():
             future.set_result(result)
 
@@ -94,9 +94,9 @@
 
     def _describe(self, verb: str, now_us: int) -> str:
         replica = self.host.replica
-        reporter = replica.reporter
+        reporter = replica.status_reporter
         if verb == "STATUS":
-            is_writing = replica.driver.unpersisted is not None
+            is_writing = replica.ready_driver.unpersisted_ready is not None
             status = reporter.describe(now_us, is_writing)
             return encode_answer({**status, "counts": self.host.frame_counts()})
         age_s = reporter.age_s(now_us)
--- a/sidecar_proxy/consensus/leader_requests.py
+++ b/sidecar_proxy/consensus/leader_requests.py
@@ -21,7 +21,7 @@
 from sidecar_proxy.consensus.replicated_commands import Outcome, ReplicatedCommand
 
 MAX_PENDING_REQUESTS = 256  # reads, and likewise commands of one term that wait for their commit
-BARRIER_CONTEXT = 0  # of a read that only confirms the leadership
+BARRIER_READ_ID = 0  # of a read that only confirms the leadership
 
 FactsProvider = Callable[[ReplicatedCommand], DisruptionFacts | None]
 
@@ -58,8 +58,8 @@
         self.context = context
         self.proposals = proposals  # for replies to this sidecar itself
         self.proposed: dict[int, ProposedCommand] = {}  # by index
-        self.reads: dict[int, RequestedRead] = {}  # by the core's context
-        self.last_read_context = BARRIER_CONTEXT
+        self.reads: dict[int, RequestedRead] = {}  # by read id
+        self.last_read_id = BARRIER_READ_ID
         self.facts_provider: FactsProvider | None = None
 
     def handle(self, node: NodeId, request: LeaderRequest) -> None:
@@ -77,9 +77,9 @@
         if len(self.reads) >= MAX_PENDING_REQUESTS:
             self._reply_error(requester, "too many ask at a time")
             return
-        self.last_read_context += 1
-        self.context.core.request_read(self.last_read_context)
-        self.reads[self.last_read_context] = RequestedRead(requester, name)
+        self.last_read_id += 1
+        self.context.core.request_read(self.last_read_id)
+        self.reads[self.last_read_id] = RequestedRead(requester, name)
 
     def _propose(self, requester: Requester, data: bytes) -> None:
         command = replicated_commands.decode_command(data)
@@ -117,11 +117,11 @@
             else:
                 self._reply_done(requester, outcome.index, outcome.text)
 
-    def on_read_confirmed(self, context: int) -> None:
+    def on_read_confirmed(self, read_id: int) -> None:
         """Answers a read from the current state."""
-        if context == BARRIER_CONTEXT:
+        if read_id == BARRIER_READ_ID:
             return
-        read = self.reads.pop(context)
+        read = self.reads.pop(read_id)
         state = self.context.state
         excluded = state.excluded.get(read.name)
         setting = state.settings.get(read.name)
@@ -133,11 +133,11 @@
         text = json.dumps(answer, ensure_ascii=False)
         self._reply_done(read.requester, state.index, text[: replicated_commands.MAX_VALUE_CHARS])
 
-    def on_read_rejected(self, context: int) -> None:
+    def on_read_rejected(self, read_id: int) -> None:
         """Replies that the leadership was lost before a read was confirmed."""
-        if context == BARRIER_CONTEXT:
+        if read_id == BARRIER_READ_ID:
             return
-        read = self.reads.pop(context)
+        read = self.reads.pop(read_id)
         self._reply(read.requester, ProposalStatus.NOT_LEADER, leader=self.context.core.leader)
 
     def on_leadership_lost(self) -> None:
--- a/sidecar_proxy/consensus/peers.py
+++ b/sidecar_proxy/consensus/peers.py
@@ -54,7 +54,7 @@
 
     def __init__(self) -> None:
         self.peers: dict[str, Peer] = {}
-        self.voting: dict[str, Peer] = {}  # those that say that they are voters
+        self.voting_peers: dict[str, Peer] = {}  # those that say that they are voters
         self.reported_foreign: set[str] = set()  # sidecars of another fleet that were logged
 
     def update(self, name: str, site: str, status: ReplicaStatus, now_us: int) -> Peer | None:
@@ -67,15 +67,15 @@
             self.peers[name] = peer
         peer.update(status, site, now_us)
         if status.is_voter:
-            self.voting[name] = peer
+            self.voting_peers[name] = peer
         else:
-            self.voting.pop(name, None)
+            self.voting_peers.pop(name, None)
         return peer
 
     def remove(self, name: str) -> None:
         """Forgets a sidecar that gossip considers dead."""
         self.peers.pop(name, None)
-        self.voting.pop(name, None)
+        self.voting_peers.pop(name, None)
 
     def mark_foreign(self, name: str) -> bool:
         """Records a sidecar of another fleet and tells whether that is news."""
@@ -86,13 +86,13 @@
 
     def voter_nodes(self) -> list[NodeId]:
         """Returns the nodes that say that they are voters."""
-        return [peer.node for peer in self.voting.values()]
+        return [peer.node for peer in self.voting_peers.values()]
 
     def reported_leader(self) -> NodeId:
         """Returns the leader that the voters report: that of the latest term, its own report first."""
         reports = (
             (peer.status.term, peer.status.leader == peer.node, peer.status.leader)
-            for peer in self.voting.values()
+            for peer in self.voting_peers.values()
             if peer.status.leader
         )
         return max(reports, default=(0, False, ""))[2]
--- a/sidecar_proxy/consensus/proposals.py
+++ b/sidecar_proxy/consensus/proposals.py
@@ -33,7 +33,7 @@
 class PendingProposal:
     """A command, or a read of the current state of `name` if the command is empty."""
 
-    context: int  # of the caller
+    request_id: int  # of the caller
     command: bytes
     name: str
     deadline_us: int
@@ -46,7 +46,7 @@
 class ProposalResult:
     """The final answer to the caller with this context; never NOT_LEADER."""
 
-    context: int
+    request_id: int
     status: ProposalStatus
     index: int = 0
     text: str = ""
@@ -59,12 +59,12 @@
         self.pending: dict[int, PendingProposal] = {}  # by number
         self.last_number = 0
 
-    def add(self, context: int, command: bytes, name: str, now_us: int) -> ProposalResult | None:
+    def add(self, request_id: int, command: bytes, name: str, now_us: int) -> ProposalResult | None:
         """Adds a request. Returns a result if it is rejected at once."""
         if len(self.pending) >= MAX_PENDING_PROPOSALS:
-            return ProposalResult(context, ProposalStatus.ERROR, text="too many are asked here at a time")
+            return ProposalResult(request_id, ProposalStatus.ERROR, text="too many are asked here at a time")
         self.last_number += 1
-        proposal = PendingProposal(context, command, name, now_us + REQUEST_TIMEOUT_US)
+        proposal = PendingProposal(request_id, command, name, now_us + REQUEST_TIMEOUT_US)
         self.pending[self.last_number] = proposal
         return None
 
@@ -124,4 +124,4 @@
     def _complete(
         self, number: int, status: ProposalStatus, index: int = 0, text: str = ""
     ) -> ProposalResult:
-        return ProposalResult(self.pending.pop(number).context, status, index, text)
+        return ProposalResult(self.pending.pop(number).request_id, status, index, text)
--- a/sidecar_proxy/consensus/raft.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -38,9 +38,9 @@
 class Timing:
     """Intervals in ticks, and the optional parts of elections."""
 
-    election: int = 10  # the election timeout is drawn from this to twice this
-    heartbeat: int = 2
-    pre_vote_retry: int = 3  # between two pre-vote requests of one candidacy
+    min_election_timeout_ticks: int = 10  # the election timeout is drawn from this to twice this
+    heartbeat_interval_ticks: int = 2
+    pre_vote_retry_ticks: int = 3  # between two pre-vote requests of one candidacy
     pre_vote: bool = True
     check_quorum: bool = True
 
@@ -68,7 +68,7 @@
 class PendingRead:
     """A read that waits until a majority has replied to a round of heartbeats (6.4)."""
 
-    context: int
+    read_id: int
     read_index: int
     round: int
 
@@ -82,8 +82,8 @@
     entries: list[Entry] = field(default_factory=list)  # replace the log from the first one's index on
     messages: list[Message] = field(default_factory=list)
     committed: list[Entry] = field(default_factory=list)
-    reads: list[tuple[int, int]] = field(default_factory=list)  # context, and the read index to apply first
-    rejected_reads: list[int] = field(default_factory=list)  # contexts; the leadership was lost
+    reads: list[tuple[int, int]] = field(default_factory=list)  # read id, and the index to apply first
+    rejected_reads: list[int] = field(default_factory=list)  # ids of reads whose leadership was lost
 
 
 class RaftCore:
@@ -190,7 +190,7 @@
     def ticks_until_due(self) -> int:
         """Returns the number of ticks until this node has something to do, at least one."""
         if self.role is Role.LEADER:
-            return max(1, self.timing.heartbeat - self.elapsed_ticks)
+            return max(1, self.timing.heartbeat_interval_ticks - self.elapsed_ticks)
         if self.role is Role.CANDIDATE:
             return 1
         return max(1, self.election_timeout_ticks - self.elapsed_ticks)
@@ -205,14 +205,14 @@
         elif (
             self.role is Role.CANDIDATE
             and self.is_pre_candidate
-            and self.elapsed_ticks % self.timing.pre_vote_retry == 0
+            and self.elapsed_ticks % self.timing.pre_vote_retry_ticks == 0
         ):
             # A voter that heard the leader a moment later than we did has ignored the first request.
             self._request_votes(pre_vote=True)
 
     def _tick_leader(self) -> None:
         self.quorum_elapsed_ticks += 1
-        if self.quorum_elapsed_ticks >= self.timing.election:
+        if self.quorum_elapsed_ticks >= self.timing.min_election_timeout_ticks:
             self.quorum_elapsed_ticks = 0
             if self.timing.check_quorum and not self._has_active_quorum():
                 self.become_follower(self.term, "")  # 6.2: the others may have a leader of a later term
@@ -222,9 +222,9 @@
                 progress.pending_snapshot_index = 0
         if self.transfer_target:
             self.transfer_elapsed_ticks += 1
-            if self.transfer_elapsed_ticks >= self.timing.election:
+            if self.transfer_elapsed_ticks >= self.timing.min_election_timeout_ticks:
                 self.transfer_target = ""  # the transfer has failed; proposals are taken again
-        if self.elapsed_ticks >= self.timing.heartbeat:
+        if self.elapsed_ticks >= self.timing.heartbeat_interval_ticks:
             self.elapsed_ticks = 0
             self._broadcast_append()
 
@@ -237,7 +237,9 @@
     def reset_election_timer(self) -> None:
         """Restarts the election timer with a random timeout (3.4)."""
         self.elapsed_ticks = 0
-        self.election_timeout_ticks = self.timing.election + self.rng.randrange(self.timing.election)
+        self.election_timeout_ticks = self.timing.min_election_timeout_ticks + self.rng.randrange(
+            self.timing.min_election_timeout_ticks
+        )
 
     # Elections
 
@@ -247,7 +249,7 @@
             self.term = term
             self.vote = ""
         if self.role is Role.LEADER:
-            self.next_ready.rejected_reads += [read.context for read in self.pending_reads]
+            self.next_ready.rejected_reads += [read.read_id for read in self.pending_reads]
         self.role = Role.FOLLOWER
         self.leader = leader
         self.votes = {}
@@ -309,7 +311,11 @@
 
     def _hears_leader(self) -> bool:
         """Tells whether a live leader is a reason to ignore vote requests (4.2.3)."""
-        return bool(self.leader and self.elapsed_ticks < self.timing.election and self.timing.check_quorum)
+        return bool(
+            self.leader
+            and self.elapsed_ticks < self.timing.min_election_timeout_ticks
+            and self.timing.check_quorum
+        )
 
     def _on_vote_request(self, request: VoteRequest) -> None:
         if not request.transfer and self._hears_leader():
@@ -504,8 +510,8 @@
         if node not in self.voters:
             self.progress.pop(node, None)
 
-    def request_read(self, context: int) -> None:
-        """Starts a linearizable read (6.4): a Ready holds its context once the leadership is confirmed.
+    def request_read(self, read_id: int) -> None:
+        """Starts a linearizable read (6.4): a Ready holds its id once the leadership is confirmed.
 
         Raises ProposalRejectedError.
         """
@@ -514,7 +520,7 @@
         if self.log.term_at(self.commit_index) != self.term:
             raise ProposalRejectedError("nothing of this term is committed yet")
         self.round += 1
-        self.pending_reads.append(PendingRead(context, self.commit_index, self.round))
+        self.pending_reads.append(PendingRead(read_id, self.commit_index, self.round))
         self._broadcast_append()
         self._complete_reads()
 
@@ -619,4 +625,4 @@
             if acked_count < self.quorum_size():
                 return
             self.pending_reads.pop(0)
-            self.next_ready.reads.append((read.context, read.read_index))
+            self.next_ready.reads.append((read.read_id, read.read_index))
--- a/sidecar_proxy/consensus/ready_driver.py
+++ b/sidecar_proxy/consensus/ready_driver.py
@@ -25,12 +25,12 @@
     def __init__(self, context: ReplicaContext, leader_requests: LeaderRequests) -> None:
         self.context = context
         self.leader_requests = leader_requests
-        self.unpersisted: Ready | None = None  # what is being written
+        self.unpersisted_ready: Ready | None = None  # what is being written
 
     def run(self) -> None:
         """Takes Readies until one has to be written or none is left, then compacts the log if it is due."""
         core = self.context.core
-        while self.unpersisted is None:
+        while self.unpersisted_ready is None:
             if not core.has_ready():
                 self._compact_if_due()
                 return
@@ -45,9 +45,9 @@
 
     def on_persisted(self) -> None:
         """Sends and applies what was written."""
-        ready = self.unpersisted
+        ready = self.unpersisted_ready
         assert ready is not None
-        self.unpersisted = None
+        self.unpersisted_ready = None
         self._complete(ready)
 
     def _needs_write(self, ready: Ready) -> bool:
@@ -61,7 +61,7 @@
             return
         data = replicated_commands.encode_state(self.context.state)
         snapshot = core.log.compact(core.applied_index, data)
-        self.unpersisted = Ready()
+        self.unpersisted_ready = Ready()
         entries = tuple(core.log.entries)
         self.context.outbox.add(
             PersistState(None, core.applied_index, snapshot, entries, core.persisted_hard_state)
@@ -69,7 +69,7 @@
 
     def _start_write(self, ready: Ready) -> None:
         core = self.context.core
-        self.unpersisted = ready
+        self.unpersisted_ready = ready
         self.context.outbox.add(
             PersistState(
                 ready.hard_state,
@@ -95,15 +95,15 @@
         if ready.snapshot is not None:
             self._restore(ready.snapshot.data)
         for entry in ready.committed:
-            outcome = self.context.machine.apply(entry)
+            outcome = self.context.state_machine.apply(entry)
             self.leader_requests.on_applied(entry, outcome)
         if ready.committed or ready.snapshot is not None:
-            self.context.machine.mark_changed()
+            self.context.state_machine.mark_changed()
             self.context.outbox.add(StateChanged())
-        for read_context, _ in ready.reads:
-            self.leader_requests.on_read_confirmed(read_context)
-        for read_context in ready.rejected_reads:
-            self.leader_requests.on_read_rejected(read_context)
+        for read_id, _ in ready.reads:
+            self.leader_requests.on_read_confirmed(read_id)
+        for read_id in ready.rejected_reads:
+            self.leader_requests.on_read_rejected(read_id)
 
     def _send(self, message: Message) -> None:
         if isinstance(message, InstallSnapshot):
@@ -115,7 +115,7 @@
             self.context.outbox.send(message.target, cast(RaftMessage, message))
 
     def _restore(self, data: bytes) -> None:
-        machine = self.context.machine
+        machine = self.context.state_machine
         had_fleet = bool(machine.state.fleet_id)
         machine.restore(data)
         if not had_fleet:
--- a/sidecar_proxy/consensus/replica.py
+++ b/sidecar_proxy/consensus/replica.py
@@ -42,8 +42,8 @@
 TICK_US = 50_000
 TICK_TOLERANCE_US = TICK_US // 5  # a tick that is early by no more than this counts
 MAX_IDLE_TICKS = 20
-TIMING = Timing(election=12, heartbeat=4)
-STALL_US = 1_000_000  # beyond the planned time between two ticks: this process was stopped
+TIMING = Timing(min_election_timeout_ticks=12, heartbeat_interval_ticks=4)
+STALL_THRESHOLD_US = 1_000_000  # beyond the planned time between two ticks: this process was stopped
 
 
 class Replica:
@@ -77,14 +77,14 @@
         self.process_id = process_id
         self.proposals = PendingProposals()
         self.leader_requests = LeaderRequests(self.context, self.proposals)
-        self.driver = ReadyDriver(self.context, self.leader_requests)
+        self.ready_driver = ReadyDriver(self.context, self.leader_requests)
         self.voter_manager = VoterManager(self.context, now_us)
-        self.transfer = TransferManager(self.context, now_us)
-        self.tracker = LeaderTracker(now_us)
-        self.broadcaster = StatusBroadcaster(
-            self.context, persisted.incarnation, process_id, self.tracker, now_us
+        self.state_transfer = TransferManager(self.context, now_us)
+        self.leader_tracker = LeaderTracker(now_us)
+        self.status_broadcaster = StatusBroadcaster(
+            self.context, persisted.incarnation, process_id, self.leader_tracker, now_us
         )
-        self.reporter = StatusReporter(self.context, self.tracker)
+        self.status_reporter = StatusReporter(self.context, self.leader_tracker)
         self.was_leader = False  # at the last tick
         self.last_tick_us = now_us
         self.planned_ticks = 1
@@ -135,14 +135,14 @@
     @property
     def due_us(self) -> int:
         """When to call `tick` next; an event may bring it forward. An idle process is not woken."""
-        if self.proposals.pending or self.transfer.fetcher.request_number:
+        if self.proposals.pending or self.state_transfer.fetcher.request_number:
             ticks = 1
         elif self.context.is_voter:
             ticks = self.core.ticks_until_due()
         else:
-            ticks = self._ticks_until(self.transfer.fetcher.due_us)
-        if self.broadcaster.has_news:
-            ticks = min(ticks, self._ticks_until(self.broadcaster.next_broadcast_us))
+            ticks = self._ticks_until(self.state_transfer.fetcher.due_us)
+        if self.status_broadcaster.has_news:
+            ticks = min(ticks, self._ticks_until(self.status_broadcaster.next_broadcast_us))
         self.planned_ticks = max(1, min(ticks, MAX_IDLE_TICKS))
         return self.last_tick_us + self.planned_ticks * TICK_US
 
@@ -155,8 +155,8 @@
         Time in which this process did not run is not counted: frames that it has not read yet may say that
         all is well.
         """
-        self.context.machine.wall_ms = wall_ms
-        if now_us - self.last_tick_us > self.planned_ticks * TICK_US + STALL_US:
+        self.context.state_machine.wall_ms = wall_ms
+        if now_us - self.last_tick_us > self.planned_ticks * TICK_US + STALL_THRESHOLD_US:
             self.voter_manager.on_stall(now_us)
         elapsed_ticks = (now_us - self.last_tick_us + TICK_TOLERANCE_US) // TICK_US
         for _ in range(max(1, min(self.planned_ticks, elapsed_ticks))):
@@ -165,7 +165,7 @@
         self._update_leader(now_us)
         self.voter_manager.check_if_due(now_us)
         self._send_proposals(now_us)
-        self.transfer.request_if_due(now_us)
+        self.state_transfer.request_if_due(now_us)
         return self._finish(now_us)
 
     def _catch_up_ticks(self, now_us: int) -> None:
@@ -193,7 +193,7 @@
         elif self.was_leader:
             self.was_leader = False
             self.leader_requests.on_leadership_lost()
-        self.tracker.update(leader, now_us)
+        self.leader_tracker.update(leader, now_us)
 
     # Events from the network
 
@@ -206,15 +206,15 @@
             if isinstance(frame, Append) and self.core.leader == node:
                 self.context.up_to_date_us = now_us
         elif isinstance(frame, SnapshotOffer):
-            self.transfer.handle_offer(frame, now_us)
+            self.state_transfer.handle_offer(frame, now_us)
         elif isinstance(frame, FetchRequest):
-            self.transfer.handle_request(node, frame, now_us)
+            self.state_transfer.handle_request(node, frame, now_us)
         elif isinstance(frame, LeaderRequest):
             self.leader_requests.handle(node, frame)
         elif isinstance(frame, LeaderReply):
             self._add_result(self.proposals.on_reply(node, frame, now_us))
         elif isinstance(frame, EntryBatch | SnapshotChunk | FetchLater):
-            self.transfer.handle_response(node, frame, now_us)
+            self.state_transfer.handle_response(node, frame, now_us)
         return self._finish(now_us)
 
     def on_status(self, name: str, site: str, status: ReplicaStatus, now_us: int) -> list[Output]:
@@ -229,7 +229,7 @@
         peer = self.peers.update(name, site, status, now_us)
         if peer is not None and status.is_voter:
             if status.commit_index > self.core.commit_index:
-                self.transfer.fetcher.on_news(now_us, len(self.peers.peers))
+                self.state_transfer.fetcher.on_news(now_us, len(self.peers.peers))
             elif status.commit_index == self.core.commit_index and status.fleet_id == fleet_id:
                 self.context.up_to_date_us = now_us
         return self._finish(now_us)
@@ -244,44 +244,44 @@
         if isinstance(frame, LeaderRequest):
             self.proposals.on_unsent(frame.number, now_us)
         elif isinstance(frame, FetchRequest):
-            self.transfer.fetcher.on_link_broken(node, now_us)
+            self.state_transfer.fetcher.on_link_broken(node, now_us)
         return self._finish(now_us)
 
     def on_link_broken(self, node: NodeId, now_us: int) -> list[Output]:
         """Handles the loss of a connection; what was sent may or may not have arrived."""
         self.proposals.on_link_broken(node, now_us)
-        self.transfer.fetcher.on_link_broken(node, now_us)
+        self.state_transfer.fetcher.on_link_broken(node, now_us)
         return self._finish(now_us)
 
     # Events from the disk
 
     def on_persisted(self, now_us: int) -> list[Output]:
         """Continues after the last `PersistState` was written and synced."""
-        self.driver.on_persisted()
+        self.ready_driver.on_persisted()
         return self._finish(now_us)
 
     # Requests of operators
 
-    def submit_command(self, context: int, command: ReplicatedCommand, now_us: int) -> list[Output]:
-        """Submits a command; a ProposalResult with this context follows. Raises CommandError."""
+    def submit_command(self, request_id: int, command: ReplicatedCommand, now_us: int) -> list[Output]:
+        """Submits a command; a ProposalResult with this id follows. Raises CommandError."""
         data = replicated_commands.encode_command(command)
         if not self.known_fleet_id():
             raise CommandError("no fleet was begun (`fleet begin`)")
-        return self._submit(context, data, "", now_us)
+        return self._submit(request_id, data, "", now_us)
 
-    def submit_read(self, context: int, name: str, now_us: int) -> list[Output]:
+    def submit_read(self, request_id: int, name: str, now_us: int) -> list[Output]:
         """Submits a linearizable read of an upstream or setting; a ProposalResult follows."""
-        return self._submit(context, b"", name, now_us)
+        return self._submit(request_id, b"", name, now_us)
 
-    def _submit(self, context: int, data: bytes, name: str, now_us: int) -> list[Output]:
-        self._add_result(self.proposals.add(context, data, name, now_us))
+    def _submit(self, request_id: int, data: bytes, name: str, now_us: int) -> list[Output]:
+        self._add_result(self.proposals.add(request_id, data, name, now_us))
         self._send_proposals(now_us)
         return self._finish(now_us)
 
     def create_fleet(self, now_us: int) -> list[Output]:
         """Creates a fleet with this sidecar as its only voter. Raises ProposalRejectedError."""
         fleet_id = self.known_fleet_id()
-        if fleet_id or self.core.commit_index or self.driver.unpersisted is not None:
+        if fleet_id or self.core.commit_index or self.ready_driver.unpersisted_ready is not None:
             raise ProposalRejectedError(f"there is a fleet already: {fleet_id or 'being begun'}")
         new_fleet_id = f"{self.context.rng.getrandbits(64):016x}"
         data = replicated_commands.initial_snapshot_data(new_fleet_id)
@@ -293,13 +293,13 @@
         """Sends waiting requests to the leader, and ends those that can't wait any longer."""
         if not self.proposals.pending:
             return
-        leader = self.tracker.leader
+        leader = self.leader_tracker.leader
         for request in self.proposals.take_requests(leader, now_us):
             if leader == self.node_id:
                 self.leader_requests.handle(leader, request)
             else:
                 self.context.outbox.send(leader, request)
-        for result in self.proposals.expire(now_us, self.tracker.leaderless_us(now_us)):
+        for result in self.proposals.expire(now_us, self.leader_tracker.leaderless_us(now_us)):
             self.context.outbox.add(result)
 
     def _add_result(self, result: ProposalResult | None) -> None:
@@ -308,6 +308,6 @@
 
     def _finish(self, now_us: int) -> list[Output]:
         """Completes an event: takes what the core has ready, broadcasts news, and returns all effects."""
-        self.driver.run()
-        self.broadcaster.broadcast_if_due(now_us)
+        self.ready_driver.run()
+        self.status_broadcaster.broadcast_if_due(now_us)
         return self.context.outbox.take()
--- a/sidecar_proxy/consensus/replica_context.py
+++ b/sidecar_proxy/consensus/replica_context.py
@@ -36,7 +36,7 @@
     limits: ReplicaLimits
     rng: random.Random
     core: RaftCore
-    machine: StateMachine
+    state_machine: StateMachine
     peers: PeerTable
     outbox: Outbox
     up_to_date_us: int = 0  # when this sidecar last had all that was committed; 0 = never, as far as is known
@@ -44,7 +44,7 @@
     @property
     def state(self) -> ReplicatedState:
         """The replicated state."""
-        return self.machine.state
+        return self.state_machine.state
 
     @property
     def is_voter(self) -> bool:
--- a/sidecar_proxy/consensus/state_writer.py
+++ b/sidecar_proxy/consensus/state_writer.py
@@ -12,7 +12,7 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-RETRY_S = 0.5
+WRITE_RETRY_S = 0.5
 
 
 class StateWriter:
@@ -62,7 +62,7 @@
             if not self.is_failing:
                 self.is_failing = True
                 log.error("agreement: %s; nothing is acknowledged until it can be written", error)
-            self.retry_timer = self.loop.call_later(RETRY_S, self.write, state)
+            self.retry_timer = self.loop.call_later(WRITE_RETRY_S, self.write, state)
         else:
             log.error("agreement: this sidecar takes no part any more", exc_info=error)
             self.on_fault()
--- a/sidecar_proxy/consensus/status.py
+++ b/sidecar_proxy/consensus/status.py
@@ -74,7 +74,7 @@
             is_voter,
             core.commit_index,
             self.context.state.index,
-            self.context.machine.applied_at_ms,
+            self.context.state_machine.applied_at_ms,
             self.process_id,
             self.context.limits.can_vote,
         )
--- a/sidecar_proxy/consensus/subsystem.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -17,7 +17,7 @@
 from sidecar_proxy.config.errors import OperatorError
 from sidecar_proxy.config.schema import Agreement
 from sidecar_proxy.consensus import frames
-from sidecar_proxy.consensus.disk import disk_of_process
+from sidecar_proxy.consensus.disk import disk_from_environment
 from sidecar_proxy.consensus.errors import CommandError, DamagedLogError, FrameError
 from sidecar_proxy.consensus.fleet_commands import FleetCommands, wall_ms
 from sidecar_proxy.consensus.frames import Frame
@@ -80,7 +80,7 @@
         self.gossip = gossip
         self.overrides = overrides
         self.is_serving = is_serving  # whether clients' requests are accepted
-        self.store = LogStore(Path(settings.folder), disk_of_process())
+        self.store = LogStore(Path(settings.folder), disk_from_environment())
         self.is_closed = False
         self.addresses: dict[str, Address] = {}  # as last heard: a peer considered dead may still be there
         self.next_warning_s = 0.0
--- a/sidecar_proxy/consensus/voter_manager.py
+++ b/sidecar_proxy/consensus/voter_manager.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from sidecar_proxy.consensus.errors import ProposalRejectedError
-from sidecar_proxy.consensus.leader_requests import BARRIER_CONTEXT
+from sidecar_proxy.consensus.leader_requests import BARRIER_READ_ID
 from sidecar_proxy.consensus.messages import NodeId
 from sidecar_proxy.consensus.replica_context import ReplicaContext
 from sidecar_proxy.consensus.voters import Candidate, VoterPlanner, name_of
@@ -68,7 +68,7 @@
             self.barrier_round = 0
             return
         try:
-            core.request_read(BARRIER_CONTEXT)
+            core.request_read(BARRIER_READ_ID)
             self.barrier_round = core.round
             self._update_candidate(planner, now_us)
             if len(responsive) + 1 < core.quorum_size():
--- a/sidecar_proxy/model_checking/fleets.py
+++ b/sidecar_proxy/model_checking/fleets.py
@@ -212,7 +212,7 @@
                     or self.cut.get((mind.name, there.name))
                     and self.cut.get((there.name, mind.name))
                 )
-                said = mind.member.broadcaster.last_status
+                said = mind.member.status_broadcaster.last_status
                 if gone:
                     self.give(there, there.life, partial(self.leave, mind.name))
                 elif said is not None and not self.cut.get((mind.name, there.name)):
@@ -397,7 +397,7 @@
         self.perform(mind, mind.member.submit_read(self.contexts, name, self.now_us))
 
     def answered(self, mind: Mind, told: ProposalResult) -> None:
-        asked = self.asked.pop((mind.name, mind.life, told.context), None)
+        asked = self.asked.pop((mind.name, mind.life, told.request_id), None)
         if asked is None:
             self.found.append(f"{mind.name}: two answers to one word")
             return
--- a/tests/consensus/rig.py
+++ b/tests/consensus/rig.py
@@ -17,7 +17,7 @@
 
 POLL_S = 0.05
 RETRY_S = 0.1
-PLAN = replace(
+CONSENSUS_PLAN = replace(
     RIG,
     extra="""[agreement]
 folder = "@folder@"
--- a/tests/consensus/test_disruption_budgets.py
+++ b/tests/consensus/test_disruption_budgets.py
@@ -15,7 +15,7 @@
 from sidecar_proxy.consensus.replicated_commands import Outcome, ReplicatedCommand, ReplicatedState
 from sidecar_proxy.testbed.scenario import Scene
 from tests.consensus.rig import (
-    PLAN,
+    CONSENSUS_PLAN,
     create_fleet,
     fleet_command,
     fleet_object,
@@ -31,7 +31,7 @@
 UPSTREAMS = [Target(f"n{n}", f"site{n % 2}", f"kind{n % 3}", str(n // 4)) for n in range(8)]
 BUDGETS = {"out.node": "3", "out.node.site": "2", "out.node.class": "50%"}
 SETTING_OF_SCOPE = {Scope.ALL: "out.node", Scope.SITE: "out.node.site", Scope.CLASS: "out.node.class"}
-SIX_SIDECARS = replace(PLAN, sidecars=6)
+SIX_SIDECARS = replace(CONSENSUS_PLAN, sidecars=6)
 
 
 def group_size(target: Target, scope: Scope) -> int:
--- a/tests/consensus/test_fleet.py
+++ b/tests/consensus/test_fleet.py
@@ -16,7 +16,7 @@
 
 from sidecar_proxy.testbed.scenario import Scene
 from tests.consensus.rig import (
-    PLAN,
+    CONSENSUS_PLAN,
     create_fleet,
     excluded_upstreams,
     fleet_command,
@@ -31,7 +31,7 @@
 from tests.sockets import LONG_S, ROOT
 from tests.testbed.playing import on_rig
 
-FIVE_SIDECARS = replace(PLAN, sidecars=5)
+FIVE_SIDECARS = replace(CONSENSUS_PLAN, sidecars=5)
 
 
 def others(scene: Scene, *excluded: int) -> list[int]:
@@ -104,7 +104,7 @@
             leader = await wait_for_leader(scene, others(scene))
             await wait_until_excluded(scene, others(scene), set(names[1 : command_count + 1]))
 
-    on_rig(replace(PLAN, sidecars=3), test)
+    on_rig(replace(CONSENSUS_PLAN, sidecars=3), test)
 
 
 def test_lost_majority_is_reported_and_a_fleet_that_was_down_comes_back() -> None:
@@ -137,7 +137,7 @@
         await submit(scene, [remaining], f"RESUME {name}", "two")
         await wait_until_excluded(scene, others(scene), set())
 
-    on_rig(PLAN, test)
+    on_rig(CONSENSUS_PLAN, test)
 
 
 def has_log_line(scene: Scene, sidecar: int, text: str) -> bool:
@@ -234,7 +234,7 @@
         await check_copied_folder(scene, upstreams)
         await wait_for_leader(scene, others(scene), 3)
 
-    on_rig(PLAN, test)
+    on_rig(CONSENSUS_PLAN, test)
 
 
 # A sidecar of a later version, which knows one more kind of command.
@@ -321,7 +321,7 @@
         await check_invalid_connections(scene)
         await check_revoked_certificate(scene)
 
-    on_rig(PLAN, test)
+    on_rig(CONSENSUS_PLAN, test)
 
 
 def run_fleet(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -377,7 +377,7 @@
         address = "{}:{}".format(*(scene.sidecars[late].door or ("", 0)))
         await check_fleet_command(address, name)
 
-    on_rig(PLAN, test)
+    on_rig(CONSENSUS_PLAN, test)
 
 
 @pytest.mark.parametrize(
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -175,7 +175,8 @@
     old_leader = cluster.elect_leader()
     cluster.isolate(old_leader.node_id)
     cluster.run_until(
-        lambda: old_leader.role is not Role.LEADER and len(cluster.leaders()) == 1, 4 * TIMING.election
+        lambda: old_leader.role is not Role.LEADER and len(cluster.leaders()) == 1,
+        4 * TIMING.min_election_timeout_ticks,
     )
     index = cluster.propose(b"y")
     assert cluster.committed[index].data == b"y"
@@ -190,7 +191,7 @@
     cluster = Cluster(3, 3)
     leader = cluster.elect_leader()
     cluster.cut_links |= {(other, leader.node_id) for other in cluster.voters if other != leader.node_id}
-    cluster.run_until(lambda: not leader.is_leader, 3 * TIMING.election)
+    cluster.run_until(lambda: not leader.is_leader, 3 * TIMING.min_election_timeout_ticks)
 
 
 def test_uncommitted_entry_of_a_lost_leader_is_replaced() -> None:
--- a/tests/model_checking/test_fleets.py
+++ b/tests/model_checking/test_fleets.py
@@ -49,10 +49,10 @@
         if request.command or not core.is_leader:
             super().handle(node, request)
         else:
-            self.last_read_context += 1
+            self.last_read_id += 1
             requester = Requester(node, request.number)
-            self.reads[self.last_read_context] = RequestedRead(requester, request.name)
-            core.next_ready.reads.append((self.last_read_context, core.commit_index))
+            self.reads[self.last_read_id] = RequestedRead(requester, request.name)
+            core.next_ready.reads.append((self.last_read_id, core.commit_index))
 
 
 def hasty(*arguments: Any) -> Replica:
@@ -68,7 +68,7 @@
 def with_requests(replica: Replica, kind: type[LeaderRequests]) -> Replica:
     requests = kind(replica.context, replica.proposals)
     replica.leader_requests = requests
-    replica.driver.leader_requests = requests
+    replica.ready_driver.leader_requests = requests
     return replica
 
 
