--- a/sidecar_proxy/consensus/errors.py
+++ b/sidecar_proxy/consensus/errors.py
@@ -1,4 +1,4 @@
-"""The errors of consensus. Each message is one line."""
+"""Exceptions of the consensus package. Each message is one line."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class ConsensusError(Exception):
-    """The base of the errors in this package."""
+    """Base class of the exceptions in this package."""
 
 
 class CompactedError(ConsensusError):
-    """An entry was replaced by the snapshot."""
+    """The requested entry is no longer in the log, as compaction has replaced it by a snapshot."""
 
     def __init__(self, index: int) -> None:
-        super().__init__(f"entry {index} is part of the snapshot")
+        super().__init__(f"entry {index} has been compacted into the snapshot")
         self.index = index
 
 
 class ProposalRejectedError(ConsensusError):
-    """A proposal, read or change of voters can't be taken now, or not by this node."""
+    """This node can't accept a proposal, a read or a change of voters, at present or at all."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -26,7 +26,7 @@
 
 
 class CommandError(ConsensusError):
-    """A command or a snapshot of the replicated state is not valid."""
+    """A command or a snapshot of the replicated state is invalid."""
 
     def __init__(self, problem: str) -> None:
         super().__init__(problem)
@@ -42,7 +42,7 @@
 
 
 class RecordError(ConsensusError):
-    """A record of the log file is damaged, or contradicts the records before it."""
+    """A record of the log file is damaged, or is inconsistent with the records before it."""
 
     def __init__(self, problem: str) -> None:
         super().__init__(problem)
@@ -50,19 +50,19 @@
 
 
 class DamagedLogError(ConsensusError):
-    """The persisted log is not reliable."""
+    """The persisted log can't be relied on: acknowledged entries or votes may be missing or altered."""
 
     def __init__(self, path: Path, problem: str, offset: int | None = None) -> None:
-        """`offset` is the number of bytes before the damage, if that is known."""
-        place = "" if offset is None else f"damaged at byte {offset}: "
-        super().__init__(f"{path}: {place}{problem}")
+        """`offset` is the number of intact bytes before the damage, or None if that is not known."""
+        position = "" if offset is None else f"damaged at byte {offset}: "
+        super().__init__(f"{path}: {position}{problem}")
         self.path = path
         self.problem = problem
         self.offset = offset
 
 
 class CopiedFolderError(DamagedLogError):
-    """The folder is a copy, perhaps of an earlier state."""
+    """The state folder is a copy, perhaps of an earlier state."""
 
     def __init__(self, path: Path) -> None:
         super().__init__(path, "the folder is a copy")
--- a/sidecar_proxy/consensus/log.py
+++ b/sidecar_proxy/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log of one node: a snapshot and the entries after it. It does no I/O."""
+"""The replicated log of one node: a snapshot and the entries after it. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class RaftLog:
-    """A snapshot and the entries that follow it without gaps."""
+    """A snapshot and the consecutive entries that follow it."""
 
     snapshot: Snapshot = field(default_factory=Snapshot)
     entries: list[Entry] = field(default_factory=list)
@@ -44,15 +44,15 @@
 
     def entries_between(self, first: int, last: int) -> list[Entry]:
         """Returns the entries from `first` to `last`, both included."""
-        base = self.snapshot.index + 1
-        return self.entries[max(0, first - base) : max(0, last - base + 1)]
+        first_log_index = self.snapshot.index + 1
+        return self.entries[max(0, first - first_log_index) : max(0, last - first_log_index + 1)]
 
     def append(self, entries: Sequence[Entry]) -> int | None:
-        """Adds entries whose predecessor was found to match.
+        """Appends entries; the caller has checked that the entry before them matches.
 
-        An entry that conflicts replaces the rest of the log. Entries that are already there stay, and so does
-        what follows them: a delayed message with fewer entries must not truncate the log. Returns the index
-        of the first entry that is new, or None if there is none.
+        A conflicting entry and all entries after it are replaced. Entries that are already in the log are
+        kept, and so are the entries after them, as a delayed message with fewer entries must not truncate
+        the log. Returns the index of the first new entry, or None if there is none.
         """
         for position, entry in enumerate(entries):
             if entry.index <= self.snapshot.index:
@@ -65,25 +65,25 @@
         return None
 
     def voters(self) -> tuple[NodeId, ...]:
-        """Returns the latest voters in the log, committed or not (4.1)."""
+        """Returns the latest voters in the log, whether committed or not (4.1)."""
         for entry in reversed(self.entries):
             if entry.voters is not None:
                 return entry.voters
         return self.snapshot.voters
 
     def voters_index(self) -> int:
-        """Returns the index of the entry that holds the latest voters, or that of the snapshot."""
+        """Returns the index of the entry, or of the snapshot, that defines the latest voters."""
         for entry in reversed(self.entries):
             if entry.voters is not None:
                 return entry.index
         return self.snapshot.index
 
     def is_up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Tells whether a log with this last entry is at least as up to date as this one (5.4.1)."""
+        """Returns whether a log with this last entry is at least as up to date as this log (5.4.1)."""
         return (last_term, last_index) >= (self.last_term, self.last_index)
 
     def compact(self, index: int, data: bytes) -> Snapshot:
-        """Replaces the entries up to `index`, which has been applied, by a snapshot with this data."""
+        """Replaces the entries up to `index`, all of them applied, by a snapshot with this data."""
         term = self.term_at(index)
         assert term is not None
         assert index >= self.snapshot.index
@@ -97,7 +97,7 @@
         return self.snapshot
 
     def install(self, snapshot: Snapshot) -> None:
-        """Replaces the snapshot; entries that follow the new one stay if the log matches it (figure 5.3)."""
+        """Installs a snapshot, and keeps the entries after it if the log matches it (figure 5.3)."""
         matches = snapshot.index <= self.last_index and self.term_at(snapshot.index) == snapshot.term
         remaining = self.entries[snapshot.index - self.snapshot.index :] if matches else []
         self.snapshot = snapshot
@@ -106,10 +106,10 @@
 
 @dataclass(slots=True)
 class PersistedState:
-    """The content of a folder: the state of one incarnation of a node."""
+    """The content of a state folder: the persisted state of one incarnation of a node."""
 
-    incarnation: str
+    incarnation: str  # random id of this log; a log that is created anew gets another one
     hard_state: HardState = field(default_factory=HardState)
     commit_index: int = 0
     log: RaftLog = field(default_factory=RaftLog)
-    torn_bytes: int = 0  # bytes of an incomplete record that a crash left at the end of the file
+    torn_bytes: int = 0  # size of the incomplete record that a crash left at the end of the file
--- a/sidecar_proxy/consensus/outputs.py
+++ b/sidecar_proxy/consensus/outputs.py
@@ -1,4 +1,4 @@
-"""The effects that a replica asks its shell to perform, and the list that collects them."""
+"""The effects that a replica returns for its caller to perform, and the list that collects them."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(slots=True, frozen=True)
 class PersistState:
-    """Write and sync all of this or nothing, then call `Replica.on_persisted`."""
+    """Write and sync all of this atomically, then call `Replica.on_persisted`."""
 
-    hard_state: HardState | None  # None: unchanged
+    hard_state: HardState | None  # None if unchanged
     commit_index: int
     snapshot: Snapshot | None
     entries: Sequence[Entry]
@@ -52,7 +52,7 @@
 
 
 class Outbox:
-    """The effects of the current call, in the order in which they are to be performed."""
+    """The effects of the current event, in the order in which they are to be performed."""
 
     def __init__(self) -> None:
         self.outputs: list[Output] = []
@@ -70,7 +70,7 @@
         self.outputs.append(LogMessage(text))
 
     def take(self) -> list[Output]:
-        """Returns all effects and forgets them."""
+        """Returns all effects and removes them from the outbox."""
         outputs = self.outputs
         self.outputs = []
         return outputs
--- a/sidecar_proxy/consensus/raft.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -1,9 +1,9 @@
-"""The Raft core: one node's part in a replicated log, without I/O, clock or threads.
+"""The Raft state machine of one node, without I/O, clock or threads.
 
-Messages and ticks come in, a `Ready` goes out. The caller takes a Ready, writes and syncs what has to be
-persisted, then sends the messages, then applies the committed entries, and only then takes the next one. It
-calls `tick` at even intervals; times are counted in ticks. Section numbers are those of Ongaro, "Consensus:
-Bridging Theory and Practice" (2014).
+Its inputs are messages and ticks; its output is a `Ready`. The caller takes a Ready, writes and syncs its
+hard state, snapshot and entries, then sends its messages, then applies its committed entries, and only then
+takes the next Ready. The caller also calls `tick` at regular intervals; all times are counted in ticks.
+Section numbers in parentheses are those of Ongaro, "Consensus: Bridging Theory and Practice" (2014).
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 )
 
 MAX_APPEND_ENTRIES = MAX_MESSAGE_ENTRIES
-MAX_UNCOMMITTED_ENTRIES = 1024  # beyond these, proposals are rejected
+MAX_UNCOMMITTED_ENTRIES = 1024  # further proposals are rejected
 
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """Intervals in ticks, and the optional parts of elections."""
+    """Intervals in ticks, and whether pre-vote (9.6) and check quorum (6.2) are enabled."""
 
-    min_election_timeout_ticks: int = 10  # the election timeout is drawn from this to twice this
+    min_election_timeout_ticks: int = 10  # each election timeout is random, between this and twice this
     heartbeat_interval_ticks: int = 2
-    pre_vote_retry_ticks: int = 3  # between two pre-vote requests of one candidacy
+    pre_vote_retry_ticks: int = 3  # interval at which a pre-candidate repeats its pre-vote requests
     pre_vote: bool = True
     check_quorum: bool = True
 
@@ -55,18 +55,18 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What the leader knows of the log of another node."""
+    """The leader's view of the log of another node, the follower."""
 
     next_index: int
     match_index: int = 0
-    is_active: bool = True  # it has replied since the last quorum check
-    acked_round: int = 0  # the latest round that it has replied to
-    pending_snapshot_index: int = 0  # the snapshot that was sent to it; 0 = none
+    is_active: bool = True  # whether the follower has replied since the last quorum check
+    acked_round: int = 0  # the latest heartbeat round that the follower has replied to
+    pending_snapshot_index: int = 0  # index of the snapshot that is being sent to the follower; 0 = none
 
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read that waits until a majority has replied to a round of heartbeats (6.4)."""
+    """A linearizable read that waits until a majority has replied to a round of heartbeats (6.4)."""
 
     read_id: int
     read_index: int
@@ -75,19 +75,19 @@
 
 @dataclass(slots=True)
 class Ready:
-    """Work for the caller, in this order: write and sync, send, apply."""
+    """Pending work for the caller, in this order: write and sync, send, apply."""
 
     hard_state: HardState | None = None
-    snapshot: Snapshot | None = None  # replaces all entries before it
-    entries: list[Entry] = field(default_factory=list)  # replace the log from the first one's index on
+    snapshot: Snapshot | None = None  # to be persisted in place of the whole log, before `entries`
+    entries: list[Entry] = field(default_factory=list)  # replace the log from the index of the first entry
     messages: list[Message] = field(default_factory=list)
     committed: list[Entry] = field(default_factory=list)
-    reads: list[tuple[int, int]] = field(default_factory=list)  # read id, and the index to apply first
-    rejected_reads: list[int] = field(default_factory=list)  # ids of reads whose leadership was lost
+    reads: list[tuple[int, int]] = field(default_factory=list)  # (read id, index to apply before it)
+    rejected_reads: list[int] = field(default_factory=list)  # ids of reads pending when leadership was lost
 
 
 class RaftCore:
-    """A voter, or a learner as long as it is not among the voters."""
+    """The Raft state of one node: a voter, or a learner while it is not among the voters."""
 
     def __init__(
         self,
@@ -101,9 +101,10 @@
     ) -> None:
         """Starts from persisted state.
 
-        `commit_index` is what was known to be committed before the restart; the caller has applied everything
-        up to there. With `send_before_persist` the caller sends the Appends of a Ready before it has written
-        them and calls `mark_persisted` afterwards (10.2.1): a commit then takes one sync, not two in a row.
+        `commit_index` is the commit index known before the restart; the caller has already applied all
+        entries up to it. With `send_before_persist` the caller sends the Appends of a Ready before it has
+        written the entries, and calls `mark_persisted` afterwards (10.2.1): the leader and the followers
+        then sync in parallel, so a commit takes the time of one sync and not of two in sequence.
         """
         self.node_id = node_id
         self.log = log
@@ -112,23 +113,24 @@
         self.rng = rng
         self.timing = timing
         self.role = Role.FOLLOWER
-        self.leader: NodeId = ""  # of this term; "" = not known
+        self.leader: NodeId = ""  # the leader of the current term; "" = unknown
         self.commit_index = max(log.snapshot.index, min(commit_index, log.last_index))
         self.applied_index = self.commit_index
-        self.elapsed_ticks = 0  # since the leader was heard, or since this leader's last heartbeat
+        # Ticks since the election timer was reset; on a leader, since it last broadcast a heartbeat.
+        self.elapsed_ticks = 0
         self.election_timeout_ticks = 0
         self.votes: dict[NodeId, bool] = {}
         self.is_pre_candidate = False
-        self.progress: dict[NodeId, Progress] = {}  # of a leader: the other voters, and learners
+        self.progress: dict[NodeId, Progress] = {}  # the other voters and the learners; empty unless leader
         self.learners: dict[NodeId, None] = {}
-        self.round = 0
+        self.round = 0  # number of the current heartbeat round; each linearizable read starts a new one
         self.quorum_elapsed_ticks = 0
         self.pending_reads: list[PendingRead] = []
         self.transfer_target: NodeId = ""
         self.transfer_elapsed_ticks = 0
         self.persisted_hard_state = HardState(self.term, self.vote)
         self.send_before_persist = send_before_persist
-        self.persisted_index = log.last_index  # only meaningful with `send_before_persist`
+        self.persisted_index = log.last_index  # last synced entry; only used with `send_before_persist`
         self.next_ready = Ready()
         self.reset_election_timer()
 
@@ -136,12 +138,12 @@
 
     @property
     def voters(self) -> tuple[NodeId, ...]:
-        """The latest voters in the log, committed or not."""
+        """The latest voters in the log, whether committed or not."""
         return self.log.voters()
 
     @property
     def is_leader(self) -> bool:
-        """Whether this node leads in its term."""
+        """Whether this node is the leader of its current term."""
         return self.role is Role.LEADER
 
     def quorum_size(self) -> int:
@@ -149,7 +151,7 @@
         return len(self.voters) // 2 + 1
 
     def has_ready(self) -> bool:
-        """Tells whether `ready` would return work."""
+        """Returns whether `ready` would return any work."""
         ready = self.next_ready
         return bool(
             self.persisted_hard_state != HardState(self.term, self.vote)
@@ -162,7 +164,10 @@
         )
 
     def ready(self) -> Ready:
-        """Returns the work that is due. Its content counts as persisted and applied from here on."""
+        """Returns the pending work, which the core treats as persisted and applied from now on.
+
+        With `send_before_persist`, entries count as persisted only after `mark_persisted`.
+        """
         ready = self.next_ready
         self.next_ready = Ready()
         if not self.send_before_persist:
@@ -177,7 +182,7 @@
         return ready
 
     def mark_persisted(self, entries: Sequence[Entry]) -> None:
-        """Records that the entries of a Ready are on disk; those replaced in the meantime do not count."""
+        """Records that the entries of a Ready are on disk, except those that were replaced meanwhile."""
         if not entries:
             return
         unwritten = self.next_ready.entries
@@ -188,7 +193,7 @@
     # Time
 
     def ticks_until_due(self) -> int:
-        """Returns the number of ticks until this node has something to do, at least one."""
+        """Returns the number of ticks, at least 1, until the next timer of this node may expire."""
         if self.role is Role.LEADER:
             return max(1, self.timing.heartbeat_interval_ticks - self.elapsed_ticks)
         if self.role is Role.CANDIDATE:
@@ -207,7 +212,7 @@
             and self.is_pre_candidate
             and self.elapsed_ticks % self.timing.pre_vote_retry_ticks == 0
         ):
-            # A voter that heard the leader a moment later than we did has ignored the first request.
+            # A voter that received the last heartbeat a little later than this node ignored the first one.
             self._request_votes(pre_vote=True)
 
     def _tick_leader(self) -> None:
@@ -215,7 +220,7 @@
         if self.quorum_elapsed_ticks >= self.timing.min_election_timeout_ticks:
             self.quorum_elapsed_ticks = 0
             if self.timing.check_quorum and not self._has_active_quorum():
-                self.become_follower(self.term, "")  # 6.2: the others may have a leader of a later term
+                self.become_follower(self.term, "")  # 6.2: there may be a leader of a later term
                 return
             for progress in self.progress.values():
                 progress.is_active = False
@@ -223,7 +228,7 @@
         if self.transfer_target:
             self.transfer_elapsed_ticks += 1
             if self.transfer_elapsed_ticks >= self.timing.min_election_timeout_ticks:
-                self.transfer_target = ""  # the transfer has failed; proposals are taken again
+                self.transfer_target = ""  # the transfer has timed out; proposals are accepted again
         if self.elapsed_ticks >= self.timing.heartbeat_interval_ticks:
             self.elapsed_ticks = 0
             self._broadcast_append()
@@ -244,7 +249,7 @@
     # Elections
 
     def become_follower(self, term: int, leader: NodeId) -> None:
-        """Follows `leader` ("" = not known) in a term that is not earlier than the current one."""
+        """Becomes a follower of `leader` ("" = unknown) in `term`, which is not below the current term."""
         if term > self.term:
             self.term = term
             self.vote = ""
@@ -259,7 +264,7 @@
         self.reset_election_timer()
 
     def campaign(self, transfer: bool = False) -> None:
-        """Starts an election, with a pre-vote first unless the leader asked for it (9.6)."""
+        """Starts an election, after a pre-vote (9.6) unless the leader requested it by a transfer."""
         if self.node_id not in self.voters:
             return
         self.role = Role.CANDIDATE
@@ -305,12 +310,12 @@
         last_index = self.log.last_index
         nodes = dict.fromkeys([*self.voters, *self.learners])
         self.progress = {node: Progress(last_index + 1) for node in nodes if node != self.node_id}
-        # 5.4.2: entries of earlier terms are committed along with an entry of this term.
+        # 5.4.2: entries of earlier terms are committed only along with an entry of the current term.
         self._append_own([Entry(self.term, last_index + 1)])
         self._broadcast_append()
 
-    def _hears_leader(self) -> bool:
-        """Tells whether a live leader is a reason to ignore vote requests (4.2.3)."""
+    def _has_active_leader(self) -> bool:
+        """Returns whether vote requests are to be ignored because a leader is active (4.2.3)."""
         return bool(
             self.leader
             and self.elapsed_ticks < self.timing.min_election_timeout_ticks
@@ -318,12 +323,12 @@
         )
 
     def _on_vote_request(self, request: VoteRequest) -> None:
-        if not request.transfer and self._hears_leader():
+        if not request.transfer and self._has_active_leader():
             return
         is_up_to_date = self.log.is_up_to_date(request.last_index, request.last_term)
         if request.pre_vote:
             granted = request.term > self.term and is_up_to_date
-            # A granted pre-vote repeats the term of the request; a rejected one tells ours.
+            # A granted pre-vote repeats the term of the request; a rejected one reports this node's term.
             term = request.term if granted else self.term
             self.send(VoteReply(self.node_id, request.source, term, granted, True))
             return
@@ -351,7 +356,7 @@
     # Messages
 
     def step(self, message: Message) -> None:
-        """Handles a message of any kind, from any node, in any order."""
+        """Handles a message of any type; messages may be lost, duplicated, reordered or outdated."""
         if message.target != self.node_id or message.source == self.node_id:
             return
         if isinstance(message, VoteRequest):
@@ -359,7 +364,7 @@
         elif isinstance(message, VoteReply):
             self._on_vote_reply(message)
         elif message.term < self.term:
-            if isinstance(message, Append | InstallSnapshot):  # tells a former leader the later term
+            if isinstance(message, Append | InstallSnapshot):  # informs a former leader of the later term
                 self.send(AppendReply(self.node_id, message.source, self.term, False, 0, message.round))
         elif isinstance(message, AppendReply):
             self._on_append_reply(message)
@@ -376,7 +381,7 @@
 
     def _on_leader_message(self, message: Append | InstallSnapshot) -> None:
         if self.is_leader and message.term == self.term:
-            return  # impossible from a correct node: a term has one leader
+            return  # a term has at most one leader, so a correct node never sends this
         self.become_follower(message.term, message.source)
         if isinstance(message, Append):
             self._on_append(message)
@@ -387,16 +392,16 @@
         try:
             matches = self.log.term_at(append.prev_index) == append.prev_term
         except CompactedError:
-            # The snapshot only holds committed entries, so it matches the log of the leader.
+            # The snapshot contains only committed entries, so it matches the leader's log.
             self._reply_to_append(append, True, self.log.snapshot.index)
             return
         if not matches:
             self._reply_to_append(append, False, min(append.prev_index - 1, self.log.last_index))
             return
-        first_new = self.log.append(append.entries)
-        if first_new is not None:
-            assert first_new > self.commit_index, "a committed entry would be cut"
-            self._stage_entries(self.log.entries_between(first_new, self.log.last_index))
+        first_new_index = self.log.append(append.entries)
+        if first_new_index is not None:
+            assert first_new_index > self.commit_index, "an append would truncate a committed entry"
+            self._stage_entries(self.log.entries_between(first_new_index, self.log.last_index))
         match_index = append.prev_index + len(append.entries)
         self.commit_index = max(self.commit_index, min(append.commit, match_index))
         self._reply_to_append(append, True, match_index)
@@ -409,37 +414,40 @@
         self._reply_to_append(install, True, max(install.snapshot.index, self.commit_index))
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Takes over a snapshot of any node if it is newer: all that it holds is committed."""
+        """Installs a snapshot from any node if it is newer; all entries in a snapshot are committed."""
         if snapshot.index > self.commit_index:
             self._raise_term(snapshot.term)
             self.log.install(snapshot)
             self.commit_index = snapshot.index
             self.applied_index = snapshot.index
-            # The entries that stay are written again, as the file begins anew with the snapshot.
+            # The remaining entries are written again, as the snapshot replaces the log file.
             self.next_ready.snapshot = snapshot
             self.next_ready.entries = list(self.log.entries)
 
     def append_committed(self, entries: Sequence[Entry]) -> None:
-        """Adds committed entries that were fetched from a voter.
+        """Appends committed entries that were fetched from a voter.
 
-        Entries that do not follow the commit index are ignored. Raises ProposalRejectedError if they have
-        gaps.
+        Does nothing if the new entries don't directly follow the commit index. Raises ProposalRejectedError
+        if their indexes are not consecutive.
         """
-        new = [entry for entry in entries if entry.index > self.commit_index]
-        if not new or new[0].index != self.commit_index + 1 or self.is_leader:
+        new_entries = [entry for entry in entries if entry.index > self.commit_index]
+        if not new_entries or new_entries[0].index != self.commit_index + 1 or self.is_leader:
             return
-        if any(entry.index != new[0].index + position for position, entry in enumerate(new)):
-            raise ProposalRejectedError("entries with gaps")
-        self._raise_term(new[-1].term)
-        first_new = self.log.append(new)
-        if first_new is not None:
-            self._stage_entries(self.log.entries_between(first_new, self.log.last_index))
-        self.commit_index = max(self.commit_index, new[-1].index)
+        if any(entry.index != new_entries[0].index + position for position, entry in enumerate(new_entries)):
+            raise ProposalRejectedError(
+                f"the {len(new_entries)} fetched entries from index {new_entries[0].index}"
+                f" to {new_entries[-1].index} are not consecutive"
+            )
+        self._raise_term(new_entries[-1].term)
+        first_new_index = self.log.append(new_entries)
+        if first_new_index is not None:
+            self._stage_entries(self.log.entries_between(first_new_index, self.log.last_index))
+        self.commit_index = max(self.commit_index, new_entries[-1].index)
 
     def _raise_term(self, term: int) -> None:
-        """Keeps the node's term at or above that of its last entry.
+        """Raises the node's term to at least the term of its last entry.
 
-        Otherwise a former leader of an earlier term could cut entries that are committed.
+        Otherwise a former leader of an earlier term could truncate committed entries.
         """
         if term > self.term:
             self.become_follower(term, "")
@@ -452,7 +460,7 @@
         self.advance_commit_index()
 
     def _stage_entries(self, entries: Iterable[Entry]) -> None:
-        """Adds entries to the next Ready in place of those from the first one's index on."""
+        """Adds entries to the next Ready, replacing its entries from the index of the first added entry."""
         added = list(entries)
         first_index = added[0].index
         self.persisted_index = min(self.persisted_index, first_index - 1)
@@ -462,11 +470,14 @@
     def propose(self, data: bytes) -> int:
         """Appends an entry and returns its index. Raises ProposalRejectedError."""
         if not self.is_leader:
-            raise ProposalRejectedError("not the leader")
+            raise ProposalRejectedError(f"{self.node_id} is not the leader of term {self.term}")
         if self.transfer_target:
-            raise ProposalRejectedError("the leadership is being transferred")
+            raise ProposalRejectedError(f"the leadership is being transferred to {self.transfer_target}")
         if self.log.last_index - self.commit_index >= MAX_UNCOMMITTED_ENTRIES:
-            raise ProposalRejectedError("too many entries are not committed yet")
+            raise ProposalRejectedError(
+                f"{self.log.last_index - self.commit_index} entries are not committed yet;"
+                f" the maximum is {MAX_UNCOMMITTED_ENTRIES}"
+            )
         entry = Entry(self.term, self.log.last_index + 1, data)
         self._append_own([entry])
         self._broadcast_append()
@@ -485,20 +496,25 @@
 
     def _check_voters_proposal(self, voters: tuple[NodeId, ...]) -> None:
         if not self.is_leader:
-            raise ProposalRejectedError("not the leader")
+            raise ProposalRejectedError(f"{self.node_id} is not the leader of term {self.term}")
         if self.transfer_target:
-            raise ProposalRejectedError("the leadership is being transferred")
+            raise ProposalRejectedError(f"the leadership is being transferred to {self.transfer_target}")
         changed_count = len(set(voters) ^ set(self.voters))
         if changed_count != 1 or len(set(voters)) != len(voters) or not voters:
-            raise ProposalRejectedError("one voter at a time")
+            raise ProposalRejectedError(
+                f"only one voter may be added or removed at a time: {self.voters} -> {voters}"
+            )
         if self.log.voters_index() > self.commit_index:
-            raise ProposalRejectedError("the last change is not committed yet")
-        # The correction of 2015: else two changes in two terms need not share a majority.
+            raise ProposalRejectedError(
+                f"the last change of voters, entry {self.log.voters_index()}, is not committed yet"
+            )
+        # Ongaro's correction of 2015 to 4.1: otherwise the majorities of two concurrent changes, proposed in
+        # two terms, need not overlap.
         if self.log.term_at(self.commit_index) != self.term:
-            raise ProposalRejectedError("nothing of this term is committed yet")
+            raise ProposalRejectedError(f"no entry of term {self.term} is committed yet")
 
     def add_learner(self, node: NodeId) -> None:
-        """Replicates the log to a node that does not vote."""
+        """Starts replicating the log to a node that does not vote."""
         if node != self.node_id:
             self.learners[node] = None
             if self.is_leader and node not in self.progress:
@@ -511,28 +527,28 @@
             self.progress.pop(node, None)
 
     def request_read(self, read_id: int) -> None:
-        """Starts a linearizable read (6.4): a Ready holds its id once the leadership is confirmed.
+        """Starts a linearizable read (6.4); a Ready contains `read_id` once the leadership is confirmed.
 
         Raises ProposalRejectedError.
         """
         if not self.is_leader:
-            raise ProposalRejectedError("not the leader")
+            raise ProposalRejectedError(f"{self.node_id} is not the leader of term {self.term}")
         if self.log.term_at(self.commit_index) != self.term:
-            raise ProposalRejectedError("nothing of this term is committed yet")
+            raise ProposalRejectedError(f"no entry of term {self.term} is committed yet")
         self.round += 1
         self.pending_reads.append(PendingRead(read_id, self.commit_index, self.round))
         self._broadcast_append()
         self._complete_reads()
 
     def transfer_leadership(self, node: NodeId) -> None:
-        """Lets another voter start an election as soon as its log is complete (3.10).
+        """Has another voter start an election as soon as its log is complete (3.10).
 
         Raises ProposalRejectedError.
         """
         if not self.is_leader:
-            raise ProposalRejectedError("not the leader")
+            raise ProposalRejectedError(f"{self.node_id} is not the leader of term {self.term}")
         if node not in self.voters or node == self.node_id:
-            raise ProposalRejectedError("not one of the other voters")
+            raise ProposalRejectedError(f"{node} is not one of the other voters {self.voters}")
         self.transfer_target = node
         self.transfer_elapsed_ticks = 0
         if self.progress[node].match_index == self.log.last_index:
@@ -545,7 +561,7 @@
             self._send_append(node)
 
     def _send_append(self, node: NodeId) -> None:
-        """Sends a node its next entries, or the snapshot if that has replaced them."""
+        """Sends a node its next entries, or the snapshot if compaction has removed those entries."""
         progress = self.progress[node]
         prev_index = progress.next_index - 1
         try:
@@ -573,14 +589,14 @@
         if reply.ok:
             self._on_append_accepted(reply, progress)
             if not self.is_leader:
-                return  # it has removed itself from the voters, and that is committed now
+                return  # the entry that removes this node from the voters has just been committed
         elif progress.match_index <= reply.match < progress.next_index - 1:
             progress.next_index = max(progress.match_index, reply.match) + 1
             self._send_append(reply.source)
         self._complete_reads()
 
     def _on_append_accepted(self, reply: AppendReply, progress: Progress) -> None:
-        # A delayed reply may confirm less than is known already.
+        # A delayed reply may confirm a lower index than the one already known.
         progress.match_index = max(progress.match_index, min(reply.match, self.log.last_index))
         is_behind = progress.next_index <= progress.match_index
         progress.next_index = max(progress.next_index, progress.match_index + 1)
@@ -601,7 +617,7 @@
         return progress.match_index if progress is not None else 0
 
     def advance_commit_index(self) -> None:
-        """Commits what a majority holds, if the last entry of it is of this term (5.4.2)."""
+        """Commits the entries that a majority has, if the last of them is of the current term (5.4.2)."""
         if not self.is_leader:
             return
         voters = self.voters
@@ -611,7 +627,7 @@
             self.commit_index = index
             self._broadcast_append()
             if self.node_id not in voters and self.log.voters_index() <= index:
-                self.become_follower(self.term, "")  # it has removed itself (4.2.2)
+                self.become_follower(self.term, "")  # this node has removed itself from the voters (4.2.2)
 
     def _complete_reads(self) -> None:
         voters = self.voters
--- a/tests/consensus/test_raft.py
+++ b/tests/consensus/test_raft.py
@@ -1,6 +1,6 @@
-"""The Raft core in directed hard cases and under random disorder.
+"""Tests of the Raft core: single cases, and random sequences of faults.
 
-What was committed stays committed, and a term has one leader.
+Committed entries must stay committed, and each term must have at most one leader.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 from sidecar_proxy.consensus.raft import RaftCore, Role, Timing
 
 TIMING = Timing()
-SNAPSHOT_MARK = b"snapshot"
+SNAPSHOT_MARKER = b"snapshot"  # stands for a restored snapshot in `Cluster.applied`
 LEARNER = "l0"
 
 
 class SimulatedDisk:
-    """What one node has written and synced."""
+    """The state that one node has written and synced."""
 
     def __init__(self, voters: tuple[NodeId, ...]) -> None:
         self.hard_state = HardState()
@@ -45,7 +45,7 @@
 
 
 class Cluster:
-    """Nodes on a simulated network; each Ready is written, then sent, then applied."""
+    """Nodes on a simulated network; each Ready is written, then its messages are sent, then it is applied."""
 
     def __init__(self, voter_count: int, seed: int, learner_count: int = 0, timing: Timing = TIMING) -> None:
         self.rng = random.Random(seed)
@@ -61,7 +61,7 @@
         self.applied: dict[NodeId, list[bytes]] = {node: [] for node in self.disks}
         self.committed: dict[int, Entry] = {}
         self.leader_of_term: dict[int, NodeId] = {}
-        self.reads: list[tuple[NodeId, int, int]] = []  # node, context, read index
+        self.reads: list[tuple[NodeId, int, int]] = []  # (node, read id, read index)
 
     def create_core(self, node: NodeId) -> RaftCore:
         disk = self.disks[node]
@@ -80,20 +80,22 @@
             disk.hard_state = ready.hard_state or disk.hard_state
             if ready.snapshot is not None:
                 disk.log = RaftLog(ready.snapshot, [])
-                self.applied[node] = [SNAPSHOT_MARK]
+                self.applied[node] = [SNAPSHOT_MARKER]
             if ready.entries:
                 del disk.log.entries[ready.entries[0].index - disk.log.snapshot.index - 1 :]
                 disk.log.entries += ready.entries
-            assert disk.log.entries == core.log.entries, "the disk differs from the log"
+            assert disk.log.entries == core.log.entries, "the entries on disk differ from the log"
             self.network += ready.messages
             for entry in ready.committed:
-                assert self.committed.setdefault(entry.index, entry) == entry, "two entries at one index"
+                assert self.committed.setdefault(entry.index, entry) == entry, (
+                    "different entries were committed at one index"
+                )
                 if entry.data:
                     self.applied[node].append(entry.data)
             self.reads += [(node, *read) for read in ready.reads]
             if core.is_leader:
                 leader = self.leader_of_term.setdefault(core.term, node)
-                assert leader == node, "two leaders of one term"
+                assert leader == node, "two leaders in one term"
 
     def deliver_all(self, max_count: int = 10_000) -> None:
         for _ in range(max_count):
@@ -139,7 +141,7 @@
         return index
 
     def restart(self, node: NodeId) -> None:
-        self.applied[node] = [SNAPSHOT_MARK] if self.disks[node].log.snapshot.index else []
+        self.applied[node] = [SNAPSHOT_MARKER] if self.disks[node].log.snapshot.index else []
         self.cores[node] = self.create_core(node)
         self.stopped.discard(node)
 
@@ -183,7 +185,7 @@
     term = cluster.elect_leader().term
     cluster.reconnect(old_leader.node_id)
     cluster.tick(30)
-    assert cluster.elect_leader().term == term, "pre-vote: a node that was away does not unseat the leader"
+    assert cluster.elect_leader().term == term, "a reconnected node must not depose the leader (pre-vote)"
     assert cluster.applied[old_leader.node_id] == [b"y"]
 
 
@@ -194,7 +196,7 @@
     cluster.run_until(lambda: not leader.is_leader, 3 * TIMING.min_election_timeout_ticks)
 
 
-def test_uncommitted_entry_of_a_lost_leader_is_replaced() -> None:
+def test_uncommitted_entry_of_a_deposed_leader_is_replaced() -> None:
     cluster = Cluster(3, 4)
     old_leader = cluster.elect_leader()
     cluster.isolate(old_leader.node_id)
@@ -207,11 +209,11 @@
     assert all(applied == [b"committed"] for applied in cluster.applied.values())
 
 
-def test_lost_voter_is_replaced_by_a_learner_that_has_caught_up() -> None:
+def test_stopped_voter_is_replaced_by_a_learner_that_has_caught_up() -> None:
     cluster = Cluster(3, 5)
     leader = cluster.elect_leader()
-    lost = cluster.other_voter(leader.node_id)
-    cluster.stopped.add(lost)
+    stopped_voter = cluster.other_voter(leader.node_id)
+    cluster.stopped.add(stopped_voter)
     cluster.add_node("new")
     cluster.propose(b"before")
     leader.add_learner("new")
@@ -219,24 +221,26 @@
     assert cluster.applied["new"] == [b"before"]
     assert leader.progress["new"].match_index == leader.log.last_index
     cluster.cores["new"].campaign()
-    assert not cluster.cores["new"].has_ready(), "a learner starts no election"
-    with pytest.raises(ProposalRejectedError, match="one voter at a time"):
+    assert not cluster.cores["new"].has_ready(), "a learner must not start an election"
+    with pytest.raises(ProposalRejectedError, match="only one voter may be added or removed at a time"):
         leader.propose_voters(("new", leader.node_id))
     leader.propose_voters((*cluster.voters, "new"))
-    with pytest.raises(ProposalRejectedError, match="not committed yet"):
+    with pytest.raises(
+        ProposalRejectedError, match=r"the last change of voters, entry \d+, is not committed yet"
+    ):
         leader.propose_voters(cluster.voters)
     cluster.process_ready(leader.node_id)
     cluster.deliver_all()
-    leader.propose_voters(tuple(node for node in leader.voters if node != lost))
+    leader.propose_voters(tuple(node for node in leader.voters if node != stopped_voter))
     cluster.process_ready(leader.node_id)
     cluster.tick(6)
-    assert set(leader.voters) == {*cluster.voters, "new"} - {lost}
-    cluster.stopped.add(cluster.other_voter(lost, leader.node_id))
+    assert set(leader.voters) == {*cluster.voters, "new"} - {stopped_voter}
+    cluster.stopped.add(cluster.other_voter(stopped_voter, leader.node_id))
     cluster.propose(b"after")
     assert cluster.applied["new"][-1] == b"after"
 
 
-def test_leader_that_removes_itself_steps_down_once_that_is_committed() -> None:
+def test_leader_that_removes_itself_steps_down_once_its_removal_is_committed() -> None:
     cluster = Cluster(3, 6)
     old_leader = cluster.elect_leader()
     cluster.propose(b"x")
@@ -247,14 +251,14 @@
     cluster.run_until(lambda: cluster.leaders() != [] and cluster.leaders() != [old_leader.node_id])
 
 
-def test_leadership_transfer_elects_the_target_at_once() -> None:
+def test_leadership_transfer_elects_the_target_immediately() -> None:
     cluster = Cluster(5, 7)
     old_leader = cluster.elect_leader()
     cluster.propose(b"x")
     target = cluster.other_voter(old_leader.node_id)
     term = old_leader.term
     old_leader.transfer_leadership(target)
-    with pytest.raises(ProposalRejectedError, match="being transferred"):
+    with pytest.raises(ProposalRejectedError, match="the leadership is being transferred"):
         old_leader.propose(b"y")
     cluster.process_ready(old_leader.node_id)
     cluster.deliver_all()
@@ -283,22 +287,22 @@
         leader.request_read(9)
 
 
-def test_follower_far_behind_gets_the_snapshot_and_then_the_entries_after_it() -> None:
+def test_follower_behind_the_compacted_log_gets_the_snapshot_and_the_entries_after_it() -> None:
     cluster = Cluster(3, 9)
     leader = cluster.elect_leader()
-    late = cluster.other_voter(leader.node_id)
-    cluster.isolate(late)
+    lagging = cluster.other_voter(leader.node_id)
+    cluster.isolate(lagging)
     for number in range(100):
         cluster.propose(b"%d" % number)
     cluster.compact(leader.node_id, leader.commit_index - 10)
-    cluster.reconnect(late)
+    cluster.reconnect(lagging)
     cluster.tick(10)
-    assert cluster.applied[late][0] == SNAPSHOT_MARK
-    assert cluster.applied[late][-1] == b"99"
-    assert len(cluster.applied[late]) == 11
-    cluster.restart(late)
+    assert cluster.applied[lagging][0] == SNAPSHOT_MARKER
+    assert cluster.applied[lagging][-1] == b"99"
+    assert len(cluster.applied[lagging]) == 11
+    cluster.restart(lagging)
     cluster.tick(10)
-    assert cluster.cores[late].commit_index == leader.commit_index
+    assert cluster.cores[lagging].commit_index == leader.commit_index
 
 
 def test_log_is_not_truncated_by_a_delayed_message() -> None:
@@ -315,7 +319,7 @@
     assert log.snapshot.data == b"s"
 
 
-def test_messages_of_strangers_and_of_other_terms_change_nothing() -> None:
+def test_messages_from_unknown_nodes_or_of_other_terms_change_nothing() -> None:
     core = RaftCore("a", RaftLog(Snapshot(voters=("a", "b", "c"))), HardState(5, "b"), random.Random(1))
     for message in (
         VoteReply("x", "a", 5, True),
@@ -330,15 +334,19 @@
         core.step(message)
     assert (core.term, core.vote, core.role) == (5, "b", Role.FOLLOWER)
     granted = [reply.granted for reply in core.ready().messages if isinstance(reply, VoteReply)]
-    assert granted == [False, False, True]  # a granted pre-vote commits the node to nothing
+    assert granted == [False, False, True]  # a granted pre-vote is not a vote, so it changes no state
     core.step(InstallSnapshot("b", "a", 5, Snapshot(4, 3, ("a", "b"), b"s")))
     assert core.commit_index == 4
     assert core.voters == ("a", "b")
     assert core.ready().snapshot is not None
 
 
-class RandomDisorder:
-    """Random steps: losses, duplicates, reordering, cuts, restarts, compaction and changes of voters."""
+class RandomFaults:
+    """Takes random steps in a cluster.
+
+    A step is a tick, a delivery (with loss, duplication or reordering), a proposal, a restart, the isolation
+    or reconnection of a node, a compaction or a change of voters.
+    """
 
     def __init__(self, cluster: Cluster, seed: int) -> None:
         self.cluster = cluster
@@ -347,29 +355,29 @@
 
     def step(self) -> None:
         cluster, rng = self.cluster, self.rng
-        chance = rng.random()
+        step_choice = rng.random()
         node = rng.choice(list(cluster.cores))
         core = cluster.cores[node]
-        if chance < 0.35:
+        if step_choice < 0.35:
             core.tick()
-        elif chance < 0.85 and cluster.network:
-            self._deliver_one()
-        elif chance < 0.9:
+        elif step_choice < 0.85 and cluster.network:
+            self._deliver_random_message()
+        elif step_choice < 0.9:
             self._propose_at_leaders()
-        elif chance < 0.93:
+        elif step_choice < 0.93:
             cluster.restart(node)
-        elif chance < 0.95:
+        elif step_choice < 0.95:
             if rng.random() < 0.5:
                 cluster.isolate(node)
             else:
                 cluster.reconnect(node)
-        elif chance < 0.97 and core.applied_index > core.log.snapshot.index:
+        elif step_choice < 0.97 and core.applied_index > core.log.snapshot.index:
             cluster.compact(node, core.applied_index)
         elif core.is_leader:
             self._change_voters(core)
         cluster.process_ready(node)
 
-    def _deliver_one(self) -> None:
+    def _deliver_random_message(self) -> None:
         network, rng = self.cluster.network, self.rng
         position = rng.randrange(len(network)) if rng.random() < 0.3 else 0
         is_duplicated = rng.random() < 0.15
@@ -394,11 +402,11 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_committed_entries_survive_any_disorder(seed: int) -> None:
+def test_committed_entries_survive_random_faults(seed: int) -> None:
     cluster = Cluster(3 + 2 * (seed % 2), seed, learner_count=1)
-    disorder = RandomDisorder(cluster, seed)
+    faults = RandomFaults(cluster, seed)
     for _ in range(600):
-        disorder.step()
+        faults.step()
     cluster.cut_links.clear()
     cluster.tick(40)
     leader = cluster.elect_leader()
@@ -410,10 +418,10 @@
         assert cluster.applied[node][-1:] == [b"last"], f"seed {seed}: {node}"
 
 
-def test_fetched_entries_of_a_later_term_are_not_cut_by_a_former_leader() -> None:
-    """A node in term 2 fetches committed entries of term 3.
+def test_fetched_entries_of_a_later_term_are_not_truncated_by_a_former_leader() -> None:
+    """A node in term 2 fetches a committed entry of term 3.
 
-    The leader of term 2, cut off from the others, then sends it an entry of its own for the same index.
+    The leader of term 2, which is isolated from the other voters, then sends it another entry for that index.
     """
     core = RaftCore("a", RaftLog(Snapshot(1, 0, ("a", "b", "c"))), HardState(2, ""), random.Random(1))
     core.step(Append("b", "a", 2, 1, 0, (Entry(2, 2, b"two"),), 2))
