--- a/sidecar_proxy/consensus/state_writer.py
+++ b/sidecar_proxy/consensus/state_writer.py
@@ -1,4 +1,4 @@
-"""Writes a replica's state to its folder on a thread of its own, and repeats writes that fail."""
+"""Writes a replica's state to its folder on a separate thread, and retries writes that fail."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StateWriter:
-    """The thread that writes, and the state of the last write."""
+    """Writes one state at a time on its thread; after an OSError it retries every WRITE_RETRY_S seconds."""
 
     def __init__(
         self,
@@ -27,18 +27,18 @@
     ) -> None:
         self.store = store
         self.loop = loop
-        self.on_persisted = on_persisted  # called on the loop after each write that succeeds
-        self.on_fault = on_fault  # called on the loop after an unexpected exception
-        self.thread = ThreadPoolExecutor(1, "consensus")
-        self.is_failing = False  # the last write has failed
+        self.on_persisted = on_persisted  # callback on the event loop after each successful write
+        self.on_fault = on_fault  # callback on the event loop after an exception other than OSError
+        self.executor = ThreadPoolExecutor(1, "consensus")
+        self.is_failing = False  # whether the last write failed
         self.retry_timer: asyncio.TimerHandle | None = None
         self.is_closed = False
 
     def write(self, state: PersistState) -> None:
-        """Starts to write and sync the state."""
+        """Starts writing and syncing the state; `on_persisted` is called once that has succeeded."""
         if self.is_closed:
             return
-        future = self.thread.submit(
+        future = self.executor.submit(
             self.store.save,
             state.hard_state,
             state.commit_index,
@@ -56,21 +56,25 @@
         if error is None:
             if self.is_failing:
                 self.is_failing = False
-                log.info("agreement: its folder can be written again")
+                log.info("agreement: writing to the state folder succeeds again")
             self.on_persisted()
         elif isinstance(error, OSError):
             if not self.is_failing:
                 self.is_failing = True
-                log.error("agreement: %s; nothing is acknowledged until it can be written", error)
+                log.error(
+                    "agreement: writing to the state folder failed: %s;"
+                    " retrying, and acknowledging nothing until it succeeds",
+                    error,
+                )
             self.retry_timer = self.loop.call_later(WRITE_RETRY_S, self.write, state)
         else:
             log.error("agreement: this sidecar takes no part any more", exc_info=error)
             self.on_fault()
 
     def close(self) -> None:
-        """Stops writing and closes the store once the current write has ended."""
+        """Accepts no more writes, and closes the store after the current one."""
         self.is_closed = True
         if self.retry_timer is not None:
             self.retry_timer.cancel()
-        self.thread.submit(self.store.close)
-        self.thread.shutdown(wait=False)
+        self.executor.submit(self.store.close)
+        self.executor.shutdown(wait=False)
--- a/sidecar_proxy/consensus/storage.py
+++ b/sidecar_proxy/consensus/storage.py
@@ -1,16 +1,16 @@
-"""The persisted log of a voter or learner: one file of records in a folder of its own.
+"""The persisted log of a voter or learner: a file of records, `log`, in the node's state folder.
 
-`LogStore.save` returns once everything is synced. Calls come from one thread at a time.
+`LogStore.save` returns once everything is synced. Only one thread may use a store at a time.
 
-A record is a header of 16 bytes (payload length, checksum of the header, a digest that covers the previous
-record's digest as well), the payload and a last byte 0xFF. This distinguishes a torn record (the file ends
-within the record, or zeros stand in place of its rest) from a damaged one (the record is complete, and
-wrong). A torn record was never acknowledged and is cut off. After damage nothing that was acknowledged is
-reliable.
+A record consists of a 16-byte header (payload length, checksum of the header, digest of the payload chained
+to the digest of the previous record), the payload, and a final byte 0xFF. This distinguishes a torn record
+(the file ends within the record, or contains only zeros from some byte of the record on) from a damaged one
+(the record is complete but its content is wrong). A torn record was never acknowledged and is truncated.
+After damage, no acknowledged entry or vote in the file can be relied on.
 
-`marker` is an empty file. Its inode and its change time are written into the first record when the log is
-created. The kernel sets both and nobody can set them back, so a folder that was copied from elsewhere,
-perhaps in an earlier state, is recognized as a copy.
+`marker` is an empty file. Its inode number and inode change time are stored in the first record when the log
+is created. Both are set by the kernel and can't be set by a program, so a folder that was copied or restored,
+perhaps from an earlier state, is recognized as a copy.
 """
 
 from __future__ import annotations
@@ -44,13 +44,13 @@
 RECORD_END = b"\xff"
 MAX_RECORD_BYTES = MAX_SNAPSHOT_BYTES + 4096
 MAX_RECORD_ENTRIES = MAX_RECORD_BYTES // (MAX_ENTRY_DATA_BYTES * 2)
-MAX_FILE_BYTES = 256 << 20  # this program never writes a larger file
+MAX_FILE_BYTES = 256 << 20  # this program never writes a larger log file
 INCARNATION_CHARS = 16
-MAX_PROBLEM_CHARS = 80  # of a decoder's message
+MAX_DECODER_MESSAGE_CHARS = 80  # longer decoder messages are cut in DamagedLogError
 
 
 class HeaderRecord(msgspec.Struct, array_like=True, frozen=True, tag=0):
-    """The first record: whose log it is, and the identity of the marker file."""
+    """The first record: the incarnation of the log, and the identity of the marker file."""
 
     incarnation: Annotated[str, Meta(min_length=INCARNATION_CHARS, max_length=INCARNATION_CHARS)]
     marker_inode: int
@@ -58,7 +58,7 @@
 
 
 class HardStateRecord(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """The hard state, and the commit index, which need not be synced: the leader tells it again."""
+    """The hard state and the commit index; the latter need not be synced, as the leader sends it again."""
 
     term: int
     vote: str
@@ -66,7 +66,7 @@
 
 
 class EntriesRecord(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Entries that replace the log from the first one's index on."""
+    """Entries that replace the log from the index of the first of them."""
 
     entries: list[Entry]
 
@@ -84,53 +84,54 @@
 
 @dataclass(slots=True, frozen=True)
 class FramedRecord:
-    """A decoded record and its place in the file."""
+    """A decoded record and its position in the file."""
 
     record: Record
-    end: int  # bytes from the start of the file to the end of the record
+    end: int  # file offset of the end of the record, in bytes
     digest: bytes
 
 
 class LogStore:
-    """The open log file of one folder. All methods raise OSError.
+    """The log file in a state folder. All methods raise OSError.
 
-    After an OSError in `save` the caller has to save the same state again.
+    After an OSError in `save`, the caller has to save the same state again.
     """
 
     def __init__(self, folder: Path, disk: Disk | None = None) -> None:
         self.folder = folder
         self.path = folder / "log"
         self.disk = disk or RealDisk()
-        self.file = -1
-        self.size = 0  # bytes of complete records
-        self.has_clean_end = True  # nothing stands after `size`
+        self.fd = -1
+        self.size = 0  # size in bytes of the complete records, and of the magic before them
+        self.has_clean_end = True  # whether the file ends at `size`; False after a write that failed
         self.last_digest = b""
         self.header = HeaderRecord("0" * INCARNATION_CHARS, 0, 0)
 
     def open(self) -> PersistedState:
-        """Reads the log, or creates one where there is none.
+        """Reads the log, or creates an empty one if there is none.
 
-        Raises DamagedLogError, and changes nothing, if the content is not reliable.
+        Raises DamagedLogError, and leaves the file as it is, if its content can't be relied on.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
         self.path.with_suffix(".part").unlink(missing_ok=True)
         if not self.path.exists():
             return self.create()
-        if self.path.stat().st_size > MAX_FILE_BYTES:
-            raise DamagedLogError(self.path, "larger than any log of this program")
+        file_bytes = self.path.stat().st_size
+        if file_bytes > MAX_FILE_BYTES:
+            raise DamagedLogError(self.path, f"size is {file_bytes} bytes; the maximum is {MAX_FILE_BYTES}")
         data = self.path.read_bytes()
         state, self.size, self.last_digest = read_log(data, self.path)
         self.header = read_header(data, self.path)
         if marker_identity(self.folder) != (self.header.marker_inode, self.header.marker_changed_ns):
             raise CopiedFolderError(self.path)
-        self.file = os.open(self.path, os.O_RDWR | os.O_APPEND)
+        self.fd = os.open(self.path, os.O_RDWR | os.O_APPEND)
         if self.size < len(data):
-            self.disk.truncate(self.file, self.size)
-            self.disk.sync(self.file)
+            self.disk.truncate(self.fd, self.size)
+            self.disk.sync(self.fd)
         return state
 
     def create(self) -> PersistedState:
-        """Starts an empty log under a new incarnation, which has acknowledged nothing."""
+        """Creates an empty log with a new incarnation, which has acknowledged nothing yet."""
         marker = self.folder / "marker"
         marker.unlink(missing_ok=True)
         marker.touch()
@@ -140,9 +141,9 @@
         return state
 
     def recreate(self) -> PersistedState:
-        """Starts an empty log after DamagedLogError.
+        """Creates an empty log after DamagedLogError.
 
-        The damaged file is kept as `log.damaged`, in place of one of an earlier time.
+        The damaged file is kept as `log.damaged`, and replaces an earlier file of that name.
         """
         self.close()
         if self.path.exists():
@@ -159,7 +160,7 @@
     ) -> None:
         """Writes and syncs the content of a Ready.
 
-        `hard_state` is set if it has changed; `current_hard_state` is what holds in any case.
+        `hard_state` is None if it has not changed; `current_hard_state` is always set.
         """
         if snapshot is not None:
             self._save_snapshot(snapshot, entries, current_hard_state, commit_index)
@@ -180,49 +181,52 @@
     def _append(self, records: list[Record], needs_sync: bool) -> None:
         data, digest = frame_records(records, self.last_digest)
         if not self.has_clean_end:
-            self.disk.truncate(self.file, self.size)
+            self.disk.truncate(self.fd, self.size)
         self.has_clean_end = False
-        self.disk.write(self.file, data)
+        self.disk.write(self.fd, data)
         if needs_sync:
-            self.disk.sync(self.file)
+            self.disk.sync(self.fd)
         self.size += len(data)
         self.last_digest = digest
         self.has_clean_end = True
 
     def _rewrite(self, records: list[Record]) -> None:
-        """Replaces the file atomically."""
+        """Replaces the file atomically by one with these records."""
         temporary_path = self.path.with_suffix(".part")
         data, digest = frame_records(records, b"")
         data = FILE_MAGIC + data
-        file = os.open(temporary_path, os.O_RDWR | os.O_APPEND | os.O_CREAT | os.O_TRUNC, 0o600)
+        fd = os.open(temporary_path, os.O_RDWR | os.O_APPEND | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
-            self.disk.write(file, data)
-            self.disk.sync(file)
+            self.disk.write(fd, data)
+            self.disk.sync(fd)
             self.disk.rename(temporary_path, self.path)
         except BaseException:
-            os.close(file)
+            os.close(fd)
             raise
         self.close()
-        # The rename has removed the old file, whether or not the sync of the folder succeeds.
-        self.file = file
+        # The rename has already replaced the old file, even if the sync of the folder fails.
+        self.fd = fd
         self.size = len(data)
         self.last_digest = digest
         self.has_clean_end = True
-        folder = os.open(self.folder, os.O_RDONLY)
+        folder_fd = os.open(self.folder, os.O_RDONLY)
         try:
-            self.disk.sync(folder)
+            self.disk.sync(folder_fd)
         finally:
-            os.close(folder)
+            os.close(folder_fd)
 
     def close(self) -> None:
-        """Closes the file; a closed store may be opened again."""
-        if self.file >= 0:
-            os.close(self.file)
-            self.file = -1
+        """Closes the file; the store may be opened again."""
+        if self.fd >= 0:
+            os.close(self.fd)
+            self.fd = -1
 
 
 def marker_identity(folder: Path) -> tuple[int, int]:
-    """Returns the marker's inode and change time, which no copy shares; (0, 0) without a marker."""
+    """Returns the inode number and change time (ns) of the marker, (0, 0) if there is no marker.
+
+    A copy of the folder has a marker with another identity.
+    """
     try:
         status = (folder / "marker").stat()
     except OSError:
@@ -231,7 +235,10 @@
 
 
 def frame_records(records: Sequence[Record], last_digest: bytes) -> tuple[bytes, bytes]:
-    """Returns the bytes of the records that follow one with this digest, and the digest of the last."""
+    """Returns the encoded records and the digest of the last of them.
+
+    `last_digest` is the digest of the record before them.
+    """
     parts = []
     for record in records:
         payload = encode(record)
@@ -247,14 +254,14 @@
 
 
 def header_checksum(length: int, digest: bytes) -> int:
-    """Returns the checksum of a record's header."""
+    """Returns the CRC-32 of a record's header fields."""
     return zlib.crc32(struct.pack("<I8s", length, digest))
 
 
 def read_log(data: bytes, path: Path) -> tuple[PersistedState, int, bytes]:
-    """Returns the state in a file's content, the length of its complete records and the last digest.
+    """Returns the persisted state, the size in bytes of the complete records, and the last digest.
 
-    Raises DamagedLogError.
+    `data` is the content of the file; `path` is used in errors. Raises DamagedLogError.
     """
     state = PersistedState(read_header(data, path).incarnation)
     size = len(FILE_MAGIC)
@@ -265,7 +272,7 @@
             size = framed.end
             digest = framed.digest
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
-        raise DamagedLogError(path, str(error)[:MAX_PROBLEM_CHARS], size) from error
+        raise DamagedLogError(path, str(error)[:MAX_DECODER_MESSAGE_CHARS], size) from error
     except RecordError as error:
         raise DamagedLogError(path, error.problem, size) from error
     state.torn_bytes = len(data) - size
@@ -276,22 +283,25 @@
 def read_header(data: bytes, path: Path) -> HeaderRecord:
     """Returns the first record of a file's content. Raises DamagedLogError."""
     if not data.startswith(FILE_MAGIC):
-        raise DamagedLogError(path, "no log of this version")
+        raise DamagedLogError(path, f"not a log of this version: it does not start with {FILE_MAGIC!r}")
     try:
         record = next(iterate_records(data)).record
     except (StopIteration, RecordError, msgspec.DecodeError, msgspec.ValidationError) as error:
         # The file is created by a rename, so its first record is never torn.
-        raise DamagedLogError(path, "its first record can't be read") from error
+        raise DamagedLogError(path, "the first record is incomplete, damaged or can't be decoded") from error
     if not isinstance(record, HeaderRecord):
-        raise DamagedLogError(path, "its first record is of another kind")
+        raise DamagedLogError(path, f"the first record is of type {type(record).__name__}, not HeaderRecord")
     return record
 
 
 def iterate_records(data: bytes) -> Iterator[FramedRecord]:
-    """Yields the complete records of a file's content, up to a torn one. Raises RecordError."""
+    """Yields the complete records in a file's content, up to a torn record if there is one.
+
+    Raises RecordError for a damaged record, and msgspec's errors for one that can't be decoded.
+    """
     position = len(FILE_MAGIC)
     last_digest = b""
-    written_size = len(data.rstrip(b"\0"))  # a file may have grown by zeros before its data was written
+    written_size = len(data.rstrip(b"\0"))  # a crash may leave zeros at the end, where data was not written
     while position < len(data):
         if written_size - position < RECORD_HEADER.size:
             return
@@ -310,10 +320,13 @@
 
 
 def apply_record(state: PersistedState, record: Record) -> None:
-    """Applies the next record of a file to the state read so far. Raises RecordError."""
+    """Applies the next record of a file to the state read so far.
+
+    Raises RecordError if the record is inconsistent with that state.
+    """
     if isinstance(record, HardStateRecord):
         if record.term < state.hard_state.term:
-            raise RecordError("a term that goes back")
+            raise RecordError(f"term {record.term} is lower than the previous term {state.hard_state.term}")
         state.hard_state = HardState(record.term, record.vote)
         state.commit_index = max(state.commit_index, record.commit_index)
     elif isinstance(record, SnapshotRecord):
@@ -322,6 +335,9 @@
         log = state.log
         first_index = record.entries[0].index
         if not log.snapshot.index < first_index <= log.last_index + 1:
-            raise RecordError("entries with a gap")
+            raise RecordError(
+                f"entries start at index {first_index}; expected"
+                f" {log.snapshot.index + 1} to {log.last_index + 1}"
+            )
         del log.entries[first_index - log.snapshot.index - 1 :]
         log.entries += record.entries
--- a/tests/consensus/test_storage.py
+++ b/tests/consensus/test_storage.py
@@ -1,4 +1,4 @@
-"""The log store: killed at each operation, cut and damaged at each byte, copied, and on a full disk."""
+"""Tests of the log store: kills at each operation, truncation and damage at each byte, copies, full disk."""
 
 from __future__ import annotations
 
@@ -14,14 +14,10 @@
 from sidecar_proxy.consensus.errors import CopiedFolderError, DamagedLogError
 from sidecar_proxy.consensus.log import PersistedState
 from sidecar_proxy.consensus.messages import Entry, HardState, Snapshot
-from sidecar_proxy.consensus.storage import (
-    LogStore,
-    iterate_records,
-    read_log,
-)
+from sidecar_proxy.consensus.storage import LogStore, iterate_records, read_log
 from tests.sockets import LONG_S, ROOT
 
-LARGE_ROOM_BYTES = 10_000
+AMPLE_FREE_BYTES = 10_000
 
 
 @dataclass(frozen=True)
@@ -36,7 +32,7 @@
 
 
 TERM_1, TERM_2, TERM_3 = HardState(1, "a"), HardState(2, ""), HardState(3, "b")
-# What a voter saves in the course of its life.
+# Writes as a voter makes them, one after the other: votes, entries, a conflicting entry, a snapshot.
 WRITES = [
     Write(TERM_1, 0, None, [], TERM_1),
     Write(None, 0, None, [Entry(1, 1, b"one"), Entry(1, 2, b"two\0\0")], TERM_1),
@@ -55,7 +51,7 @@
 
 
 def save_all(store: LogStore, acknowledged: list[PersistedState] | None = None) -> None:
-    """Save all WRITES; after each one record what the store holds, and print its number."""
+    """Save all WRITES; after each, append the persisted state to `acknowledged` and print its number."""
     for number, write in enumerate(WRITES):
         save(store, write)
         if acknowledged is not None:
@@ -67,14 +63,14 @@
     return state.hard_state, state.log.snapshot, state.log.entries
 
 
-def read_only(folder: Path) -> PersistedState:
-    """Read what a start would find, without a change of the file."""
+def read_state(folder: Path) -> PersistedState:
+    """Read the state that a start would restore, without changing the file."""
     return read_log((folder / "log").read_bytes(), folder / "log")[0]
 
 
 @dataclass(frozen=True)
 class SavedFolder:
-    """A folder after all WRITES, and what it held after each of them."""
+    """A folder after all WRITES, and the persisted states after each of them."""
 
     path: Path
     acknowledged: list[PersistedState]
@@ -99,7 +95,7 @@
     assert [entry.data for entry in state.log.entries] == [b"five", b"six"]
 
 
-def test_file_cut_at_any_byte_keeps_all_complete_records(tmp_path: Path) -> None:
+def test_file_truncated_at_any_byte_keeps_all_complete_records(tmp_path: Path) -> None:
     store = LogStore(tmp_path / "a")
     store.open()
     acknowledged = {}
@@ -109,7 +105,7 @@
     data = store.path.read_bytes()
     ends = {framed.end for framed in iterate_records(data)}
     for size in range(min(acknowledged), len(data) + 1):
-        for tail in (b"", bytes(7)):  # a file may have grown before its data was written
+        for tail in (b"", bytes(7)):  # a crash may leave zeros where data was not written
             store.path.write_bytes(data[:size] + tail)
             state = LogStore(store.folder).open()
             valid_size = max(end for end in ends if end <= size)
@@ -134,7 +130,7 @@
     assert LogStore(saved.path).open().incarnation == state.incarnation
 
 
-def test_copied_folder_is_recognized(saved: SavedFolder, tmp_path: Path) -> None:
+def test_copied_folder_is_reported_as_a_copy(saved: SavedFolder, tmp_path: Path) -> None:
     shutil.copytree(saved.path, tmp_path / "older")
     with pytest.raises(CopiedFolderError):
         LogStore(tmp_path / "older").open()
@@ -145,32 +141,32 @@
 
 
 class FullDisk(RealDisk):
-    """A disk with room for so many bytes more."""
+    """A disk with `free_bytes` of free space: a longer write is cut there and fails with ENOSPC."""
 
-    def __init__(self, room_bytes: int) -> None:
-        self.room_bytes = room_bytes
+    def __init__(self, free_bytes: int) -> None:
+        self.free_bytes = free_bytes
 
-    def write(self, file: int, data: bytes) -> None:
-        super().write(file, data[: self.room_bytes])
-        if len(data) > self.room_bytes:
+    def write(self, fd: int, data: bytes) -> None:
+        super().write(fd, data[: self.free_bytes])
+        if len(data) > self.free_bytes:
             raise OSError(28, "no space")
-        self.room_bytes -= len(data)
+        self.free_bytes -= len(data)
 
 
-@pytest.mark.parametrize("room_bytes", [0, 1, 20, 45])
-def test_failed_write_loses_nothing_and_can_be_repeated(room_bytes: int, tmp_path: Path) -> None:
-    disk = FullDisk(LARGE_ROOM_BYTES)
+@pytest.mark.parametrize("free_bytes", [0, 1, 20, 45])
+def test_failed_write_loses_nothing_and_can_be_repeated(free_bytes: int, tmp_path: Path) -> None:
+    disk = FullDisk(AMPLE_FREE_BYTES)
     store = LogStore(tmp_path, disk)
     store.open()
     for write in WRITES:
-        before = content(read_only(tmp_path))
-        disk.room_bytes = room_bytes
+        state_before = content(read_state(tmp_path))
+        disk.free_bytes = free_bytes
         try:
             save(store, write)
         except OSError:
-            # There may be entries that were not acknowledged.
-            assert content(read_only(tmp_path))[:2] == before[:2]
-            disk.room_bytes = LARGE_ROOM_BYTES
+            # The failed write may have left entries, which were not acknowledged.
+            assert content(read_state(tmp_path))[:2] == state_before[:2]
+            disk.free_bytes = AMPLE_FREE_BYTES
             save(store, write)
     state = LogStore(tmp_path).open()
     assert [entry.data for entry in state.log.entries] == [b"five", b"six"]
@@ -185,27 +181,27 @@
 
 
 def start_killed_process(folder: Path, fault: str) -> subprocess.Popen[str]:
-    """Start a process that saves WRITES until the fault kills it."""
+    """Start a process that saves WRITES and is killed by the fault, if that occurs."""
     fault_path = folder.with_suffix(".disk")
     fault_path.write_text(fault)
-    line = [sys.executable, "-c", KILLED_PROGRAM, str(folder), str(fault_path)]
-    return subprocess.Popen(line, cwd=ROOT, stdout=subprocess.PIPE, text=True)
+    command = [sys.executable, "-c", KILLED_PROGRAM, str(folder), str(fault_path)]
+    return subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True)
 
 
 def assert_acknowledged_state(folder: Path, write_count: int, acknowledged: list[PersistedState]) -> None:
-    """Check that a folder holds what was acknowledged; the write after that may be there in part."""
+    """Check that a folder has the state of the last acknowledged write; the next one may be there in part."""
     actual = content(LogStore(folder).open())
     expected = [content(state) for state in acknowledged[max(0, write_count - 1) : write_count + 1]]
     if write_count == 0:
         expected.append((HardState(), Snapshot(), []))
-    # Of a write that was not acknowledged the entries come before the hard state.
+    # A write puts its entries before its hard state, so a torn write may have left only its entries.
     has_next_entries = actual[0] == expected[0][0] and actual[1:] == expected[-1][1:]
     assert actual in expected or has_next_entries, (folder, write_count)
 
 
 @pytest.mark.parametrize("operation", ["write", "sync", "rename"])
-def test_process_killed_at_any_operation_keeps_what_was_acknowledged(operation: str, tmp_path: Path) -> None:
-    """Each run is a process of its own; they run at the same time."""
+def test_process_killed_at_any_operation_keeps_the_acknowledged_state(operation: str, tmp_path: Path) -> None:
+    """Each case is a separate process; all of them run at the same time."""
     reference = LogStore(tmp_path / "reference")
     reference.open()
     acknowledged: list[PersistedState] = []
