--- a/sidecar_proxy/consensus/leader_requests.py
+++ b/sidecar_proxy/consensus/leader_requests.py
@@ -1,6 +1,6 @@
-"""The leader's side of requests: it proposes commands, answers reads, and replies once they are complete.
+"""The leader's handling of requests: it proposes commands, performs reads, and replies to the requesters.
 
-A sidecar that does not lead replies who does, as far as it knows.
+A sidecar that is not the leader replies with the id of the leader, if it knows it.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from sidecar_proxy.consensus.replica_context import ReplicaContext
 from sidecar_proxy.consensus.replicated_commands import Outcome, ReplicatedCommand
 
-MAX_PENDING_REQUESTS = 256  # reads, and likewise commands of one term that wait for their commit
-BARRIER_READ_ID = 0  # of a read that only confirms the leadership
+MAX_PENDING_REQUESTS = 256  # maximum number of pending reads, and of requesters of pending commands
+BARRIER_READ_ID = 0  # id of all reads that only confirm the leadership and have no requester
 
 FactsProvider = Callable[[ReplicatedCommand], DisruptionFacts | None]
 
 
 @dataclass(slots=True, frozen=True)
 class Requester:
-    """Who waits for a reply, and the number of its request."""
+    """The node that waits for a reply, and the number of its request."""
 
     node: NodeId
     number: int
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class ProposedCommand:
-    """An entry that this leader has proposed, and who waits for it."""
+    """A command that this leader has proposed, and the requesters that wait for its result."""
 
     term: int
     command_id: str
@@ -45,25 +45,25 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestedRead:
-    """A read that waits for the confirmation of the leadership."""
+    """A read that waits until the leadership is confirmed."""
 
     requester: Requester
     name: str
 
 
 class LeaderRequests:
-    """The requests that this sidecar has accepted as the leader."""
+    """The pending requests that this sidecar has accepted as the leader."""
 
     def __init__(self, context: ReplicaContext, proposals: PendingProposals) -> None:
         self.context = context
-        self.proposals = proposals  # for replies to this sidecar itself
-        self.proposed: dict[int, ProposedCommand] = {}  # by index
-        self.reads: dict[int, RequestedRead] = {}  # by read id
+        self.proposals = proposals  # receives the replies to this sidecar's own requests
+        self.proposed: dict[int, ProposedCommand] = {}  # by the index of their entry
+        self.reads: dict[int, RequestedRead] = {}  # by their read id in the Raft core
         self.last_read_id = BARRIER_READ_ID
         self.facts_provider: FactsProvider | None = None
 
     def handle(self, node: NodeId, request: LeaderRequest) -> None:
-        """Handles a request of any sidecar, this one included."""
+        """Handles a request from any sidecar, including this one."""
         requester = Requester(node, request.number)
         try:
             if request.command:
@@ -86,11 +86,13 @@
         if command is None:
             self._reply_error(requester, "of a kind that the leader does not know")
             return
-        same = next((item for item in self.proposed.values() if item.command_id == command.id), None)
-        if same is not None:
-            same.requesters.append(requester)
+        existing = next(
+            (proposed for proposed in self.proposed.values() if proposed.command_id == command.id), None
+        )
+        if existing is not None:
+            existing.requesters.append(requester)
             return
-        if sum(len(item.requesters) for item in self.proposed.values()) >= MAX_PENDING_REQUESTS:
+        if sum(len(proposed.requesters) for proposed in self.proposed.values()) >= MAX_PENDING_REQUESTS:
             self._reply_error(requester, "too many words at a time")
             return
         core = self.context.core
@@ -98,14 +100,14 @@
         self.proposed[index] = ProposedCommand(core.term, command.id, [requester])
 
     def _add_facts(self, command: ReplicatedCommand, data: bytes) -> bytes:
-        """Returns the command with this leader's facts, in place of any that it came with."""
+        """Returns the encoded command with this leader's facts, which replace any facts in the request."""
         if command.kind not in replicated_commands.KINDS_WITH_FACTS:
             return data
         facts = self.facts_provider(command) if self.facts_provider else None
         return replicated_commands.encode_command_with_facts(msgspec.structs.replace(command, facts=facts))
 
     def on_applied(self, entry: Entry, outcome: Outcome) -> None:
-        """Replies to those who wait for an entry that is committed and applied now."""
+        """Replies to the requesters of an entry that has been committed and applied."""
         proposed = self.proposed.pop(entry.index, None)
         if proposed is None:
             return
@@ -118,7 +120,7 @@
                 self._reply_done(requester, outcome.index, outcome.text)
 
     def on_read_confirmed(self, read_id: int) -> None:
-        """Answers a read from the current state."""
+        """Replies to a read from the current state, after the leadership has been confirmed."""
         if read_id == BARRIER_READ_ID:
             return
         read = self.reads.pop(read_id)
@@ -134,14 +136,14 @@
         self._reply_done(read.requester, state.index, text[: replicated_commands.MAX_VALUE_CHARS])
 
     def on_read_rejected(self, read_id: int) -> None:
-        """Replies that the leadership was lost before a read was confirmed."""
+        """Replies NOT_LEADER to a read, as the leadership was lost before it was confirmed."""
         if read_id == BARRIER_READ_ID:
             return
         read = self.reads.pop(read_id)
         self._reply(read.requester, ProposalStatus.NOT_LEADER, leader=self.context.core.leader)
 
     def on_leadership_lost(self) -> None:
-        """Replies "unknown" to all: another leader may yet commit what was proposed."""
+        """Replies UNKNOWN to all pending commands, as another leader may still commit their entries."""
         for proposed in self.proposed.values():
             for requester in proposed.requesters:
                 self._reply(requester, ProposalStatus.UNKNOWN, leader=self.context.core.leader)
@@ -165,7 +167,7 @@
         if requester.node != self.context.node_id:
             self.context.outbox.send(requester.node, reply)
             return
-        # A reply of this sidecar to itself may be repeated at once, so its retry time is 0.
+        # A request of this sidecar to itself may be retried without delay, so the time passed here is 0.
         result = self.proposals.on_reply(requester.node, reply, 0)
         if result is not None:
             self.context.outbox.add(result)
--- a/sidecar_proxy/consensus/proposals.py
+++ b/sidecar_proxy/consensus/proposals.py
@@ -1,8 +1,8 @@
-"""Commands and reads that were submitted at this sidecar and wait for the leader's answer.
+"""Commands and reads that were submitted at this sidecar and are pending until the leader replies.
 
-A request is forwarded to the leader, and to the next one if that fails: commands carry an id, so a repeat
-is harmless. If nobody answers, the result depends on whether any leader may have proposed the command: then
-only a committed entry could tell, and the result is "unknown". This module does no I/O.
+A request is forwarded to the leader, and retried at the next leader if that fails; commands carry an id and
+are thus idempotent. If no final reply arrives in time, the result is "unknown" if any leader may have
+proposed the command, as it may still be committed, and "no quorum" otherwise. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -13,38 +13,38 @@
 from sidecar_proxy.consensus.frames import LeaderReply, LeaderRequest
 from sidecar_proxy.consensus.messages import NodeId
 
-REQUEST_TIMEOUT_US = 3_500_000  # a little less than the timeout of the admin server's clients
-NO_LEADER_TIMEOUT_US = 2_500_000  # without a leader for this long there is no quorum, as seen from here
+REQUEST_TIMEOUT_US = 3_500_000  # slightly shorter than the timeout of the admin server's clients
+NO_LEADER_TIMEOUT_US = 2_500_000  # requests fail with "no quorum" after this time without a known leader
 MAX_PENDING_PROPOSALS = 64
-RETRY_US = 200_000  # after a node that was not the leader
+RETRY_DELAY_US = 200_000  # delay before a request that the leader did not complete is sent again
 
 
 class ProposalStatus(enum.StrEnum):
-    """The result of a request. The values are those of the wire and of the admin server's answers."""
+    """The status of a request. The values are sent on the wire and in the admin server's answers."""
 
-    DONE = "done"  # committed and applied by the leader
-    ERROR = "error"  # rejected; nothing was changed
-    UNKNOWN = "unknown"  # it may be committed, now or later
-    NOT_LEADER = "elsewhere"  # nothing was done; only between sidecars
-    NO_QUORUM = "no quorum"  # no leader had it; nothing was changed
+    DONE = "done"  # the leader has committed and applied the command, or answered the read
+    ERROR = "error"  # the request was rejected; nothing was changed
+    UNKNOWN = "unknown"  # the command may have been committed, or may be committed later
+    NOT_LEADER = "elsewhere"  # the node is not the leader and did nothing; only used between sidecars
+    NO_QUORUM = "no quorum"  # no leader can have accepted the request; nothing was changed
 
 
 @dataclass(slots=True)
 class PendingProposal:
-    """A command, or a read of the current state of `name` if the command is empty."""
+    """A pending command, or a pending read of the current state of `name` if the command is empty."""
 
-    request_id: int  # of the caller
+    request_id: int  # id that the caller has chosen, for the ProposalResult
     command: bytes
     name: str
     deadline_us: int
-    sent_to: NodeId = ""  # whose answer is awaited
-    uncertain_count: int = 0  # times that it was sent to a node that may have proposed it
+    sent_to: NodeId = ""  # the node whose reply is awaited; "" = none
+    uncertain_count: int = 0  # number of attempts whose node may have proposed the command
     retry_at_us: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class ProposalResult:
-    """The final answer to the caller with this context; never NOT_LEADER."""
+    """The final result of the request with this id; its status is never NOT_LEADER."""
 
     request_id: int
     status: ProposalStatus
@@ -53,14 +53,14 @@
 
 
 class PendingProposals:
-    """The requests that were submitted here and are not answered yet."""
+    """The requests that were submitted at this sidecar and are not completed yet."""
 
     def __init__(self) -> None:
-        self.pending: dict[int, PendingProposal] = {}  # by number
+        self.pending: dict[int, PendingProposal] = {}  # by the number in their LeaderRequest
         self.last_number = 0
 
     def add(self, request_id: int, command: bytes, name: str, now_us: int) -> ProposalResult | None:
-        """Adds a request. Returns a result if it is rejected at once."""
+        """Adds a request. Returns a result if it is rejected immediately, otherwise None."""
         if len(self.pending) >= MAX_PENDING_PROPOSALS:
             return ProposalResult(request_id, ProposalStatus.ERROR, text="too many are asked here at a time")
         self.last_number += 1
@@ -79,35 +79,35 @@
         return requests
 
     def on_unsent(self, number: int, now_us: int) -> None:
-        """Retries a request that never left this sidecar."""
+        """Schedules a retry of a request that was not sent."""
         proposal = self.pending.get(number)
         if proposal is not None and proposal.sent_to:
             proposal.sent_to = ""
             proposal.uncertain_count -= 1
-            proposal.retry_at_us = now_us + RETRY_US
+            proposal.retry_at_us = now_us + RETRY_DELAY_US
 
     def on_link_broken(self, node: NodeId, now_us: int) -> None:
-        """Retries the requests that a node may or may not have received."""
+        """Schedules a retry of the requests that the node may or may not have received."""
         for proposal in self.pending.values():
             if proposal.sent_to == node:
                 proposal.sent_to = ""
-                proposal.retry_at_us = now_us + RETRY_US
+                proposal.retry_at_us = now_us + RETRY_DELAY_US
 
     def on_reply(self, node: NodeId, reply: LeaderReply, now_us: int) -> ProposalResult | None:
-        """Handles a reply. Returns the result if it is final."""
+        """Handles a reply. Returns the result if the reply is final, otherwise None."""
         proposal = self.pending.get(reply.number)
         if proposal is None or proposal.sent_to != node:
-            return None  # the answer to an earlier attempt says nothing about the current one
+            return None  # a late reply to an earlier attempt does not decide the current one
         if reply.status in (ProposalStatus.DONE, ProposalStatus.ERROR):
             return self._complete(reply.number, ProposalStatus(reply.status), reply.index, reply.text)
         if reply.status == ProposalStatus.NOT_LEADER:
             proposal.uncertain_count -= 1
         proposal.sent_to = ""
-        proposal.retry_at_us = now_us + RETRY_US
+        proposal.retry_at_us = now_us + RETRY_DELAY_US
         return None
 
     def expire(self, now_us: int, leaderless_us: int) -> list[ProposalResult]:
-        """Returns the results of the requests that can't wait any longer."""
+        """Completes the requests that are past their deadline or have no leader; returns their results."""
         results = []
         for number, proposal in list(self.pending.items()):
             has_no_leader = not proposal.sent_to and leaderless_us >= NO_LEADER_TIMEOUT_US
--- a/sidecar_proxy/consensus/ready_driver.py
+++ b/sidecar_proxy/consensus/ready_driver.py
@@ -1,7 +1,9 @@
-"""The driver of the Raft core's Readies: it persists, then sends, then applies.
+"""Processes the Readies of the Raft core: persists the state, then sends messages, then applies entries.
 
-One write is under way at a time; what arrives meanwhile is written together by the next one (group commit).
-Only appends leave before the write (10.2.1), and never in a term that is not yet on disk.
+One write is in progress at a time; entries that arrive meanwhile are written together by the next write
+(group commit). Only Append messages are sent before the write (10.2.1), and only if their term is already on
+disk.
+Section numbers are those of Ongaro, "Consensus: Bridging Theory and Practice" (2014).
 """
 
 from __future__ import annotations
@@ -16,19 +18,19 @@
 from sidecar_proxy.consensus.raft import Ready
 from sidecar_proxy.consensus.replica_context import ReplicaContext
 
-MAX_WAITING_MESSAGES = 256  # while the disk is slow; the oldest are dropped
+MAX_WAITING_MESSAGES = 256  # maximum number of messages that wait for a write; the oldest are dropped
 
 
 class ReadyDriver:
-    """Takes Readies from the core and turns them into effects."""
+    """Takes Readies from the core and converts them into effects."""
 
     def __init__(self, context: ReplicaContext, leader_requests: LeaderRequests) -> None:
         self.context = context
         self.leader_requests = leader_requests
-        self.unpersisted_ready: Ready | None = None  # what is being written
+        self.unpersisted_ready: Ready | None = None  # the Ready whose write is in progress
 
     def run(self) -> None:
-        """Takes Readies until one has to be written or none is left, then compacts the log if it is due."""
+        """Processes Readies until one has to be written; if none has, compacts the log when it is due."""
         core = self.context.core
         while self.unpersisted_ready is None:
             if not core.has_ready():
@@ -40,11 +42,11 @@
             else:
                 self._complete(ready)
         waiting = core.next_ready.messages
-        if len(waiting) > MAX_WAITING_MESSAGES:  # as if the network had lost them
+        if len(waiting) > MAX_WAITING_MESSAGES:  # Raft tolerates dropped messages like lost packets
             del waiting[:-MAX_WAITING_MESSAGES]
 
     def on_persisted(self) -> None:
-        """Sends and applies what was written."""
+        """Sends the messages and applies the entries of the Ready that has been written."""
         ready = self.unpersisted_ready
         assert ready is not None
         self.unpersisted_ready = None
@@ -79,7 +81,7 @@
                 core.persisted_hard_state,
             )
         )
-        if ready.hard_state is None:  # the term of the appends is on disk
+        if ready.hard_state is None:  # the term of the Append messages is already on disk
             remaining: list[Message] = []
             for message in ready.messages:
                 if isinstance(message, Append):
@@ -115,8 +117,8 @@
             self.context.outbox.send(message.target, cast(RaftMessage, message))
 
     def _restore(self, data: bytes) -> None:
-        machine = self.context.state_machine
-        had_fleet = bool(machine.state.fleet_id)
-        machine.restore(data)
+        state_machine = self.context.state_machine
+        had_fleet = bool(state_machine.state.fleet_id)
+        state_machine.restore(data)
         if not had_fleet:
-            self.context.outbox.log(f"this sidecar is of fleet {machine.state.fleet_id}")
+            self.context.outbox.log(f"this sidecar has joined fleet {state_machine.state.fleet_id}")
--- a/sidecar_proxy/consensus/replica.py
+++ b/sidecar_proxy/consensus/replica.py
@@ -1,9 +1,9 @@
-"""One sidecar's part in the fleet's consensus, without I/O.
+"""One sidecar's replica of the state that the fleet agrees on by consensus, without I/O.
 
-A replica puts together the Raft core, the replicated state, the management of the voters, state transfer
-and the requests of operators. Times, frames and gossip come in; effects (`outputs.Output`) go out. The
-caller writes and syncs a `PersistState` and then calls `on_persisted`; nothing that depends on it leaves
-before.
+A replica combines the Raft core, the replicated state machine, voter management, state transfer and the
+requests of operators. Its inputs are the time, frames and peers' statuses from gossip; its outputs are
+effects for the caller to perform (`outputs.Output`). The caller writes and syncs each `PersistState` and then
+calls `on_persisted`; the replica emits nothing that depends on that state before the call.
 """
 
 from __future__ import annotations
@@ -40,14 +40,16 @@
 from sidecar_proxy.consensus.voters import node_id_of
 
 TICK_US = 50_000
-TICK_TOLERANCE_US = TICK_US // 5  # a tick that is early by no more than this counts
-MAX_IDLE_TICKS = 20
+TICK_TOLERANCE_US = TICK_US // 5  # a tick that is early by no more than this is counted as a complete one
+MAX_IDLE_TICKS = 20  # maximum number of ticks between two calls of `Replica.tick`
 TIMING = Timing(min_election_timeout_ticks=12, heartbeat_interval_ticks=4)
-STALL_THRESHOLD_US = 1_000_000  # beyond the planned time between two ticks: this process was stopped
+STALL_THRESHOLD_US = (
+    1_000_000  # a tick that is later than planned by more than this means that the process was stopped
+)
 
 
 class Replica:
-    """The entry point for all events of one sidecar; each returns the effects to perform."""
+    """Handles all consensus events of one sidecar; each handler returns the effects to perform."""
 
     def __init__(
         self,
@@ -60,7 +62,7 @@
         wall_ms: int,
         timing: Timing = TIMING,
     ) -> None:
-        """Starts from persisted state. Raises CommandError for a snapshot that can't be read."""
+        """Starts from persisted state. Raises CommandError if the snapshot can't be decoded."""
         process_id = f"{rng.getrandbits(64):016x}"
         node_id = node_id_of(name, persisted.incarnation)
         core = RaftCore(
@@ -85,9 +87,9 @@
             self.context, persisted.incarnation, process_id, self.leader_tracker, now_us
         )
         self.status_reporter = StatusReporter(self.context, self.leader_tracker)
-        self.was_leader = False  # at the last tick
+        self.was_leader = False  # whether this node was the leader at the last tick
         self.last_tick_us = now_us
-        self.planned_ticks = 1
+        self.planned_ticks = 1  # ticks from `last_tick_us` to `due_us`
 
     # State
 
@@ -103,7 +105,7 @@
 
     @property
     def node_id(self) -> NodeId:
-        """The name and the incarnation of this sidecar's folder."""
+        """The id of this sidecar's node: its name and the incarnation of its log."""
         return self.context.node_id
 
     @property
@@ -118,23 +120,26 @@
 
     @property
     def peers(self) -> PeerTable:
-        """The other sidecars."""
+        """The other sidecars of the fleet."""
         return self.context.peers
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request of this sidecar waits for an answer."""
+        """Whether no request that was submitted at this sidecar is pending."""
         return not self.proposals.pending
 
     def known_fleet_id(self) -> str:
-        """Returns this sidecar's fleet or, if it is new, the one that its peers report."""
+        """Returns the id of this sidecar's fleet or, if it has none yet, the one that its peers report."""
         return self.state.fleet_id or self.peers.reported_fleet_id()
 
     # Time
 
     @property
     def due_us(self) -> int:
-        """When to call `tick` next; an event may bring it forward. An idle process is not woken."""
+        """When to call `tick` next. To be read again after each event, as an event may make it earlier.
+
+        An idle replica needs only one call in MAX_IDLE_TICKS ticks.
+        """
         if self.proposals.pending or self.state_transfer.fetcher.request_number:
             ticks = 1
         elif self.context.is_voter:
@@ -150,10 +155,10 @@
         return (at_us - self.last_tick_us) // TICK_US + 1
 
     def tick(self, now_us: int, wall_ms: int) -> list[Output]:
-        """Lets time pass; to be called at `due_us`.
+        """Advances the time; to be called at `due_us`.
 
-        Time in which this process did not run is not counted: frames that it has not read yet may say that
-        all is well.
+        Time during which this process did not run is not counted: the unread frames of that time may show
+        that the leader and the voters are alive.
         """
         self.context.state_machine.wall_ms = wall_ms
         if now_us - self.last_tick_us > self.planned_ticks * TICK_US + STALL_THRESHOLD_US:
@@ -169,24 +174,24 @@
         return self._finish(now_us)
 
     def _catch_up_ticks(self, now_us: int) -> None:
-        """Runs the ticks that have passed, except the one at which something is due.
+        """Runs the elapsed ticks before an event, except the last planned one, at which a timer is due.
 
-        An event that arrives now has to count from now.
+        Timers that the event restarts must start from the current time.
         """
-        passed = min((now_us - self.last_tick_us) // TICK_US, self.planned_ticks - 1)
-        if passed > 0:
-            for _ in range(passed):
+        elapsed_ticks = min((now_us - self.last_tick_us) // TICK_US, self.planned_ticks - 1)
+        if elapsed_ticks > 0:
+            for _ in range(elapsed_ticks):
                 self.core.tick()
-            self.last_tick_us += passed * TICK_US
-            self.planned_ticks -= passed
+            self.last_tick_us += elapsed_ticks * TICK_US
+            self.planned_ticks -= elapsed_ticks
 
     def _update_leader(self, now_us: int) -> None:
         core = self.core
         leader = core.leader if self.context.is_voter else self.peers.reported_leader()
         if core.is_leader:
             if self.was_leader:
-                heard_us = self.voter_manager.quorum_heard_us(now_us)
-                self.context.up_to_date_us = max(self.context.up_to_date_us, heard_us)
+                quorum_contact_us = self.voter_manager.quorum_heard_us(now_us)
+                self.context.up_to_date_us = max(self.context.up_to_date_us, quorum_contact_us)
             else:
                 self.was_leader = True
                 self.voter_manager.on_elected(now_us)
@@ -198,7 +203,7 @@
     # Events from the network
 
     def on_frame(self, node: NodeId, frame: Frame, now_us: int) -> list[Output]:
-        """Handles a frame of a node that its session has authenticated."""
+        """Handles a frame from a node that the session has authenticated."""
         self._catch_up_ticks(now_us)
         if isinstance(frame, Message):
             self.voter_manager.on_frame(node, now_us)
@@ -218,12 +223,12 @@
         return self._finish(now_us)
 
     def on_status(self, name: str, site: str, status: ReplicaStatus, now_us: int) -> list[Output]:
-        """Handles a peer's status broadcast."""
+        """Handles a status that a peer has broadcast."""
         fleet_id = self.state.fleet_id
         if status.fleet_id and fleet_id and status.fleet_id != fleet_id:
             if self.peers.mark_foreign(name):
                 self.context.outbox.log(
-                    f"{name} is of another fleet ({status.fleet_id}, not {fleet_id}); nothing of it is taken"
+                    f"{name} is of another fleet ({status.fleet_id}, not {fleet_id}); its status is ignored"
                 )
             return self._finish(now_us)
         peer = self.peers.update(name, site, status, now_us)
@@ -235,12 +240,12 @@
         return self._finish(now_us)
 
     def on_peer_left(self, name: str, now_us: int) -> list[Output]:
-        """Forgets a peer that gossip considers dead."""
+        """Removes a peer that gossip considers dead."""
         self.peers.remove(name)
         return self._finish(now_us)
 
     def on_unsent(self, node: NodeId, frame: Frame, now_us: int) -> list[Output]:
-        """Handles a frame that never left this sidecar, as there is no way to the node."""
+        """Handles a frame that was not sent, as the node can't be reached."""
         if isinstance(frame, LeaderRequest):
             self.proposals.on_unsent(frame.number, now_us)
         elif isinstance(frame, FetchRequest):
@@ -248,7 +253,7 @@
         return self._finish(now_us)
 
     def on_link_broken(self, node: NodeId, now_us: int) -> list[Output]:
-        """Handles the loss of a connection; what was sent may or may not have arrived."""
+        """Handles the loss of a connection; frames sent on it may or may not have arrived."""
         self.proposals.on_link_broken(node, now_us)
         self.state_transfer.fetcher.on_link_broken(node, now_us)
         return self._finish(now_us)
@@ -256,21 +261,21 @@
     # Events from the disk
 
     def on_persisted(self, now_us: int) -> list[Output]:
-        """Continues after the last `PersistState` was written and synced."""
+        """Continues after the last `PersistState` has been written and synced."""
         self.ready_driver.on_persisted()
         return self._finish(now_us)
 
     # Requests of operators
 
     def submit_command(self, request_id: int, command: ReplicatedCommand, now_us: int) -> list[Output]:
-        """Submits a command; a ProposalResult with this id follows. Raises CommandError."""
+        """Submits a command. Its result is a later ProposalResult with the same id. Raises CommandError."""
         data = replicated_commands.encode_command(command)
         if not self.known_fleet_id():
             raise CommandError("no fleet was begun (`fleet begin`)")
         return self._submit(request_id, data, "", now_us)
 
     def submit_read(self, request_id: int, name: str, now_us: int) -> list[Output]:
-        """Submits a linearizable read of an upstream or setting; a ProposalResult follows."""
+        """Submits a linearizable read of an upstream or setting; its result is a later ProposalResult."""
         return self._submit(request_id, b"", name, now_us)
 
     def _submit(self, request_id: int, data: bytes, name: str, now_us: int) -> list[Output]:
@@ -279,7 +284,10 @@
         return self._finish(now_us)
 
     def create_fleet(self, now_us: int) -> list[Output]:
-        """Creates a fleet with this sidecar as its only voter. Raises ProposalRejectedError."""
+        """Creates a fleet with this sidecar as its only voter.
+
+        Raises ProposalRejectedError if this sidecar or a peer belongs to a fleet already.
+        """
         fleet_id = self.known_fleet_id()
         if fleet_id or self.core.commit_index or self.ready_driver.unpersisted_ready is not None:
             raise ProposalRejectedError(f"there is a fleet already: {fleet_id or 'being begun'}")
@@ -290,7 +298,7 @@
         return self._finish(now_us)
 
     def _send_proposals(self, now_us: int) -> None:
-        """Sends waiting requests to the leader, and ends those that can't wait any longer."""
+        """Sends pending requests to the leader, and completes those that have expired."""
         if not self.proposals.pending:
             return
         leader = self.leader_tracker.leader
@@ -307,7 +315,7 @@
             self.context.outbox.add(result)
 
     def _finish(self, now_us: int) -> list[Output]:
-        """Completes an event: takes what the core has ready, broadcasts news, and returns all effects."""
+        """Finishes an event: processes Readies, broadcasts a changed status, and returns all effects."""
         self.ready_driver.run()
         self.status_broadcaster.broadcast_if_due(now_us)
         return self.context.outbox.take()
--- a/sidecar_proxy/consensus/replica_context.py
+++ b/sidecar_proxy/consensus/replica_context.py
@@ -1,4 +1,4 @@
-"""What the collaborators of one replica share."""
+"""The settings and the shared parts of one replica."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
     voter_count: int = 3
     can_vote: bool = True  # whether this sidecar may become a voter
-    replace_after_us: int = 60_000_000  # a voter that is silent for so long is replaced
-    transfer_bytes_per_s: float = 262_144.0
-    compaction_entries: int = DEFAULT_COMPACTION_ENTRIES  # entries after which the log is compacted
+    replace_after_us: int = 60_000_000  # a voter that sends nothing for this long is replaced
+    transfer_bytes_per_s: float = 262_144.0  # rate limit of the state that this sidecar sends to others
+    compaction_entries: int = DEFAULT_COMPACTION_ENTRIES  # number of entries at which the log is compacted
 
 
 @dataclass(slots=True)
 class ReplicaContext:
-    """The identity and the parts of a replica that several collaborators use."""
+    """The identity of a replica, and those of its parts that its other parts share."""
 
     name: str
     site: str
@@ -39,7 +39,7 @@
     state_machine: StateMachine
     peers: PeerTable
     outbox: Outbox
-    up_to_date_us: int = 0  # when this sidecar last had all that was committed; 0 = never, as far as is known
+    up_to_date_us: int = 0  # when this sidecar was last known to have all committed entries; 0 = never
 
     @property
     def state(self) -> ReplicatedState:
--- a/tests/consensus/rig.py
+++ b/tests/consensus/rig.py
@@ -1,4 +1,4 @@
-"""Real sidecars with consensus, over the testbed's relays."""
+"""Helpers for tests of consensus with real sidecar processes that are connected by the testbed's relays."""
 
 from __future__ import annotations
 
@@ -28,43 +28,43 @@
 
 
 async def fleet_command(scene: Scene, sidecar: int, line: str) -> str:
-    """The answer of a sidecar's admin server to one FLEET command."""
+    """Send a FLEET command to a sidecar's admin server and return the answer."""
     return await scene.sidecars[sidecar].call(f"FLEET {line}")
 
 
 async def fleet_object(scene: Scene, sidecar: int, line: str) -> dict[str, Any]:
-    """The answer to a FLEET command that answers a JSON object."""
+    """Send a FLEET command whose answer is a JSON object, and return that object."""
     answer = await fleet_command(scene, sidecar, line)
-    text, end = answer.rsplit("\n", 1)
-    assert end == "end", answer
+    text, end_line = answer.rsplit("\n", 1)
+    assert end_line == "end", answer
     decoded: dict[str, Any] = json.loads(text)
     return decoded
 
 
 async def wait_until(condition: Callable[[], Awaitable[bool]]) -> None:
-    """Wait until a condition holds."""
-    end = time.monotonic() + LONG_S
+    """Wait until a condition is met; fail after LONG_S seconds."""
+    deadline_s = time.monotonic() + LONG_S
     while not await condition():
-        assert time.monotonic() < end, "the condition was not met in time"
+        assert time.monotonic() < deadline_s, f"the condition was not met within {LONG_S} s"
         await asyncio.sleep(POLL_S)
 
 
 async def create_fleet(scene: Scene, voter_count: int = 3) -> int:
-    """Create the fleet at the first sidecar, wait for all its voters, and return the leader's number."""
+    """Create the fleet at the first sidecar, wait for its voters, and return the leader's sidecar number."""
     await wait_until(lambda: knows_sidecars(scene, 0, len(scene.sidecars)))
     assert await fleet_command(scene, 0, "BEGIN") == "done"
     return await wait_for_leader(scene, range(len(scene.sidecars)), voter_count)
 
 
 async def knows_sidecars(scene: Scene, sidecar: int, count: int) -> bool:
-    """Whether a sidecar knows at least so many."""
+    """Return whether a sidecar's status lists at least `count` sidecars."""
     return len((await fleet_object(scene, sidecar, "STATUS"))["sidecars"]) >= count
 
 
 async def agreed_leader(scene: Scene, sidecars: Sequence[int], voter_count: int = 0) -> int | None:
-    """The number of the leader that all of these sidecars name, at the same applied index.
+    """Return the number of the leader that all of these sidecars report at the same applied index, or None.
 
-    With a voter count there have to be so many voters, all of them among these sidecars.
+    With a voter count there must be exactly that many voters, all of them among these sidecars.
     """
     statuses = [await fleet_object(scene, sidecar, "STATUS") for sidecar in sidecars]
     sidecar_of_node: dict[str, int] = {
@@ -84,35 +84,35 @@
 
 
 async def wait_for_leader(scene: Scene, sidecars: Sequence[int], voter_count: int = 0) -> int:
-    """Wait until all of these sidecars name the same leader among them, and return its number."""
-    end = time.monotonic() + LONG_S
+    """Wait until all of these sidecars report the same leader among them, and return its number."""
+    deadline_s = time.monotonic() + LONG_S
     while True:
         leader = await agreed_leader(scene, sidecars, voter_count)
         if leader is not None:
             return leader
-        if time.monotonic() >= end:
+        if time.monotonic() >= deadline_s:
             raise AssertionError([await fleet_object(scene, sidecar, "STATUS") for sidecar in sidecars])
         await asyncio.sleep(POLL_S)
 
 
 async def excluded_upstreams(scene: Scene, sidecar: int) -> set[str]:
-    """The names of the upstreams that are excluded for the fleet, as a sidecar knows."""
+    """Return the names of the upstreams that a sidecar reports as excluded for the fleet."""
     return set((await fleet_object(scene, sidecar, "WORDS"))["held"])
 
 
 async def wait_until_excluded(scene: Scene, sidecars: Iterable[int], names: set[str]) -> None:
-    """Wait until each of these sidecars excludes exactly these upstreams."""
+    """Wait until each of these sidecars reports exactly these upstreams as excluded."""
     numbers = list(sidecars)
 
-    async def is_excluded() -> bool:
+    async def are_excluded() -> bool:
         return all([await excluded_upstreams(scene, number) == names for number in numbers])
 
-    await wait_until(is_excluded)
+    await wait_until(are_excluded)
 
 
 @contextlib.contextmanager
 def link_fault(scene: Scene, kind: str, sidecars: list[int], size: float = 0.0) -> Iterator[None]:
-    """A fault of the links of these sidecars for the time of the block."""
+    """Inject a fault into the links of these sidecars during the `with` block."""
     faults = Fleet(scene.sidecars, scene.links)
     ways = faults.ways(kind, sidecars)
     faults.spoil(kind, ways, size, True)
@@ -123,13 +123,13 @@
 
 
 async def submit(scene: Scene, sidecars: list[int], line: str, command_id: str) -> int:
-    """Submit a command with one id at these sidecars in turn until it is done; return its index."""
+    """Submit a command to these sidecars in turn, with the same id, until it is done; return its index."""
     answers: list[str] = []
-    end = time.monotonic() + LONG_S
-    while time.monotonic() < end:
-        kind, _, rest = line.partition(" ")
+    deadline_s = time.monotonic() + LONG_S
+    while time.monotonic() < deadline_s:
+        kind, _, arguments = line.partition(" ")
         sidecar = sidecars[len(answers) % len(sidecars)]
-        answer = await fleet_command(scene, sidecar, f"{kind} {command_id} {rest}")
+        answer = await fleet_command(scene, sidecar, f"{kind} {command_id} {arguments}")
         answers.append(answer)
         if answer.startswith("done "):
             return int(answer.split()[1])
