--- a/sidecar_proxy/consensus/peers.py
+++ b/sidecar_proxy/consensus/peers.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AppliedTime:
-    """The time at which a peer reported that it had applied the entries up to `index`."""
+    """The time, as reported by a peer, at which it had applied the entries up to `index`."""
 
     index: int
     at_ms: int  # Unix time by the peer's wall clock
--- a/sidecar_proxy/consensus/raft.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -69,20 +69,20 @@
     """A linearizable read that waits until a majority has replied to a round of heartbeats (6.4)."""
 
     read_id: int
-    read_index: int
-    round: int
+    read_index: int  # the read must see the state at this index or later
+    round: int  # replies to this heartbeat round or a later one confirm the leadership
 
 
 @dataclass(slots=True)
 class Ready:
     """Pending work for the caller, in this order: write and sync, send, apply."""
 
-    hard_state: HardState | None = None
+    hard_state: HardState | None = None  # None if unchanged
     snapshot: Snapshot | None = None  # to be persisted in place of the whole log, before `entries`
     entries: list[Entry] = field(default_factory=list)  # replace the log from the index of the first entry
     messages: list[Message] = field(default_factory=list)
     committed: list[Entry] = field(default_factory=list)
-    reads: list[tuple[int, int]] = field(default_factory=list)  # (read id, index to apply before it)
+    reads: list[tuple[int, int]] = field(default_factory=list)  # (read id, index to apply first)
     rejected_reads: list[int] = field(default_factory=list)  # ids of reads pending when leadership was lost
 
 
@@ -118,15 +118,15 @@
         self.applied_index = self.commit_index
         # Ticks since the election timer was reset; on a leader, since it last broadcast a heartbeat.
         self.elapsed_ticks = 0
-        self.election_timeout_ticks = 0
+        self.election_timeout_ticks = 0  # the current random timeout
         self.votes: dict[NodeId, bool] = {}
         self.is_pre_candidate = False
         self.progress: dict[NodeId, Progress] = {}  # the other voters and the learners; empty unless leader
-        self.learners: dict[NodeId, None] = {}
+        self.learners: dict[NodeId, None] = {}  # an ordered set
         self.round = 0  # number of the current heartbeat round; each linearizable read starts a new one
         self.quorum_elapsed_ticks = 0
         self.pending_reads: list[PendingRead] = []
-        self.transfer_target: NodeId = ""
+        self.transfer_target: NodeId = ""  # the voter to which the leadership is being transferred; "" = none
         self.transfer_elapsed_ticks = 0
         self.persisted_hard_state = HardState(self.term, self.vote)
         self.send_before_persist = send_before_persist
--- a/sidecar_proxy/consensus/ready_driver.py
+++ b/sidecar_proxy/consensus/ready_driver.py
@@ -27,7 +27,8 @@
     def __init__(self, context: ReplicaContext, leader_requests: LeaderRequests) -> None:
         self.context = context
         self.leader_requests = leader_requests
-        self.unpersisted_ready: Ready | None = None  # the Ready whose write is in progress
+        # The Ready whose write is in progress; an empty one while a compacted log is being written.
+        self.unpersisted_ready: Ready | None = None
 
     def run(self) -> None:
         """Processes Readies until one has to be written; if none has, compacts the log when it is due."""
--- a/sidecar_proxy/consensus/replica.py
+++ b/sidecar_proxy/consensus/replica.py
@@ -43,9 +43,7 @@
 TICK_TOLERANCE_US = TICK_US // 5  # a tick that is early by no more than this is counted as a complete one
 MAX_IDLE_TICKS = 20  # maximum number of ticks between two calls of `Replica.tick`
 TIMING = Timing(min_election_timeout_ticks=12, heartbeat_interval_ticks=4)
-STALL_THRESHOLD_US = (
-    1_000_000  # a tick that is later than planned by more than this means that the process was stopped
-)
+STALL_THRESHOLD_US = 1_000_000  # a tick that is this much later than planned means a stopped process
 
 
 class Replica:
