--- a/sidecar_proxy/consensus/disruption_budgets.py
+++ b/sidecar_proxy/consensus/disruption_budgets.py
@@ -131,14 +131,14 @@
     return ""
 
 
-def budgets(settings: Mapping[str, str], target_kind: str) -> dict[Scope, str]:
+def configured_budgets(settings: Mapping[str, str], target_kind: str) -> dict[Scope, str]:
     """Returns the settings of the budgets for a kind of target."""
     base = SETTING_PREFIX + target_kind
     by_scope = {scope: settings.get(f"{base}.{scope}" if scope else base, "") for scope in Scope}
     return {scope: setting for scope, setting in by_scope.items() if setting}
 
 
-def exceeded_budget(
+def find_exceeded_budget(
     state: PermitState, settings: Mapping[str, str], facts: DisruptionFacts, excluded: Iterable[str] = ()
 ) -> str:
     """Returns which budget one more target would exceed, and who is out; "" = none.
@@ -158,7 +158,7 @@
         ungrouped = {name for name in excluded if name not in others}
     others.pop(target.name, None)
     ungrouped.discard(target.name)
-    configured = budgets(settings, facts.target_kind)
+    configured = configured_budgets(settings, facts.target_kind)
     for scope, total in zip(Scope, facts.totals, strict=True):
         if scope not in configured:
             continue
@@ -197,7 +197,7 @@
     rejection = _check_permit_request(state, permit, facts)
     if rejection or facts is None:
         return PermitOutcome(rejection)
-    reason = exceeded_budget(state, settings, facts, excluded)
+    reason = find_exceeded_budget(state, settings, facts, excluded)
     ahead_count = sum(queued.permit.target_kind == permit.target_kind for queued in state.queue)
     if force or not (reason or ahead_count):
         state.forced_count += bool(reason)
@@ -258,7 +258,7 @@
             facts.unavailable,
             facts.unnamed_unavailable_count,
         )
-        if exceeded_budget(state, settings, current_facts, excluded):
+        if find_exceeded_budget(state, settings, current_facts, excluded):
             return newly_granted
         state.queue.remove(first)
         permit = msgspec.structs.replace(first.permit, index=index)
--- a/sidecar_proxy/consensus/witness.py
+++ b/sidecar_proxy/consensus/fact_collector.py
@@ -36,7 +36,7 @@
     is_unavailable: bool
 
 
-class DisruptionWitness:
+class DisruptionFactCollector:
     """Collects the facts for disruption budgets, and the permits that have become obsolete."""
 
     def __init__(
@@ -47,7 +47,7 @@
         self.directory = directory
         self.gossip = gossip
 
-    def facts(self, command: ReplicatedCommand) -> DisruptionFacts | None:
+    def collect_facts(self, command: ReplicatedCommand) -> DisruptionFacts | None:
         """Returns the facts for a command, or None if its target is not known."""
         target_kind, name = str(TargetKind.UPSTREAM), command.name
         if command.kind in (CommandKind.PERMIT, CommandKind.RETURN):
@@ -121,7 +121,7 @@
             if permit.target_kind != TargetKind.UPSTREAM:
                 continue
             name = permit.target.name
-            host = self.upstream(name)
+            host = self.find_upstream(name)
             if host is None or (host.listed_entry or host.entry).state is not UpstreamState.READY:
                 continue
             if host.entry.started_us // 1000 <= permit.started_ms:
@@ -134,7 +134,7 @@
             elif excluded.kind == CommandKind.DRAIN:
                 yield ReplicatedCommand(CommandKind.RESUME, command_id, "", 0, name)
 
-    def upstream(self, name: str) -> ListedUpstream | None:
+    def find_upstream(self, name: str) -> ListedUpstream | None:
         """Returns an upstream that is listed, by name."""
         return self.engine.listed_upstreams().get(self.directory.numbers.get(name, -1))
 
--- a/sidecar_proxy/consensus/fleet_commands.py
+++ b/sidecar_proxy/consensus/fleet_commands.py
@@ -13,6 +13,7 @@
 from sidecar_proxy.consensus import disruption_budgets, replicated_commands
 from sidecar_proxy.consensus.disruption_budgets import TargetKind, permit_key
 from sidecar_proxy.consensus.errors import CommandError, ProposalRejectedError
+from sidecar_proxy.consensus.fact_collector import DisruptionFactCollector
 from sidecar_proxy.consensus.outputs import Output
 from sidecar_proxy.consensus.proposals import ProposalResult, ProposalStatus
 from sidecar_proxy.consensus.replica import Replica
@@ -22,7 +23,6 @@
     CommandKind,
     ReplicatedCommand,
 )
-from sidecar_proxy.consensus.witness import DisruptionWitness
 from sidecar_proxy.engine import wall_clock
 
 COMMAND_KINDS: dict[str, str] = {kind.value.upper(): kind for kind in CommandKind}
@@ -34,7 +34,7 @@
     """The subsystem that the commands belong to."""
 
     replica: Replica
-    witness: DisruptionWitness
+    fact_collector: DisruptionFactCollector
     is_closed: bool
 
     def perform(self, outputs: list[Output]) -> None:
@@ -43,7 +43,7 @@
     def now_us(self) -> int:
         """Returns the engine's time."""
 
-    def frame_counts(self) -> dict[str, int]:
+    def transport_counts(self) -> dict[str, int]:
         """Returns the transport's counts."""
 
 
@@ -98,7 +98,7 @@
         if verb == "STATUS":
             is_writing = replica.driver.unpersisted is not None
             status = reporter.describe(now_us, is_writing)
-            return encode_answer({**status, "counts": self.host.frame_counts()})
+            return encode_answer({**status, "counts": self.host.transport_counts()})
         age_s = reporter.age_s(now_us)
         if verb == "LOG":
             return encode_answer({"age_s": age_s, "words": reporter.describe_recent_commands()})
@@ -135,7 +135,7 @@
 
     def _started_ms(self, name: str) -> int:
         """Returns the start of an upstream in Unix milliseconds, 0 = long ago. Raises AdminCommandError."""
-        upstream = self.host.witness.upstream(name)
+        upstream = self.host.fact_collector.find_upstream(name)
         if upstream is None:
             raise AdminCommandError("no upstream of that name is listed")
         return upstream.entry.started_us // 1000
@@ -161,7 +161,7 @@
         if self.host.is_closed:
             return False
         settings = replicated_commands.settings_of(self.host.replica.state)
-        return bool(disruption_budgets.budgets(settings, TargetKind.SIDECAR))
+        return bool(disruption_budgets.configured_budgets(settings, TargetKind.SIDECAR))
 
     async def _pause_with_permit(self, pause: AdminCommand, argument: str) -> str:
         value = FORCE if argument == FORCE else ""
--- a/sidecar_proxy/consensus/leader_requests.py
+++ b/sidecar_proxy/consensus/leader_requests.py
@@ -18,7 +18,7 @@
 from sidecar_proxy.consensus.messages import Entry, NodeId
 from sidecar_proxy.consensus.proposals import PendingProposals, ProposalStatus
 from sidecar_proxy.consensus.replica_context import ReplicaContext
-from sidecar_proxy.consensus.replicated_commands import Outcome, ReplicatedCommand
+from sidecar_proxy.consensus.replicated_commands import ApplyResult, ReplicatedCommand
 
 MAX_PENDING_REQUESTS = 256  # reads, and likewise commands of one term that wait for their commit
 BARRIER_CONTEXT = 0  # of a read that only confirms the leadership
@@ -104,7 +104,7 @@
         facts = self.facts_provider(command) if self.facts_provider else None
         return replicated_commands.encode_command_with_facts(msgspec.structs.replace(command, facts=facts))
 
-    def on_applied(self, entry: Entry, outcome: Outcome) -> None:
+    def on_applied(self, entry: Entry, outcome: ApplyResult) -> None:
         """Replies to those who wait for an entry that is committed and applied now."""
         proposed = self.proposed.pop(entry.index, None)
         if proposed is None:
--- a/sidecar_proxy/consensus/replica.py
+++ b/sidecar_proxy/consensus/replica.py
@@ -141,7 +141,7 @@
             ticks = self.core.ticks_until_due()
         else:
             ticks = self._ticks_until(self.transfer.fetcher.due_us)
-        if self.broadcaster.has_news:
+        if self.broadcaster.has_unsent_change:
             ticks = min(ticks, self._ticks_until(self.broadcaster.next_broadcast_us))
         self.planned_ticks = max(1, min(ticks, MAX_IDLE_TICKS))
         return self.last_tick_us + self.planned_ticks * TICK_US
@@ -185,7 +185,7 @@
         leader = core.leader if self.context.is_voter else self.peers.reported_leader()
         if core.is_leader:
             if self.was_leader:
-                heard_us = self.voter_manager.quorum_heard_us(now_us)
+                heard_us = self.voter_manager.last_quorum_contact_us(now_us)
                 self.context.up_to_date_us = max(self.context.up_to_date_us, heard_us)
             else:
                 self.was_leader = True
@@ -229,7 +229,7 @@
         peer = self.peers.update(name, site, status, now_us)
         if peer is not None and status.is_voter:
             if status.commit_index > self.core.commit_index:
-                self.transfer.fetcher.on_news(now_us, len(self.peers.peers))
+                self.transfer.fetcher.on_newer_commit(now_us, len(self.peers.peers))
             elif status.commit_index == self.core.commit_index and status.fleet_id == fleet_id:
                 self.context.up_to_date_us = now_us
         return self._finish(now_us)
--- a/sidecar_proxy/consensus/replicated_commands.py
+++ b/sidecar_proxy/consensus/replicated_commands.py
@@ -114,7 +114,7 @@
     permits: PermitState = msgspec.field(default_factory=PermitState)
 
 
-class Outcome(msgspec.Struct, frozen=True):
+class ApplyResult(msgspec.Struct, frozen=True):
     """The outcome of applying an entry; `text` is additional information on a success."""
 
     index: int
@@ -122,7 +122,7 @@
     text: str = ""
 
 
-class Effect(msgspec.Struct, frozen=True):
+class CommandOutcome(msgspec.Struct, frozen=True):
     """What a command did: an error, or a success with additional information."""
 
     error: str = ""
@@ -228,22 +228,22 @@
     return encode_state(ReplicatedState(fleet_id=fleet_id, index=1))
 
 
-def apply(state: ReplicatedState, entry: Entry) -> Outcome:
+def apply(state: ReplicatedState, entry: Entry) -> ApplyResult:
     """Applies the next committed entry."""
     assert entry.index == state.index + 1
     state.index = entry.index
     if entry.voters is not None or not entry.data:
-        return Outcome(entry.index)
+        return ApplyResult(entry.index)
     command = decode_command(entry.data)
     if command is None:
         state.unknown_commands.append((entry.index, entry.data))
         del state.unknown_commands[:-MAX_UNKNOWN_COMMANDS]
-        return Outcome(entry.index, "of a kind that this version does not know")
+        return ApplyResult(entry.index, "of a kind that this version does not know")
     earlier = state.results.get(command.id)
     if earlier is not None:
         if earlier.digest != command_digest(command):
-            return Outcome(earlier.index, "that id was used for another word")
-        return Outcome(earlier.index, earlier.error, earlier.text)
+            return ApplyResult(earlier.index, "that id was used for another word")
+        return ApplyResult(earlier.index, earlier.error, earlier.text)
     effect = _execute(state, command, entry.index)
     state.results[command.id] = CommandResult(entry.index, command_digest(command), effect.error, effect.text)
     if len(state.results) > MAX_RESULTS:
@@ -251,10 +251,10 @@
     if not effect.error:
         state.recent_commands.append((entry.index, command))
         del state.recent_commands[:-MAX_RECENT_COMMANDS]
-    return Outcome(entry.index, effect.error, effect.text)
+    return ApplyResult(entry.index, effect.error, effect.text)
 
 
-def _execute(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
+def _execute(state: ReplicatedState, command: ReplicatedCommand, index: int) -> CommandOutcome:
     if command.kind in (CommandKind.SUSPEND, CommandKind.DRAIN):
         return _exclude(state, command, index)
     if command.kind == CommandKind.PERMIT:
@@ -267,14 +267,14 @@
     return _change_setting(state, command, index)
 
 
-def _change_setting(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
+def _change_setting(state: ReplicatedState, command: ReplicatedCommand, index: int) -> CommandOutcome:
     if command.kind != CommandKind.SET:
         state.settings.pop(command.name, None)
-        return Effect()
+        return CommandOutcome()
     if command.name not in state.settings and len(state.settings) >= MAX_SETTINGS:
-        return Effect("too many settings")
+        return CommandOutcome("too many settings")
     state.settings[command.name] = Setting(index, command.value)
-    return Effect()
+    return CommandOutcome()
 
 
 def settings_of(state: ReplicatedState) -> dict[str, str]:
@@ -294,14 +294,14 @@
     )
 
 
-def _exclude(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
+def _exclude(state: ReplicatedState, command: ReplicatedCommand, index: int) -> CommandOutcome:
     """Excludes an upstream; where there are budgets it needs a permit, unless it has one."""
     excluded = state.excluded.get(command.name)
     if excluded is None and len(state.excluded) >= MAX_EXCLUDED:
-        return Effect("too many are held")
+        return CommandOutcome("too many are held")
     settings = settings_of(state)
     key = disruption_budgets.permit_key(TargetKind.UPSTREAM, command.name)
-    has_budgets = bool(disruption_budgets.budgets(settings, TargetKind.UPSTREAM))
+    has_budgets = bool(disruption_budgets.configured_budgets(settings, TargetKind.UPSTREAM))
     if has_budgets and excluded is None and key not in state.permits.granted:
         outcome = disruption_budgets.request_permit(
             state.permits,
@@ -312,19 +312,19 @@
             force=command.value == FORCE,
         )
         if outcome.rejection:
-            return Effect(outcome.rejection)
+            return CommandOutcome(outcome.rejection)
     # A drain ends by itself and a suspension must not, so a drain does not replace a suspension.
     if excluded is None or excluded.kind != CommandKind.SUSPEND:
         started_ms = command.started_ms if command.kind == CommandKind.DRAIN else 0
         state.excluded[command.name] = ExcludedUpstream(index, command.kind, started_ms)
-    return Effect()
+    return CommandOutcome()
 
 
-def _request_permit(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
+def _request_permit(state: ReplicatedState, command: ReplicatedCommand, index: int) -> CommandOutcome:
     target_kind, _, name = command.name.partition(":")
     settings = settings_of(state)
-    if not disruption_budgets.budgets(settings, target_kind):
-        return Effect(f"there is no budget of {target_kind}s (set out.{target_kind})")
+    if not disruption_budgets.configured_budgets(settings, target_kind):
+        return CommandOutcome(f"there is no budget of {target_kind}s (set out.{target_kind})")
     outcome = disruption_budgets.request_permit(
         state.permits,
         settings,
@@ -337,28 +337,28 @@
     answer = outcome.rejection or outcome.queued
     # Earlier versions tell a queued request by its text, so a rejected target whose name begins with
     # "queued" counts as queued. All versions must arrive at the same state.
-    return Effect(text=answer) if answer.startswith("queued") else Effect(error=answer)
+    return CommandOutcome(text=answer) if answer.startswith("queued") else CommandOutcome(error=answer)
 
 
-def _return_named_permit(state: ReplicatedState, command: ReplicatedCommand, index: int) -> Effect:
+def _return_named_permit(state: ReplicatedState, command: ReplicatedCommand, index: int) -> CommandOutcome:
     target_kind, name = command.name.split(":", 1)
     is_granted = disruption_budgets.permit_key(target_kind, name) in state.permits.granted
     if not is_granted and not any(queued.permit.target.name == name for queued in state.permits.queue):
-        return Effect("it holds no place and waits for none")
+        return CommandOutcome("it holds no place and waits for none")
     if target_kind == TargetKind.UPSTREAM and name in state.excluded:
-        return Effect("it is held out: resume it")
+        return CommandOutcome("it is held out: resume it")
     return _return_permit(state, command, target_kind, name, index)
 
 
 def _return_permit(
     state: ReplicatedState, command: ReplicatedCommand, target_kind: str, name: str, index: int
-) -> Effect:
+) -> CommandOutcome:
     granted = disruption_budgets.return_permit(
         state.permits, settings_of(state), target_kind, name, command.facts, state.excluded, index
     )
     if not granted:
-        return Effect()
-    return Effect(text=f"places given to {', '.join(permit.target.name for permit in granted)}")
+        return CommandOutcome()
+    return CommandOutcome(text=f"places given to {', '.join(permit.target.name for permit in granted)}")
 
 
 def describe_state(state: ReplicatedState) -> dict[str, Any]:
--- a/sidecar_proxy/consensus/state_machine.py
+++ b/sidecar_proxy/consensus/state_machine.py
@@ -5,7 +5,7 @@
 from sidecar_proxy.consensus import replicated_commands
 from sidecar_proxy.consensus.log import PersistedState
 from sidecar_proxy.consensus.messages import Entry
-from sidecar_proxy.consensus.replicated_commands import Outcome, ReplicatedState
+from sidecar_proxy.consensus.replicated_commands import ApplyResult, ReplicatedState
 
 
 class StateMachine:
@@ -20,7 +20,7 @@
         for entry in persisted.log.entries_between(first_index, commit_index):
             self.apply(entry)
 
-    def apply(self, entry: Entry) -> Outcome:
+    def apply(self, entry: Entry) -> ApplyResult:
         """Applies the next committed entry."""
         return replicated_commands.apply(self.state, entry)
 
--- a/sidecar_proxy/consensus/state_transfer.py
+++ b/sidecar_proxy/consensus/state_transfer.py
@@ -52,7 +52,7 @@
         self.source: NodeId = ""
         self.requested_at_us = 0
         self.due_us = now_us
-        self.has_news = False  # a voter has committed more than this sidecar has
+        self.is_behind = False  # a voter has committed more than this sidecar has
         self.failed_source: NodeId = ""
         self.max_bytes = MAX_CHUNK_BYTES
         self.partial: PartialSnapshot | None = None
@@ -62,10 +62,10 @@
         """Bytes of the partial snapshot."""
         return len(self.partial.data) if self.partial else 0
 
-    def on_news(self, now_us: int, sidecar_count: int) -> None:
+    def on_newer_commit(self, now_us: int, sidecar_count: int) -> None:
         """Asks soon, as a voter has committed more than this sidecar has."""
-        if not self.has_news:
-            self.has_news = True
+        if not self.is_behind:
+            self.is_behind = True
             spread_us = min(MAX_SPREAD_US, sidecar_count * SPREAD_PER_SIDECAR_US)
             self.due_us = min(self.due_us, now_us + int(self.rng.random() * spread_us))
 
@@ -104,7 +104,7 @@
 
     def schedule_next(self, now_us: int, has_more: bool) -> None:
         """Schedules the next request after a response: at once if there is more, else the next poll."""
-        self.has_news = has_more
+        self.is_behind = has_more
         if has_more:
             self.due_us = now_us
         else:
--- a/sidecar_proxy/consensus/status.py
+++ b/sidecar_proxy/consensus/status.py
@@ -46,16 +46,16 @@
         self.process_id = process_id
         self.tracker = tracker
         self.next_broadcast_us = now_us
-        self.has_news = True
+        self.has_unsent_change = True
         self.last_status: ReplicaStatus | None = None  # as broadcast, without the time of leadership
 
     def broadcast_if_due(self, now_us: int) -> None:
         """Broadcasts the status if it has changed and the interval has passed."""
         status = self._current_status()
-        self.has_news = status != self.last_status
-        if not self.has_news or now_us < self.next_broadcast_us:
+        self.has_unsent_change = status != self.last_status
+        if not self.has_unsent_change or now_us < self.next_broadcast_us:
             return
-        self.has_news = False
+        self.has_unsent_change = False
         self.last_status = status
         interval_us = VOTER_BROADCAST_INTERVAL_US if status.is_voter else LEARNER_BROADCAST_INTERVAL_US
         self.next_broadcast_us = now_us + interval_us
--- a/sidecar_proxy/consensus/subsystem.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -19,6 +19,7 @@
 from sidecar_proxy.consensus import frames
 from sidecar_proxy.consensus.disk import disk_of_process
 from sidecar_proxy.consensus.errors import CommandError, DamagedLogError, FrameError
+from sidecar_proxy.consensus.fact_collector import DisruptionFactCollector
 from sidecar_proxy.consensus.fleet_commands import FleetCommands, wall_ms
 from sidecar_proxy.consensus.frames import Frame
 from sidecar_proxy.consensus.log import PersistedState
@@ -44,7 +45,6 @@
 from sidecar_proxy.consensus.storage import LogStore
 from sidecar_proxy.consensus.transport import Address, ConsensusTransport
 from sidecar_proxy.consensus.voters import name_of
-from sidecar_proxy.consensus.witness import DisruptionWitness
 from sidecar_proxy.discovery.endpoint_list import EndpointDirectory
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.gossip.instance import SubsystemMessage
@@ -92,8 +92,8 @@
             self.replica = self._open_replica(replica_limits(settings), seed)
         except OSError as error:
             raise OperatorError(f"agreement.folder: {error}") from error
-        self.witness = DisruptionWitness(engine, directory, gossip, self.replica)
-        self.replica.leader_requests.facts_provider = self.witness.facts
+        self.fact_collector = DisruptionFactCollector(engine, directory, gossip, self.replica)
+        self.replica.leader_requests.facts_provider = self.fact_collector.collect_facts
         self.transport = ConsensusTransport(gossip.keyring, self.replica.node_id, engine.clock.now_us, self)
         self.commands = FleetCommands(self, engine.loop)
         if admin_server is not None:
@@ -148,7 +148,7 @@
         """Returns the engine's time."""
         return self.engine.clock.now_us()
 
-    def frame_counts(self) -> dict[str, int]:
+    def transport_counts(self) -> dict[str, int]:
         """Returns the transport's counts."""
         return dict(self.transport.counts)
 
@@ -225,11 +225,13 @@
     def _maintain(self) -> None:
         """Maintains the connections, and returns permits that have become obsolete."""
         self.transport.maintain()
-        own_command = self.witness.own_return_command(self.replica.state) if self.is_serving() else None
+        own_command = (
+            self.fact_collector.own_return_command(self.replica.state) if self.is_serving() else None
+        )
         if own_command is not None and self.replica.is_idle:
             self._submit_unawaited(own_command)
         if self.replica.core.is_leader and self.replica.is_idle:
-            for command in self.witness.upstream_return_commands(self.replica.state):
+            for command in self.fact_collector.upstream_return_commands(self.replica.state):
                 self._submit_unawaited(command)
         self.maintenance_timer = self.engine.loop.call_later(MAINTENANCE_INTERVAL_S, self._maintain)
 
--- a/sidecar_proxy/consensus/transfer_manager.py
+++ b/sidecar_proxy/consensus/transfer_manager.py
@@ -31,7 +31,7 @@
 
     def request_if_due(self, now_us: int) -> None:
         """Asks for what is committed; a voter gets it from the leader and asks only if it is far behind."""
-        if self.context.is_voter and not self.fetcher.has_news:
+        if self.context.is_voter and not self.fetcher.is_behind:
             return
         voters = self.context.peers.voter_nodes()
         request = self.fetcher.next_request(now_us, voters, self.context.core.commit_index)
@@ -55,7 +55,7 @@
         known = Snapshot(min(commit_index, offer.index))
         core.step(InstallSnapshot(offer.source, offer.target, offer.term, known, offer.round))
         if offer.index > commit_index and offer.term >= core.term:
-            self.fetcher.on_news(now_us, 0)
+            self.fetcher.on_newer_commit(now_us, 0)
 
     def handle_response(
         self, node: NodeId, response: EntryBatch | SnapshotChunk | FetchLater, now_us: int
--- a/sidecar_proxy/consensus/voter_manager.py
+++ b/sidecar_proxy/consensus/voter_manager.py
@@ -21,7 +21,7 @@
 
     def __init__(self, context: ReplicaContext, now_us: int) -> None:
         self.context = context
-        self.heard_us: dict[NodeId, int] = {}  # when a voter was last heard
+        self.last_contact_us: dict[NodeId, int] = {}  # when a voter was last heard
         self.next_check_us = now_us
         self.candidate: NodeId = ""  # that gets the log in order to become a voter
         self.candidate_deadline_us = 0
@@ -31,28 +31,28 @@
     def on_frame(self, node: NodeId, now_us: int) -> None:
         """Records that a voter was heard."""
         if node in self.context.core.voters:
-            self.heard_us[node] = now_us
+            self.last_contact_us[node] = now_us
 
     def on_stall(self, now_us: int) -> None:
         """Forgets silences after this process was itself stopped for a while."""
         self.barrier_round = 0
-        self.heard_us = dict.fromkeys(self.heard_us, now_us)
+        self.last_contact_us = dict.fromkeys(self.last_contact_us, now_us)
 
     def on_elected(self, now_us: int) -> None:
         """Starts afresh as a new leader."""
         self.barrier_round = 0
         self.candidate = ""
         self.context.core.learners.clear()
-        self.heard_us.update(dict.fromkeys(self.context.core.voters, now_us))
+        self.last_contact_us.update(dict.fromkeys(self.context.core.voters, now_us))
 
-    def quorum_heard_us(self, now_us: int) -> int:
+    def last_quorum_contact_us(self, now_us: int) -> int:
         """Returns when a quorum was last heard."""
         core = self.context.core
-        times_us = sorted((self._heard_us(node, now_us) for node in core.voters), reverse=True)
+        times_us = sorted((self._last_contact_us(node, now_us) for node in core.voters), reverse=True)
         return times_us[core.quorum_size() - 1]
 
-    def _heard_us(self, node: NodeId, now_us: int) -> int:
-        return now_us if node == self.context.node_id else self.heard_us.get(node, 0)
+    def _last_contact_us(self, node: NodeId, now_us: int) -> int:
+        return now_us if node == self.context.node_id else self.last_contact_us.get(node, 0)
 
     def check_if_due(self, now_us: int) -> None:
         """Looks twice a second whether the voters have to change."""
@@ -79,7 +79,7 @@
             core.propose_voters(voters)
         except ProposalRejectedError:
             return  # nothing of this term, or the last change, is not committed yet: the next check retries
-        self.heard_us = {node: self.heard_us.get(node, now_us) for node in voters}
+        self.last_contact_us = {node: self.last_contact_us.get(node, now_us) for node in voters}
         self.context.outbox.log("voters from now on: " + ", ".join(map(name_of, sorted(voters))))
 
     def _responsive_nodes(self) -> set[NodeId]:
@@ -106,7 +106,9 @@
         }
         candidates[context.name] = Candidate(context.node_id, context.name, context.site, True)
         silent_us = {
-            node: now_us - self.heard_us.get(node, now_us) for node in voters if node != context.node_id
+            node: now_us - self.last_contact_us.get(node, now_us)
+            for node in voters
+            if node != context.node_id
         }
         return VoterPlanner(
             context.node_id,
--- a/tests/consensus/test_disruption_budgets.py
+++ b/tests/consensus/test_disruption_budgets.py
@@ -12,7 +12,7 @@
 from sidecar_proxy.consensus import replicated_commands
 from sidecar_proxy.consensus.disruption_budgets import DisruptionFacts, Scope, Target, parse_limit
 from sidecar_proxy.consensus.messages import Entry
-from sidecar_proxy.consensus.replicated_commands import Outcome, ReplicatedCommand, ReplicatedState
+from sidecar_proxy.consensus.replicated_commands import ApplyResult, ReplicatedCommand, ReplicatedState
 from sidecar_proxy.testbed.scenario import Scene
 from tests.consensus.rig import (
     PLAN,
@@ -51,13 +51,13 @@
 
     def apply(
         self, kind: str, name: str, value: str = "", command_facts: DisruptionFacts | None = None
-    ) -> Outcome:
+    ) -> ApplyResult:
         index = self.state.index + 1
         command = ReplicatedCommand(kind, f"w{index}", "s0", 0, name, 1, value, command_facts)
         data = replicated_commands.encode_command_with_facts(command)
         return replicated_commands.apply(self.state, Entry(1, index, data))
 
-    def apply_to(self, kind: str, target: Target, *unavailable: Target, value: str = "") -> Outcome:
+    def apply_to(self, kind: str, target: Target, *unavailable: Target, value: str = "") -> ApplyResult:
         """Apply a command about an upstream, with facts."""
         needs_key = kind in ("permit", "return")
         name = f"node:{target.name}" if needs_key else target.name
--- a/tests/model_checking/test_fleets.py
+++ b/tests/model_checking/test_fleets.py
@@ -80,7 +80,7 @@
 def test_a_repeat_that_takes_effect_again_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     apply = words.apply
 
-    def forgets(state: words.ReplicatedState, entry: Any) -> words.Outcome:
+    def forgets(state: words.ReplicatedState, entry: Any) -> words.ApplyResult:
         state.results.clear()
         return apply(state, entry)
 
