--- a/sidecar_proxy/consensus/__init__.py
+++ b/sidecar_proxy/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus among sidecars: a small replicated log after Raft, and the fleet-wide state that it carries."""
+"""Consensus among sidecars: a log replicated by Raft, and the fleet-wide state that its entries produce."""
--- a/sidecar_proxy/consensus/disruption_budgets.py
+++ b/sidecar_proxy/consensus/disruption_budgets.py
@@ -1,8 +1,9 @@
-"""Disruption budgets: who holds a permit to be out, whether one more may be granted, and who is next.
+"""Disruption budgets: how many upstreams and sidecars may be out of service at the same time.
 
-A permit is held for an upstream that is drained, suspended or restarted, or for a sidecar that is paused.
-The budgets are settings of the replicated state. Everything here is part of that state, so it depends on
-the committed commands alone, and texts that are stored in it must not change.
+A permit is needed to drain, suspend or restart an upstream, or to pause a sidecar. It is granted if no budget
+would be exceeded, and is otherwise rejected or queued. The budgets are settings of the replicated state, and
+the permits are part of that state: they depend on the committed commands alone, and the texts that are stored
+with them must not change.
 """
 
 from __future__ import annotations
@@ -16,25 +17,25 @@
 
 MAX_PERMITS = 500
 MAX_QUEUED_PERMITS = 100
-MAX_NAMED_UNAVAILABLE = 8  # the others are only counted
+MAX_NAMED_UNAVAILABLE = 8  # unavailable targets that the facts name; the others are counted
 MAX_REASON_CHARS = 200
 MAX_REASON_NAMES = 5
 MAX_SETTING_DIGITS = 9
-SETTING_PREFIX = "out."  # the settings are out.node, out.node.site, out.sidecar, ...
+SETTING_PREFIX = "out."  # the prefix of the budget settings out.node, out.node.site, out.sidecar, ...
 
 Text = Annotated[str, Meta(max_length=128)]
 UnsignedInt = Annotated[int, Meta(ge=0, le=1 << 53)]
 
 
 class TargetKind(enum.StrEnum):
-    """What a permit is for. The values are those of the commands and settings."""
+    """What a permit is for. The values are part of commands and of the names of settings."""
 
     UPSTREAM = "node"
     SIDECAR = "sidecar"
 
 
 class Scope(enum.StrEnum):
-    """What a budget counts. The values are the last part of a setting's name."""
+    """The targets that a budget covers together. The values are the last part of a setting's name."""
 
     ALL = ""
     SITE = "site"
@@ -43,12 +44,12 @@
 
 
 class Target(msgspec.Struct, array_like=True, frozen=True):
-    """An upstream or a sidecar, with the groups in which it counts."""
+    """An upstream or a sidecar, with the groups whose budgets cover it."""
 
     name: Annotated[str, Meta(max_length=256)]
     site: Text = ""
     upstream_class: Text = ""
-    cell: Text = ""  # of a sidecar: its process id
+    cell: Text = ""  # for a sidecar, this field holds its process id instead
 
     def group(self, scope: str) -> str:
         """Returns the group in which the target counts for budgets of a scope."""
@@ -66,30 +67,32 @@
 
 
 class DisruptionFacts(msgspec.Struct, array_like=True, frozen=True):
-    """What the leader knows when it proposes a command that needs or returns a permit."""
+    """What the leader knows about unavailable targets when it proposes a command about a permit."""
 
     target_kind: Annotated[str, Meta(max_length=8)]
     target: Target
-    totals: tuple[UnsignedInt, UnsignedInt, UnsignedInt, UnsignedInt]  # in the target's groups, by Scope
-    unavailable: Annotated[tuple[Target, ...], Meta(max_length=MAX_NAMED_UNAVAILABLE)] = ()  # without permit
-    unnamed_unavailable_count: UnsignedInt = 0
+    # The size of the target's group for each Scope, in the order of Scope.
+    totals: tuple[UnsignedInt, UnsignedInt, UnsignedInt, UnsignedInt]
+    # Other targets that are out of service for another reason than a permit.
+    unavailable: Annotated[tuple[Target, ...], Meta(max_length=MAX_NAMED_UNAVAILABLE)] = ()
+    unnamed_unavailable_count: UnsignedInt = 0  # further such targets that `unavailable` has no room for
 
 
 class Permit(msgspec.Struct, array_like=True, frozen=True):
-    """The permission to be out."""
+    """The permission for one target to be out of service."""
 
-    index: UnsignedInt  # of the command that granted it
+    index: UnsignedInt  # the log index of the command that granted it
     target_kind: str
     target: Target
-    requested_by: str  # the sidecar whose admin server was asked
-    id: str  # of the command that asked for it
-    started_ms: UnsignedInt  # the start of the target's process; 0 = long ago
-    requested_at_ms: UnsignedInt  # only shown
-    exceeded_budget: str = ""  # the reason that was overridden by force
+    requested_by: str  # the sidecar at which the command was submitted
+    id: str  # the id of the command that requested it
+    started_ms: UnsignedInt  # the target's latest start at the time of the request; 0 = long ago
+    requested_at_ms: UnsignedInt  # shown to operators; it decides nothing
+    exceeded_budget: str = ""  # the reason for a rejection that `force` has overridden; "" = none
 
 
 class QueuedPermit(msgspec.Struct, array_like=True, frozen=True):
-    """A permit that waits until the budgets allow it."""
+    """A requested permit that is granted as soon as the budgets allow it."""
 
     permit: Permit
     facts: DisruptionFacts
@@ -98,18 +101,22 @@
 class PermitState(msgspec.Struct, array_like=True):
     """All permits; a part of the replicated state."""
 
-    granted: dict[str, Permit] = {}  # by `permit_key`
-    queue: list[QueuedPermit] = []
-    forced_count: int = 0  # ever
+    granted: dict[str, Permit] = {}  # permits by `permit_key`
+    queue: list[QueuedPermit] = []  # oldest first
+    forced_count: int = 0  # permits that were granted beyond a budget since the fleet was created
 
 
 def permit_key(target_kind: str, name: str) -> str:
-    """Returns the key of a target's permit."""
+    """Returns the key of a target's permit, as node:NAME or sidecar:NAME."""
     return f"{target_kind}:{name}"
 
 
 def parse_limit(setting: str, total: int) -> int | None:
-    """Returns how many of `total` may be out by a budget's setting, or None if it is not valid."""
+    """Returns how many of `total` targets a budget allows to be out, or None if its setting is not valid.
+
+    The setting is a count, or a percentage, which is rounded down but allows at least one target unless it
+    is 0%.
+    """
     stripped = setting.strip()
     number = stripped.removesuffix("%")
     if not number.isascii() or not number.isdigit() or len(number) > MAX_SETTING_DIGITS:
@@ -120,7 +127,7 @@
 
 
 def check_budget_setting(name: str, value: str) -> str:
-    """Returns what is wrong with a setting if it is a budget; "" = nothing."""
+    """Returns what is wrong with a setting that is a budget, or "" if it is valid or no budget."""
     if not name.startswith(SETTING_PREFIX):
         return ""
     target_kind, _, scope = name.removeprefix(SETTING_PREFIX).partition(".")
@@ -132,7 +139,7 @@
 
 
 def configured_budgets(settings: Mapping[str, str], target_kind: str) -> dict[Scope, str]:
-    """Returns the settings of the budgets for a kind of target."""
+    """Returns the settings of the budgets that are configured for a kind of target, by scope."""
     base = SETTING_PREFIX + target_kind
     by_scope = {scope: settings.get(f"{base}.{scope}" if scope else base, "") for scope in Scope}
     return {scope: setting for scope, setting in by_scope.items() if setting}
@@ -141,44 +148,44 @@
 def find_exceeded_budget(
     state: PermitState, settings: Mapping[str, str], facts: DisruptionFacts, excluded: Iterable[str] = ()
 ) -> str:
-    """Returns which budget one more target would exceed, and who is out; "" = none.
+    """Returns a message about the budget that one more target would exceed, or "" if there is none.
 
-    `excluded` names the upstreams that are excluded without a permit. Nothing else is known of them, so they
-    count in every group.
+    `excluded` names the excluded upstreams. Those that are neither permitted nor in the facts have an unknown
+    group, so they count in every group.
     """
     target = facts.target
-    others = {
+    unavailable = {
         permit.target.name: permit.target
         for permit in state.granted.values()
         if permit.target_kind == facts.target_kind
     }
-    others |= {other.name: other for other in facts.unavailable if other.name not in others}
+    unavailable |= {other.name: other for other in facts.unavailable if other.name not in unavailable}
     ungrouped: set[str] = set()
     if facts.target_kind == TargetKind.UPSTREAM:
-        ungrouped = {name for name in excluded if name not in others}
-    others.pop(target.name, None)
+        ungrouped = {name for name in excluded if name not in unavailable}
+    unavailable.pop(target.name, None)
     ungrouped.discard(target.name)
     configured = configured_budgets(settings, facts.target_kind)
     for scope, total in zip(Scope, facts.totals, strict=True):
         if scope not in configured:
             continue
-        max_out = parse_limit(configured[scope], total) or 0
-        names = [name for name, other in others.items() if other.shares_group(target, scope)]
+        limit = parse_limit(configured[scope], total) or 0
+        names = [name for name, other in unavailable.items() if other.shares_group(target, scope)]
         names += ungrouped
-        out_count = len(names) + facts.unnamed_unavailable_count
-        if out_count + 1 > max_out:
+        unavailable_count = len(names) + facts.unnamed_unavailable_count
+        if unavailable_count + 1 > limit:
             group = f" of {scope} {target.group(scope)}" if scope else ""
             listed = ", ".join(sorted(names)[:MAX_REASON_NAMES])
-            reason = f"{out_count} {facts.target_kind}s{group} are out ({listed}), {max_out} may be"
+            reason = f"{unavailable_count} {facts.target_kind}s{group} are out ({listed}), {limit} may be"
             return reason[:MAX_REASON_CHARS]
     return ""
 
 
 class PermitOutcome(msgspec.Struct, frozen=True):
-    """The answer to a request for a permit: granted, queued or rejected."""
+    """The answer to a request for a permit, which is granted if both fields are empty."""
 
-    rejection: str = ""
-    queued: str = ""  # what it waits for
+    rejection: str = ""  # the reason why it was rejected
+    queued: str = ""  # its place in the queue, and the reason why it was queued
 
 
 def request_permit(
@@ -190,9 +197,9 @@
     force: bool = False,
     wait: bool = False,
 ) -> PermitOutcome:
-    """Grants a permit, queues it if `wait` is set, or rejects it.
+    """Grants a permit, or rejects it; a permit that a budget or the queue delays is queued if `wait` is set.
 
-    `force` grants it beyond the budgets and before those that wait.
+    `force` grants it even if it exceeds a budget or others are queued.
     """
     rejection = _check_permit_request(state, permit, facts)
     if rejection or facts is None:
@@ -232,10 +239,10 @@
     excluded: Iterable[str],
     index: int,
 ) -> list[Permit]:
-    """Removes a target's permit or its place in the queue, and returns the permits that are granted now.
+    """Removes a target's permit or queued request, and returns the permits that this allows to grant.
 
-    The queue is served in order: a request that does not fit holds up those behind it, so that none waits
-    for ever.
+    The queue of each kind of target is served in order: a request that would exceed a budget delays those
+    after it, so that no request can be overtaken for ever.
     """
     state.granted.pop(permit_key(target_kind, name), None)
     state.queue = [
@@ -250,7 +257,8 @@
         first = next((queued for queued in state.queue if queued.permit.target_kind == target_kind), None)
         if first is None:
             return newly_granted
-        # What is out now comes with this command, the size of the groups with the queued one.
+        # The unavailable targets are those of this command, as they are the newer ones. The sizes of the
+        # target's groups are known from the queued command alone.
         current_facts = DisruptionFacts(
             target_kind,
             first.permit.target,
--- a/sidecar_proxy/consensus/replicated_commands.py
+++ b/sidecar_proxy/consensus/replicated_commands.py
@@ -1,9 +1,9 @@
-"""The commands that hold for the whole fleet, and the replicated state that they produce.
+"""The commands for the whole fleet, and the replicated state that they produce.
 
 Every sidecar applies the same entries in the same order and arrives at the same state (the state machine of
-Ongaro's thesis, 2.1). A command carries an id that the operator chose, so a repeat is recognized. A command
-of a kind that this version does not know, or that can't be decoded at all, is stored as it came, for a
-version that knows it: it was committed, and no sidecar may arrive at another state because of it. For the
+Ongaro's thesis, 2.1). A command carries an id that the operator chose, so a repeated command is recognized.
+A command whose kind this version does not know, or that can't be decoded at all, is stored unchanged for a
+version that knows it: it was committed, and no sidecar may arrive at a different state because of it. For the
 same reason the texts of results, which are stored in the state, must not change.
 """
 
@@ -30,15 +30,15 @@
 
 
 class CommandKind(enum.StrEnum):
-    """The kinds of commands. The values are part of the log."""
+    """The kinds of commands. The values are stored in the log."""
 
-    SUSPEND = "suspend"  # sends nothing new to an upstream until it is resumed
-    DRAIN = "drain"  # sends nothing new to an upstream until its next start
-    RESUME = "resume"
-    SET = "set"
-    UNSET = "unset"
-    PERMIT = "permit"  # takes a permit for a target, as node:NAME or sidecar:NAME
-    RETURN = "return"  # returns it
+    SUSPEND = "suspend"  # excludes an upstream from new requests until it is resumed
+    DRAIN = "drain"  # excludes an upstream from new requests until it is restarted
+    RESUME = "resume"  # ends the suspension or drain of an upstream
+    SET = "set"  # changes a setting
+    UNSET = "unset"  # removes a setting
+    PERMIT = "permit"  # requests a disruption permit for a target, named node:NAME or sidecar:NAME
+    RETURN = "return"  # returns the disruption permit of a target
 
 
 KNOWN_KINDS: tuple[str, ...] = tuple(CommandKind)
@@ -49,73 +49,80 @@
     CommandKind.PERMIT,
     CommandKind.RETURN,
 )
-FORCE, WAIT = "force", "wait"  # values of commands that need a permit
+FORCE, WAIT = "force", "wait"  # the values of a command that needs a permit: exceed the budget, or queue
 MAX_ID_CHARS = 64
 MAX_NAME_CHARS = 256
 MAX_SETTING_NAME_CHARS = 64
 MAX_VALUE_CHARS = 512
 MAX_EXCLUDED = 2000
 MAX_SETTINGS = 200
-MAX_RESULTS = 2048  # commands whose id is remembered; an older one that is repeated is a new command
+MAX_RESULTS = 2048  # stored results; a command whose result was dropped is executed again if it is repeated
 MAX_UNKNOWN_COMMANDS = 256
-MAX_RECENT_COMMANDS = 256  # shown by `fleet log`
+MAX_RECENT_COMMANDS = 256  # commands that `fleet log` shows
 
 CommandId = Annotated[str, Meta(min_length=1, max_length=MAX_ID_CHARS)]
 UnsignedInt = Annotated[int, Meta(ge=0, le=1 << 53)]
 
 
 class ReplicatedCommand(msgspec.Struct, array_like=True, frozen=True):
-    """A command of an operator. Later versions may add fields at the end."""
+    """A command from an operator. Later versions may add fields at the end."""
 
     kind: Annotated[str, Meta(max_length=32)]
     id: CommandId
-    submitted_by: Annotated[str, Meta(max_length=MAX_ID_CHARS)]  # the sidecar that it was submitted at
-    submitted_at_ms: UnsignedInt  # by that sidecar's wall clock; only shown
-    name: Annotated[str, Meta(max_length=MAX_NAME_CHARS)] = ""  # of an upstream, a target or a setting
-    started_ms: UnsignedInt = 0  # the upstream's start that a drain or permit is for; 0 = long ago
+    submitted_by: Annotated[str, Meta(max_length=MAX_ID_CHARS)]  # the sidecar at which it was submitted
+    # The submission time by the wall clock of that sidecar; it is shown to operators and decides nothing.
+    submitted_at_ms: UnsignedInt
+    # The name of an upstream or a setting, or the key of a permit's target: node:NAME or sidecar:NAME.
+    name: Annotated[str, Meta(max_length=MAX_NAME_CHARS)] = ""
+    # The upstream's latest start when the command was submitted: a drain or permit ends with a later start.
+    # 0 stands for a start long ago.
+    started_ms: UnsignedInt = 0
     value: Annotated[str, Meta(max_length=MAX_VALUE_CHARS)] = ""
-    facts: DisruptionFacts | None = None  # added by the leader
+    facts: DisruptionFacts | None = None  # added by the leader when it proposes the command
 
 
 class ExcludedUpstream(msgspec.Struct, array_like=True, frozen=True):
-    """An upstream to which nothing new is sent."""
+    """An upstream that is excluded from new requests."""
 
-    index: UnsignedInt  # of the command
-    kind: str
-    started_ms: UnsignedInt
+    index: UnsignedInt  # the log index of the command that excluded it
+    kind: str  # the kind of that command, "suspend" or "drain"
+    started_ms: UnsignedInt  # a drain ends with a start of the upstream after this one; 0 for a suspension
 
 
 class Setting(msgspec.Struct, array_like=True, frozen=True):
     """The value of a setting."""
 
-    index: UnsignedInt  # of the command
+    index: UnsignedInt  # the log index of the command that set it
     value: str
 
 
 class CommandResult(msgspec.Struct, array_like=True, frozen=True):
-    """The result of a command, for those who repeat it."""
+    """The stored result of a command, which is returned again when the command is repeated."""
 
     index: UnsignedInt
-    digest: bytes  # of the command's kind, name and value
+    digest: bytes  # identifies the command's content: see `command_digest`
     error: str
     text: str = ""
 
 
 class ReplicatedState(msgspec.Struct, array_like=True):
-    """The result of all commands up to `index`; also the content of a snapshot."""
+    """The state after all commands up to `index` were applied; it is the content of a snapshot."""
 
-    fleet_id: str = ""  # random, from when the fleet was created
+    fleet_id: str = ""  # a random id that is chosen when the fleet is created
     index: int = 0
     excluded: dict[str, ExcludedUpstream] = {}
     settings: dict[str, Setting] = {}
-    results: dict[str, CommandResult] = {}  # by command id, the oldest first
+    results: dict[str, CommandResult] = {}  # results by command id, oldest first
     recent_commands: list[tuple[int, ReplicatedCommand]] = []
     unknown_commands: list[tuple[int, bytes]] = []
     permits: PermitState = msgspec.field(default_factory=PermitState)
 
 
 class ApplyResult(msgspec.Struct, frozen=True):
-    """The outcome of applying an entry; `text` is additional information on a success."""
+    """The result of applying an entry: an error, or a success with optional information in `text`.
+
+    For a repeated command, `index` and the texts are those of its first execution.
+    """
 
     index: int
     error: str = ""
@@ -123,7 +130,7 @@
 
 
 class CommandOutcome(msgspec.Struct, frozen=True):
-    """What a command did: an error, or a success with additional information."""
+    """The outcome of executing a command: an error, or a success with optional information in `text`."""
 
     error: str = ""
     text: str = ""
@@ -135,7 +142,7 @@
 
 
 def encode_command(command: ReplicatedCommand) -> bytes:
-    """Checks a command and returns it as the data of an entry. Raises CommandError."""
+    """Validates a command and returns it encoded as the data of an entry. Raises CommandError."""
     check_command(command)
     data = encode(command)
     if len(data) > MAX_ENTRY_DATA_BYTES:
@@ -144,7 +151,11 @@
 
 
 def encode_command_with_facts(command: ReplicatedCommand) -> bytes:
-    """Returns a command as the data of an entry; facts that do not fit are reduced to a count."""
+    """Returns a command with its facts encoded as the data of an entry.
+
+    If the data would be too long for an entry, the last unavailable targets are counted instead of named; if
+    that is not enough, the facts are left out.
+    """
     data = encode(command)
     while len(data) > MAX_ENTRY_DATA_BYTES and command.facts is not None and command.facts.unavailable:
         facts = msgspec.structs.replace(
@@ -160,14 +171,14 @@
 
 
 def check_command(command: ReplicatedCommand) -> None:
-    """Checks a command that is about to be submitted. Raises CommandError."""
+    """Validates a command before it is submitted. Raises CommandError."""
     _check_texts(command)
     if command.kind not in KNOWN_KINDS:
         raise CommandError(f"expected one of {', '.join(KNOWN_KINDS)}")
     if not command.id or " " in command.id:
         raise CommandError("expected an id without spaces")
-    names_target = command.kind in (CommandKind.PERMIT, CommandKind.RETURN)
-    if names_target and command.name.partition(":")[0] not in list(TargetKind):
+    has_target_key = command.kind in (CommandKind.PERMIT, CommandKind.RETURN)
+    if has_target_key and command.name.partition(":")[0] not in list(TargetKind):
         raise CommandError("expected node:NAME or sidecar:NAME")
     may_take_permit = command.kind in (CommandKind.SUSPEND, CommandKind.DRAIN, CommandKind.PERMIT)
     if may_take_permit and command.value not in ("", FORCE, WAIT):
@@ -193,7 +204,7 @@
 
 
 def decode_command(data: bytes) -> ReplicatedCommand | None:
-    """Returns the command in an entry's data, or None if it is of another version."""
+    """Returns the command in an entry's data, or None if this version does not know it."""
     try:
         command = codec.decode(command_decoder, data)
     except codec.CodecError:
@@ -202,22 +213,25 @@
 
 
 def command_digest(command: ReplicatedCommand) -> bytes:
-    """Returns what a repeat has in common: it may come by another sidecar, later, after a restart."""
+    """Returns the digest of a command's kind, name and value, by which a repeated command is recognized.
+
+    The other fields may differ: the command may be repeated at another sidecar, later, or after a restart.
+    """
     return hashlib.blake2b(encode([command.kind, command.name, command.value]), digest_size=16).digest()
 
 
 def decode_state(data: bytes) -> ReplicatedState:
-    """Returns the state in a snapshot's data; without data it is empty. Raises CommandError."""
+    """Returns the state encoded in a snapshot's data, or an empty state for no data. Raises CommandError."""
     if not data:
         return ReplicatedState()
     try:
         return codec.decode(state_decoder, data)
     except codec.CodecError as error:
-        raise CommandError(f"a snapshot that can't be read: {error}") from error
+        raise CommandError(f"the state in a snapshot can't be decoded: {error}") from error
 
 
 def encode_state(state: ReplicatedState) -> bytes:
-    """Returns the data of a snapshot. Its size is bounded, as all parts of the state are."""
+    """Returns the state encoded as the data of a snapshot. Its size is bounded, as each part of it is."""
     data = encode(state)
     assert len(data) <= MAX_SNAPSHOT_BYTES
     return data
@@ -229,7 +243,7 @@
 
 
 def apply(state: ReplicatedState, entry: Entry) -> ApplyResult:
-    """Applies the next committed entry."""
+    """Applies the next committed entry to the state and returns the result."""
     assert entry.index == state.index + 1
     state.index = entry.index
     if entry.voters is not None or not entry.data:
@@ -239,19 +253,21 @@
         state.unknown_commands.append((entry.index, entry.data))
         del state.unknown_commands[:-MAX_UNKNOWN_COMMANDS]
         return ApplyResult(entry.index, "of a kind that this version does not know")
-    earlier = state.results.get(command.id)
-    if earlier is not None:
-        if earlier.digest != command_digest(command):
-            return ApplyResult(earlier.index, "that id was used for another word")
-        return ApplyResult(earlier.index, earlier.error, earlier.text)
-    effect = _execute(state, command, entry.index)
-    state.results[command.id] = CommandResult(entry.index, command_digest(command), effect.error, effect.text)
+    earlier_result = state.results.get(command.id)
+    if earlier_result is not None:
+        if earlier_result.digest != command_digest(command):
+            return ApplyResult(earlier_result.index, "that id was used for another word")
+        return ApplyResult(earlier_result.index, earlier_result.error, earlier_result.text)
+    outcome = _execute(state, command, entry.index)
+    state.results[command.id] = CommandResult(
+        entry.index, command_digest(command), outcome.error, outcome.text
+    )
     if len(state.results) > MAX_RESULTS:
         del state.results[next(iter(state.results))]
-    if not effect.error:
+    if not outcome.error:
         state.recent_commands.append((entry.index, command))
         del state.recent_commands[:-MAX_RECENT_COMMANDS]
-    return ApplyResult(entry.index, effect.error, effect.text)
+    return ApplyResult(entry.index, outcome.error, outcome.text)
 
 
 def _execute(state: ReplicatedState, command: ReplicatedCommand, index: int) -> CommandOutcome:
@@ -278,7 +294,7 @@
 
 
 def settings_of(state: ReplicatedState) -> dict[str, str]:
-    """Returns all settings by name; the budgets are among them."""
+    """Returns the values of all settings by name, including the disruption budgets."""
     return {name: setting.value for name, setting in state.settings.items()}
 
 
@@ -295,7 +311,7 @@
 
 
 def _exclude(state: ReplicatedState, command: ReplicatedCommand, index: int) -> CommandOutcome:
-    """Excludes an upstream; where there are budgets it needs a permit, unless it has one."""
+    """Excludes an upstream, which needs a permit if there are budgets and it is not excluded already."""
     excluded = state.excluded.get(command.name)
     if excluded is None and len(state.excluded) >= MAX_EXCLUDED:
         return CommandOutcome("too many are held")
@@ -313,7 +329,8 @@
         )
         if outcome.rejection:
             return CommandOutcome(outcome.rejection)
-    # A drain ends by itself and a suspension must not, so a drain does not replace a suspension.
+    # A drain does not replace a suspension: it would end at the upstream's next start, but a suspension must
+    # last until the upstream is resumed.
     if excluded is None or excluded.kind != CommandKind.SUSPEND:
         started_ms = command.started_ms if command.kind == CommandKind.DRAIN else 0
         state.excluded[command.name] = ExcludedUpstream(index, command.kind, started_ms)
@@ -334,10 +351,11 @@
         force=command.value == FORCE,
         wait=command.value == WAIT,
     )
-    answer = outcome.rejection or outcome.queued
-    # Earlier versions tell a queued request by its text, so a rejected target whose name begins with
-    # "queued" counts as queued. All versions must arrive at the same state.
-    return CommandOutcome(text=answer) if answer.startswith("queued") else CommandOutcome(error=answer)
+    text = outcome.rejection or outcome.queued
+    # Earlier versions recognize a queued request by its text. The text of a rejection may begin with the name
+    # of the target, so a rejected target whose name begins with "queued" counts as queued. This version does
+    # the same, as all versions must arrive at the same state.
+    return CommandOutcome(text=text) if text.startswith("queued") else CommandOutcome(error=text)
 
 
 def _return_named_permit(state: ReplicatedState, command: ReplicatedCommand, index: int) -> CommandOutcome:
@@ -362,7 +380,7 @@
 
 
 def describe_state(state: ReplicatedState) -> dict[str, Any]:
-    """Returns the state as `fleet words` shows it."""
+    """Returns the state in the form of the answer to `FLEET WORDS`, which `fleet words` shows."""
     return {
         "fleet": state.fleet_id,
         "index": state.index,
@@ -394,7 +412,7 @@
 
 
 def describe_recent_commands(state: ReplicatedState) -> list[dict[str, Any]]:
-    """Returns the latest commands as `fleet log` shows them, oldest first."""
+    """Returns the latest commands in the form of the answer to `FLEET LOG`, oldest first."""
     return [
         {
             "index": index,
