--- a/sidecar_proxy/consensus/fleet_commands.py
+++ b/sidecar_proxy/consensus/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The admin commands of consensus: `FLEET …`, and permits for `PAUSE` and `RESUME` of this sidecar."""
+"""The admin commands of consensus: `FLEET …`, and the permits that `PAUSE` and `RESUME` take and return."""
 
 from __future__ import annotations
 
@@ -31,47 +31,47 @@
 
 
 class CommandHost(Protocol):
-    """The subsystem that the commands belong to."""
+    """The part of the consensus subsystem that the admin commands use."""
 
     replica: Replica
     fact_collector: DisruptionFactCollector
     is_closed: bool
 
     def perform(self, outputs: list[Output]) -> None:
-        """Performs the effects of the replica."""
+        """Performs the effects that the replica asks for."""
 
     def now_us(self) -> int:
-        """Returns the engine's time."""
+        """Returns the engine's monotonic time in microseconds."""
 
     def transport_counts(self) -> dict[str, int]:
-        """Returns the transport's counts."""
+        """Returns the counts of bytes and lost frames of the transport."""
 
 
 class FleetCommands:
-    """Handles the admin commands, and the requests that wait for their result."""
+    """Handles the admin commands, and passes the results of submitted requests on to them."""
 
     def __init__(self, host: CommandHost, loop: asyncio.AbstractEventLoop) -> None:
         self.host = host
         self.loop = loop
-        self.futures: dict[int, asyncio.Future[ProposalResult]] = {}  # by context
-        self.last_context = 0  # contexts begin at 1; 0 is a request that nobody waits for
+        self.futures: dict[int, asyncio.Future[ProposalResult]] = {}  # pending requests by context
+        self.last_context = 0  # contexts begin at 1: 0 marks a request whose result nobody awaits
 
     def register(self, server: AdminServer) -> None:
-        """Adds the commands to the admin server."""
+        """Adds `FLEET` to the admin server, and wraps its `PAUSE` and `RESUME`."""
         server.commands["FLEET"] = self.handle_fleet
         for name, handler in (("PAUSE", self.handle_pause), ("RESUME", self.handle_resume)):
             if name in server.commands:
                 server.commands[name] = partial(handler, server.commands[name])
 
     def on_result(self, result: ProposalResult) -> None:
-        """Passes a result on to the command that waits for it."""
+        """Completes the request to which a result belongs; a result of any other request is dropped."""
         future = self.futures.pop(result.context, None)
         if future is not None and not future.done():
             future.set_result(result)
 
     async def handle_fleet(self, line: str) -> str:
         """Handles `FLEET …`. Raises AdminCommandError."""
-        verb, _, rest = line.partition(" ")
+        verb, _, arguments = line.partition(" ")
         verb = verb.upper()
         now_us = self.host.now_us()
         replica = self.host.replica
@@ -81,15 +81,15 @@
             return self._describe(verb, now_us)
         if verb == "BEGIN":
             return self._create_fleet(now_us)
-        if verb == "READ" and rest:
-            name = rest[: replicated_commands.MAX_NAME_CHARS]
+        if verb == "READ" and arguments:
+            name = arguments[: replicated_commands.MAX_NAME_CHARS]
             return await self._submit(lambda context: replica.submit_read(context, name, now_us))
         if verb not in COMMAND_KINDS:
             raise AdminCommandError(
                 "expected FLEET and one of BEGIN, STATUS, LOG, WORDS, READ NAME, "
                 f"{', '.join(COMMAND_KINDS)} ID NAME"
             )
-        command = self._parse_command(verb, rest)
+        command = self._parse_command(verb, arguments)
         return await self._submit(lambda context: replica.submit_command(context, command, now_us))
 
     def _describe(self, verb: str, now_us: int) -> str:
@@ -134,7 +134,10 @@
         )
 
     def _started_ms(self, name: str) -> int:
-        """Returns the start of an upstream in Unix milliseconds, 0 = long ago. Raises AdminCommandError."""
+        """Returns the start of an upstream in Unix milliseconds; 0 stands for a start long ago.
+
+        Raises AdminCommandError if no upstream of this name is listed.
+        """
         upstream = self.host.fact_collector.find_upstream(name)
         if upstream is None:
             raise AdminCommandError("no upstream of that name is listed")
@@ -143,16 +146,16 @@
     # PAUSE and RESUME
 
     def handle_pause(self, pause: AdminCommand, argument: str) -> str | Awaitable[str]:
-        """Takes a permit before this sidecar is paused, if sidecars have a budget.
+        """Pauses this sidecar; if sidecars have a disruption budget, this needs a permit.
 
-        With the argument `force` it is paused in any case.
+        With the argument `force` it is paused even if no permit is granted.
         """
         if not self._needs_permit():
             return pause("")
         return self._pause_with_permit(pause, argument)
 
     def handle_resume(self, resume: AdminCommand, _argument: str) -> str | Awaitable[str]:
-        """Returns the permit after this sidecar is resumed, if sidecars have a budget."""
+        """Resumes this sidecar; if sidecars have a disruption budget, its permit is then returned."""
         if not self._needs_permit():
             return resume("")
         return self._resume_with_permit(resume)
@@ -182,7 +185,7 @@
         return f"{answer}; its place: {permit_answer}"
 
     async def _submit_permit(self, kind: CommandKind, value: str) -> str:
-        """Takes or returns the permit of this sidecar, and returns the answer, whatever it is."""
+        """Takes or returns the permit of this sidecar. Returns the answer, or the text of the error."""
         replica = self.host.replica
         command = ReplicatedCommand(
             kind,
@@ -201,7 +204,7 @@
             return str(error)
 
     async def _submit(self, submit: Callable[[int], list[Output]]) -> str:
-        """Submits a request and returns the answer to its result. Raises AdminCommandError."""
+        """Submits a request, awaits its result and returns it as an answer. Raises AdminCommandError."""
         self.last_context += 1
         context = self.last_context
         future = self.loop.create_future()
@@ -226,5 +229,5 @@
 
 
 def encode_answer(answer: dict[str, Any]) -> str:
-    """Returns an answer of several values: JSON, and a line that marks its end."""
+    """Returns an answer of several values: one line of JSON, and a line that marks the end."""
     return json.dumps(answer, ensure_ascii=False) + "\nend"
--- a/sidecar_proxy/consensus/frames.py
+++ b/sidecar_proxy/consensus/frames.py
@@ -1,7 +1,7 @@
-"""Frames between sidecars: the messages of Raft, state transfer, and requests to the leader.
+"""The frames that sidecars exchange: Raft messages, state transfer, and requests to the leader.
 
-The records are encoded as MessagePack arrays on the wire; field names are not part of the format. All
-limits are checked when a frame is decoded.
+The records are encoded as MessagePack arrays, so the order of the fields is part of the format and their
+names are not. All limits are checked when a frame is decoded.
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
 
 
 class SnapshotOffer(msgspec.Struct, array_like=True, frozen=True, tag=10):
-    """The leader's snapshot is newer than the target's log: the target fetches it, then confirms it.
+    """Announces that the leader's snapshot is newer than the target's log, so that the target fetches it.
 
-    It stands for `InstallSnapshot`, whose data would be too long for a frame.
+    It is sent instead of `InstallSnapshot`, whose data would be too long for a frame.
     """
 
     source: NodeId
@@ -51,9 +51,10 @@
 
 
 class FetchRequest(msgspec.Struct, array_like=True, frozen=True, tag=11):
-    """Asks for what is committed after an index.
+    """Requests the committed entries after an index.
 
-    The sender already has `snapshot_offset` bytes of the snapshot at `snapshot_index`.
+    `snapshot_offset` is the number of bytes that the sender already has of the snapshot at `snapshot_index`;
+    both are 0 if it has none. The response repeats `number`.
     """
 
     number: UnsignedInt
@@ -64,7 +65,7 @@
 
 
 class EntryBatch(msgspec.Struct, array_like=True, frozen=True, tag=12):
-    """The committed entries that follow the requested index, as many as fit."""
+    """The response with the committed entries after the requested index, as many as fit."""
 
     number: UnsignedInt
     fleet_id: FleetId
@@ -73,7 +74,10 @@
 
 
 class SnapshotChunk(msgspec.Struct, array_like=True, frozen=True, tag=13):
-    """A part of a snapshot that has replaced the requested entries."""
+    """The response with a part of the snapshot that has replaced the requested entries.
+
+    `offset` is the position of `data` in the snapshot, whose data have `size` bytes and this digest.
+    """
 
     number: UnsignedInt
     fleet_id: FleetId
@@ -88,14 +92,17 @@
 
 
 class FetchLater(msgspec.Struct, array_like=True, frozen=True, tag=14):
-    """The budget for state transfer is used up; the request may be repeated after a wait."""
+    """The response if the budget for state transfer is used up: the request may be repeated after a wait."""
 
     number: UnsignedInt
     wait_ms: Annotated[int, Meta(ge=0, le=60_000)]
 
 
 class LeaderRequest(msgspec.Struct, array_like=True, frozen=True, tag=15):
-    """Asks the leader to commit a command or, if that is empty, to read the current state of `name`."""
+    """Asks the leader to commit a command or, if `command` is empty, to read the current state of `name`.
+
+    The reply repeats `number`.
+    """
 
     number: UnsignedInt
     command: Annotated[bytes, Meta(max_length=MAX_ENTRY_DATA_BYTES)]
@@ -105,8 +112,8 @@
 class LeaderReply(msgspec.Struct, array_like=True, frozen=True, tag=16):
     """The answer to a `LeaderRequest`.
 
-    `status` is one of the values of `proposals.ProposalStatus` that are sent between sidecars; `leader` is
-    the leader as far as the sender knows.
+    `status` is a value of `proposals.ProposalStatus`; `index` is the log index of the command; `leader` is
+    the leader as far as the sender knows, or "".
     """
 
     number: UnsignedInt
@@ -117,19 +124,19 @@
 
 
 class ReplicaStatus(msgspec.Struct, array_like=True, frozen=True):
-    """A sidecar's state, broadcast by gossip."""
+    """The state of a sidecar's replica, which it broadcasts by gossip."""
 
     incarnation: Annotated[str, Meta(max_length=16)]
     fleet_id: FleetId
     term: UnsignedInt
     leader: NodeId
-    leader_since_ms: UnsignedInt  # for how long it has led
+    leader_since_ms: UnsignedInt  # milliseconds since the leader known to the sender last changed
     is_voter: bool
     commit_index: UnsignedInt
     applied_index: UnsignedInt
-    applied_at_ms: UnsignedInt  # when `applied_index` was applied, by the sender's wall clock
-    process_id: Annotated[str, Meta(max_length=16)] = ""  # random for each process
-    can_vote: bool = True  # it may become a voter
+    applied_at_ms: UnsignedInt  # when the sender applied `applied_index`, by its wall clock
+    process_id: Annotated[str, Meta(max_length=16)] = ""  # a random id of the sender's process
+    can_vote: bool = True  # whether the sender may become a voter
 
 
 RaftMessage = VoteRequest | VoteReply | Append | AppendReply | TimeoutNow
@@ -149,19 +156,25 @@
 
 
 def decode_frame(data: bytes, source: NodeId, target: NodeId) -> Frame:
-    """Decodes a frame that `source`, as its session has proved, sent to `target`. Raises FrameError."""
+    """Decodes a frame that the authenticated node `source` sent to `target`. Raises FrameError.
+
+    A frame that names another source or target is rejected, and so are entries that are not consecutive or
+    have a later term than their message.
+    """
     frame = _decode(frame_decoder, data)
     if isinstance(frame, Message | SnapshotOffer) and (frame.source != source or frame.target != target):
-        raise FrameError("in another's name, or to another")
+        raise FrameError(f"the frame's source or target is not that of its connection ({source} to {target})")
     if isinstance(frame, Append):
         for position, entry in enumerate(frame.entries):
             if entry.index != frame.prev_index + 1 + position or entry.term > frame.term:
-                raise FrameError("entries with gaps")
+                raise FrameError(
+                    "the entries of an append are not consecutive, or have a later term than the append"
+                )
     return frame
 
 
 def decode_status(data: bytes) -> ReplicaStatus:
-    """Decodes a status broadcast. Raises FrameError."""
+    """Decodes a status that a peer has broadcast. Raises FrameError."""
     return _decode(status_decoder, data)
 
 
--- a/sidecar_proxy/consensus/session.py
+++ b/sidecar_proxy/consensus/session.py
@@ -1,10 +1,10 @@
 """The security of a connection between two sidecars: mutual authentication and encrypted frames.
 
-Both sides trust each other's certificates. Each side creates a key for the connection (X25519) and signs it
-with its certificate's key; the accepting side signs the caller's key as well, and the caller's first frame
-proves that it holds the key that it sent. So a recorded greeting is useless, and nothing depends on clocks
-except the expiry of certificates. Frames are sealed by XSalsa20-Poly1305 with counted nonces: none is
-accepted twice, out of order or in the other direction. This module does no I/O.
+Each side checks the other's certificate. Each side creates a key pair for the connection (X25519) and signs
+the public key with its certificate's key; the accepting side signs the caller's key as well, and the caller's
+first frame proves that it has the private key. So a recorded greeting can't be replayed, and nothing depends
+on clocks except the expiry of certificates. Frames are encrypted with XSalsa20-Poly1305 and nonces that count
+the frames: none is accepted twice, out of order or in the other direction. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -33,12 +33,14 @@
 
 
 class Greeting(msgspec.Struct, array_like=True, frozen=True):
-    """The first message of each side."""
+    """The first message of each side of a connection."""
 
     certificate: Certificate
     node: Annotated[str, Meta(min_length=1, max_length=MAX_NODE_ID_CHARS)]
     session_key: Key
-    answered_key: Annotated[bytes, Meta(max_length=32)]  # the caller's key; empty in the caller's greeting
+    answered_key: Annotated[
+        bytes, Meta(max_length=32)
+    ]  # the caller's session key; empty in the caller's greeting
 
 
 encode = msgspec.msgpack.Encoder().encode
@@ -46,7 +48,7 @@
 
 
 class Session:
-    """One side of a connection."""
+    """The state of one side of a connection."""
 
     def __init__(self, keyring: Keyring, node: NodeId) -> None:
         self.keyring = keyring
@@ -60,33 +62,35 @@
         self.received_frame_count = 0
 
     def create_greeting(self, answered_key: bytes = b"") -> bytes:
-        """Returns this side's signed greeting; the accepting side passes the caller's key."""
+        """Returns this side's signed greeting. The accepting side passes the caller's session key."""
         self.is_caller = not answered_key
         own_key = self.session_key.public_key.encode()
         payload = encode(Greeting(self.keyring.certificate, self.node, own_key, answered_key))
         return self.keyring.key.sign(SIGNATURE_CONTEXT + payload).signature + payload
 
     def accept_greeting(self, data: bytes, now_us: int, wall_us: int) -> bytes:
-        """Checks the peer's greeting and returns the key that ours has to answer. Raises RejectedError."""
+        """Verifies the peer's greeting and returns its session key. Raises RejectedError."""
         if not SIGNATURE_BYTES < len(data) <= MAX_GREETING_BYTES:
-            raise RejectedError("not of this version")
+            raise RejectedError(
+                f"greeting of {len(data)} bytes, expected {SIGNATURE_BYTES + 1} to {MAX_GREETING_BYTES}"
+            )
         signature = data[:SIGNATURE_BYTES]
         payload = data[SIGNATURE_BYTES:]
         greeting = decode_or_reject(greeting_decoder, payload)
         if name_of(greeting.node) != greeting.certificate.name:
-            raise RejectedError("of another name")
+            raise RejectedError("the node id of the greeting does not match its certificate")
         if greeting.node == self.node:
-            raise RejectedError("our own")
+            raise RejectedError("the greeting names this sidecar's own node id")
         expected_key = self.session_key.public_key.encode() if self.is_caller else b""
         if greeting.answered_key != expected_key:
-            raise RejectedError("an answer to another")
+            raise RejectedError("the greeting does not answer the key of this connection")
         certificate = greeting.certificate
         self.keyring.check_certificate(certificate, now_us, wall_us)
         self.keyring.verify(certificate.key, SIGNATURE_CONTEXT + payload, signature, now_us)
         try:
             self.box = Box(self.session_key, PublicKey(greeting.session_key))
         except (CryptoError, ValueError, RuntimeError) as error:  # a key of small order
-            raise RejectedError("malformed") from error
+            raise RejectedError("the session key of the greeting is not valid") from error
         self.peer = greeting.node
         self.peer_certificate = certificate
         return greeting.session_key
@@ -95,22 +99,22 @@
         return bytes([is_from_caller]) + count.to_bytes(NONCE_COUNT_BYTES, "big")
 
     def seal(self, frame: bytes) -> bytes:
-        """Returns the encrypted frame with its length before it."""
+        """Returns the next frame to send, encrypted and preceded by its length."""
         assert self.box is not None
         self.sent_frame_count += 1
         nonce = self._nonce(self.is_caller, self.sent_frame_count)
         return frame_message(self.box.encrypt(frame, nonce).ciphertext)
 
     def open(self, sealed: bytes) -> bytes:
-        """Returns the content of the peer's next frame. Raises RejectedError."""
+        """Returns the decrypted content of the peer's next frame. Raises RejectedError."""
         assert self.box is not None
         self.received_frame_count += 1
         nonce = self._nonce(not self.is_caller, self.received_frame_count)
         try:
             return self.box.decrypt(sealed, nonce)
         except CryptoError as error:
-            raise RejectedError("forged") from error
+            raise RejectedError("the frame can't be decrypted: it was forged, damaged or replayed") from error
 
     def is_revoked(self) -> bool:
-        """Tells whether the peer's certificate was revoked after the greeting."""
+        """Tells whether the peer's certificate has been revoked since the greeting."""
         return self.peer_certificate is not None and self.peer_certificate.serial in self.keyring.revoked
--- a/tests/consensus/test_fleet.py
+++ b/tests/consensus/test_fleet.py
@@ -288,7 +288,7 @@
         with contextlib.suppress(ConnectionResetError):
             assert await reader.read() == b""
         writer.close()
-    await wait_until(lambda: has_rejected(scene, 0, "not of this version"))
+    await wait_until(lambda: has_rejected(scene, 0, "greeting of 4 bytes"))
 
 
 async def check_revoked_certificate(scene: Scene) -> None:
