--- a/sidecar_proxy/consensus/status.py
+++ b/sidecar_proxy/consensus/status.py
@@ -1,4 +1,4 @@
-"""A replica's status: the broadcast to its peers, and the descriptions for operators."""
+"""A replica's status: the broadcast to its peers, and the answers to operators' commands."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from sidecar_proxy.consensus.replica_context import ReplicaContext
 from sidecar_proxy.consensus.voters import name_of
 
-VOTER_BROADCAST_INTERVAL_US = 300_000
+VOTER_BROADCAST_INTERVAL_US = 300_000  # minimum interval between two status broadcasts
 LEARNER_BROADCAST_INTERVAL_US = 2_000_000
 
 
 class LeaderTracker:
-    """Who leads, as far as this sidecar knows, and since when."""
+    """The leader that this sidecar knows, and the time of its last change."""
 
     def __init__(self, now_us: int) -> None:
         self.leader: NodeId = ""
-        self.since_us = now_us  # also since when no leader is known
+        self.since_us = now_us  # when `leader` last changed
 
     def update(self, leader: NodeId, now_us: int) -> None:
         """Records the leader, "" if none is known."""
@@ -31,7 +31,7 @@
             self.since_us = now_us
 
     def leaderless_us(self, now_us: int) -> int:
-        """Returns for how long no leader has been known; 0 if one is."""
+        """Returns the microseconds for which no leader has been known; 0 if one is known."""
         return 0 if self.leader else now_us - self.since_us
 
 
@@ -46,8 +46,8 @@
         self.process_id = process_id
         self.tracker = tracker
         self.next_broadcast_us = now_us
-        self.has_unsent_change = True
-        self.last_status: ReplicaStatus | None = None  # as broadcast, without the time of leadership
+        self.has_unsent_change = True  # whether the status differs from the last broadcast
+        self.last_status: ReplicaStatus | None = None  # the last broadcast; its `leader_since_ms` is 0
 
     def broadcast_if_due(self, now_us: int) -> None:
         """Broadcasts the status if it has changed and the interval has passed."""
@@ -91,14 +91,14 @@
 
 
 class StatusReporter:
-    """Describes a replica for the admin commands. The keys are part of the commands' answers."""
+    """Describes a replica for the admin commands. The keys are those of the commands' answers."""
 
     def __init__(self, context: ReplicaContext, tracker: LeaderTracker) -> None:
         self.context = context
         self.tracker = tracker
 
     def age_s(self, now_us: int) -> float | None:
-        """Returns how long ago this sidecar had all that was committed, or None if it never knew."""
+        """Returns how many seconds ago this sidecar was last known to be up to date, or None for never."""
         up_to_date_us = self.context.up_to_date_us
         return round((now_us - up_to_date_us) / 1e6, 1) if up_to_date_us else None
 
@@ -146,7 +146,10 @@
         ]
 
     def _leader_since_us(self, now_us: int) -> int:
-        """Returns for how long the leader has led; a learner adds what the leader itself reports."""
+        """Returns for how many microseconds the leader has led.
+
+        A learner learns of a leader late, so it adds the time that the leader itself reported.
+        """
         tracker = self.tracker
         known_since_us = now_us - tracker.since_us
         if self.context.is_voter:
@@ -159,7 +162,7 @@
         return known_since_us + max(reported_us, default=0)
 
     def describe_recent_commands(self) -> list[dict[str, Any]]:
-        """Returns the answer of `FLEET LOG`: the latest commands, and when each peer had applied them."""
+        """Returns the latest commands for `FLEET LOG`, each with the times at which the peers applied it."""
         commands = replicated_commands.describe_recent_commands(self.context.state)
         for command in commands:
             command["in_effect_ms"] = {
--- a/sidecar_proxy/consensus/subsystem.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -1,6 +1,6 @@
 """The consensus subsystem of a sidecar: it connects the replica to the network, gossip, the disk and timers.
 
-It decides nothing, and no request waits for it.
+The replica makes all decisions, and no client's request waits for them.
 """
 
 from __future__ import annotations
@@ -56,13 +56,13 @@
 OVERRIDES_SOURCE = "fleet"
 MAINTENANCE_INTERVAL_S = 1.0
 WARNING_INTERVAL_S = 1.0
-TIMER_SLACK_S = 0.001  # so that a timer never fires before its time
+TIMER_SLACK_S = 0.001  # added to each delay so that a timer never fires before its due time
 MAX_LOGGED_UPSTREAMS = 10
-UNAWAITED_CONTEXT = 0  # of a command whose result nobody waits for
+UNAWAITED_CONTEXT = 0  # the context of each command whose result nobody awaits
 
 
 class ConsensusSubsystem:
-    """A sidecar that takes part in consensus."""
+    """The participation of a sidecar in consensus."""
 
     def __init__(
         self,
@@ -75,16 +75,17 @@
         admin_server: AdminServer | None,
         is_serving: Callable[[], bool],
     ) -> None:
-        """Opens the folder. Raises OperatorError if that is not possible."""
+        """Opens the folder with the persisted state. Raises OperatorError if that fails."""
         self.engine = engine
         self.gossip = gossip
         self.overrides = overrides
-        self.is_serving = is_serving  # whether clients' requests are accepted
+        self.is_serving = is_serving  # tells whether this sidecar accepts clients' requests
         self.store = LogStore(Path(settings.folder), disk_of_process())
         self.is_closed = False
-        self.addresses: dict[str, Address] = {}  # as last heard: a peer considered dead may still be there
+        # The last known address of each sidecar by name, as one that gossip considers dead may be reachable.
+        self.addresses: dict[str, Address] = {}
         self.next_warning_s = 0.0
-        self.timer_due_us = 0  # when the tick timer fires; 0: it is not set
+        self.timer_due_us = 0  # when the tick timer is due; 0 = it is not set
         self.tick_timer: asyncio.TimerHandle | None = None
         self.maintenance_timer: asyncio.TimerHandle | None = None
         self.writer = StateWriter(self.store, engine.loop, self._on_persisted, self.close)
@@ -103,11 +104,17 @@
         try:
             persisted = self.store.open()
             if persisted.torn_bytes:
-                log.info("agreement: %d bytes that a crash had left were cut", persisted.torn_bytes)
+                log.info(
+                    "agreement: removed %d bytes of an incomplete record from the end of the log file",
+                    persisted.torn_bytes,
+                )
             return self._create_replica(persisted, limits, seed)
         except (DamagedLogError, CommandError) as error:
             reason = str(error)
-        log.error("agreement: %s; it rejoins as a node that has acknowledged nothing", reason)
+        log.error(
+            "agreement: %s; log recreated; this sidecar rejoins as a new node that has acknowledged nothing",
+            reason,
+        )
         return self._create_replica(self.store.recreate(), limits, seed)
 
     def _create_replica(self, persisted: PersistedState, limits: ReplicaLimits, seed: int) -> Replica:
@@ -117,15 +124,15 @@
         return Replica(certificate.name, certificate.site, persisted, limits, rng, now_us, wall_ms())
 
     def start(self) -> None:
-        """Starts to take part, once gossip has started."""
+        """Starts to take part in consensus; gossip must have been started before."""
         assert self.gossip.transport is not None
         self.gossip.listeners[GOSSIP_TOPIC] = self._on_gossip
         self.gossip.transport.protocol_handlers[CONNECTION_MAGIC] = self.transport.serve
         state = self.replica.state
         log.info(
-            "agreement: %s, %s, %d upstreams excluded",
+            "agreement: started as node %s, %s, %d upstreams excluded",
             self.replica.node_id,
-            f"fleet {state.fleet_id} up to {state.index}" if state.fleet_id else "of no fleet yet",
+            f"fleet {state.fleet_id} up to entry {state.index}" if state.fleet_id else "in no fleet yet",
             len(state.excluded),
         )
         self._apply_state()
@@ -133,7 +140,7 @@
         self._maintain()
 
     def close(self) -> None:
-        """Stops taking part; what holds for the fleet goes on holding here."""
+        """Stops taking part in consensus; the excluded upstreams stay excluded on this sidecar."""
         self.is_closed = True
         self.gossip.listeners.pop(GOSSIP_TOPIC, None)
         if self.gossip.transport is not None:
@@ -145,17 +152,17 @@
         self.writer.close()
 
     def now_us(self) -> int:
-        """Returns the engine's time."""
+        """Returns the engine's monotonic time in microseconds."""
         return self.engine.clock.now_us()
 
     def transport_counts(self) -> dict[str, int]:
-        """Returns the transport's counts."""
+        """Returns the counts of bytes and lost frames of the transport."""
         return dict(self.transport.counts)
 
     # Network
 
     def address_of(self, node: NodeId) -> Address | None:
-        """Returns where a node is reached, or None if that is not known."""
+        """Returns the address of a node, or None if it is not known."""
         name = name_of(node)
         assert self.gossip.transport is not None
         peer = self.gossip.transport.instance.core.members.get(name)
@@ -164,7 +171,7 @@
         return self.addresses.get(name)
 
     def local_address(self) -> Address | None:
-        """Returns the address that connections are opened from, or None for any."""
+        """Returns the local address for outgoing connections, or None for any."""
         assert self.gossip.transport is not None
         return self.gossip.transport.local_address
 
@@ -173,11 +180,11 @@
         self._step(lambda: self.replica.on_frame(node, frame, self.now_us()))
 
     def on_unsent(self, node: NodeId, frame: Frame) -> None:
-        """Handles a frame that never left."""
+        """Handles a frame that was never sent, as its connection failed or the queue was full."""
         self._step(lambda: self.replica.on_unsent(node, frame, self.now_us()))
 
     def on_link_broken(self, node: NodeId) -> None:
-        """Handles the loss of a connection."""
+        """Handles the loss of an outgoing connection."""
         self._step(lambda: self.replica.on_link_broken(node, self.now_us()))
 
     def _on_gossip(self, message: SubsystemMessage) -> None:
@@ -188,7 +195,7 @@
         try:
             status = frames.decode_status(message.body)
         except FrameError as error:
-            self._warn(f"a status of {message.author} that can't be read: {error}")
+            self._warn(f"rejected a status of {message.author}: {error}")
             return
         assert self.gossip.transport is not None
         peer = self.gossip.transport.instance.core.members.get(message.author)
@@ -212,7 +219,7 @@
         self._set_timer()
 
     def _set_timer(self) -> None:
-        """Sets the tick timer, or sets it anew if an event has brought the next tick forward."""
+        """Sets the tick timer, or sets it again if an event has made the next tick due earlier."""
         due_us = self.replica.due_us
         if self.is_closed or (self.timer_due_us and self.timer_due_us <= due_us):
             return
@@ -223,13 +230,13 @@
         self.tick_timer = self.engine.loop.call_later(wait_us / 1e6 + TIMER_SLACK_S, self._tick)
 
     def _maintain(self) -> None:
-        """Maintains the connections, and returns permits that have become obsolete."""
+        """Maintains the connections and returns obsolete permits; repeats itself at each interval."""
         self.transport.maintain()
-        own_command = (
+        return_command = (
             self.fact_collector.own_return_command(self.replica.state) if self.is_serving() else None
         )
-        if own_command is not None and self.replica.is_idle:
-            self._submit_unawaited(own_command)
+        if return_command is not None and self.replica.is_idle:
+            self._submit_unawaited(return_command)
         if self.replica.core.is_leader and self.replica.is_idle:
             for command in self.fact_collector.upstream_return_commands(self.replica.state):
                 self._submit_unawaited(command)
@@ -241,21 +248,24 @@
     # Effects
 
     def _step(self, handle: Callable[[], list[Output]]) -> None:
-        """Handles an event of the replica and performs its effects.
+        """Passes an event to the replica and performs the resulting effects.
 
-        After an unexpected exception this sidecar stops taking part: a replica that has failed half-way must
-        neither acknowledge nor vote any more. Clients' requests are not affected.
+        After an unexpected exception this sidecar stops taking part in consensus: a replica that has failed
+        in the middle of an event must neither acknowledge nor vote any more. Clients' requests are not
+        affected.
         """
         if self.is_closed:
             return
         try:
             self.perform(handle())
-        except Exception:  # any fault of the replica ends consensus here, and nothing else
-            log.exception("agreement: this sidecar takes no part any more; what holds goes on holding")
+        except Exception:  # any fault of the replica stops consensus on this sidecar, and nothing else
+            log.exception(
+                "agreement: consensus is stopped on this sidecar after an error; upstreams stay excluded"
+            )
             self.close()
 
     def perform(self, outputs: list[Output]) -> None:
-        """Performs the effects of an event in their order."""
+        """Performs the effects of an event in the given order."""
         for output in outputs:
             match output:
                 case PersistState():
@@ -277,7 +287,7 @@
         self._step(lambda: self.replica.on_persisted(self.now_us()))
 
     def _apply_state(self) -> None:
-        """Passes the excluded upstreams on to the balancer's overrides."""
+        """Updates the endpoint overrides if the excluded upstreams have changed."""
         excluded = {
             name: override_until_us(upstream) for name, upstream in self.replica.state.excluded.items()
         }
@@ -291,9 +301,10 @@
 
 
 def override_until_us(upstream: ExcludedUpstream) -> int:
-    """Returns up to which start of an upstream its override holds.
+    """Returns the latest start of an upstream, in Unix microseconds, to which its override applies.
 
-    A drain holds for the start that it names, which is known in milliseconds.
+    A drain applies to starts up to the one that it names. That one is known in milliseconds, so each start
+    within its millisecond counts.
     """
     if upstream.kind == CommandKind.DRAIN:
         return upstream.started_ms * 1000 + 999
@@ -301,7 +312,7 @@
 
 
 def replica_limits(settings: Agreement) -> ReplicaLimits:
-    """Returns the limits that the operator's settings ask for."""
+    """Returns the limits of a replica from the operator's settings."""
     return ReplicaLimits(
         voter_count=settings.voters,
         can_vote=settings.votes,
--- a/sidecar_proxy/consensus/transfer_manager.py
+++ b/sidecar_proxy/consensus/transfer_manager.py
@@ -1,4 +1,4 @@
-"""State transfer of a replica: fetching what is committed elsewhere, and serving what others fetch."""
+"""State transfer of a replica: fetches committed entries and snapshots, and serves them to other sidecars."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TransferManager:
-    """Both sides of state transfer of one sidecar."""
+    """The requesting and the serving side of a sidecar's state transfer."""
 
     def __init__(self, context: ReplicaContext, now_us: int) -> None:
         self.context = context
@@ -30,7 +30,10 @@
         self.budget = TransferBudget(context.limits.transfer_bytes_per_s, now_us)
 
     def request_if_due(self, now_us: int) -> None:
-        """Asks for what is committed; a voter gets it from the leader and asks only if it is far behind."""
+        """Requests committed entries if a request is due.
+
+        A voter gets entries from the leader, so it requests them only while it is known to be behind.
+        """
         if self.context.is_voter and not self.fetcher.is_behind:
             return
         voters = self.context.peers.voter_nodes()
@@ -39,7 +42,7 @@
             self.context.outbox.send(*request)
 
     def handle_request(self, node: NodeId, request: FetchRequest, now_us: int) -> None:
-        """Answers another sidecar's request."""
+        """Responds to another sidecar's request, or makes it wait if the budget is used up."""
         core = self.context.core
         response = create_response(request, core.log, core.applied_index, self.context.state.fleet_id)
         wait_ms = self.budget.take(estimated_size(response), now_us)
@@ -49,7 +52,7 @@
             self.context.outbox.send(node, response)
 
     def handle_offer(self, offer: SnapshotOffer, now_us: int) -> None:
-        """Fetches the leader's snapshot if it is newer; first tells the leader how far this log goes."""
+        """Reports to the leader how far this log goes, then fetches the offered snapshot if it is newer."""
         core = self.context.core
         commit_index = core.commit_index
         known = Snapshot(min(commit_index, offer.index))
@@ -60,7 +63,7 @@
     def handle_response(
         self, node: NodeId, response: EntryBatch | SnapshotChunk | FetchLater, now_us: int
     ) -> None:
-        """Takes over what was fetched."""
+        """Adds fetched entries or a chunk of a snapshot, and schedules the next request."""
         if not self.fetcher.accept_response(response, now_us) or isinstance(response, FetchLater):
             return
         fleet_id = self.context.state.fleet_id
@@ -76,11 +79,12 @@
         has_more = response.commit_index > core.commit_index
         if not has_more:
             self.context.up_to_date_us = now_us
-        # A source whose responses lead nowhere must not be asked in a loop.
+        # Without progress the next request waits for the poll interval: a source whose responses contain
+        # nothing new would otherwise be sent requests in a tight loop.
         has_progress = (core.commit_index, self.fetcher.received_bytes) != progress_before
         self.fetcher.schedule_next(now_us, has_more and has_progress)
         if core.leader and not core.is_leader and self.context.is_voter:
-            # What is committed matches any leader's log, so the leader may continue after it.
+            # The committed entries match any leader's log, so the leader may continue after them.
             core.send(AppendReply(self.context.node_id, core.leader, core.term, True, core.commit_index))
 
     def _add_chunk(self, chunk: SnapshotChunk) -> None:
@@ -92,10 +96,14 @@
         try:
             self.context.core.append_committed(batch.entries)
         except ProposalRejectedError as error:
-            self.context.outbox.log(f"{node}: {error}")
+            self.context.outbox.log(f"rejected the entries of {node}: {error}")
 
     def _is_valid(self, snapshot: Snapshot, fleet_id: str) -> bool:
-        """Checks a snapshot before it is persisted: an unreadable one would end every later start."""
+        """Tells whether a snapshot can be decoded and is of this index and fleet.
+
+        This is checked before the snapshot is persisted, as a sidecar that starts with a snapshot that it
+        can't decode discards its whole log.
+        """
         try:
             state = replicated_commands.decode_state(snapshot.data)
         except CommandError as error:
--- a/sidecar_proxy/consensus/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -1,10 +1,10 @@
-"""The connections between the sidecars of a fleet. They carry frames and decide nothing.
+"""The connections between the sidecars of a fleet, which carry the frames of consensus.
 
-There is one outgoing connection to each node that frames are sent to, opened when it is needed, to the
-address that gossip knows. Responses go by the connection that brought the request; everything else goes by
-this sidecar's own connection, so that a path that is broken in one direction counts as broken here too. The
-bytes that wait for a node, the number of accepted connections, the length of a frame and the time without
-progress are bounded.
+A sidecar opens one outgoing connection to each node that it sends frames to, when it is first needed, to the
+address that gossip knows. A response goes back on the connection on which its request came; all other frames
+go on the sender's own outgoing connection, so that a path that fails in one direction is noticed by the
+sender. The bytes queued for a node, the number of accepted connections, the length of a frame and the time
+without progress are bounded.
 """
 
 from __future__ import annotations
@@ -40,50 +40,54 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-GREETING_TIMEOUT_S = 2.0  # to connect and to exchange greetings
+GREETING_TIMEOUT_S = 2.0  # timeout for opening a connection and exchanging greetings
 WRITE_TIMEOUT_S = 3.0
 IDLE_TIMEOUT_S = 15.0
-MAX_QUEUED_BYTES = 256 * 1024  # for one node; frames beyond that are lost, as on a network
+MAX_QUEUED_BYTES = 256 * 1024  # maximum size of the frames queued for one node; further ones are dropped
 MAX_ACCEPTED_CONNECTIONS = 400
-MAX_CONNECTIONS_PER_NODE = 4  # accepted ones; the loss of an old one may not have been noticed yet
+# More than one accepted connection, as the loss of a node's old connection may not have been noticed yet.
+MAX_CONNECTIONS_PER_NODE = 4
 WARNING_INTERVAL_S = 1.0
-FRAME_OVERHEAD_BYTES = 128  # estimates, for the bound of a queue
+# Estimated bytes of a frame and of an entry in addition to its data, for the limit of a queue.
+FRAME_OVERHEAD_BYTES = 128
 ENTRY_OVERHEAD_BYTES = 32
 RESPONSES = (EntryBatch, SnapshotChunk, FetchLater, LeaderReply)
-UNIDENTIFIED: NodeId = ""  # a connection whose greeting has not come
+UNIDENTIFIED: NodeId = (
+    ""  # the key under which every accepted connection is counted, also before its greeting
+)
 CONNECTION_ERRORS = (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError)
 Address = tuple[str, int]
 
 
 class FrameHandler(Protocol):
-    """The owner of the connections."""
+    """The owner of the transport, which handles its events and knows the addresses."""
 
     def on_frame(self, node: NodeId, frame: Frame) -> None:
         """Handles a received frame."""
 
     def on_unsent(self, node: NodeId, frame: Frame) -> None:
-        """Handles a frame that never left."""
+        """Handles a frame that was never sent, as its connection failed or the queue was full."""
 
     def on_link_broken(self, node: NodeId) -> None:
-        """Handles the loss of a connection; what was sent may or may not have arrived."""
+        """Handles the loss of an outgoing connection; sent frames may or may not have arrived."""
 
     def address_of(self, node: NodeId) -> Address | None:
-        """Returns where a node is reached, or None if that is not known."""
+        """Returns the address of a node, or None if it is not known."""
 
     def local_address(self) -> Address | None:
-        """Returns the address that connections are opened from, or None for any."""
+        """Returns the local address for outgoing connections, or None for any."""
 
 
 @dataclass(slots=True, frozen=True)
 class ReplyPath:
-    """The accepted connection that a node's last request came by."""
+    """The accepted connection on which a node's last request came, for its response."""
 
     session: Session
     writer: asyncio.StreamWriter
 
 
 class OutgoingConnection:
-    """This sidecar's connection to one node, and the frames that wait for it."""
+    """This sidecar's connection to one node, and the queue of frames for it."""
 
     def __init__(self, transport: ConsensusTransport, node: NodeId) -> None:
         self.transport = transport
@@ -124,15 +128,17 @@
             while not reader_task.done():
                 await self._write_queue(session, writer)
                 self.wakeup.clear()
-                await self.wakeup.wait()  # `ConsensusTransport.maintain` ends an idle connection
+                await (
+                    self.wakeup.wait()
+                )  # `ConsensusTransport.maintain` cancels the task of an idle connection
             reader_task.result()
         except RejectedError as error:
             transport.count_rejection(f"{self.node}: {error}")
         except CONNECTION_ERRORS:
-            pass  # the silence of the node shows it
+            pass  # not logged: consensus notices that the node does not reply
         finally:
             if reader_task is not None and not reader_task.cancel() and not reader_task.cancelled():
-                reader_task.exception()  # was handled above, or no longer matters
+                reader_task.exception()  # marks it as retrieved: it was handled above, or no longer matters
             if writer is not None:
                 writer.transport.abort()
             transport.on_connection_ended(self, writer)
@@ -144,7 +150,7 @@
         greeting = await read_frame(reader, MAX_GREETING_BYTES)
         session.accept_greeting(greeting, self.transport.now_us(), wall_clock_us())
         if session.peer != self.node:
-            raise RejectedError("another node by now")
+            raise RejectedError(f"the address now belongs to another node, {session.peer}")
 
     async def _write_queue(self, session: Session, writer: asyncio.StreamWriter) -> None:
         while self.queue:
@@ -159,7 +165,7 @@
 
 
 class ConsensusTransport:
-    """All connections of one sidecar."""
+    """All consensus connections of one sidecar, outgoing and accepted."""
 
     def __init__(
         self, keyring: Keyring, node_id: NodeId, now_us: Callable[[], int], handler: FrameHandler
@@ -171,10 +177,10 @@
         self.loop = asyncio.get_running_loop()
         self.outgoing: dict[NodeId, OutgoingConnection] = {}
         self.sessions: dict[Session, asyncio.StreamWriter] = {}
-        self.accepted: Counter[NodeId] = Counter()  # connections by node
+        self.accepted: Counter[NodeId] = Counter()  # number of accepted connections by node
         self.reply_paths: dict[NodeId, ReplyPath] = {}
         self.accept_tasks: set[asyncio.Task[None]] = set()
-        self.counts: Counter[str] = Counter()  # the keys are those of `FLEET STATUS`
+        self.counts: Counter[str] = Counter()  # the keys are part of the answer to `FLEET STATUS`
         self.rejected_count = 0
         self.logged_rejected_count = 0
         self.last_rejection = ""
@@ -184,7 +190,7 @@
     # Sending
 
     def send(self, node: NodeId, frame: Frame) -> None:
-        """Sends a frame to a node; it may be lost."""
+        """Sends a frame to a node, without a guarantee of delivery."""
         if self.is_closed:
             return
         if isinstance(frame, RESPONSES):
@@ -210,7 +216,7 @@
     def on_connection_ended(
         self, connection: OutgoingConnection, writer: asyncio.StreamWriter | None
     ) -> None:
-        """Forgets an outgoing connection; `writer` is None if it was never opened."""
+        """Removes an outgoing connection and reports its loss; `writer` is None if it was never opened."""
         self.sessions = {
             session: session_writer
             for session, session_writer in self.sessions.items()
@@ -246,7 +252,7 @@
             self.sessions[session] = writer
             await self._serve_requests(reader, session, writer, first_frame)
         except RejectedError as error:
-            self.count_rejection(f"{session.peer or 'a stranger'}: {error}")
+            self.count_rejection(f"{session.peer or 'an unidentified node'}: {error}")
         except (*CONNECTION_ERRORS, asyncio.CancelledError):
             pass
         finally:
@@ -257,11 +263,11 @@
     async def _accept(
         self, session: Session, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bytes:
-        """Exchanges greetings and returns the caller's first frame, which proves that it has its key."""
+        """Exchanges greetings. Returns the caller's first frame, which proves that it has its session key."""
         greeting = await read_frame(reader, MAX_GREETING_BYTES)
         key = session.accept_greeting(greeting, self.now_us(), wall_clock_us())
         if self.accepted[session.peer] >= MAX_CONNECTIONS_PER_NODE:
-            raise RejectedError("too many connections of one")
+            raise RejectedError(f"more than {MAX_CONNECTIONS_PER_NODE} connections from one node")
         writer.write(frame_message(session.create_greeting(key)))
         await writer.drain()
         return session.open(await read_frame(reader, MAX_SEALED_BYTES))
@@ -278,13 +284,13 @@
         self.sessions.pop(session, None)
 
     async def read_responses(self, reader: asyncio.StreamReader, session: Session) -> None:
-        """Reads what comes back by an outgoing connection, until it ends. Raises RejectedError."""
+        """Handles the responses on an outgoing connection until it ends. Raises RejectedError."""
         while not self.is_closed:
             frame = self._decode(await self._read_frame(reader, session), session)
             if frame is None:
                 return
             if not isinstance(frame, RESPONSES):
-                raise RejectedError("no answer")
+                raise RejectedError("received a frame that is no response on an outgoing connection")
             self.handler.on_frame(session.peer, frame)
 
     async def _serve_requests(
@@ -299,12 +305,15 @@
             data = await self._read_frame(reader, session)
 
     def _handle_request(self, data: bytes, session: Session, writer: asyncio.StreamWriter) -> bool:
-        """Handles a frame of an accepted connection. Returns False if it is not valid."""
+        """Handles a frame of an accepted connection. Returns False if it can't be decoded.
+
+        Raises RejectedError for a response.
+        """
         frame = self._decode(data, session)
         if frame is None:
             return False
         if isinstance(frame, RESPONSES):
-            raise RejectedError("an answer to nothing")
+            raise RejectedError("received a response on an accepted connection")
         if isinstance(frame, FetchRequest | LeaderRequest):
             self.reply_paths[session.peer] = ReplyPath(session, writer)
         self.handler.on_frame(session.peer, frame)
@@ -325,32 +334,32 @@
     # Maintenance
 
     def count_rejection(self, text: str) -> None:
-        """Counts a rejected connection or frame."""
+        """Counts a rejected connection or frame, and logs it as far as the rate limit allows."""
         self.rejected_count += 1
         self.last_rejection = text
         self._log_rejections()
 
     def _log_rejections(self) -> None:
-        """Logs rejections, with at most one line a second."""
-        has_news = self.rejected_count > self.logged_rejected_count
-        if has_news and self.loop.time() >= self.next_warning_s:
+        """Logs the number of rejections and the latest one, with at most one line a second."""
+        has_unlogged = self.rejected_count > self.logged_rejected_count
+        if has_unlogged and self.loop.time() >= self.next_warning_s:
             self.next_warning_s = self.loop.time() + WARNING_INTERVAL_S
             self.logged_rejected_count = self.rejected_count
             log.warning(
-                "agreement: %d connections or frames rejected so far, the last of %s",
+                "agreement: %d connections or frames rejected so far, the latest from %s",
                 self.rejected_count,
                 self.last_rejection,
             )
 
     def maintain(self) -> None:
-        """Closes idle connections and those whose certificate was revoked; to be called regularly."""
+        """Closes idle connections and those whose peer's certificate was revoked; to be called regularly."""
         for connection in list(self.outgoing.values()):
             if self.loop.time() - connection.last_used_s > IDLE_TIMEOUT_S:
                 connection.task.cancel()
         self._log_rejections()
         for session, writer in list(self.sessions.items()):
             if session.is_revoked():
-                self.count_rejection(f"{session.peer}: revoked")
+                self.count_rejection(f"{session.peer}: its certificate was revoked")
                 writer.transport.abort()
 
     def close(self) -> None:
@@ -366,7 +375,7 @@
 
 
 def estimated_size(frame: Frame) -> int:
-    """Returns about how many bytes a request takes on the wire."""
+    """Returns the estimated number of bytes of a queued frame on the wire."""
     size = FRAME_OVERHEAD_BYTES
     if isinstance(frame, Append):
         size += sum(len(entry.data) + ENTRY_OVERHEAD_BYTES for entry in frame.entries)
