--- a/sidecar_proxy/consensus/disruption_budgets.py
+++ b/sidecar_proxy/consensus/disruption_budgets.py
@@ -49,7 +49,7 @@
     name: Annotated[str, Meta(max_length=256)]
     site: Text = ""
     upstream_class: Text = ""
-    cell: Text = ""  # for a sidecar, this field holds its process id instead
+    cell: Text = ""  # the cell of an upstream, or the process id of a sidecar
 
     def group(self, scope: str) -> str:
         """Returns the group in which the target counts for budgets of a scope."""
@@ -185,7 +185,7 @@
     """The answer to a request for a permit, which is granted if both fields are empty."""
 
     rejection: str = ""  # the reason why it was rejected
-    queued: str = ""  # its place in the queue, and the reason why it was queued
+    queued: str = ""  # a message with the place in the queue and the reason for queueing
 
 
 def request_permit(
--- a/sidecar_proxy/consensus/fact_collector.py
+++ b/sidecar_proxy/consensus/fact_collector.py
@@ -1,7 +1,7 @@
-"""What this sidecar knows of who is out, for commands that need or return a permit.
+"""Collects the facts for disruption budgets: which upstreams and sidecars are known to be out of service.
 
 The sources are the endpoint list, gossip's outlier reports on upstreams, and the sidecars that gossip
-considers dead. This module decides nothing.
+considers dead. The decisions on permits are made in disruption_budgets.py.
 """
 
 from __future__ import annotations
@@ -25,19 +25,20 @@
 from sidecar_proxy.engine.interfaces import ListedUpstream
 from sidecar_proxy.gossip.subsystem import GossipSubsystem
 
-UNAVAILABLE_OUTLIER_WEIGHT = 0.5  # of all sidecars' reports together, from which an upstream counts as out
+# An upstream counts as unavailable from this total weight of all sidecars' outlier reports on it.
+UNAVAILABLE_OUTLIER_WEIGHT = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class ObservedTarget:
-    """A target, and whether it is out for a reason other than a permit."""
+    """A target, and whether it is out of service for another reason than a permit."""
 
     target: Target
     is_unavailable: bool
 
 
 class DisruptionFactCollector:
-    """Collects the facts for disruption budgets, and the permits that have become obsolete."""
+    """Collects the facts for disruption budgets, and creates commands that return obsolete permits."""
 
     def __init__(
         self, engine: Engine, directory: EndpointDirectory, gossip: GossipSubsystem, replica: Replica
@@ -48,7 +49,7 @@
         self.gossip = gossip
 
     def collect_facts(self, command: ReplicatedCommand) -> DisruptionFacts | None:
-        """Returns the facts for a command, or None if its target is not known."""
+        """Returns the facts for a command about a permit, or None if its target is not known."""
         target_kind, name = str(TargetKind.UPSTREAM), command.name
         if command.kind in (CommandKind.PERMIT, CommandKind.RETURN):
             target_kind, _, name = command.name.partition(":")
@@ -72,7 +73,7 @@
         )
 
     def _upstreams(self) -> Iterator[ObservedTarget]:
-        """Yields the upstreams that are listed."""
+        """Yields the listed upstreams, each with its state."""
         assert self.gossip.transport is not None
         weights = self.gossip.transport.instance.outlier_weights
         zones = {number: name for name, number in self.directory.zones.items()}
@@ -91,9 +92,9 @@
             )
 
     def _sidecars(self) -> Iterator[ObservedTarget]:
-        """Yields the sidecars of the fleet.
+        """Yields the sidecars of the fleet, this one first.
 
-        In place of a cell they have their process id: the permit of a process that has ended is returned.
+        The cell of a sidecar is its process id, by which the permit of an ended process is recognized.
         """
         assert self.gossip.transport is not None
         core = self.gossip.transport.instance.core
@@ -106,7 +107,7 @@
             yield ObservedTarget(Target(member.name, member.site), True)
 
     def own_return_command(self, state: ReplicatedState) -> ReplicatedCommand | None:
-        """Returns the command that returns a permit which an earlier process of this sidecar took."""
+        """Returns a command that returns the permit of an earlier process of this sidecar, or None."""
         name = self.replica.name
         permit = state.permits.granted.get(permit_key(TargetKind.SIDECAR, name))
         if permit is None or permit.target.cell in ("", self.replica.process_id):
@@ -116,7 +117,7 @@
         )
 
     def upstream_return_commands(self, state: ReplicatedState) -> Iterator[ReplicatedCommand]:
-        """Yields commands that return the permits of upstreams which are ready after a later start."""
+        """Yields commands that return the permits of upstreams that have been restarted and are ready."""
         for permit in list(state.permits.granted.values()):
             if permit.target_kind != TargetKind.UPSTREAM:
                 continue
@@ -135,7 +136,7 @@
                 yield ReplicatedCommand(CommandKind.RESUME, command_id, "", 0, name)
 
     def find_upstream(self, name: str) -> ListedUpstream | None:
-        """Returns an upstream that is listed, by name."""
+        """Returns the listed upstream of this name, or None."""
         return self.engine.listed_upstreams().get(self.directory.numbers.get(name, -1))
 
 
--- a/sidecar_proxy/consensus/state_transfer.py
+++ b/sidecar_proxy/consensus/state_transfer.py
@@ -31,7 +31,8 @@
 SPREAD_PER_SIDECAR_US = 2_000
 MAX_SPREAD_US = 1_000_000
 MIN_CHUNK_BYTES = 512
-MAX_WAIT_MS = 10_000  # maximum and minimum wait that the sender asks for when its budget is used up
+# Limits of the wait after which the receiver may retry when the sender's budget is used up.
+MAX_WAIT_MS = 10_000
 MIN_WAIT_MS = 50
 # Estimated bytes on the wire in addition to the data of an entry, a batch and a chunk, for the budget.
 ENTRY_OVERHEAD_BYTES = 32
@@ -56,7 +57,7 @@
         self.request_number = 0  # the number of the pending request; 0 = none is pending
         self.source: NodeId = ""
         self.requested_at_us = 0
-        self.due_us = now_us  # when to send the next request
+        self.due_us = now_us  # the time at which the next request is due
         self.is_behind = False  # whether a voter is known to have committed more than this sidecar has
         self.failed_source: NodeId = ""  # the source whose last request failed; another one is preferred
         self.max_bytes = MAX_CHUNK_BYTES  # the limit of the next response; it adapts to the link
--- a/sidecar_proxy/consensus/status.py
+++ b/sidecar_proxy/consensus/status.py
@@ -22,7 +22,7 @@
 
     def __init__(self, now_us: int) -> None:
         self.leader: NodeId = ""
-        self.since_us = now_us  # when `leader` last changed
+        self.since_us = now_us  # the time of the last change of `leader`
 
     def update(self, leader: NodeId, now_us: int) -> None:
         """Records the leader, "" if none is known."""
--- a/sidecar_proxy/consensus/subsystem.py
+++ b/sidecar_proxy/consensus/subsystem.py
@@ -85,7 +85,7 @@
         # The last known address of each sidecar by name, as one that gossip considers dead may be reachable.
         self.addresses: dict[str, Address] = {}
         self.next_warning_s = 0.0
-        self.timer_due_us = 0  # when the tick timer is due; 0 = it is not set
+        self.timer_due_us = 0  # the due time of the tick timer; 0 = not set
         self.tick_timer: asyncio.TimerHandle | None = None
         self.maintenance_timer: asyncio.TimerHandle | None = None
         self.writer = StateWriter(self.store, engine.loop, self._on_persisted, self.close)
--- a/sidecar_proxy/consensus/voter_manager.py
+++ b/sidecar_proxy/consensus/voter_manager.py
@@ -1,4 +1,4 @@
-"""The leader's management of the voters: it lets candidates catch up and proposes changes, one at a time."""
+"""The leader's management of the voters: it lets candidates catch up and proposes one change at a time."""
 
 from __future__ import annotations
 
@@ -11,42 +11,44 @@
 from sidecar_proxy.consensus.voters import Candidate, VoterPlanner, name_of
 
 CHECK_INTERVAL_US = 500_000
-CATCH_UP_TIMEOUT_US = 3_000_000  # for a candidate to reply
-FAILED_CANDIDATE_US = 10_000_000  # before a candidate that did not is tried again
-MAX_LAG_ENTRIES = 64  # a candidate that is no further behind has caught up
+CATCH_UP_TIMEOUT_US = 3_000_000  # a candidate that does not reply within this time has failed
+FAILED_CANDIDATE_US = 10_000_000  # the time after which a failed candidate may be tried again
+MAX_LAG_ENTRIES = 64  # a candidate that lacks at most so many committed entries has caught up
 
 
 class VoterManager:
-    """Decides who votes while this sidecar leads."""
+    """Manages the set of voters while this sidecar is the leader."""
 
     def __init__(self, context: ReplicaContext, now_us: int) -> None:
         self.context = context
-        self.last_contact_us: dict[NodeId, int] = {}  # when a voter was last heard
+        self.last_contact_us: dict[NodeId, int] = {}  # the time of the last message from each voter
         self.next_check_us = now_us
-        self.candidate: NodeId = ""  # that gets the log in order to become a voter
+        self.candidate: NodeId = ""  # the learner that gets the log in order to become a voter; "" = none
         self.candidate_deadline_us = 0
-        self.failed_us: dict[str, int] = {}  # candidates that did not reply, and when that was found
-        self.barrier_round = 0  # the round of the last check; 0 = none to compare replies with
+        self.failed_us: dict[str, int] = {}  # the time at which each failed candidate was abandoned, by name
+        self.barrier_round = (
+            0  # the message round of the last check; 0 = there is none to compare replies with
+        )
 
     def on_frame(self, node: NodeId, now_us: int) -> None:
-        """Records that a voter was heard."""
+        """Records the time of a message from a voter."""
         if node in self.context.core.voters:
             self.last_contact_us[node] = now_us
 
     def on_stall(self, now_us: int) -> None:
-        """Forgets silences after this process was itself stopped for a while."""
+        """Measures the voters' silence anew, as this process itself did not run for a while."""
         self.barrier_round = 0
         self.last_contact_us = dict.fromkeys(self.last_contact_us, now_us)
 
     def on_elected(self, now_us: int) -> None:
-        """Starts afresh as a new leader."""
+        """Resets the state of an earlier leadership when this sidecar is elected."""
         self.barrier_round = 0
         self.candidate = ""
         self.context.core.learners.clear()
         self.last_contact_us.update(dict.fromkeys(self.context.core.voters, now_us))
 
     def last_quorum_contact_us(self, now_us: int) -> int:
-        """Returns when a quorum was last heard."""
+        """Returns the latest time since which a quorum, including this sidecar, has sent a message."""
         core = self.context.core
         times_us = sorted((self._last_contact_us(node, now_us) for node in core.voters), reverse=True)
         return times_us[core.quorum_size() - 1]
@@ -55,7 +57,7 @@
         return now_us if node == self.context.node_id else self.last_contact_us.get(node, 0)
 
     def check_if_due(self, now_us: int) -> None:
-        """Looks twice a second whether the voters have to change."""
+        """Checks twice a second whether the set of voters has to change."""
         if self.context.core.is_leader and now_us >= self.next_check_us:
             self.next_check_us = now_us + CHECK_INTERVAL_US
             self._check(now_us)
@@ -78,14 +80,16 @@
                 return
             core.propose_voters(voters)
         except ProposalRejectedError:
-            return  # nothing of this term, or the last change, is not committed yet: the next check retries
+            # No entry of this term, or not the last change, is committed yet. The next check tries again.
+            return
         self.last_contact_us = {node: self.last_contact_us.get(node, now_us) for node in voters}
-        self.context.outbox.log("voters from now on: " + ", ".join(map(name_of, sorted(voters))))
+        self.context.outbox.log("the voters are now: " + ", ".join(map(name_of, sorted(voters))))
 
     def _responsive_nodes(self) -> set[NodeId]:
         """Returns the nodes that have replied since the last check.
 
-        Without a last check there are none: after a pause of this process, old replies prove nothing.
+        There are none if that check was before a pause of this process, as replies from before the pause do
+        not show that a node is alive now.
         """
         if not self.barrier_round:
             return set()
@@ -121,7 +125,7 @@
         )
 
     def _is_caught_up(self, node: NodeId, responsive: set[NodeId]) -> bool:
-        """Tells whether a node replies and has nearly all of the log (4.2.1)."""
+        """Tells whether a node has replied since the last check and has nearly all of the log (4.2.1)."""
         progress = self.context.core.progress.get(node)
         return (
             progress is not None
@@ -130,7 +134,7 @@
         )
 
     def _update_candidate(self, planner: VoterPlanner, now_us: int) -> None:
-        """Sends the log to the best candidate, and to the next one if it does not reply."""
+        """Makes the best candidate a learner, and the next one if that does not reply in time."""
         core = self.context.core
         candidates = planner.candidates_to_catch_up()
         if self.candidate and not self._is_candidate_valid(planner, candidates, now_us):
--- a/sidecar_proxy/consensus/voters.py
+++ b/sidecar_proxy/consensus/voters.py
@@ -1,10 +1,10 @@
 """The rules by which the leader changes the set of voters, one voter at a time. They do no I/O.
 
-A lost voter (silent for long, or its folder is gone, so that it is another node now) is first removed, then
-a node that has the log is added. In the other order three voters with one lost would become four, whose
-quorum is three: if the new voter were lost as well before its entry is committed, the two that have
-everything could commit nothing any more. The voters that respond must never be fewer than the quorum of the
-next set.
+A voter is lost if it has been silent for too long, or if its sidecar lost its folder and so is another node
+now. A lost voter is removed first; then a node that has the log is added. In the other order three voters
+with one lost would become four, whose quorum is three: if the new voter were lost as well before its entry is
+committed, the two remaining voters could commit nothing any more. The voters that respond must never be fewer
+than the quorum of the next set.
 """
 
 from __future__ import annotations
@@ -18,25 +18,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
-    """A sidecar that is present, as far as the leader knows."""
+    """A sidecar that the leader knows to be alive and that is a voter or may become one."""
 
     node: NodeId
     name: str
     site: str
-    is_caught_up: bool = False  # it responds, and lacks at most the last few entries
+    is_caught_up: bool = False  # whether it responds and lacks at most the last few entries
 
 
 @dataclass(slots=True, frozen=True)
 class VoterPlanner:
-    """What the leader knows of the voters and of the sidecars that might become one."""
+    """Plans the next change of the voters from what the leader knows about voters and candidates."""
 
-    node_id: NodeId  # the leader itself
+    node_id: NodeId  # the leader's own node id
     voters: tuple[NodeId, ...]
-    candidates: Mapping[str, Candidate]  # by name, the leader included
-    silent_us: Mapping[NodeId, int]  # for how long nothing was heard; a voter that is missing is heard
-    responsive: Collection[NodeId]  # nodes that have replied since the last round
-    target_count: int
-    replace_after_us: int
+    candidates: Mapping[str, Candidate]  # candidates by name, including the leader
+    silent_us: Mapping[
+        NodeId, int
+    ]  # microseconds since the last message of each voter; 0 if it is missing here
+    responsive: Collection[NodeId]  # the nodes that have replied since the last check
+    target_count: int  # the configured number of voters
+    replace_after_us: int  # a voter that has been silent for so long is lost
 
     def is_lost(self, node: NodeId) -> bool:
         """Tells whether a voter has been silent for too long, or its name now belongs to another node."""
@@ -47,7 +49,7 @@
         return self.silent_us.get(node, 0) >= self.replace_after_us or is_replaced
 
     def live_voters(self) -> list[NodeId]:
-        """Returns the voters that are not lost."""
+        """Returns the voters that are not lost, in the order of `voters`."""
         return [node for node in self.voters if not self.is_lost(node)]
 
     def _site_of(self, node: NodeId) -> str:
@@ -55,7 +57,7 @@
         return current.site if current is not None else ""
 
     def addable_candidates(self) -> list[Candidate]:
-        """Returns the candidates that may be added, those of the sites with the fewest voters first."""
+        """Returns the candidates that are no live voters, those of the sites with the fewest voters first."""
         live = self.live_voters()
         voters_of_site = Counter(map(self._site_of, live))
         live_names = set(map(name_of, live))
@@ -65,15 +67,15 @@
         )
 
     def is_settled(self) -> bool:
-        """Tells whether there are as many voters as wanted and none is lost."""
+        """Tells whether there are as many voters as configured and none is lost."""
         return len(self.live_voters()) == len(self.voters) == self.target_count
 
     def candidates_to_catch_up(self) -> list[Candidate]:
-        """Returns the candidates that should get the log in order to be added, the best first."""
+        """Returns the candidates that should get the log so that they can be added, the best first."""
         return self.addable_candidates() if len(self.live_voters()) < self.target_count else []
 
     def next_voters(self) -> tuple[NodeId, ...] | None:
-        """Returns the voters with one added or removed, or None if nothing is to be changed now."""
+        """Returns the next set of voters, with one added or removed, or None if nothing is to change now."""
         live = self.live_voters()
         responsive_count = sum(node == self.node_id or node in self.responsive for node in live)
         caught_up = [candidate for candidate in self.addable_candidates() if candidate.is_caught_up]
@@ -82,8 +84,8 @@
             remaining_count = responsive_count - (removal in live and removal in self.responsive)
             if remaining_count >= majority(len(self.voters) - 1):
                 return tuple(node for node in self.voters if node != removal)
-        # A second voter counts at once: if it were lost before it has its entry, the first could commit
-        # nothing. It is added only if it has just replied, so it counts as responsive itself.
+        # The quorum of two voters is two: if the second voter were lost before it has the entry that adds it,
+        # the first could commit nothing. It is added only if it has just replied, so it counts as responsive.
         next_responsive_count = responsive_count + (len(self.voters) == 1)
         has_next_quorum = next_responsive_count >= majority(len(self.voters) + 1)
         if len(self.voters) < self.target_count and caught_up and has_next_quorum:
@@ -94,7 +96,7 @@
         lost = set(self.voters) - set(live)
         if lost:
             if not has_replacement and len(self.voters) <= self.target_count:
-                return None  # it may come back, and no node can take its place
+                return None  # the lost voter may return, and no candidate can replace it
             return min(lost, key=lambda node: (-self.silent_us.get(node, 0), node))
         surplus = set(live) - {self.node_id}
         if len(self.voters) <= self.target_count or not surplus:
@@ -107,7 +109,7 @@
 
 
 def node_id_of(name: str, incarnation: str) -> NodeId:
-    """Returns the node id of a sidecar's incarnation."""
+    """Returns the node id of an incarnation of a sidecar, as NAME#INCARNATION."""
     return f"{name}#{incarnation}"
 
 
@@ -117,5 +119,5 @@
 
 
 def majority(count: int) -> int:
-    """Returns the size of a majority of this many voters."""
+    """Returns the size of a majority of so many voters."""
     return count // 2 + 1
