--- a/tests/consensus/test_disruption_budgets.py
+++ b/tests/consensus/test_disruption_budgets.py
@@ -1,4 +1,4 @@
-"""Disruption budgets: never exceeded in any order of commands, nor by requests at all sidecars at once."""
+"""Disruption budgets are exceeded neither by any order of commands nor by concurrent requests."""
 
 from __future__ import annotations
 
@@ -35,10 +35,12 @@
 
 
 def group_size(target: Target, scope: Scope) -> int:
+    """The number of upstreams in the target's group of a scope."""
     return sum(upstream.shares_group(target, scope) for upstream in UPSTREAMS)
 
 
-def facts(target: Target, unavailable: tuple[Target, ...] = ()) -> DisruptionFacts:
+def facts_about(target: Target, unavailable: tuple[Target, ...] = ()) -> DisruptionFacts:
+    """The facts that the leader would add to a command about this target."""
     all_count, site, upstream_class, cell = (group_size(target, scope) for scope in Scope)
     return DisruptionFacts("node", target, (all_count, site, upstream_class, cell), unavailable)
 
@@ -50,23 +52,25 @@
         self.state = ReplicatedState()
 
     def apply(
-        self, kind: str, name: str, value: str = "", command_facts: DisruptionFacts | None = None
+        self, kind: str, name: str, value: str = "", facts: DisruptionFacts | None = None
     ) -> ApplyResult:
         index = self.state.index + 1
-        command = ReplicatedCommand(kind, f"w{index}", "s0", 0, name, 1, value, command_facts)
+        command = ReplicatedCommand(kind, f"w{index}", "s0", 0, name, 1, value, facts)
         data = replicated_commands.encode_command_with_facts(command)
         return replicated_commands.apply(self.state, Entry(1, index, data))
 
     def apply_to(self, kind: str, target: Target, *unavailable: Target, value: str = "") -> ApplyResult:
-        """Apply a command about an upstream, with facts."""
-        needs_key = kind in ("permit", "return")
-        name = f"node:{target.name}" if needs_key else target.name
-        return self.apply(kind, name, value, facts(target, unavailable))
+        """Apply a command about an upstream, with the facts that name these upstreams as unavailable."""
+        has_target_key = kind in ("permit", "return")
+        name = f"node:{target.name}" if has_target_key else target.name
+        return self.apply(kind, name, value, facts_about(target, unavailable))
 
     def granted_names(self) -> set[str]:
+        """The upstreams that have a permit."""
         return {permit.target.name for permit in self.state.permits.granted.values()}
 
     def out_names(self) -> set[str]:
+        """The upstreams that are excluded or have a permit."""
         return set(self.state.excluded) | self.granted_names()
 
 
@@ -77,7 +81,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """A command, and the upstreams that are unavailable for another reason at that time."""
+    """A command, and the upstreams that are unavailable without a permit when it is applied."""
 
     kind: str
     value: str
@@ -96,7 +100,7 @@
 
 
 def assert_within_budgets(out: set[str], newly_out: set[str], unavailable: tuple[Target, ...]) -> None:
-    """Check the budgets of the groups of those that have just gone out."""
+    """Check the budgets of the groups of the upstreams that the last command has taken out of service."""
     targets = [target for target in UPSTREAMS if target.name in out or target in unavailable]
     for scope, setting in SETTING_OF_SCOPE.items():
         for group in {target.group(scope) for target in UPSTREAMS if target.name in newly_out}:
@@ -112,12 +116,12 @@
     for name, value in BUDGETS.items():
         assert not state.apply("set", name, value).error
     for step in script:
-        before = state.out_names()
+        out_before = state.out_names()
         state.apply_to(step.kind, step.target, *step.unavailable, value=step.value)
         out = state.out_names()
         assert set(state.state.excluded) <= state.granted_names()
-        if out - before:
-            assert_within_budgets(out, out - before, step.unavailable)
+        if out - out_before:
+            assert_within_budgets(out, out - out_before, step.unavailable)
     restored = replicated_commands.decode_state(replicated_commands.encode_state(state.state))
     described = replicated_commands.describe_state(state.state)
     assert replicated_commands.describe_state(restored) == described
@@ -130,7 +134,7 @@
     assert "1 nodes are out (n0), 1 may be" in state.apply_to("permit", n1).error
     for target in (n3, n2):
         assert "queued" in state.apply_to("permit", target, value="wait").text
-    assert state.apply_to("return", n0, n7).text == ""  # n7 has failed
+    assert state.apply_to("return", n0, n7).text == ""  # n7 is unavailable without a permit
     assert "holds no place" in state.apply_to("return", n0).error
     assert "2 wait for a place before it" in state.apply_to("permit", n1).error
     assert not state.state.permits.granted
@@ -146,12 +150,12 @@
     return all([(await fleet_object(scene, number, "WORDS"))["settings"] for number in range(6)])
 
 
-async def has_forced_one(scene: Scene, sidecar: int) -> bool:
+async def shows_one_forced_permit(scene: Scene, sidecar: int) -> bool:
     return bool((await fleet_object(scene, sidecar, "WORDS"))["forced"] == 1)
 
 
 async def check_concurrent_drains(scene: Scene, names: list[str]) -> list[str]:
-    """Drains of all upstreams at once, at all sidecars in turn; returns those that were drained."""
+    """Drain all upstreams at once at all sidecars; return the names of the three that were drained."""
     requests = [
         fleet_command(scene, number % 6, f"DRAIN d-{name} {name}") for number, name in enumerate(names)
     ]
@@ -165,7 +169,7 @@
 
 
 async def check_drains_in_partition(scene: Scene, remaining: list[str]) -> None:
-    """In a partition neither side drains more: one has no quorum, the other has used up the budget."""
+    """In a partition neither side drains another upstream: one has no quorum, the other no budget left."""
     with link_fault(scene, "link_part", [3, 4, 5]):
         requests = [
             fleet_command(scene, number, f"DRAIN p-{number} {remaining[number]}") for number in range(6)
@@ -175,7 +179,7 @@
 
 
 async def check_permit_of_restarted_upstream(scene: Scene, drained: list[str], remaining: list[str]) -> None:
-    """A restarted upstream returns its permit, which is usable once no upstream has failed meanwhile."""
+    """The permit of a restarted upstream is returned; a failed one delays the next drain until it is back."""
     assert scene.player is not None
     upstreams = {upstream.name: upstream for upstream in scene.nodes}
     failed, restarted = upstreams[remaining[0]], upstreams[drained[0]]
@@ -198,7 +202,7 @@
 
 
 def test_concurrent_drains_at_six_sidecars_stay_within_the_budget() -> None:
-    """Also in a partition, with an upstream that has failed, and after a restart of a drained one."""
+    """This holds also in a partition, with a failed upstream, and after a drained upstream has restarted."""
 
     async def test(scene: Scene) -> None:
         await create_fleet(scene)
@@ -218,13 +222,13 @@
         assert not described["forced"]
         assert (await fleet_command(scene, 2, f"DRAIN now {remaining[2]} force")).startswith("done")
         assert "queued" in await fleet_command(scene, 3, f"PERMIT p node:{remaining[3]} wait")
-        await wait_until(lambda: has_forced_one(scene, 4))
+        await wait_until(lambda: shows_one_forced_permit(scene, 4))
 
     on_rig(SIX_SIDECARS, test)
 
 
 async def check_concurrent_pauses(scene: Scene) -> list[int]:
-    """Pauses all sidecars at once; returns their numbers, the one that was paused first."""
+    """Pause all sidecars at once. Return all their numbers, beginning with the one that was paused."""
     answers = await asyncio.gather(*[sidecar.call("PAUSE") for sidecar in scene.sidecars])
     paused = [number for number, answer in enumerate(answers) if answer == "done"]
     others = [number for number in range(6) if number not in paused]
@@ -235,7 +239,7 @@
 
 
 def test_only_one_of_six_sidecars_is_paused_and_its_permit_returns() -> None:
-    """It returns with RESUME, and with the next process; a forced pause is done and counted."""
+    """The permit is returned by RESUME and by the next process; a forced pause succeeds and is counted."""
 
     async def test(scene: Scene) -> None:
         await create_fleet(scene)
@@ -249,7 +253,7 @@
             return await sidecars[second].call("PAUSE") == "done"
 
         await wait_until(is_second_paused)
-        # Its process ends, and the next one of it returns the permit.
+        # The next process of the paused sidecar returns the permit.
         await sidecars[second].kill()
         await sidecars[second].start()
 
--- a/tests/consensus/test_fleet.py
+++ b/tests/consensus/test_fleet.py
@@ -1,4 +1,4 @@
-"""Sidecars with consensus as processes, with failures between them."""
+"""Consensus among real sidecar processes, with failures of processes, links, disks and clocks."""
 
 from __future__ import annotations
 
@@ -35,18 +35,19 @@
 
 
 def others(scene: Scene, *excluded: int) -> list[int]:
+    """The numbers of all sidecars except these."""
     return [number for number in range(len(scene.sidecars)) if number not in excluded]
 
 
-def test_command_holds_everywhere_and_survives_the_loss_of_two_machines_with_their_disks() -> None:
-    """The second machine is lost once the first one has been replaced."""
+def test_command_takes_effect_everywhere_and_survives_the_loss_of_two_sidecars_with_their_disks() -> None:
+    """The second sidecar is lost after the first one has been replaced as a voter."""
 
     async def test(scene: Scene) -> None:
         leader = await create_fleet(scene)
         name, other = scene.nodes[0].name, scene.nodes[1].name
         answer = await fleet_command(scene, (leader + 1) % 5, f"SUSPEND one {name}")
         assert answer.startswith("done "), answer
-        # A repeat at another sidecar is the same command.
+        # A command that is repeated at another sidecar has the same result.
         assert await fleet_command(scene, (leader + 2) % 5, f"SUSPEND one {name}") == answer
         assert "another word" in await fleet_command(scene, leader, f"RESUME one {name}")
         assert "is listed" in await fleet_command(scene, leader, "SUSPEND two nobody")
@@ -73,31 +74,31 @@
 LINK_FAULTS = {
     "link_part": "link_part",
     "link_oneway": "link_oneway",
-    "heard": "link_oneway",  # the leader is heard but hears nobody
+    "link_oneway_to_leader": "link_oneway",  # the leader's frames arrive, but it receives none
     "link_bridge": "link_bridge",
 }
 
 
 def test_leader_killed_stopped_isolated_cut_one_way_or_bridged_is_replaced_and_returns() -> None:
-    """Commands go on after each fault, and the former leader catches up."""
+    """After each fault commands are still committed, and the former leader catches up."""
 
     async def test(scene: Scene) -> None:
         leader = await create_fleet(scene)
         names = [upstream.name for upstream in scene.nodes]
         command_count = 0
         for fault in ("kill", "stop", *LINK_FAULTS):
-            former, rest = scene.sidecars[leader], others(scene, leader)
+            former, followers = scene.sidecars[leader], others(scene, leader)
             if fault == "kill":
                 await former.kill()
             elif fault == "stop":
                 former.pause()
             link_kind = LINK_FAULTS.get(fault, "link_part")
-            affected = {"heard": rest, "kill": [], "stop": []}.get(fault, [leader])
+            affected = {"link_oneway_to_leader": followers, "kill": [], "stop": []}.get(fault, [leader])
             with link_fault(scene, link_kind, affected):
-                if fault != "link_bridge":  # with only one of its links cut it may go on
-                    assert await wait_for_leader(scene, rest) != leader, fault
+                if fault != "link_bridge":  # a leader that has lost only one of its links may keep leading
+                    assert await wait_for_leader(scene, followers) != leader, fault
                 command_count += 1
-                await submit(scene, rest, f"SUSPEND {names[command_count]}", f"word-{command_count}")
+                await submit(scene, followers, f"SUSPEND {names[command_count]}", f"word-{command_count}")
             if fault == "kill":
                 await former.start()
             former.wake()
@@ -107,7 +108,7 @@
     on_rig(replace(PLAN, sidecars=3), test)
 
 
-def test_lost_majority_is_reported_and_a_fleet_that_was_down_comes_back() -> None:
+def test_lost_majority_is_reported_and_a_stopped_fleet_recovers() -> None:
     async def test(scene: Scene) -> None:
         leader = await create_fleet(scene)
         name = scene.nodes[0].name
@@ -126,7 +127,7 @@
         assert status["leaderless_s"] > 0
         assert await excluded_upstreams(scene, remaining) == {name}
         await scene.sidecars[remaining].kill()
-        # Alone, without peers, it applies what it has learned.
+        # A sidecar that starts without reachable peers applies its persisted state.
         await scene.sidecars[remaining].start()
         assert await excluded_upstreams(scene, remaining) == {name}
         line = f"excluded for the fleet as of entry {status['applied']}: {name}"
@@ -145,7 +146,7 @@
 
 
 class SuspendedUpstreams:
-    """Suspends one upstream after the other, and knows which have to be excluded."""
+    """Suspends one upstream after the other, and records which ones have to be excluded."""
 
     def __init__(self, scene: Scene) -> None:
         self.scene = scene
@@ -162,11 +163,11 @@
 
 
 async def check_full_disks(scene: Scene, leader: int, upstreams: SuspendedUpstreams) -> int:
-    """A full disk of the leader, then of a follower; returns the new leader."""
+    """Fill the disk of the leader, then of a follower. Return the new leader."""
     full = scene.sidecars[leader]
     last_name = scene.nodes[-1].name
     full.fill(True)
-    await fleet_command(scene, leader, f"SUSPEND full {last_name}")  # it may be committed or not
+    await fleet_command(scene, leader, f"SUSPEND full {last_name}")  # the command may be committed or not
     leader = await wait_for_leader(scene, others(scene, leader))
     await upstreams.suspend_next(others(scene, leader))
     full.fill(False)
@@ -183,7 +184,7 @@
 async def check_kill_at_operation(
     scene: Scene, operation: str, moment: str, upstreams: SuspendedUpstreams
 ) -> None:
-    """The leader is killed at its next operation of this kind, and started again."""
+    """Kill the leader at its next operation of this kind on the disk, and start it again."""
     leader = await wait_for_leader(scene, others(scene))
     sidecar = scene.sidecars[leader]
     sidecar.spoil(f"kill {operation} {moment} 1")
@@ -197,7 +198,7 @@
 
 
 async def check_copied_folder(scene: Scene, upstreams: SuspendedUpstreams) -> None:
-    """A folder of an earlier time is recognized, and its sidecar becomes another node."""
+    """A folder that is restored from an earlier copy is recognized, and its sidecar becomes another node."""
     leader = await wait_for_leader(scene, others(scene))
     sidecar = scene.sidecars[leader]
     node = (await fleet_object(scene, leader, "STATUS"))["node"]
@@ -213,12 +214,12 @@
     await upstreams.wait_until_excluded()
 
 
-def test_disks_that_are_full_slow_killed_or_copied_lose_nothing() -> None:
+def test_full_slow_or_copied_disks_and_kills_during_disk_operations_lose_nothing() -> None:
     async def test(scene: Scene) -> None:
         leader = await create_fleet(scene)
         upstreams = SuspendedUpstreams(scene)
         leader = await check_full_disks(scene, leader, upstreams)
-        # The leader's disk takes two seconds: another node leads, or commands wait.
+        # Operations on the leader's disk take two seconds: another node is elected, or commands are delayed.
         scene.sidecars[leader].spoil("slow 2")
         await upstreams.suspend_next(others(scene))
         scene.sidecars[leader].spoil("")
@@ -237,7 +238,7 @@
     on_rig(PLAN, test)
 
 
-# A sidecar of a later version, which knows one more kind of command.
+# The main program of a sidecar of a later version, which knows one more kind of command.
 LATER_VERSION = """
 import sys
 from sidecar_proxy.consensus import fleet_commands, replicated_commands
@@ -256,7 +257,7 @@
 
 
 async def check_command_of_later_version(scene: Scene) -> None:
-    """A kind that one sidecar alone knows is committed, listed by the others, and not accepted by them."""
+    """A command whose kind only one sidecar knows is committed; the others list it but do not accept such."""
     index = int((await fleet_command(scene, 0, "HUSH x anything")).split()[1])
     name = scene.nodes[0].name
     await submit(scene, [1], f"SUSPEND {name}", "one")
@@ -267,7 +268,7 @@
 
 
 async def check_stepped_clock_and_bad_links(scene: Scene) -> None:
-    """The wall clock of one sidecar is an hour off, and streams break, are duplicated and stall."""
+    """Commands are committed while a wall clock is an hour off, and links break and lose data."""
     name = scene.nodes[0].name
     scene.sidecars[1].step(3600.0)
     with link_fault(scene, "link_chop", [0, 1, 2], 900.0), link_fault(scene, "link_lossy", [0, 1, 2], 0.1):
@@ -279,7 +280,7 @@
 
 
 async def check_invalid_connections(scene: Scene) -> None:
-    """Connections that do not begin as they should are closed and reported."""
+    """Connections that begin with invalid bytes are closed, and the rejection is logged."""
     host, _, port = tomllib.loads(scene.sidecars[0].operator)["gossip"]["bind"].partition(":")
     for data in INVALID_CONNECTION_STARTS:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -292,7 +293,7 @@
 
 
 async def check_revoked_certificate(scene: Scene) -> None:
-    """The others go on without the sidecar whose certificate is revoked, which hears nothing of it."""
+    """The other sidecars reject the one whose certificate is revoked, so that it gets no new commands."""
     name, other = scene.nodes[0].name, scene.nodes[1].name
     assert scene.keys is not None
     scene.keys.revoke("sidecar-2")
@@ -308,7 +309,7 @@
     return any("agreement" in line and reason in line for line in scene.sidecars[sidecar].lines)
 
 
-def test_later_version_stepped_clock_bad_links_strangers_and_a_revoked_certificate() -> None:
+def test_later_version_stepped_clock_bad_links_invalid_connections_and_revoked_certificate() -> None:
     async def test(scene: Scene) -> None:
         later = scene.sidecars[0]
         await later.kill()
@@ -325,7 +326,7 @@
 
 
 def run_fleet(*arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run the `fleet` command."""
+    """Run the `fleet` subcommand as a process."""
     completed = subprocess.run(
         [sys.executable, "-m", "sidecar_proxy", "fleet", *arguments],
         cwd=ROOT,
@@ -338,7 +339,7 @@
 
 
 async def check_fleet_command(address: str, name: str) -> None:
-    """Each subcommand, its exit status and a part of what it prints."""
+    """Check the exit status of each subcommand of `fleet`, and a part of its output."""
     for arguments, exit_status, expected in (
         (("status", address), 0, "leads since"),
         (("members", address), 0, "  leads"),
@@ -358,20 +359,20 @@
     assert json.loads(completed.stdout + completed.stderr)["applied"] > 200
 
 
-def test_snapshot_over_a_narrow_link_while_commands_go_on_and_the_fleet_command() -> None:
+def test_snapshot_over_a_narrow_link_during_commands_and_the_fleet_subcommands() -> None:
     async def test(scene: Scene) -> None:
         leader = await create_fleet(scene)
         name = scene.nodes[0].name
         late = others(scene, leader)[0]
         await scene.sidecars[late].kill()
-        rest = others(scene, late)
-        for number in range(100):  # more than `compact`, so they become a snapshot
+        running = others(scene, late)
+        for number in range(100):  # more entries than `compact`, so that the log is compacted to a snapshot
             await submit(scene, [leader], f"SET key-{number % 30} {'v' * 200}", f"k-{number}")
         with link_fault(scene, "link_narrow", [late], 4000.0):
             await scene.sidecars[late].start()
             for number in range(100):
                 await submit(scene, [leader], f"SET key-{number % 30} {'w' * 200}", f"l-{number}")
-        await submit(scene, rest, f"SUSPEND {name}", "one")
+        await submit(scene, running, f"SUSPEND {name}", "one")
         await wait_until_excluded(scene, others(scene), {name})
         assert (await fleet_object(scene, late, "WORDS"))["settings"]["key-7"]["value"] == "w" * 200
         address = "{}:{}".format(*(scene.sidecars[late].door or ("", 0)))
--- a/tests/consensus/test_voters.py
+++ b/tests/consensus/test_voters.py
@@ -1,4 +1,4 @@
-"""Who votes: rules that hold in every case, and that the changes come to an end."""
+"""The planned changes of the voters keep a quorum, and end when the configured number is reached."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 LEADER = "s0#0"
 
 
-def planner(
+def create_planner(
     candidates: list[Candidate],
     voters: tuple[str, ...],
     silent_us: dict[str, int],
@@ -26,6 +26,8 @@
 
 @dataclass(frozen=True)
 class FleetCase:
+    """What a leader knows of the voters and the other sidecars."""
+
     candidates: list[Candidate]
     voters: tuple[str, ...]
     silent_us: dict[str, int]
@@ -35,7 +37,7 @@
 
 @st.composite
 def fleet_cases(draw: st.DrawFn) -> FleetCase:
-    """Some sidecars have another incarnation than the voter of their name, are away or lack the log."""
+    """Some sidecars have another incarnation than the voter of their name, are absent or lack the log."""
     others = [
         Candidate(f"s{n}#{draw(st.integers(0, 1))}", f"s{n}", f"site{n % 3}", draw(st.booleans()))
         for n in draw(st.sets(st.integers(1, 8), max_size=7))
@@ -51,8 +53,8 @@
 
 
 @given(fleet_cases())
-def test_voters_change_one_at_a_time_keep_the_leader_and_the_quorum_of_the_next_set(case: FleetCase) -> None:
-    voters = planner(
+def test_each_change_adds_or_removes_one_voter_and_keeps_the_leader_and_a_quorum(case: FleetCase) -> None:
+    voters = create_planner(
         case.candidates, case.voters, case.silent_us, case.responsive, case.target_count
     ).next_voters()
     if voters is None:
@@ -71,13 +73,15 @@
 
 
 @given(fleet_cases())
-def test_changes_end_with_as_many_voters_as_wanted_if_they_are_present(case: FleetCase) -> None:
-    """Every sidecar that is present responds; voters that are not present have been silent for long."""
+def test_changes_end_with_the_configured_number_of_voters_if_they_are_present(case: FleetCase) -> None:
+    """Every sidecar that is present responds; absent voters have been silent for longer than the limit."""
     voters = case.voters
     present = {candidate.node for candidate in case.candidates}
     for _ in range(20):
         silent_us = {node: 0 if node in present else 2 * REPLACE_AFTER_US for node in voters}
-        next_voters = planner(case.candidates, voters, silent_us, present, case.target_count).next_voters()
+        next_voters = create_planner(
+            case.candidates, voters, silent_us, present, case.target_count
+        ).next_voters()
         if next_voters is None:
             break
         voters = next_voters
@@ -96,6 +100,6 @@
     candidates = [Candidate(f"s{n}#0", f"s{n}", f"site{n // 2}", True) for n in range(6)]
     nodes = {candidate.node for candidate in candidates}
     voters: tuple[str, ...] = (LEADER,)
-    while next_voters := planner(candidates, voters, {}, nodes, 3).next_voters():
+    while next_voters := create_planner(candidates, voters, {}, nodes, 3).next_voters():
         voters = next_voters
     assert voters == (LEADER, "s2#0", "s4#0")
--- a/tests/consensus/test_wire_format.py
+++ b/tests/consensus/test_wire_format.py
@@ -1,6 +1,6 @@
-"""The encoded form of every record on the wire and on disk.
+"""The encoded form of each record on the wire and on disk, which must not change from version to version.
 
-The expectations were written by the version before its classes and fields were renamed.
+The expected bytes were written by the version before the classes and fields of the records were renamed.
 """
 
 from __future__ import annotations
@@ -166,22 +166,22 @@
 @pytest.mark.parametrize(
     ("record", "encoded"), EXPECTED, ids=[type(record).__name__ for record, _ in EXPECTED]
 )
-def test_record_is_encoded_as_before_the_rename(record: msgspec.Struct, encoded: str) -> None:
+def test_record_has_the_expected_encoding(record: msgspec.Struct, encoded: str) -> None:
     assert frames.encode(record).hex() == encoded
     assert replicated_commands.encode(record).hex() == encoded
     assert msgspec.msgpack.decode(bytes.fromhex(encoded), type=type(record)) == record
 
 
-def test_first_snapshot_of_a_fleet_is_encoded_as_before_the_rename() -> None:
+def test_first_snapshot_of_a_fleet_has_the_expected_encoding() -> None:
     encoded = "98a5666c65657401808080909093809000"
     assert replicated_commands.initial_snapshot_data("fleet").hex() == encoded
 
 
-def test_digest_of_a_command_is_as_before_the_rename() -> None:
+def test_command_has_the_expected_digest() -> None:
     assert replicated_commands.command_digest(COMMAND).hex() == "d53d97b5b117b89dc3b5be9afd1adda2"
 
 
-def test_record_of_the_log_file_is_framed_as_before_the_rename() -> None:
+def test_record_of_the_log_file_has_the_expected_frame() -> None:
     data, _ = storage.frame_records([HardStateRecord(4, "a#1", 3)], b"")
     assert data.hex() == "080000002b5e080ca9260fbf4aeb193e940104a361233103ff"
     assert storage.FILE_MAGIC == b"wickspread agreement 1\n"
