--- a/sidecar_proxy/consensus/disruption_budgets.py
+++ b/sidecar_proxy/consensus/disruption_budgets.py
@@ -112,7 +112,7 @@
 
 
 def parse_limit(setting: str, total: int) -> int | None:
-    """Returns how many of `total` targets a budget allows to be out, or None if its setting is not valid.
+    """Returns how many of `total` targets a budget allows to be unavailable, or None if it is not valid.
 
     The setting is a count, or a percentage, which is rounded down but allows at least one target unless it
     is 0%.
@@ -242,7 +242,7 @@
     """Removes a target's permit or queued request, and returns the permits that this allows to grant.
 
     The queue of each kind of target is served in order: a request that would exceed a budget delays those
-    after it, so that no request can be overtaken for ever.
+    after it, so that no request is starved.
     """
     state.granted.pop(permit_key(target_kind, name), None)
     state.queue = [
--- a/sidecar_proxy/consensus/session.py
+++ b/sidecar_proxy/consensus/session.py
@@ -38,9 +38,7 @@
     certificate: Certificate
     node: Annotated[str, Meta(min_length=1, max_length=MAX_NODE_ID_CHARS)]
     session_key: Key
-    answered_key: Annotated[
-        bytes, Meta(max_length=32)
-    ]  # the caller's session key; empty in the caller's greeting
+    answered_key: Annotated[bytes, Meta(max_length=32)]  # the caller's session key; the caller sends b""
 
 
 encode = msgspec.msgpack.Encoder().encode
--- a/sidecar_proxy/consensus/state_transfer.py
+++ b/sidecar_proxy/consensus/state_transfer.py
@@ -23,9 +23,8 @@
 from sidecar_proxy.consensus.messages import MAX_MESSAGE_ENTRIES, Entry, NodeId, Snapshot
 
 RESPONSE_TIMEOUT_US = 3_000_000
-POLL_INTERVAL_US = (
-    10_000_000  # minimum interval between requests while up to date; at random up to 1.5 times it
-)
+# Minimum interval between two requests while up to date; each one is extended by up to half at random.
+POLL_INTERVAL_US = 10_000_000
 # A new commit becomes known to all sidecars at about the same time by gossip. Their requests are spread at
 # random over this time for each sidecar of the fleet, so that the voters do not get all of them at once.
 SPREAD_PER_SIDECAR_US = 2_000
--- a/sidecar_proxy/consensus/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -52,9 +52,8 @@
 FRAME_OVERHEAD_BYTES = 128
 ENTRY_OVERHEAD_BYTES = 32
 RESPONSES = (EntryBatch, SnapshotChunk, FetchLater, LeaderReply)
-UNIDENTIFIED: NodeId = (
-    ""  # the key under which every accepted connection is counted, also before its greeting
-)
+# All accepted connections are counted under this key, and after their greeting also under the peer's node id.
+UNIDENTIFIED: NodeId = ""
 CONNECTION_ERRORS = (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError)
 Address = tuple[str, int]
 
--- a/sidecar_proxy/consensus/voter_manager.py
+++ b/sidecar_proxy/consensus/voter_manager.py
@@ -26,9 +26,7 @@
         self.candidate: NodeId = ""  # the learner that gets the log in order to become a voter; "" = none
         self.candidate_deadline_us = 0
         self.failed_us: dict[str, int] = {}  # the time at which each failed candidate was abandoned, by name
-        self.barrier_round = (
-            0  # the message round of the last check; 0 = there is none to compare replies with
-        )
+        self.barrier_round = 0  # the message round of the last check; 0 = no check to compare replies with
 
     def on_frame(self, node: NodeId, now_us: int) -> None:
         """Records the time of a message from a voter."""
--- a/sidecar_proxy/consensus/voters.py
+++ b/sidecar_proxy/consensus/voters.py
@@ -33,9 +33,8 @@
     node_id: NodeId  # the leader's own node id
     voters: tuple[NodeId, ...]
     candidates: Mapping[str, Candidate]  # candidates by name, including the leader
-    silent_us: Mapping[
-        NodeId, int
-    ]  # microseconds since the last message of each voter; 0 if it is missing here
+    # The microseconds since the last message of each voter. A voter that is missing counts as not silent.
+    silent_us: Mapping[NodeId, int]
     responsive: Collection[NodeId]  # the nodes that have replied since the last check
     target_count: int  # the configured number of voters
     replace_after_us: int  # a voter that has been silent for so long is lost
