--- a/sidecar_proxy/consensus/frames.py
+++ b/sidecar_proxy/consensus/frames.py
@@ -134,7 +134,7 @@
     is_voter: bool
     commit_index: UnsignedInt
     applied_index: UnsignedInt
-    applied_at_ms: UnsignedInt  # the time at which the sender applied that entry, by its wall clock
+    applied_at_ms: UnsignedInt  # the time at which `applied_index` was applied, by the sender's wall clock
     process_id: Annotated[str, Meta(max_length=16)] = ""  # a random id of the sender's process
     can_vote: bool = True  # whether the sender may become a voter
 
--- a/sidecar_proxy/consensus/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -52,7 +52,7 @@
 FRAME_OVERHEAD_BYTES = 128
 ENTRY_OVERHEAD_BYTES = 32
 RESPONSES = (EntryBatch, SnapshotChunk, FetchLater, LeaderReply)
-# All accepted connections are counted under this key, and after their greeting also under the peer's node id.
+# Each accepted connection is counted under this key, and after its greeting also under its peer's node id.
 UNIDENTIFIED: NodeId = ""
 CONNECTION_ERRORS = (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError)
 Address = tuple[str, int]
@@ -127,9 +127,8 @@
             while not reader_task.done():
                 await self._write_queue(session, writer)
                 self.wakeup.clear()
-                await (
-                    self.wakeup.wait()
-                )  # `ConsensusTransport.maintain` cancels the task of an idle connection
+                # `ConsensusTransport.maintain` cancels this task when the connection is idle.
+                await self.wakeup.wait()
             reader_task.result()
         except RejectedError as error:
             transport.count_rejection(f"{self.node}: {error}")
