--- a/sidecar_proxy/consensus/leader_requests.py
+++ b/sidecar_proxy/consensus/leader_requests.py
@@ -18,7 +18,7 @@
 from sidecar_proxy.consensus.messages import Entry, NodeId
 from sidecar_proxy.consensus.proposals import PendingProposals, ProposalStatus
 from sidecar_proxy.consensus.replica_context import ReplicaContext
-from sidecar_proxy.consensus.replicated_commands import Outcome, ReplicatedCommand
+from sidecar_proxy.consensus.replicated_commands import ApplyResult, ReplicatedCommand
 
 MAX_PENDING_REQUESTS = 256  # maximum number of pending reads, and of requesters of pending commands
 BARRIER_READ_ID = 0  # id of all reads that only confirm the leadership and have no requester
@@ -106,7 +106,7 @@
         facts = self.facts_provider(command) if self.facts_provider else None
         return replicated_commands.encode_command_with_facts(msgspec.structs.replace(command, facts=facts))
 
-    def on_applied(self, entry: Entry, outcome: Outcome) -> None:
+    def on_applied(self, entry: Entry, outcome: ApplyResult) -> None:
         """Replies to the requesters of an entry that has been committed and applied."""
         proposed = self.proposed.pop(entry.index, None)
         if proposed is None:
--- a/sidecar_proxy/consensus/state_writer.py
+++ b/sidecar_proxy/consensus/state_writer.py
@@ -68,7 +68,7 @@
                 )
             self.retry_timer = self.loop.call_later(WRITE_RETRY_S, self.write, state)
         else:
-            log.error("agreement: this sidecar takes no part any more", exc_info=error)
+            log.error("agreement: consensus is stopped on this sidecar after an error", exc_info=error)
             self.on_fault()
 
     def close(self) -> None:
