--- a/benchmarks/grpc.py
+++ b/benchmarks/grpc.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.grpc.message import frame_message
 from sidecar_proxy.http2.connection import DataReceived, Event, Limits
 from sidecar_proxy.http2.guard import Rates
 from sidecar_proxy.testbed import http1, http2
@@ -165,7 +165,7 @@
     peer.streams[number] = http2.Stream()
     done: asyncio.Future[http2.Stream | None] = loop.create_future()
     peer.waiting[number] = done
-    message = framed(bytes(1_000_000))
+    message = frame_message(bytes(1_000_000))
     before, begun = cpu_s(pid), loop.time()
     for count in range(MESSAGES):
         peer.http2.send_data(number, message, ended=count == MESSAGES - 1)
--- a/sidecar_proxy/discovery/etcd/source.py
+++ b/sidecar_proxy/discovery/etcd/source.py
@@ -20,8 +20,8 @@
 from sidecar_proxy.discovery.etcd import follower as actions
 from sidecar_proxy.discovery.model import EndpointEntry
 from sidecar_proxy.engine.address import Address, parse_address
-from sidecar_proxy.grpc.message import PREFIX, first_size, framed
-from sidecar_proxy.grpc.status import Code, parse
+from sidecar_proxy.grpc.message import PREFIX_BYTES, first_message_size, frame_message
+from sidecar_proxy.grpc.status import Code, parse_status
 from sidecar_proxy.http2.connection import (
     CANCEL,
     Connection,
@@ -106,7 +106,7 @@
 
     def send(self, stream: int, request: Message, ended: bool = False) -> None:
         """Send one request message."""
-        self.http2.send_data(stream, framed(request.SerializeToString()), ended=ended)
+        self.http2.send_data(stream, frame_message(request.SerializeToString()), ended=ended)
         self.schedule()
 
     def data_received(self, data: bytes) -> None:
@@ -145,8 +145,8 @@
 
     def read_messages(self, stream: int, call: GrpcCall) -> None:
         """Pass on the messages that are complete."""
-        while stream in self.calls and (size := first_size(call.buffer)) is not None:
-            if size > MAX_MESSAGE_BYTES + PREFIX or call.buffer[0]:
+        while stream in self.calls and (size := first_message_size(call.buffer)) is not None:
+            if size > MAX_MESSAGE_BYTES + PREFIX_BYTES or call.buffer[0]:
                 del self.calls[stream]
                 self.http2.reset(stream, CANCEL)
                 call.on_end(
@@ -155,7 +155,7 @@
                 return
             if len(call.buffer) < size:
                 return
-            message = bytes(call.buffer[PREFIX:size])
+            message = bytes(call.buffer[PREFIX_BYTES:size])
             del call.buffer[:size]
             call.on_message(message)
 
@@ -166,7 +166,7 @@
             call.on_end(Code.UNAVAILABLE, f"HTTP status {call.headers.get(b':status', b'')!r}, expected 200")
             return
         message = unquote_to_bytes(trailers.get(b"grpc-message", b"").decode("latin-1"))
-        call.on_end(parse(trailers.get(b"grpc-status")), message.decode("utf-8", "replace")[:200])
+        call.on_end(parse_status(trailers.get(b"grpc-status")), message.decode("utf-8", "replace")[:200])
 
     def connection_lost(self, error: Exception | None) -> None:
         """Report that the connection is closed."""
--- a/sidecar_proxy/grpc/deadline.py
+++ b/sidecar_proxy/grpc/deadline.py
@@ -12,8 +12,8 @@
     b"u": 1000,
     b"n": 1,
 }
-TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])\Z")
-MOST = 99_999_999  # eight digits
+TIMEOUT_PATTERN = re.compile(rb"([0-9]{1,8})([HMSmun])\Z")
+MAX_VALUE = 99_999_999  # eight digits
 
 
 class DeadlineError(ValueError):
@@ -22,17 +22,17 @@
 
 def parse_us(text: bytes) -> int:
     """Microseconds, rounded down: what is promised to the client is never longer than it waits."""
-    found = TIMEOUT.match(text)
-    if found is None:
+    match = TIMEOUT_PATTERN.match(text)
+    if match is None:
         raise DeadlineError(f"malformed grpc-timeout {text[:20]!r}")
-    return int(found[1]) * UNITS_NS[found[2]] // 1000
+    return int(match[1]) * UNITS_NS[match[2]] // 1000
 
 
 def format_us(left_us: int) -> bytes:
     """The finest unit that holds it, rounded down; 0 where nothing is left."""
     left_us = max(0, left_us)
-    if left_us <= MOST:
+    if left_us <= MAX_VALUE:
         return b"%du" % left_us
-    if left_us // 1000 <= MOST:
+    if left_us // 1000 <= MAX_VALUE:
         return b"%dm" % (left_us // 1000)
-    return b"%dS" % min(MOST, left_us // 1_000_000)
+    return b"%dS" % min(MAX_VALUE, left_us // 1_000_000)
--- a/sidecar_proxy/grpc/front.py
+++ b/sidecar_proxy/grpc/front.py
@@ -14,11 +14,11 @@
 
 from sidecar_proxy.engine.interfaces import Call
 from sidecar_proxy.grpc import health
-from sidecar_proxy.grpc.held import WIDE
-from sidecar_proxy.grpc.metadata import Headers, Reader, Rejected, acceptable, value_of
-from sidecar_proxy.grpc.nodes import Nodes
-from sidecar_proxy.grpc.relay import KEPT, OWN_HEADERS, Relay
+from sidecar_proxy.grpc.buffer_budget import LONG_STREAM_WINDOW_BYTES
+from sidecar_proxy.grpc.metadata import CallRejectedError, Headers, MetadataReader, first_value, is_grpc
+from sidecar_proxy.grpc.relay import MAX_REPLAY_BYTES, RESPONSE_HEADERS, Relay
 from sidecar_proxy.grpc.status import Code, encode_message
+from sidecar_proxy.grpc.upstream import UpstreamPool
 from sidecar_proxy.http1.client import ClientConnection
 from sidecar_proxy.http1.listener import DownstreamConnection, Listener
 from sidecar_proxy.http1.request import RequestRejectedError as HttpRejected
@@ -38,62 +38,69 @@
 )
 from sidecar_proxy.http2.endpoint import Endpoint
 
-START_S = 0.02  # from a call's headers, where its client goes on sending
-LINGER_S = 1.0  # for a client to read its answer
-NOTICE_S = 0.25  # between the GOAWAY that tells and the one that refuses: more than a round trip
+START_DELAY_S = 0.02  # from a call's headers, where its client goes on sending
+LINGER_TIMEOUT_S = 1.0  # for a client to read its answer
+GOAWAY_INTERVAL_S = 0.25  # between the GOAWAY that tells and the one that refuses: more than a round trip
 
 
-class Front:
+class GrpcFront:
     """What the connections of all gRPC clients share."""
 
-    def __init__(self, server: Listener, reader: Reader, nodes: Nodes, streams: int, idle_s: float) -> None:
+    def __init__(
+        self,
+        server: Listener,
+        reader: MetadataReader,
+        upstream_pool: UpstreamPool,
+        max_streams: int,
+        idle_timeout_s: float,
+    ) -> None:
         self.server = server
         self.reader = reader
-        self.nodes = nodes
-        self.idle_s = idle_s
+        self.upstream_pool = upstream_pool
+        self.idle_timeout_s = idle_timeout_s
         # a client sends no more than is kept before the rest is asked for
         self.limits = Limits(
-            streams=streams,
-            window=KEPT,
-            unsent=2 * WIDE,
-            connection_window=min(streams * KEPT + WIDE, 1 << 30),
+            streams=max_streams,
+            window=MAX_REPLAY_BYTES,
+            unsent=2 * LONG_STREAM_WINDOW_BYTES,
+            connection_window=min(max_streams * MAX_REPLAY_BYTES + LONG_STREAM_WINDOW_BYTES, 1 << 30),
         )
-        self.numbers = itertools.count(1)
-        self.stamp = b"%x" % (nodes.now_us() & 0xFFFFFFFFFF)
-        self.watches: set[tuple[GrpcConnection, int]] = set()
+        self.request_numbers = itertools.count(1)
+        self.request_id_prefix = b"%x" % (upstream_pool.now_us() & 0xFFFFFFFFFF)
+        self.health_watches: set[tuple[GrpcClientConnection, int]] = set()
 
-    def protocol_for(self, plain: DownstreamConnection) -> Sniffer:
+    def protocol_for(self, plain: DownstreamConnection) -> ProtocolSniffer:
         """Who has the first bytes of a connection."""
-        return Sniffer(self, cast(ClientConnection, plain))
+        return ProtocolSniffer(self, cast(ClientConnection, plain))
 
-    def ident(self) -> bytes:
+    def new_request_id(self) -> bytes:
         """A req-id for a call that has none."""
-        return b"g%s-%x" % (self.stamp, next(self.numbers))
+        return b"g%s-%x" % (self.request_id_prefix, next(self.request_numbers))
 
-    def serving(self, service: str) -> health.Serving:
+    def serving_status(self, service: str) -> health.ServingStatus:
         if service and service not in self.reader.methods.services:
-            return health.Serving.SERVICE_UNKNOWN
-        return health.Serving.SERVING if self.server.is_ready else health.Serving.NOT_SERVING
+            return health.ServingStatus.SERVICE_UNKNOWN
+        return health.ServingStatus.SERVING if self.server.is_ready else health.ServingStatus.NOT_SERVING
 
     def readiness_changed(self) -> None:
         """Those who watch are told that we drain, end or are back."""
-        for connection, stream in list(self.watches):
-            connection.send_data(stream, health.response(self.serving("")))
+        for connection, stream in list(self.health_watches):
+            connection.send_data(stream, health.encode_response(self.serving_status("")))
 
 
-class Sniffer:
+class ProtocolSniffer:
     """The first bytes of a connection say what it speaks. An asyncio.Protocol in all but its bases."""
 
-    def __init__(self, front: Front, plain: ClientConnection) -> None:
+    def __init__(self, front: GrpcFront, http1_connection: ClientConnection) -> None:
         self.front = front
-        self.plain = plain
+        self.http1_connection = http1_connection
         self.data = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.plain.connection_made(transport)
+        self.http1_connection.connection_made(transport)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.plain.connection_lost(error)
+        self.http1_connection.connection_lost(error)
 
     def eof_received(self) -> None: ...
 
@@ -102,71 +109,71 @@
     def resume_writing(self) -> None: ...
 
     def data_received(self, data: bytes) -> None:
-        transport = self.plain.transport
-        if transport is None or self.plain.is_discarding:
-            self.plain.data_received(data)
+        transport = self.http1_connection.transport
+        if transport is None or self.http1_connection.is_discarding:
+            self.http1_connection.data_received(data)
             return
         self.data += data
         if not PREFACE.startswith(self.data[: len(PREFACE)]):
-            transport.set_protocol(cast(asyncio.Protocol, self.plain))
-            self.plain.data_received(self.data)
+            transport.set_protocol(cast(asyncio.Protocol, self.http1_connection))
+            self.http1_connection.data_received(self.data)
         elif len(self.data) >= len(PREFACE):
-            connection = GrpcConnection(self.front)
-            self.front.server.replace(self.plain, connection)
-            del self.plain.parser  # it holds its connection as that holds it
+            connection = GrpcClientConnection(self.front)
+            self.front.server.replace(self.http1_connection, connection)
+            del self.http1_connection.parser  # it holds its connection as that holds it
             transport.set_protocol(cast(asyncio.Protocol, connection))
             connection.connection_made(transport)
             connection.data_received(self.data)
         else:
-            self.plain.unparsed_bytes = len(self.data)
+            self.http1_connection.unparsed_bytes = len(self.data)
 
 
-class GrpcConnection(Endpoint):
+class GrpcClientConnection(Endpoint):
     """One client's connection. To the server it is as ClientConnection is."""
 
     receive_timeout_s = 2.2  # from its accept to its first call
 
-    def __init__(self, front: Front) -> None:
-        super().__init__(Connection(False, front.limits, front.nodes.now_us()), front.server.loop)
+    def __init__(self, front: GrpcFront) -> None:
+        super().__init__(Connection(False, front.limits, front.upstream_pool.now_us()), front.server.loop)
         self.front = front
         self.server = front.server
-        self.idle_timeout_s = front.idle_s
+        self.idle_timeout_s = front.idle_timeout_s
         self.calls: dict[int, Relay] = {}
-        self.starts: dict[int, asyncio.TimerHandle] = {}  # calls that are not taken yet
-        self.checks: dict[int, bytearray] = {}  # health requests that are not whole
-        self.slow: dict[int, Relay] = {}  # their clients have something to read
-        self.finishing: dict[int, float] = {}  # answered, and not read or not ended: till when
-        self.sender_open: set[int] = set()  # streams whose client has not ended its side
+        self.start_timers: dict[int, asyncio.TimerHandle] = {}  # calls that are not taken yet
+        self.health_requests: dict[int, bytearray] = {}  # health requests that are not whole
+        self.unflushed_calls: dict[int, Relay] = {}  # their clients have something to read
+        self.linger_deadlines: dict[int, float] = {}  # answered, and not read or not ended: till when
+        self.open_request_streams: set[int] = set()  # streams whose client has not ended its side
         self.phase_began_s = self.loop.time()
         self.is_discarding = False
-        self.leaving = 0  # GOAWAYs that were sent: the first tells, the second refuses
+        self.goaway_count = 0  # GOAWAYs that were sent: the first tells, the second refuses
         self.has_received_request, self.is_receiving, self.unparsed_bytes = True, False, 0
-        self.sweeper: asyncio.TimerHandle | None = None
+        self.linger_timer: asyncio.TimerHandle | None = None
 
     @property
     def pending(self) -> bool:
         """Something is owed here."""
-        return bool(self.calls) or (self.server.is_closing and self.leaving < 2)
+        return bool(self.calls) or (self.server.is_closing and self.goaway_count < 2)
 
     # The transport
 
     def connection_lost(self, error: Exception | None) -> None:
         self.server.remove(self)
-        self.abandoned()
-        self.front.watches = {one for one in self.front.watches if one[0] is not self}
-        if self.sweeper is not None:
-            self.sweeper.cancel()
+        self.abandon_calls()
+        self.front.health_watches = {watch for watch in self.front.health_watches if watch[0] is not self}
+        if self.linger_timer is not None:
+            self.linger_timer.cancel()
 
     def eof_received(self) -> None:
         """The client has left. Hazard: asyncio closes the connection once all that is written has gone."""
-        self.abandoned()
+        self.abandon_calls()
 
     def data_received(self, data: bytes) -> None:
         if self.is_discarding:
             return
         self.server.mark_busy(self)
         self.phase_began_s = self.loop.time()
-        for event in self.http2.receive(data, self.front.nodes.now_us()):
+        for event in self.http2.receive(data, self.front.upstream_pool.now_us()):
             match event:
                 case HeadersReceived():
                     self.on_headers(event)
@@ -175,10 +182,10 @@
                 case TrailersReceived():
                     self.on_data(event.stream, b"", True)
                 case StreamReset():
-                    self.forget(event.stream)
+                    self.drop_stream(event.stream)
                 case Ended():
-                    self.broke(event)
-        self.front.nodes.relieve()
+                    self.on_connection_ended(event)
+        self.front.upstream_pool.enforce_buffer_limit()
         self.schedule()
         if not self.pending and not self.is_discarding:
             self.server.mark_waiting(self)
@@ -186,16 +193,16 @@
     def flush(self) -> None:
         if not self.write():
             return
-        for relay in list(self.slow.values()):
-            relay.flushed()
-            if relay.bound is None or not relay.bound.owed:
-                del self.slow[relay.stream]
-        for stream in list(self.finishing):
+        for relay in list(self.unflushed_calls.values()):
+            relay.on_flushed()
+            if relay.bound_attempt is None or not relay.bound_attempt.unflushed_bytes:
+                del self.unflushed_calls[relay.stream]
+        for stream in list(self.linger_deadlines):
             if not self.choked and not self.http2.unsent(stream):
-                del self.finishing[stream]
-                if stream in self.sender_open:
+                del self.linger_deadlines[stream]
+                if stream in self.open_request_streams:
                     # the answer is whole; what the client still sends is not wanted (RFC 9113, 8.1)
-                    self.sender_open.discard(stream)
+                    self.open_request_streams.discard(stream)
                     self.http2.reset(stream, NO_ERROR)
                     self.schedule()
 
@@ -204,39 +211,41 @@
     def on_headers(self, event: HeadersReceived) -> None:
         stream = event.stream
         if not event.ended:
-            self.sender_open.add(stream)
-        path = value_of(event.headers, b":path")
-        if not acceptable(event.headers):
+            self.open_request_streams.add(stream)
+        path = first_value(event.headers, b":path")
+        if not is_grpc(event.headers):
             self.send_headers(stream, [(b":status", b"415")], True)
-            self.finish(stream)
-        elif path in (health.CHECK, health.WATCH):
-            self.checks[stream] = bytearray(path + b"\n")
+            self.linger(stream)
+        elif path in (health.CHECK_PATH, health.WATCH_PATH):
+            self.health_requests[stream] = bytearray(path + b"\n")
             if event.ended:
                 self.on_health(stream)
         else:
             try:
-                self.take(event)
-            except Rejected as error:
+                self.accept_call(event)
+            except CallRejectedError as error:
                 self.reject_call(stream, error)
 
-    def take(self, event: HeadersReceived) -> None:
-        request = self.front.reader.read(event.headers, self.front.nodes.now_us(), self.front.ident())
-        if request.ident in self.server.open_request_ids:
+    def accept_call(self, event: HeadersReceived) -> None:
+        request = self.front.reader.read(
+            event.headers, self.front.upstream_pool.now_us(), self.front.new_request_id()
+        )
+        if request.request_id in self.server.open_request_ids:
             # hazard: nodes tell calls apart by it; two at once could get each other's answer
-            raise Rejected(Code.ALREADY_EXISTS, "a call with this req-id is open")
-        kind = self.front.reader.settings.classes[request.class_index]
-        relay = Relay(self, event.stream, request, self.front.nodes, kind.stream)
-        self.server.open_request_ids.add(request.ident)
+            raise CallRejectedError(Code.ALREADY_EXISTS, "a call with this req-id is open")
+        request_class = self.front.reader.settings.classes[request.class_index]
+        relay = Relay(self, event.stream, request, self.front.upstream_pool, request_class.stream)
+        self.server.open_request_ids.add(request.request_id)
         self.calls[event.stream] = relay
-        relay.whole = event.ended
-        if event.ended or kind.stream:
-            self.start(relay)
+        relay.is_request_complete = event.ended
+        if event.ended or request_class.stream:
+            self.start_call(relay)
         else:
-            self.starts[event.stream] = self.loop.call_later(START_S, self.start, relay)
+            self.start_timers[event.stream] = self.loop.call_later(START_DELAY_S, self.start_call, relay)
 
-    def start(self, relay: Relay) -> None:
-        self.unstart(relay.stream)
-        if relay.over or relay.number:
+    def start_call(self, relay: Relay) -> None:
+        self.cancel_start(relay.stream)
+        if relay.is_ended or relay.request_number:
             return
         request = relay.request
         call = Call(
@@ -247,88 +256,88 @@
             request.tenant,
             request.key,
             request.cost_us,
-            request.retried,
-            request.ident,
+            request.is_retry,
+            request.request_id,
             relay,
         )
-        relay.number = self.front.nodes.engine.accept(call, relay.reply)
+        relay.request_number = self.front.upstream_pool.engine.accept(call, relay.reply)
 
     def on_data(self, stream: int, data: bytes, ended: bool) -> None:
         if ended:
-            self.sender_open.discard(stream)
+            self.open_request_streams.discard(stream)
         relay = self.calls.get(stream)
         if relay is not None:
             relay.on_data(data, ended)
-            if stream in self.starts and (ended or len(relay.buffer) >= KEPT):
-                self.start(relay)
-        elif stream in self.checks:
-            self.checks[stream] += data
-            if ended or len(self.checks[stream]) > health.MOST_MESSAGE:
+            if stream in self.start_timers and (ended or len(relay.buffer) >= MAX_REPLAY_BYTES):
+                self.start_call(relay)
+        elif stream in self.health_requests:
+            self.health_requests[stream] += data
+            if ended or len(self.health_requests[stream]) > health.MAX_REQUEST_BYTES:
                 self.on_health(stream)
         else:
             self.http2.consumed(stream, len(data))
 
-    def forget(self, stream: int) -> None:
+    def drop_stream(self, stream: int) -> None:
         """The client has given its call up."""
-        self.checks.pop(stream, None)
-        self.finishing.pop(stream, None)
-        self.sender_open.discard(stream)
-        self.front.watches.discard((self, stream))
-        relay = self.over(stream)
+        self.health_requests.pop(stream, None)
+        self.linger_deadlines.pop(stream, None)
+        self.open_request_streams.discard(stream)
+        self.front.health_watches.discard((self, stream))
+        relay = self.remove_call(stream)
         if relay is not None:
-            relay.gone()
+            relay.on_client_gone()
 
-    def abandoned(self) -> None:
+    def abandon_calls(self) -> None:
         """Nothing is read here any more, and nobody waits for what is open."""
         self.is_discarding = True
         for stream in list(self.calls):
-            self.forget(stream)
+            self.drop_stream(stream)
 
-    def over(self, stream: int) -> Relay | None:
+    def remove_call(self, stream: int) -> Relay | None:
         """Nothing is owed on it any more; the call, if it was one."""
-        self.slow.pop(stream, None)
-        self.unstart(stream)
+        self.unflushed_calls.pop(stream, None)
+        self.cancel_start(stream)
         relay = self.calls.pop(stream, None)
         if relay is not None:
-            self.server.open_request_ids.discard(relay.request.ident)
+            self.server.open_request_ids.discard(relay.request.request_id)
         return relay
 
-    def unstart(self, stream: int) -> None:
-        timer = self.starts.pop(stream, None)
+    def cancel_start(self, stream: int) -> None:
+        timer = self.start_timers.pop(stream, None)
         if timer is not None:
             timer.cancel()
 
     def on_health(self, stream: int) -> None:
-        path, _, data = bytes(self.checks.pop(stream)).partition(b"\n")
+        path, _, data = bytes(self.health_requests.pop(stream)).partition(b"\n")
         try:
-            status = self.front.serving(health.service_of(data))
+            status = self.front.serving_status(health.parse_request(data))
         except health.HealthError as error:
-            self.reject_call(stream, Rejected(Code.INVALID_ARGUMENT, f"health: {error}"))
+            self.reject_call(stream, CallRejectedError(Code.INVALID_ARGUMENT, f"health: {error}"))
             return
-        if path == health.WATCH:
-            if status is not health.Serving.SERVICE_UNKNOWN:
-                self.front.watches.add((self, stream))
-            self.send_headers(stream, OWN_HEADERS, False)
-            self.send_data(stream, health.response(status))
-        elif status is health.Serving.SERVICE_UNKNOWN:
-            self.reject_call(stream, Rejected(Code.NOT_FOUND, "unknown service"))
+        if path == health.WATCH_PATH:
+            if status is not health.ServingStatus.SERVICE_UNKNOWN:
+                self.front.health_watches.add((self, stream))
+            self.send_headers(stream, RESPONSE_HEADERS, False)
+            self.send_data(stream, health.encode_response(status))
+        elif status is health.ServingStatus.SERVICE_UNKNOWN:
+            self.reject_call(stream, CallRejectedError(Code.NOT_FOUND, "unknown service"))
         else:
-            self.send_headers(stream, OWN_HEADERS, False)
-            self.send_data(stream, health.response(status))
+            self.send_headers(stream, RESPONSE_HEADERS, False)
+            self.send_data(stream, health.encode_response(status))
             self.send_trailers(stream, [(b"grpc-status", b"0")])
-            self.finish(stream)
+            self.linger(stream)
 
-    def reject_call(self, stream: int, error: Rejected) -> None:
+    def reject_call(self, stream: int, error: CallRejectedError) -> None:
         self.send_headers(
             stream,
             [
-                *OWN_HEADERS,
+                *RESPONSE_HEADERS,
                 (b"grpc-status", b"%d" % error.code),
                 (b"grpc-message", encode_message(str(error))),
             ],
             True,
         )
-        self.finish(stream)
+        self.linger(stream)
 
     # From relays
 
@@ -342,7 +351,7 @@
             self.http2.send_data(stream, data)
         relay = self.calls.get(stream)
         if relay is not None:
-            self.slow[stream] = relay
+            self.unflushed_calls[stream] = relay
         self.schedule()
 
     def send_trailers(self, stream: int, headers: Headers) -> None:
@@ -362,40 +371,42 @@
         self.schedule()
 
     def reset(self, stream: int, code: int) -> None:
-        self.finishing.pop(stream, None)
-        self.sender_open.discard(stream)
+        self.linger_deadlines.pop(stream, None)
+        self.open_request_streams.discard(stream)
         self.http2.reset(stream, code)
         self.schedule()
 
-    def answered(self, relay: Relay) -> None:
-        self.over(relay.stream)
-        self.finish(relay.stream)
+    def on_call_ended(self, relay: Relay) -> None:
+        self.remove_call(relay.stream)
+        self.linger(relay.stream)
 
-    def finish(self, stream: int) -> None:
+    def linger(self, stream: int) -> None:
         """Answered: what is left is for the client to read it."""
-        self.finishing[stream] = self.loop.time() + LINGER_S
-        if self.sweeper is None:
-            self.sweeper = self.loop.call_later(LINGER_S, self.sweep)
+        self.linger_deadlines[stream] = self.loop.time() + LINGER_TIMEOUT_S
+        if self.linger_timer is None:
+            self.linger_timer = self.loop.call_later(LINGER_TIMEOUT_S, self.reset_lingering)
         if not self.pending and not self.is_discarding:
             self.phase_began_s = self.loop.time()
             self.server.mark_waiting(self)
         self.schedule()
 
-    def sweep(self) -> None:
+    def reset_lingering(self) -> None:
         """Hazard: a client that opens no window would keep its answer here for good."""
-        self.sweeper = None
+        self.linger_timer = None
         now = self.loop.time()
-        for stream in [one for one, till in self.finishing.items() if till <= now]:
+        for stream in [stream for stream, due_s in self.linger_deadlines.items() if due_s <= now]:
             self.reset(stream, CANCEL)
-        if self.finishing:
-            self.sweeper = self.loop.call_later(max(0.01, min(self.finishing.values()) - now), self.sweep)
+        if self.linger_deadlines:
+            self.linger_timer = self.loop.call_later(
+                max(0.01, min(self.linger_deadlines.values()) - now), self.reset_lingering
+            )
 
     # From the server
 
     def can_close(self) -> bool:
         if self.transport is None or self.transport.is_closing():
             return True
-        if self.pending or self.finishing:
+        if self.pending or self.linger_deadlines:
             return False
         return not make_input_poll(self.transport).poll(0)
 
@@ -418,29 +429,29 @@
     def announce_shutdown(self) -> None:
         """A planned end (RFC 9113, 6.8): a GOAWAY that refuses nothing, and one that does a round trip later;
         calls that are open are finished."""
-        if self.leaving == 0:
-            self.leaving = 1
+        if self.goaway_count == 0:
+            self.goaway_count = 1
             self.http2.go_away()
             self.schedule()
-            self.loop.call_later(NOTICE_S, self.refuse)
+            self.loop.call_later(GOAWAY_INTERVAL_S, self.refuse_new_streams)
 
-    def refuse(self) -> None:
-        self.leaving = 2
-        for connection, stream in list(self.front.watches):
+    def refuse_new_streams(self) -> None:
+        self.goaway_count = 2
+        for connection, stream in list(self.front.health_watches):
             if connection is self:
-                self.front.watches.discard((self, stream))
+                self.front.health_watches.discard((self, stream))
                 self.send_trailers(stream, [(b"grpc-status", b"%d" % Code.UNAVAILABLE)])
-                self.finish(stream)
+                self.linger(stream)
         self.http2.refuse_new()
         self.schedule()
 
-    def broke(self, event: Ended) -> None:
+    def on_connection_ended(self, event: Ended) -> None:
         """It is of no more use; its GOAWAY says why."""
         if event.code != NO_ERROR:
             self.server.warn_rate_limited(f"a gRPC client: HTTP/2: {event.why}")
-        self.abandoned()
+        self.abandon_calls()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(self.http2.outgoing())
             self.transport.close()
             if self.has_unsent_output():  # hazard: who does not read would keep a closing connection for good
-                self.loop.call_later(LINGER_S, self.transport.abort)
+                self.loop.call_later(LINGER_TIMEOUT_S, self.transport.abort)
--- a/sidecar_proxy/grpc/health.py
+++ b/sidecar_proxy/grpc/health.py
@@ -4,14 +4,14 @@
 
 import enum
 
-from sidecar_proxy.grpc.message import PREFIX, first_size, framed
+from sidecar_proxy.grpc.message import PREFIX_BYTES, first_message_size, frame_message
 
-CHECK, WATCH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
-MOST_MESSAGE = 4096  # bytes of a HealthCheckRequest
-STRING, VARINT, FIXED64, FIXED32 = 2, 0, 1, 5  # protobuf's wire types
+CHECK_PATH, WATCH_PATH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
+MAX_REQUEST_BYTES = 4096  # bytes of a HealthCheckRequest
+LENGTH_DELIMITED, VARINT, FIXED64, FIXED32 = 2, 0, 1, 5  # protobuf's wire types
 
 
-class Serving(enum.IntEnum):
+class ServingStatus(enum.IntEnum):
     """HealthCheckResponse.ServingStatus."""
 
     UNKNOWN = 0
@@ -24,58 +24,60 @@
     """What came is no HealthCheckRequest."""
 
 
-def service_of(data: bytes) -> str:
+def parse_request(data: bytes) -> str:
     """The service that is asked for: a whole length-prefixed message with field 1. Raises HealthError."""
-    if first_size(data) != len(data) or data[0] != 0:
+    if first_message_size(data) != len(data) or data[0] != 0:
         raise HealthError("not one plain message")
-    body, at, found = data[PREFIX:], 0, b""
-    while at < len(body):
-        tag, at = varint(body, at)
-        if tag & 7 == STRING:
-            size, at = varint(body, at)
-            if size > len(body) - at:
+    body, offset, service_name = data[PREFIX_BYTES:], 0, b""
+    while offset < len(body):
+        tag, offset = read_varint(body, offset)
+        if tag & 7 == LENGTH_DELIMITED:
+            size, offset = read_varint(body, offset)
+            if size > len(body) - offset:
                 raise HealthError("cut short")
-            found = body[at : at + size] if tag >> 3 == 1 else found
-            at += size
+            service_name = body[offset : offset + size] if tag >> 3 == 1 else service_name
+            offset += size
         elif tag & 7 == VARINT:
-            _, at = varint(body, at)
+            _, offset = read_varint(body, offset)
         elif tag & 7 in (FIXED64, FIXED32):
-            at += 8 if tag & 7 == FIXED64 else 4
-            if at > len(body):
+            offset += 8 if tag & 7 == FIXED64 else 4
+            if offset > len(body):
                 raise HealthError("cut short")
         else:
             raise HealthError("no such wire type")
     try:
-        return found.decode("utf-8")
+        return service_name.decode("utf-8")
     except UnicodeDecodeError as error:
         raise HealthError("the service is no UTF-8") from error
 
 
-def varint(data: bytes, at: int) -> tuple[int, int]:
+def read_varint(data: bytes, offset: int) -> tuple[int, int]:
     """A number of at most ten bytes, and where it ends."""
     value = 0
     for shift in range(0, 70, 7):
-        if at >= len(data):
+        if offset >= len(data):
             raise HealthError("cut short")
-        value |= (data[at] & 0x7F) << shift
-        at += 1
-        if data[at - 1] < 0x80:
-            return value, at
+        value |= (data[offset] & 0x7F) << shift
+        offset += 1
+        if data[offset - 1] < 0x80:
+            return value, offset
     raise HealthError("a number too long")
 
 
-def request(service: str = "") -> bytes:
+def encode_request(service: str = "") -> bytes:
     """A whole length-prefixed HealthCheckRequest, for asking nodes. At most 127 bytes of name."""
     name = service.encode()[:127]
     body = b"\x0a%c%s" % (len(name), name) if name else b""
-    return framed(body)
+    return frame_message(body)
 
 
-def response(status: Serving) -> bytes:
+def encode_response(status: ServingStatus) -> bytes:
     """A whole length-prefixed HealthCheckResponse."""
-    return framed(b"\x08%c" % status)
+    return frame_message(b"\x08%c" % status)
 
 
-def status_of(data: bytes) -> Serving:
+def parse_response(data: bytes) -> ServingStatus:
     """Of a whole HealthCheckResponse; UNKNOWN for anything else."""
-    return next((one for one in Serving if data == response(one)), Serving.UNKNOWN)
+    return next(
+        (status for status in ServingStatus if data == encode_response(status)), ServingStatus.UNKNOWN
+    )
--- a/sidecar_proxy/grpc/metadata.py
+++ b/sidecar_proxy/grpc/metadata.py
@@ -20,7 +20,7 @@
 )
 
 Headers = list[tuple[bytes, bytes]]
-ONCE = frozenset(
+SINGLE_HEADERS = frozenset(
     {
         b"req-id",
         b"idempotency-key",
@@ -33,7 +33,7 @@
     }
 )
 # Between two neighbours only, or told anew at each hop.
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"grpc-timeout",
         b"te",
@@ -47,14 +47,14 @@
         b"req-id",
     }
 )
-OWN_ANSWER = frozenset({b"srv-load", b"srv-declined"})  # of an answer: for us, not for clients
+SIDECAR_RESPONSE_HEADERS = frozenset({b"srv-load", b"srv-declined"})  # of an answer: for us, not for clients
 
 
-class Rejected(Exception):
+class CallRejectedError(Exception):
     """A call that is answered here and never sent on."""
 
-    def __init__(self, code: Code, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, code: Code, reason: str) -> None:
+        super().__init__(reason)
         self.code = code
 
 
@@ -69,109 +69,113 @@
     path: bytes
     class_index: int
     due_us: int  # when its client stops waiting, less a margin
-    ident: bytes
+    request_id: bytes
     tenant: int
     key: int
     cost_us: int
-    retried: bool
-    onward: tuple[tuple[bytes, bytes], ...]  # headers for a node, but for the timeout
+    is_retry: bool
+    forwarded_headers: tuple[tuple[bytes, bytes], ...]  # headers for a node, but for the timeout
 
-    def headers(self, left_us: int) -> Headers:
+    def upstream_headers(self, left_us: int) -> Headers:
         """For a node: what is left of the time goes on (gRPC over HTTP2, "Timeout")."""
-        return [*self.onward, (b"grpc-timeout", format_us(left_us))]
+        return [*self.forwarded_headers, (b"grpc-timeout", format_us(left_us))]
 
 
-class Methods:
-    """Full names of methods to numbers of classes; a name by itself comes before its service's `/*`."""
+class MethodClasses:
+    """Full names of methods to class_indexes of classes; a name by itself comes before its service's `/*`."""
 
-    def __init__(self, told: Mapping[str, str], classes: list[api.RequestClass]) -> None:
-        numbers = {one.name: number for number, one in enumerate(classes)}
-        for method, name in told.items():
-            if name not in numbers:
+    def __init__(self, class_names: Mapping[str, str], classes: list[api.RequestClass]) -> None:
+        class_indexes = {request_class.name: index for index, request_class in enumerate(classes)}
+        for method, name in class_names.items():
+            if name not in class_indexes:
                 raise MethodError(
-                    f"grpc.methods.{method!r}: no class {name!r}; there are {', '.join(numbers)}"
+                    f"grpc.methods.{method!r}: no class {name!r}; there are {', '.join(class_indexes)}"
                 )
-        self.classes = {method.encode(): numbers[name] for method, name in told.items()}
-        self.services = {method.split("/")[1] for method in told}
+        self.classes = {method.encode(): class_indexes[name] for method, name in class_names.items()}
+        self.services = {method.split("/")[1] for method in class_names}
 
-    def find(self, path: bytes) -> int | None:
-        found = self.classes.get(path)
-        if found is None:
-            found = self.classes.get(path[: path.rfind(b"/") + 1] + b"*")
-        return found
+    def find_class(self, path: bytes) -> int | None:
+        class_index = self.classes.get(path)
+        if class_index is None:
+            class_index = self.classes.get(path[: path.rfind(b"/") + 1] + b"*")
+        return class_index
 
 
-class Reader:
+class MetadataReader:
     """Headers to requests, by the settings."""
 
-    def __init__(self, methods: Methods, settings: api.Settings) -> None:
+    def __init__(self, methods: MethodClasses, settings: api.Settings) -> None:
         self.methods = methods
         self.settings = settings
-        self.tenants = {one.name.encode(): number for number, one in enumerate(settings.tenants)}
+        self.tenants = {tenant.name.encode(): index for index, tenant in enumerate(settings.tenants)}
 
-    def read(self, headers: Headers, now_us: int, made: bytes) -> Request:
+    def read(self, headers: Headers, now_us: int, generated_id: bytes) -> Request:
         """`made` is the req-id of a call that has none. Raises Rejected."""
-        found: dict[bytes, bytes] = {}
-        onward: Headers = []
+        values: dict[bytes, bytes] = {}
+        forwarded_headers: Headers = []
         for name, value in headers:
-            if name in found and name in ONCE:
-                raise Rejected(Code.INVALID_ARGUMENT, f"{name.decode('latin-1')} twice")
-            found[name] = value
-            if name not in HOP:
-                onward.append((name, value))
-        if found.get(b":method") != b"POST":
-            raise Rejected(Code.INTERNAL, "the method is not POST")
-        path = found.get(b":path", b"")
-        class_index = self.methods.find(path)
+            if name in values and name in SINGLE_HEADERS:
+                raise CallRejectedError(Code.INVALID_ARGUMENT, f"{name.decode('latin-1')} twice")
+            values[name] = value
+            if name not in HOP_BY_HOP_HEADERS:
+                forwarded_headers.append((name, value))
+        if values.get(b":method") != b"POST":
+            raise CallRejectedError(Code.INTERNAL, "the method is not POST")
+        path = values.get(b":path", b"")
+        class_index = self.methods.find_class(path)
         if class_index is None:
-            raise Rejected(Code.UNIMPLEMENTED, "unknown method " + path[:200].decode("latin-1"))
-        kind = self.settings.classes[class_index]
-        timeout_us = self.timeout_us(found, kind)
-        ident = found.get(b"req-id", made)
-        if not REQUEST_ID_PATTERN.match(ident):
-            raise Rejected(Code.INVALID_ARGUMENT, "bad req-id")
-        keyed = kind.effect == "deduplicated"
-        if keyed and not found.get(b"idempotency-key"):
-            raise Rejected(Code.INVALID_ARGUMENT, "the class is keyed: idempotency-key is missing")
-        if not keyed and b"idempotency-key" in found:
-            raise Rejected(Code.INVALID_ARGUMENT, "the idempotency-key contradicts the class")
+            raise CallRejectedError(Code.UNIMPLEMENTED, "unknown method " + path[:200].decode("latin-1"))
+        request_class = self.settings.classes[class_index]
+        timeout_us = self.timeout_us(values, request_class)
+        request_id = values.get(b"req-id", generated_id)
+        if not REQUEST_ID_PATTERN.match(request_id):
+            raise CallRejectedError(Code.INVALID_ARGUMENT, "bad req-id")
+        is_deduplicated = request_class.effect == "deduplicated"
+        if is_deduplicated and not values.get(b"idempotency-key"):
+            raise CallRejectedError(Code.INVALID_ARGUMENT, "the class is keyed: idempotency-key is missing")
+        if not is_deduplicated and b"idempotency-key" in values:
+            raise CallRejectedError(Code.INVALID_ARGUMENT, "the idempotency-key contradicts the class")
         return Request(
             path,
             class_index,
             now_us + timeout_us - min(RESPONSE_MARGIN_US, timeout_us // 4),
-            ident,
-            self.tenants.get(found.get(b"req-owner", b""), 0),
-            hash_key(found.get(b"req-key", b"")),
-            parse_cost_us(found.get(b"req-cost", b"")),
-            found.get(b"grpc-previous-rpc-attempts", b"0") != b"0",
-            (*onward, (b"te", b"trailers"), (b"req-id", ident)),
+            request_id,
+            self.tenants.get(values.get(b"req-owner", b""), 0),
+            hash_key(values.get(b"req-key", b"")),
+            parse_cost_us(values.get(b"req-cost", b"")),
+            values.get(b"grpc-previous-rpc-attempts", b"0") != b"0",
+            (*forwarded_headers, (b"te", b"trailers"), (b"req-id", request_id)),
         )
 
-    def timeout_us(self, found: Mapping[bytes, bytes], kind: api.RequestClass) -> int:
+    def timeout_us(self, values: Mapping[bytes, bytes], request_class: api.RequestClass) -> int:
         """Hazard: by a deadline of hours one client would keep slots and the buffer for hours."""
-        text = found.get(b"grpc-timeout")
+        text = values.get(b"grpc-timeout")
         if text is None:
-            return kind.deadline_us
+            return request_class.deadline_us
         try:
-            return min(parse_us(text), kind.deadline_us)
+            return min(parse_us(text), request_class.deadline_us)
         except DeadlineError as error:
-            raise Rejected(Code.INVALID_ARGUMENT, str(error)) from error
+            raise CallRejectedError(Code.INVALID_ARGUMENT, str(error)) from error
 
 
-def value_of(headers: Headers, wanted: bytes) -> bytes:
+def first_value(headers: Headers, wanted_name: bytes) -> bytes:
     """The first of that name; empty if there is none."""
-    return next((value for name, value in headers if name == wanted), b"")
+    return next((value for name, value in headers if name == wanted_name), b"")
 
 
-def acceptable(headers: Headers) -> bool:
+def is_grpc(headers: Headers) -> bool:
     """Whether it is gRPC at all; else the answer is HTTP's 415 (gRPC over HTTP2, "Content-Type")."""
-    kind = value_of(headers, b"content-type")
-    return kind.startswith(b"application/grpc") and kind[16:17] in (b"", b"+", b";")
+    content_type = first_value(headers, b"content-type")
+    return content_type.startswith(b"application/grpc") and content_type[16:17] in (b"", b"+", b";")
 
 
-def answer_headers(headers: Headers) -> Headers:
+def response_headers(headers: Headers) -> Headers:
     """Of a node's answer, for the client."""
-    return [(name, value) for name, value in headers if name not in HOP and name not in OWN_ANSWER]
+    return [
+        (name, value)
+        for name, value in headers
+        if name not in HOP_BY_HOP_HEADERS and name not in SIDECAR_RESPONSE_HEADERS
+    ]
 
 
 def retry_after_us(head: bytes) -> int:
--- a/sidecar_proxy/grpc/probe.py
+++ b/sidecar_proxy/grpc/probe.py
@@ -9,11 +9,11 @@
 from sidecar_proxy.engine.interfaces import UpstreamResponse
 from sidecar_proxy.grpc import health
 from sidecar_proxy.grpc.metadata import Request
-from sidecar_proxy.grpc.nodes import Attempt, Nodes
-from sidecar_proxy.grpc.outcome import Ended, judge
+from sidecar_proxy.grpc.outcome import AttemptResult, classify
+from sidecar_proxy.grpc.upstream import GrpcAttempt, UpstreamPool
 
-REQUEST = Request(
-    health.CHECK,
+HEALTH_CHECK = Request(
+    health.CHECK_PATH,
     0,
     0,
     b"",
@@ -24,7 +24,7 @@
     (
         (b":method", b"POST"),
         (b":scheme", b"http"),
-        (b":path", health.CHECK),
+        (b":path", health.CHECK_PATH),
         (b":authority", b"backend.local"),
         (b"content-type", b"application/grpc"),
         (b"te", b"trailers"),
@@ -32,48 +32,50 @@
 )
 
 
-class Probe:
+class HealthCheck:
     """One question to one node: the Source of its attempt."""
 
-    eager = False
-    whole = True
-    base = 0
+    forward_headers_early = False
+    is_request_complete = True
+    buffer_offset = 0
 
     def __init__(self, timeout_us: int) -> None:
-        self.request = replace(REQUEST, due_us=timeout_us)
-        self.buffer = bytearray(health.request())
-        self.attempt: Attempt | None = None
+        self.request = replace(HEALTH_CHECK, due_us=timeout_us)
+        self.buffer = bytearray(health.encode_request())
+        self.attempt: GrpcAttempt | None = None
 
-    def again(self) -> bool:
+    def can_resend(self) -> bool:
         return True
 
     def is_bound(self) -> bool:
         return False
 
-    def answering(self, attempt: Attempt) -> None:
+    def on_response_data(self, attempt: GrpcAttempt) -> None:
         """Its answer is whole when it ends; more than a window is not read."""
 
-    def pump(self) -> None:
+    def send_pending(self) -> None:
         if self.attempt is not None:
-            self.attempt.pump()
+            self.attempt.send_pending()
 
-    def ending(
-        self, attempt: Attempt, outcome: api.Outcome, ended: Ended | None
+    def on_attempt_end(
+        self, attempt: GrpcAttempt, outcome: api.Outcome, ended: AttemptResult | None
     ) -> tuple[api.Outcome, UpstreamResponse | None]:
         """Served only by an answer that says SERVING."""
         if ended is not None:
-            outcome = judge(ended).outcome
-        serving = health.status_of(bytes(attempt.unread)) is health.Serving.SERVING
-        if outcome is api.Outcome.OK and not serving:
+            outcome = classify(ended).outcome
+        is_serving = health.parse_response(bytes(attempt.unforwarded)) is health.ServingStatus.SERVING
+        if outcome is api.Outcome.OK and not is_serving:
             outcome = api.Outcome.ERROR
         status = 200 if outcome is api.Outcome.OK else 503
         return outcome, UpstreamResponse(
-            status, b"", attempt.load(), b""
+            status, b"", attempt.load_report(), b""
         ) if outcome is api.Outcome.OK else None
 
 
-def probe(nodes: Nodes, upstream: int, ended: ProbeCallback, timeout_s: float) -> None:
+def probe(upstream_pool: UpstreamPool, upstream: int, ended: ProbeCallback, timeout_s: float) -> None:
     """Ask; `ended` is called once."""
-    asked = Probe(int(timeout_s * 1e6))
-    asked.attempt = nodes.attempt(asked, lambda: asked.request.due_us, ended, lambda: None)
-    nodes.start(upstream, asked.attempt, timeout_s)
+    health_check = HealthCheck(int(timeout_s * 1e6))
+    health_check.attempt = upstream_pool.create_attempt(
+        health_check, lambda: health_check.request.due_us, ended, lambda: None
+    )
+    upstream_pool.start(upstream, health_check.attempt, timeout_s)
--- a/sidecar_proxy/grpc/status.py
+++ b/sidecar_proxy/grpc/status.py
@@ -29,7 +29,7 @@
 
 
 # Of an answer without a grpc-status, by its HTTP status; any other is UNKNOWN.
-OF_HTTP = {
+CODE_BY_HTTP_STATUS = {
     400: Code.INTERNAL,
     401: Code.UNAUTHENTICATED,
     403: Code.PERMISSION_DENIED,
@@ -40,19 +40,19 @@
     504: Code.UNAVAILABLE,
 }
 # Of a stream that was reset, by HTTP/2's error code; any other is INTERNAL.
-OF_RESET = {
+CODE_BY_RESET = {
     0x7: Code.UNAVAILABLE,
     0x8: Code.CANCELLED,
     0xB: Code.RESOURCE_EXHAUSTED,
     0xC: Code.PERMISSION_DENIED,
 }
-NUMBER = re.compile(rb"(0|[1-9][0-9]?)\Z")
-MOST_MESSAGE = 1024  # bytes of a grpc-message that go on
+STATUS_PATTERN = re.compile(rb"(0|[1-9][0-9]?)\Z")
+MAX_MESSAGE_BYTES = 1024  # bytes of a grpc-message that go on
 
 
-def parse(text: bytes | None) -> Code:
+def parse_status(text: bytes | None) -> Code:
     """A grpc-status; UNKNOWN for one that is missing, malformed or of no known code."""
-    if text is None or not NUMBER.match(text):
+    if text is None or not STATUS_PATTERN.match(text):
         return Code.UNKNOWN
     number = int(text)
     return Code(number) if number <= Code.UNAUTHENTICATED else Code.UNKNOWN
@@ -60,7 +60,7 @@
 
 def encode_message(text: str) -> bytes:
     """A grpc-message: UTF-8, percent-encoded but for the printable ASCII without the percent sign."""
-    raw = text.encode("utf-8", "replace")[:MOST_MESSAGE]
+    raw = text.encode("utf-8", "replace")[:MAX_MESSAGE_BYTES]
     return b"".join(
         b"%c" % byte if 0x20 <= byte <= 0x7E and byte != 0x25 else b"%%%02X" % byte for byte in raw
     )
@@ -69,5 +69,5 @@
 def decode_message(raw: bytes) -> str:
     """As a receiver must: what is no valid encoding stays as it is, never an error."""
     return re.sub(
-        rb"%([0-9A-Fa-f]{2})", lambda found: bytes([int(found[1], 16)]), raw[: 3 * MOST_MESSAGE]
+        rb"%([0-9A-Fa-f]{2})", lambda match: bytes([int(match[1], 16)]), raw[: 3 * MAX_MESSAGE_BYTES]
     ).decode("utf-8", "replace")
--- a/sidecar_proxy/testbed/etcd.py
+++ b/sidecar_proxy/testbed/etcd.py
@@ -16,7 +16,7 @@
 from google.protobuf.message import DecodeError, Message
 
 from sidecar_proxy.discovery.etcd import api_pb2 as pb
-from sidecar_proxy.grpc.message import PREFIX, first_size, framed
+from sidecar_proxy.grpc.message import PREFIX_BYTES, first_message_size, frame_message
 from sidecar_proxy.http2.connection import DataReceived, Event, HeadersReceived, StreamError, StreamReset
 from sidecar_proxy.testbed.http2 import Http2Peer, Stream
 
@@ -306,8 +306,8 @@
     def messages(self, stream: int, told: Stream) -> None:
         if told.headers.get(b":path") not in STREAMED:
             return
-        while (size := first_size(told.data)) is not None and len(told.data) >= size:
-            data = bytes(told.data[PREFIX:size])
+        while (size := first_message_size(told.data)) is not None and len(told.data) >= size:
+            data = bytes(told.data[PREFIX_BYTES:size])
             del told.data[:size]
             if told.headers[b":path"] == WATCH:
                 self.watch(stream, told, pb.WatchRequest.FromString(data))
@@ -341,7 +341,7 @@
             return
         try:
             self.http2.send_headers(stream, HEAD)
-            self.http2.send_data(stream, framed(answer.SerializeToString()))
+            self.http2.send_data(stream, frame_message(answer.SerializeToString()))
             self.http2.send_trailers(stream, [(b"grpc-status", b"0")])
         except StreamError:
             return
@@ -417,7 +417,7 @@
         member.tell(watcher)
 
     def say(self, stream: int, answer: Message) -> None:
-        data = framed(answer.SerializeToString())
+        data = frame_message(answer.SerializeToString())
         try:
             if stream not in self.begun:
                 self.begun.add(stream)
--- a/sidecar_proxy/testbed/grpc.py
+++ b/sidecar_proxy/testbed/grpc.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from sidecar_proxy.grpc.deadline import format_us
-from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.grpc.message import frame_message
 from sidecar_proxy.grpc.status import Code
 from sidecar_proxy.testbed.clients import Crowd, Load, Manners
 from sidecar_proxy.testbed.history import Answered, Asked, Ledger, Quit, now_us
@@ -67,7 +67,7 @@
         self.peer.answer(self.stream, code, body if code is Code.OK else None, more)
 
     def cut(self, body: bytes) -> None:
-        self.peer.cut(self.stream, framed(body + bytes(9))[:-9] if body else b"")
+        self.peer.cut(self.stream, frame_message(body + bytes(9))[:-9] if body else b"")
 
 
 def reply_of(told: Stream) -> Reply:
--- a/sidecar_proxy/testbed/http2.py
+++ b/sidecar_proxy/testbed/http2.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from sidecar_proxy.grpc.message import PREFIX, framed
+from sidecar_proxy.grpc.message import PREFIX_BYTES, frame_message
 from sidecar_proxy.http2.connection import (
     CANCEL,
     Connection,
@@ -39,7 +39,7 @@
     reset: int | None = None  # the code, if it was
 
     def message(self) -> bytes:
-        return bytes(self.data[PREFIX:])
+        return bytes(self.data[PREFIX_BYTES:])
 
 
 class Http2Peer(Endpoint, asyncio.Protocol):
@@ -125,7 +125,7 @@
                 self.http2.send_headers(stream, head + trailers, ended=True)
             else:
                 self.http2.send_headers(stream, head)
-                self.http2.send_data(stream, framed(body))
+                self.http2.send_data(stream, frame_message(body))
                 self.http2.send_trailers(stream, trailers)
         except StreamError:
             return  # nobody waits for it
@@ -177,7 +177,7 @@
         stream = self.http2.open_stream(headers)
         if stream is None:
             return None
-        self.http2.send_data(stream, framed(body), ended=True)
+        self.http2.send_data(stream, frame_message(body), ended=True)
         self.streams[stream] = Stream()
         future: asyncio.Future[Stream | None] = asyncio.get_running_loop().create_future()
         self.waiting[stream] = future
--- a/tests/crossings/test_grpc_leaving.py
+++ b/tests/crossings/test_grpc_leaving.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sidecar_proxy.balancer import events as api
-from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.grpc.message import frame_message
 from sidecar_proxy.http2.connection import HeadersReceived
 from tests.grpc.rig import ANSWER, Client, Node, Rig, run
 from tests.http2.frames import GOAWAY, frame
@@ -46,7 +46,7 @@
 
         def script(node: Node, stream: int) -> None:
             node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, framed(bytes(8_000_000)))
+            node.http2.send_data(stream, frame_message(bytes(8_000_000)))
             node.flush()
 
         rig = Rig(act)
--- a/tests/grpc/rig.py
+++ b/tests/grpc/rig.py
@@ -12,7 +12,7 @@
 from sidecar_proxy.config.schema import Grpc
 from sidecar_proxy.engine.engine import Clock, Engine
 from sidecar_proxy.engine.interfaces import ListedUpstream
-from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.grpc.message import frame_message
 from sidecar_proxy.grpc.subsystem import start
 from sidecar_proxy.http1.server import Server
 from sidecar_proxy.http1.upstream import ConnectionPool
@@ -122,7 +122,7 @@
         stream = self.http2.open_stream(headers)
         assert stream is not None
         if body is not None:
-            self.http2.send_data(stream, framed(body), ended)
+            self.http2.send_data(stream, frame_message(body), ended)
         self.flush()
         return stream
 
@@ -179,7 +179,7 @@
         self, stream: int, body: bytes = b"done", status: bytes = b"0", *more: tuple[bytes, bytes]
     ) -> None:
         self.http2.send_headers(stream, ANSWER)
-        self.http2.send_data(stream, framed(body))
+        self.http2.send_data(stream, frame_message(body))
         self.http2.send_trailers(stream, [(b"grpc-status", status), *more])
         self.flush()
 
@@ -219,7 +219,7 @@
             self.decisions = ScriptedBalancer(act)
             self.engine.balancer = cast(Any, self.decisions)
         self.server = Server(self.engine, 64)
-        self.nodes = start(told or Grpc(True, METHODS), self.engine, self.server)
+        self.upstream_pool = start(told or Grpc(True, METHODS), self.engine, self.server)
         self.address = self.server.listen(("127.0.0.1", 0))
         self.listeners: list[asyncio.Server] = []
         self.clients: list[Client] = []
@@ -264,7 +264,7 @@
         return [one for one in self.decisions.events if isinstance(one, api.AttemptEnded)]
 
     def close(self) -> None:
-        self.nodes.close()
+        self.upstream_pool.close()
         self.pool.close()
         for listener in self.listeners:
             listener.close()
--- a/tests/grpc/test_front.py
+++ b/tests/grpc/test_front.py
@@ -10,8 +10,8 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.config.schema import Grpc
 from sidecar_proxy.grpc import health
-from sidecar_proxy.grpc.health import HealthError, Serving, service_of
-from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.grpc.health import HealthError, ServingStatus, parse_request
+from sidecar_proxy.grpc.message import frame_message
 from sidecar_proxy.grpc.status import Code
 from sidecar_proxy.http2.connection import DataReceived, StreamReset
 from tests.grpc.rig import METHODS, Client, Node, Rig, run, send_to
@@ -93,7 +93,7 @@
         async with asyncio.timeout(10):
             while rig.engine.requests or len(rig.server.connections) > 1:
                 await asyncio.sleep(0.005)
-        assert rig.nodes.held.size == 0 and not rig.server.open_request_ids
+        assert rig.upstream_pool.buffer_budget.total_bytes == 0 and not rig.server.open_request_ids
         rig.close()
 
     run(test)
@@ -124,7 +124,7 @@
         rig = Rig(send_to(1))
         await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
         client = await rig.client(frames=False)
-        for byte in hello() + frame(HEADERS, END_HEADERS, 1, REQUEST) + frame(DATA, 1, 1, framed(b"")):
+        for byte in hello() + frame(HEADERS, END_HEADERS, 1, REQUEST) + frame(DATA, 1, 1, frame_message(b"")):
             client.write(bytes([byte]))
             await asyncio.sleep(0)
         await client.until(lambda: sum(kind == HEADERS for kind, _, _, _ in client.frames()) == 2)
@@ -179,28 +179,30 @@
     async def test() -> None:
         rig = Rig(send_to(1))
         client = await rig.client()
-        check, watch = health.CHECK.decode(), health.WATCH.decode()
+        check, watch = health.CHECK_PATH.decode(), health.WATCH_PATH.decode()
 
         def ask(path: str, service: str = "") -> int:
             stream = client.call(path, None)
-            client.http2.send_data(stream, health.request(service), ended=True)
+            client.http2.send_data(stream, health.encode_request(service), ended=True)
             client.flush()
             return stream
 
-        for service, status in (("", Serving.SERVING), ("t.T", Serving.SERVING)):
+        for service, status in (("", ServingStatus.SERVING), ("t.T", ServingStatus.SERVING)):
             code, _, data = await client.answer(ask(check, service))
-            assert (code, data) == (0, health.response(status))
+            assert (code, data) == (0, health.encode_response(status))
         assert (await client.answer(ask(check, "other")))[0] == Code.NOT_FOUND
         stream = client.call(check, b"\xff\xff")
         assert (await client.answer(stream))[0] == Code.INVALID_ARGUMENT
         watched, unknown = ask(watch), ask(watch, "other")
         await client.until(lambda: client.of(DataReceived, unknown))
-        assert client.of(DataReceived, watched)[0].data == health.response(Serving.SERVING)
-        assert client.of(DataReceived, unknown)[0].data == health.response(Serving.SERVICE_UNKNOWN)
+        assert client.of(DataReceived, watched)[0].data == health.encode_response(ServingStatus.SERVING)
+        assert client.of(DataReceived, unknown)[0].data == health.encode_response(
+            ServingStatus.SERVICE_UNKNOWN
+        )
         stopping = asyncio.create_task(rig.server.stop())
         await client.until(lambda: len(client.of(DataReceived, watched)) == 2)
-        assert client.of(DataReceived, watched)[1].data == health.response(Serving.NOT_SERVING)
-        assert (await client.answer(ask(check)))[2] == health.response(Serving.NOT_SERVING)
+        assert client.of(DataReceived, watched)[1].data == health.encode_response(ServingStatus.NOT_SERVING)
+        assert (await client.answer(ask(check)))[2] == health.encode_response(ServingStatus.NOT_SERVING)
         assert (await client.answer(watched))[0] == Code.UNAVAILABLE
         await stopping
         rig.close()
@@ -222,12 +224,12 @@
 )
 def test_health_requests_that_are_none(data: bytes) -> None:
     with pytest.raises(HealthError):
-        service_of(data)
+        parse_request(data)
 
 
 def test_other_fields_of_a_health_request_are_passed_over() -> None:
     body = b"\x10\x96\x01" + b"\x19" + bytes(8) + b"\x25" + bytes(4) + b"\x0a\x03t.T" + b"\x1a\x01x"
-    assert service_of(framed(body)) == "t.T"
+    assert parse_request(frame_message(body)) == "t.T"
 
 
 def test_a_stop_finishes_what_is_open_and_refuses_what_is_new() -> None:
@@ -254,11 +256,14 @@
     async def test() -> None:
         rig = Rig(lambda event: [], Grpc(True, METHODS, probe="grpc"))
         rig.settings.probes = True
-        answers = {1: health.response(Serving.SERVING)[5:], 2: health.response(Serving.NOT_SERVING)[5:]}
+        answers = {
+            1: health.encode_response(ServingStatus.SERVING)[5:],
+            2: health.encode_response(ServingStatus.NOT_SERVING)[5:],
+        }
         for number in (1, 2):
 
             def script(node: Node, stream: int, number: int = number) -> None:
-                assert node.request(stream)[b":path"] == health.CHECK
+                assert node.request(stream)[b":path"] == health.CHECK_PATH
                 node.serve(stream, answers[number])
 
             await rig.node(lambda script=script: Node(script))  # type: ignore[misc]
--- a/tests/grpc/test_grpcio.py
+++ b/tests/grpc/test_grpcio.py
@@ -51,7 +51,7 @@
 
     def service(self, details: Any) -> Any:
         name = details.method.rpartition("/")[2]
-        if details.method == health.CHECK.decode():
+        if details.method == health.CHECK_PATH.decode():
             return None
         self.calls[name] += 1
         kinds = {
@@ -277,8 +277,8 @@
 
 
 def test_health_by_grpcio(made: Installation) -> None:
-    answer = made.channel.unary_unary(health.CHECK.decode())(b"", timeout=5)
-    assert answer == health.response(health.Serving.SERVING)[5:]
+    answer = made.channel.unary_unary(health.CHECK_PATH.decode())(b"", timeout=5)
+    assert answer == health.encode_response(health.ServingStatus.SERVING)[5:]
 
 
 def test_many_calls_at_once(made: Installation) -> None:
--- a/tests/grpc/test_hard_cases.py
+++ b/tests/grpc/test_hard_cases.py
@@ -9,7 +9,7 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.config.schema import Grpc
-from sidecar_proxy.grpc.message import framed
+from sidecar_proxy.grpc.message import frame_message
 from sidecar_proxy.grpc.status import Code
 from sidecar_proxy.http2.connection import DataReceived, Limits, StreamReset
 from tests.grpc.rig import ANSWER, METHODS, Node, Rig, run, send_to
@@ -47,7 +47,7 @@
         client = await rig.client()
         stream = client.call("/t.T/Pay", req_id="abc", grpc_timeout="700m", req_owner="x", other="y")
         code, trailers, data = await client.answer(stream)
-        assert (code, data, trailers[b"seen"]) == (0, framed(b"served"), b"1")
+        assert (code, data, trailers[b"seen"]) == (0, frame_message(b"served"), b"1")
         asked = rig.made[0][0].request(1)
         assert asked[b"req-id"] == b"abc" and asked[b"other"] == b"y" and asked[b"te"] == b"trailers"
         assert 0 < int(asked[b"grpc-timeout"].rstrip(b"u")) <= 690_000  # what is left of it
@@ -136,7 +136,7 @@
 
         def script(node: Node, stream: int) -> None:
             node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, framed(b"first"))
+            node.http2.send_data(stream, frame_message(b"first"))
             node.flush()
 
         await rig.node(lambda: Node(script))
@@ -147,7 +147,7 @@
         assert rig.made[0][0].transport is not None
         rig.made[0][0].transport.abort()
         code, trailers, data = await client.answer(stream)
-        assert (code, data) == (Code.INTERNAL, framed(b"first"))
+        assert (code, data) == (Code.INTERNAL, frame_message(b"first"))
         assert trailers[b"grpc-retry-pushback-ms"] == b"-1"
         assert outcomes(rig) == [(1, O.RESET)] and not rig.made[1]
         assert rig.decisions is not None
@@ -164,7 +164,7 @@
 
         def script(node: Node, stream: int) -> None:
             node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, framed(b"x" * 1000)[:500])
+            node.http2.send_data(stream, frame_message(b"x" * 1000)[:500])
             node.flush()
             begun.set()
 
@@ -259,7 +259,7 @@
                 node.trailers_only(stream, b"14")
             elif how == "no status":
                 node.http2.send_headers(stream, ANSWER)
-                node.http2.send_data(stream, framed(b"lost")[:-1], ended=True)
+                node.http2.send_data(stream, frame_message(b"lost")[:-1], ended=True)
             elif how.startswith("http"):
                 more = [(b"srv-declined", b"1")] if how == "http declined" else []
                 node.http2.send_headers(stream, [(b":status", b"503"), *more], ended=True)
@@ -338,11 +338,11 @@
         await rig.reached()
         rig.told(1, api.UpstreamState.DRAINING)
         code, _, data = await client.answer(client.call("/t.T/Pay", req_id="new"))
-        assert (code, data) == (0, framed(b"second"))
+        assert (code, data) == (0, frame_message(b"second"))
         assert len(rig.made[0][0].calls()) == 1 and (1, O.NOT_SENT) in outcomes(rig)
         rig.made[0][0].serve(1, b"finished")
         code, _, data = await client.answer(old)
-        assert (code, data) == (0, framed(b"finished"))
+        assert (code, data) == (0, frame_message(b"finished"))
         node = rig.made[0][0]
         await node.until(lambda: node.lost)  # and then the connection ends
         rig.close()
@@ -358,12 +358,12 @@
         stream = client.call("/t.S/Up", None, ended=False, grpc_timeout="500m")
         client.http2.send_data(stream, bytes(400_000))
         client.flush()
-        while rig.nodes.held.size < 65_536:
+        while rig.upstream_pool.buffer_budget.total_bytes < 65_536:
             await asyncio.sleep(0.005)
         assert client.http2.unsent(stream) >= 400_000 - 2 * 65_536  # the rest is held back
         code, trailers, _ = await client.answer(stream)
         assert code == Code.DEADLINE_EXCEEDED
-        assert rig.nodes.held.size == 0
+        assert rig.upstream_pool.buffer_budget.total_bytes == 0
         # others are not in its way
         await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
         rig.decisions.choose_actions = send_to(2)  # type: ignore[union-attr]
@@ -382,7 +382,7 @@
                 node.serve(stream)
                 return
             node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, framed(bytes(3_000_000)))
+            node.http2.send_data(stream, frame_message(bytes(3_000_000)))
             node.flush()
 
         await rig.node(lambda: Node(script))
@@ -391,11 +391,11 @@
         other = await rig.client()
         for _ in range(20):
             assert (await other.answer(other.call("/t.T/Read")))[0] == 0
-        assert rig.nodes.held.size <= 50 * 65_536 + 10_000
+        assert rig.upstream_pool.buffer_budget.total_bytes <= 50 * 65_536 + 10_000
         for stream in streams:
             await client.answer(stream)
         await settled(rig)
-        assert rig.nodes.held.size == 0
+        assert rig.upstream_pool.buffer_budget.total_bytes == 0
         rig.close()
 
     run(test)
@@ -407,14 +407,14 @@
 
         def script(node: Node, stream: int) -> None:
             node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, framed(bytes(1_000_000)))
+            node.http2.send_data(stream, frame_message(bytes(1_000_000)))
             node.flush()
 
         await rig.node(lambda: Node(script))
         client = await rig.client(Limits(window=0))
         streams = [client.call("/t.S/Down") for _ in range(8)]
         await client.until(lambda: any(client.of(StreamReset, stream) for stream in streams))
-        assert rig.nodes.held.size <= 256 * 1024 + 65_536
+        assert rig.upstream_pool.buffer_budget.total_bytes <= 256 * 1024 + 65_536
         left = len(rig.engine.requests)
         assert 0 < left < 8, "some are given up long before their time, and no more than need be"
         rig.close()
@@ -432,13 +432,13 @@
         await whole.wait()
         node = rig.made[0][0]
         node.http2.send_headers(1, ANSWER)
-        node.http2.send_data(1, framed(b"slow"))
+        node.http2.send_data(1, frame_message(b"slow"))
         node.http2.send_trailers(1, [(b"grpc-status", b"0")])
         for byte in node.http2.outgoing():
             node.write(bytes([byte]))
             await asyncio.sleep(0)
         code, _, data = await client.answer(stream)
-        assert (code, data) == (0, framed(b"slow"))
+        assert (code, data) == (0, frame_message(b"slow"))
         rig.close()
 
     run(test)
@@ -476,7 +476,7 @@
         client = await rig.client()
         body = bytes(range(256)) * 255  # with its prefix a little less than 64 KiB
         assert (await client.answer(client.call("/t.T/Read", body)))[0] == 0
-        assert b"".join(one.data for one in rig.made[1][0].of(DataReceived, 1)) == framed(body)
+        assert b"".join(one.data for one in rig.made[1][0].of(DataReceived, 1)) == frame_message(body)
         rig.close()
 
     run(test)
@@ -561,13 +561,13 @@
         stream = client.call("/t.S/Up", None, ended=False)
         most = 0
         for number in range(100):
-            client.http2.send_data(stream, framed(bytes(1_048_571)), ended=number == 99)
+            client.http2.send_data(stream, frame_message(bytes(1_048_571)), ended=number == 99)
             client.flush()
-            most = max(most, rig.nodes.held.size)
+            most = max(most, rig.upstream_pool.buffer_budget.total_bytes)
             while client.http2.unsent(stream) > 2_000_000:
                 client.news.clear()
                 await client.news.wait()
-                most = max(most, rig.nodes.held.size)
+                most = max(most, rig.upstream_pool.buffer_budget.total_bytes)
         assert (await client.answer(stream))[0] == 0
         assert got == 100 * 1_048_576 and most <= 65_536 + 2 * 524_288
         rig.close()
@@ -619,19 +619,19 @@
 
         def script(node: Node, stream: int) -> None:
             node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, framed(b"first"))
+            node.http2.send_data(stream, frame_message(b"first"))
             node.flush()
             asyncio.get_running_loop().call_later(0.4, finish, node, stream)
 
         def finish(node: Node, stream: int) -> None:
-            node.http2.send_data(stream, framed(b"last"))
+            node.http2.send_data(stream, frame_message(b"last"))
             node.http2.send_trailers(stream, [(b"grpc-status", b"0")])
             node.flush()
 
         await rig.node(lambda: Node(script))
         client = await rig.client()
         code, _, data = await client.answer(client.call("/t.T/Read"))
-        assert (code, data) == (0, framed(b"first") + framed(b"last"))
+        assert (code, data) == (0, frame_message(b"first") + frame_message(b"last"))
         assert outcomes(rig) == [(1, O.OK)]
         rig.close()
 
@@ -652,7 +652,7 @@
 
         await rig.node(make)
         client = await rig.client()
-        parts = [framed(bytes(30_000 // messages)) for _ in range(messages)]
+        parts = [frame_message(bytes(30_000 // messages)) for _ in range(messages)]
         stream = client.call("/t.T/Pay", None)
         client.http2.send_data(stream, b"".join(parts), ended=True)
         client.flush()
@@ -692,7 +692,7 @@
         await both.wait()
         first, second = seen
         first.http2.send_headers(1, ANSWER)
-        first.http2.send_data(1, framed(b"first"))
+        first.http2.send_data(1, frame_message(b"first"))
         first.flush()
         await client.until(lambda: client.of(DataReceived, stream))
         await second.until(lambda: second.of(StreamReset, 1))
