--- a/sidecar_proxy/grpc/__init__.py
+++ b/sidecar_proxy/grpc/__init__.py
@@ -1,1 +1,1 @@
-"""gRPC over HTTP/2: what a call's metadata mean and how it ended. Pure; the sockets are elsewhere."""
+"""gRPC over HTTP/2: the client connections, the calls, and their attempts at upstreams."""
--- a/sidecar_proxy/grpc/buffer_budget.py
+++ b/sidecar_proxy/grpc/buffer_budget.py
@@ -1,25 +1,27 @@
-"""What is held for peers that do not read."""
+"""Limits the memory that buffers data for clients and upstreams that read slowly."""
 
 from __future__ import annotations
 
-LONG_STREAM_WINDOW_BYTES = 512 * 1024  # window of a long stream, either way: nothing of it is kept
+LONG_STREAM_WINDOW_BYTES = (
+    512 * 1024
+)  # window of a long stream in both directions, whose data is not kept for retries
 
 
 class BufferOwner:
-    """Something is held for it."""
+    """A call for which data is buffered."""
 
     __slots__ = ("buffered_bytes",)
 
     def __init__(self) -> None:
-        self.buffered_bytes = 0  # bytes
+        self.buffered_bytes = 0
 
     def abort_over_budget(self) -> None:
-        """Too much is held, and most of it for this one."""
+        """End this call: the sidecar exceeds its buffer limit, and this call buffers the most."""
         raise NotImplementedError
 
 
 class BufferBudget:
-    """Bytes held for peers that do not read, against a limit of the whole sidecar."""
+    """Counts the bytes that are buffered for all calls of the sidecar, against a limit."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
@@ -27,6 +29,7 @@
         self.owners: set[BufferOwner] = set()
 
     def adjust(self, owner: BufferOwner, delta_bytes: int) -> None:
+        """Add to the bytes that are buffered for a call; a negative number releases them."""
         owner.buffered_bytes += delta_bytes
         self.total_bytes += delta_bytes
         if owner.buffered_bytes > 0:
@@ -35,7 +38,7 @@
             self.owners.discard(owner)
 
     def find_largest_if_exceeded(self) -> BufferOwner | None:
-        """Over the limit: who holds most."""
+        """Return the owner with the most buffered bytes if the limit is exceeded, otherwise None."""
         return (
             max(self.owners, key=buffered_bytes_of)
             if self.total_bytes > self.max_bytes and self.owners
@@ -44,4 +47,5 @@
 
 
 def buffered_bytes_of(owner: BufferOwner) -> int:
+    """Return the buffered bytes of a call, as a sort key."""
     return owner.buffered_bytes
--- a/sidecar_proxy/grpc/deadline.py
+++ b/sidecar_proxy/grpc/deadline.py
@@ -1,4 +1,4 @@
-"""A call's deadline as its grpc-timeout says (gRPC over HTTP2, "Timeout"): 1 to 8 digits and a unit."""
+"""Parses and formats grpc-timeout (gRPC over HTTP2, "Timeout"): 1 to 8 digits and a unit."""
 
 from __future__ import annotations
 
@@ -13,15 +13,18 @@
     b"n": 1,
 }
 TIMEOUT_PATTERN = re.compile(rb"([0-9]{1,8})([HMSmun])\Z")
-MAX_VALUE = 99_999_999  # eight digits
+MAX_VALUE = 99_999_999  # the largest number of eight digits
 
 
 class DeadlineError(ValueError):
-    """A grpc-timeout that can't be read."""
+    """The value of a grpc-timeout is malformed."""
 
 
 def parse_us(text: bytes) -> int:
-    """Microseconds, rounded down: what is promised to the client is never longer than it waits."""
+    """Return the timeout in microseconds, rounded down so that it never exceeds the client's.
+
+    Raises DeadlineError.
+    """
     match = TIMEOUT_PATTERN.match(text)
     if match is None:
         raise DeadlineError(f"malformed grpc-timeout {text[:20]!r}")
@@ -29,7 +32,7 @@
 
 
 def format_us(left_us: int) -> bytes:
-    """The finest unit that holds it, rounded down; 0 where nothing is left."""
+    """Return the time left in the finest unit that can express it, rounded down; 0 if none is left."""
     left_us = max(0, left_us)
     if left_us <= MAX_VALUE:
         return b"%du" % left_us
--- a/sidecar_proxy/grpc/front.py
+++ b/sidecar_proxy/grpc/front.py
@@ -1,8 +1,8 @@
-"""A gRPC client's connection: HTTP/2 with prior knowledge (RFC 9113, 3.3) on the listener of HTTP/1.1.
+"""Connections of gRPC clients: HTTP/2 with prior knowledge (RFC 9113, 3.3) on the listener of HTTP/1.1.
 
-The Sniffer tells the two apart by the first bytes. A call is taken when its client has ended its side, or
-has filled what is kept of it, or a moment after its headers: most calls are one message, and what is all here
-can be sent again whatever becomes of it.
+The ProtocolSniffer tells the two protocols apart by the first bytes. A call is passed to the engine when its
+request is complete, when the replay buffer is full, or a short time after its headers. Most calls are a
+single message, and a request that is complete in the buffer can be sent again whatever happens to an attempt.
 """
 
 from __future__ import annotations
@@ -38,13 +38,15 @@
 )
 from sidecar_proxy.http2.endpoint import Endpoint
 
-START_DELAY_S = 0.02  # from a call's headers, where its client goes on sending
-LINGER_TIMEOUT_S = 1.0  # for a client to read its answer
-GOAWAY_INTERVAL_S = 0.25  # between the GOAWAY that tells and the one that refuses: more than a round trip
+START_DELAY_S = 0.02  # delay from the headers of a call to its start, if the request is incomplete
+LINGER_TIMEOUT_S = 1.0  # maximum time for a client to read a complete response
+GOAWAY_INTERVAL_S = (
+    0.25  # time between the GOAWAY that announces a shutdown and the final one: over a round trip
+)
 
 
 class GrpcFront:
-    """What the connections of all gRPC clients share."""
+    """The state that the connections of all gRPC clients share, and the entry point for new connections."""
 
     def __init__(
         self,
@@ -58,7 +60,7 @@
         self.reader = reader
         self.upstream_pool = upstream_pool
         self.idle_timeout_s = idle_timeout_s
-        # a client sends no more than is kept before the rest is asked for
+        # A client cannot send more than is kept for replay before it is granted more window.
         self.limits = Limits(
             streams=max_streams,
             window=MAX_REPLAY_BYTES,
@@ -70,26 +72,30 @@
         self.health_watches: set[tuple[GrpcClientConnection, int]] = set()
 
     def protocol_for(self, plain: DownstreamConnection) -> ProtocolSniffer:
-        """Who has the first bytes of a connection."""
+        """Return what receives the first bytes of a connection."""
         return ProtocolSniffer(self, cast(ClientConnection, plain))
 
     def new_request_id(self) -> bytes:
-        """A req-id for a call that has none."""
+        """Return a req-id for a call that has none."""
         return b"g%s-%x" % (self.request_id_prefix, next(self.request_numbers))
 
     def serving_status(self, service: str) -> health.ServingStatus:
+        """Return the health of a service; the empty name is the sidecar as a whole."""
         if service and service not in self.reader.methods.services:
             return health.ServingStatus.SERVICE_UNKNOWN
         return health.ServingStatus.SERVING if self.server.is_ready else health.ServingStatus.NOT_SERVING
 
     def readiness_changed(self) -> None:
-        """Those who watch are told that we drain, end or are back."""
+        """Send the new health status to the clients that watch it."""
         for connection, stream in list(self.health_watches):
             connection.send_data(stream, health.encode_response(self.serving_status("")))
 
 
 class ProtocolSniffer:
-    """The first bytes of a connection say what it speaks. An asyncio.Protocol in all but its bases."""
+    """Recognizes the protocol of a connection by its first bytes.
+
+    It has the methods of an asyncio.Protocol without deriving from it.
+    """
 
     def __init__(self, front: GrpcFront, http1_connection: ClientConnection) -> None:
         self.front = front
@@ -97,18 +103,24 @@
         self.data = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Pass the event to the HTTP/1.1 connection."""
         self.http1_connection.connection_made(transport)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Pass the event to the HTTP/1.1 connection."""
         self.http1_connection.connection_lost(error)
 
-    def eof_received(self) -> None: ...
+    def eof_received(self) -> None:
+        """Do nothing: the transport closes the connection."""
 
-    def pause_writing(self) -> None: ...
+    def pause_writing(self) -> None:
+        """Do nothing: nothing is written before the protocol is known."""
 
-    def resume_writing(self) -> None: ...
+    def resume_writing(self) -> None:
+        """Do nothing: nothing is written before the protocol is known."""
 
     def data_received(self, data: bytes) -> None:
+        """Compare the first bytes with the HTTP/2 preface, and hand the connection over once they decide."""
         transport = self.http1_connection.transport
         if transport is None or self.http1_connection.is_discarding:
             self.http1_connection.data_received(data)
@@ -120,7 +132,7 @@
         elif len(self.data) >= len(PREFACE):
             connection = GrpcClientConnection(self.front)
             self.front.server.replace(self.http1_connection, connection)
-            del self.http1_connection.parser  # it holds its connection as that holds it
+            del self.http1_connection.parser  # breaks a reference cycle between the parser and its connection
             transport.set_protocol(cast(asyncio.Protocol, connection))
             connection.connection_made(transport)
             connection.data_received(self.data)
@@ -129,9 +141,9 @@
 
 
 class GrpcClientConnection(Endpoint):
-    """One client's connection. To the server it is as ClientConnection is."""
+    """The connection of a gRPC client. Towards the listener it is a DownstreamConnection."""
 
-    receive_timeout_s = 2.2  # from its accept to its first call
+    receive_timeout_s = 2.2  # maximum time from the accept to the first call
 
     def __init__(self, front: GrpcFront) -> None:
         super().__init__(Connection(False, front.limits, front.upstream_pool.now_us()), front.server.loop)
@@ -139,25 +151,32 @@
         self.server = front.server
         self.idle_timeout_s = front.idle_timeout_s
         self.calls: dict[int, Relay] = {}
-        self.start_timers: dict[int, asyncio.TimerHandle] = {}  # calls that are not taken yet
-        self.health_requests: dict[int, bytearray] = {}  # health requests that are not whole
-        self.unflushed_calls: dict[int, Relay] = {}  # their clients have something to read
-        self.linger_deadlines: dict[int, float] = {}  # answered, and not read or not ended: till when
-        self.open_request_streams: set[int] = set()  # streams whose client has not ended its side
+        self.start_timers: dict[
+            int, asyncio.TimerHandle
+        ] = {}  # timers of calls that were not passed to the engine yet, by stream
+        self.health_requests: dict[int, bytearray] = {}  # incomplete health requests, by stream
+        self.unflushed_calls: dict[
+            int, Relay
+        ] = {}  # calls whose response data is not fully written, by stream
+        self.linger_deadlines: dict[int, float] = {}  # loop time until which an answered stream may stay open
+        self.open_request_streams: set[int] = set()  # streams that the client has not ended on its side
         self.phase_began_s = self.loop.time()
         self.is_discarding = False
-        self.goaway_count = 0  # GOAWAYs that were sent: the first tells, the second refuses
+        self.goaway_count = (
+            0  # GOAWAYs sent: the first announces the shutdown, the second refuses new streams
+        )
         self.has_received_request, self.is_receiving, self.unparsed_bytes = True, False, 0
         self.linger_timer: asyncio.TimerHandle | None = None
 
     @property
     def pending(self) -> bool:
-        """Something is owed here."""
+        """Whether a response or the final GOAWAY is still to be sent."""
         return bool(self.calls) or (self.server.is_closing and self.goaway_count < 2)
 
-    # The transport
+    # Transport callbacks
 
     def connection_lost(self, error: Exception | None) -> None:
+        """Cancel the open calls, and remove the connection from the listener."""
         self.server.remove(self)
         self.abandon_calls()
         self.front.health_watches = {watch for watch in self.front.health_watches if watch[0] is not self}
@@ -165,10 +184,14 @@
             self.linger_timer.cancel()
 
     def eof_received(self) -> None:
-        """The client has left. Hazard: asyncio closes the connection once all that is written has gone."""
+        """Cancel the open calls: the client has left.
+
+        asyncio closes the connection only after all buffered output has been sent.
+        """
         self.abandon_calls()
 
     def data_received(self, data: bytes) -> None:
+        """Process the calls and the health requests in received data."""
         if self.is_discarding:
             return
         self.server.mark_busy(self)
@@ -191,6 +214,7 @@
             self.server.mark_waiting(self)
 
     def flush(self) -> None:
+        """Write the pending output, and update the streams whose data it carried."""
         if not self.write():
             return
         for relay in list(self.unflushed_calls.values()):
@@ -201,7 +225,7 @@
             if not self.choked and not self.http2.unsent(stream):
                 del self.linger_deadlines[stream]
                 if stream in self.open_request_streams:
-                    # the answer is whole; what the client still sends is not wanted (RFC 9113, 8.1)
+                    # The response is complete; the rest of the request is not needed (RFC 9113, 8.1).
                     self.open_request_streams.discard(stream)
                     self.http2.reset(stream, NO_ERROR)
                     self.schedule()
@@ -209,6 +233,7 @@
     # Calls
 
     def on_headers(self, event: HeadersReceived) -> None:
+        """Accept or reject a call, or begin a health request."""
         stream = event.stream
         if not event.ended:
             self.open_request_streams.add(stream)
@@ -227,11 +252,12 @@
                 self.reject_call(stream, error)
 
     def accept_call(self, event: HeadersReceived) -> None:
+        """Begin a call. Raises CallRejectedError."""
         request = self.front.reader.read(
             event.headers, self.front.upstream_pool.now_us(), self.front.new_request_id()
         )
         if request.request_id in self.server.open_request_ids:
-            # hazard: nodes tell calls apart by it; two at once could get each other's answer
+            # Upstreams identify calls by req-id: two calls with one req-id could get each other's response.
             raise CallRejectedError(Code.ALREADY_EXISTS, "a call with this req-id is open")
         request_class = self.front.reader.settings.classes[request.class_index]
         relay = Relay(self, event.stream, request, self.front.upstream_pool, request_class.stream)
@@ -244,6 +270,7 @@
             self.start_timers[event.stream] = self.loop.call_later(START_DELAY_S, self.start_call, relay)
 
     def start_call(self, relay: Relay) -> None:
+        """Pass a call to the engine, unless it has ended or was passed before."""
         self.cancel_start(relay.stream)
         if relay.is_ended or relay.request_number:
             return
@@ -263,6 +290,7 @@
         relay.request_number = self.front.upstream_pool.engine.accept(call, relay.reply)
 
     def on_data(self, stream: int, data: bytes, ended: bool) -> None:
+        """Process request data."""
         if ended:
             self.open_request_streams.discard(stream)
         relay = self.calls.get(stream)
@@ -278,7 +306,7 @@
             self.http2.consumed(stream, len(data))
 
     def drop_stream(self, stream: int) -> None:
-        """The client has given its call up."""
+        """Cancel the call or the health request on a stream that the client has reset."""
         self.health_requests.pop(stream, None)
         self.linger_deadlines.pop(stream, None)
         self.open_request_streams.discard(stream)
@@ -288,13 +316,13 @@
             relay.on_client_gone()
 
     def abandon_calls(self) -> None:
-        """Nothing is read here any more, and nobody waits for what is open."""
+        """Discard further input, and cancel the open calls."""
         self.is_discarding = True
         for stream in list(self.calls):
             self.drop_stream(stream)
 
     def remove_call(self, stream: int) -> Relay | None:
-        """Nothing is owed on it any more; the call, if it was one."""
+        """Stop tracking the call on a stream, and return it; None if the stream carries no call."""
         self.unflushed_calls.pop(stream, None)
         self.cancel_start(stream)
         relay = self.calls.pop(stream, None)
@@ -303,11 +331,13 @@
         return relay
 
     def cancel_start(self, stream: int) -> None:
+        """Cancel the timer that starts the call on a stream."""
         timer = self.start_timers.pop(stream, None)
         if timer is not None:
             timer.cancel()
 
     def on_health(self, stream: int) -> None:
+        """Answer a complete health request."""
         path, _, data = bytes(self.health_requests.pop(stream)).partition(b"\n")
         try:
             status = self.front.serving_status(health.parse_request(data))
@@ -328,6 +358,7 @@
             self.linger(stream)
 
     def reject_call(self, stream: int, error: CallRejectedError) -> None:
+        """Answer a call with the status and message of an error."""
         self.send_headers(
             stream,
             [
@@ -339,14 +370,16 @@
         )
         self.linger(stream)
 
-    # From relays
+    # Called by relays
 
     def send_headers(self, stream: int, headers: Headers, ended: bool) -> None:
-        with contextlib.suppress(StreamError):  # the client has closed it; its event is on the way
+        """Send response headers, or a trailers-only response if `ended`."""
+        with contextlib.suppress(StreamError):  # the client has closed the stream; the event follows
             self.http2.send_headers(stream, headers, ended)
         self.schedule()
 
     def send_data(self, stream: int, data: bytes) -> None:
+        """Send response data."""
         with contextlib.suppress(StreamError):
             self.http2.send_data(stream, data)
         relay = self.calls.get(stream)
@@ -355,33 +388,39 @@
         self.schedule()
 
     def send_trailers(self, stream: int, headers: Headers) -> None:
+        """End the response with trailers."""
         with contextlib.suppress(StreamError):
             self.http2.send_trailers(stream, headers)
         self.schedule()
 
     def unsent(self, stream: int) -> int:
+        """Return the size of the data that waits for the stream's window, in bytes."""
         return self.http2.unsent(stream)
 
     def consumed(self, stream: int, size: int) -> None:
+        """Return window for processed data, so that the client may send more."""
         self.http2.consumed(stream, size)
         self.schedule()
 
     def widen(self, stream: int, window: int) -> None:
+        """Raise the stream's receive window."""
         self.http2.widen(stream, window)
         self.schedule()
 
     def reset(self, stream: int, code: int) -> None:
+        """Reset the stream with an HTTP/2 error code."""
         self.linger_deadlines.pop(stream, None)
         self.open_request_streams.discard(stream)
         self.http2.reset(stream, code)
         self.schedule()
 
     def on_call_ended(self, relay: Relay) -> None:
+        """Stop tracking a call whose final status was sent."""
         self.remove_call(relay.stream)
         self.linger(relay.stream)
 
     def linger(self, stream: int) -> None:
-        """Answered: what is left is for the client to read it."""
+        """Give the client a limited time to read a complete response."""
         self.linger_deadlines[stream] = self.loop.time() + LINGER_TIMEOUT_S
         if self.linger_timer is None:
             self.linger_timer = self.loop.call_later(LINGER_TIMEOUT_S, self.reset_lingering)
@@ -391,7 +430,10 @@
         self.schedule()
 
     def reset_lingering(self) -> None:
-        """Hazard: a client that opens no window would keep its answer here for good."""
+        """Reset the answered streams whose time is over.
+
+        A client that opens no flow-control window would otherwise keep its response buffered forever.
+        """
         self.linger_timer = None
         now = self.loop.time()
         for stream in [stream for stream, due_s in self.linger_deadlines.items() if due_s <= now]:
@@ -401,9 +443,10 @@
                 max(0.01, min(self.linger_deadlines.values()) - now), self.reset_lingering
             )
 
-    # From the server
+    # Called by the listener
 
     def can_close(self) -> bool:
+        """Return whether closing the connection now would lose neither a request nor a response."""
         if self.transport is None or self.transport.is_closing():
             return True
         if self.pending or self.linger_deadlines:
@@ -411,13 +454,15 @@
         return not make_input_poll(self.transport).poll(0)
 
     def has_unsent_output(self) -> bool:
+        """Return whether the transport still buffers output."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def reject(self, error: HttpRejected) -> None:
+        """Close the connection."""
         self.close()
 
     def close(self) -> None:
-        """No more is taken; a GOAWAY says which streams have been."""
+        """Close the connection with a GOAWAY, which states the last accepted stream."""
         self.is_discarding = True
         if self.transport is None or self.transport.is_closing():
             return
@@ -427,8 +472,11 @@
         (self.transport.abort if self.transport.get_write_buffer_size() else self.transport.close)()
 
     def announce_shutdown(self) -> None:
-        """A planned end (RFC 9113, 6.8): a GOAWAY that refuses nothing, and one that does a round trip later;
-        calls that are open are finished."""
+        """Begin a graceful shutdown of the connection (RFC 9113, 6.8).
+
+        A first GOAWAY refuses no streams, and a second one refuses new streams a round trip later. Open calls
+        are finished.
+        """
         if self.goaway_count == 0:
             self.goaway_count = 1
             self.http2.go_away()
@@ -436,6 +484,7 @@
             self.loop.call_later(GOAWAY_INTERVAL_S, self.refuse_new_streams)
 
     def refuse_new_streams(self) -> None:
+        """Send the final GOAWAY, and end the health watches."""
         self.goaway_count = 2
         for connection, stream in list(self.front.health_watches):
             if connection is self:
@@ -446,12 +495,13 @@
         self.schedule()
 
     def on_connection_ended(self, event: Ended) -> None:
-        """It is of no more use; its GOAWAY says why."""
+        """Cancel the open calls, and close the connection with a GOAWAY that states the error."""
         if event.code != NO_ERROR:
-            self.server.warn_rate_limited(f"a gRPC client: HTTP/2: {event.why}")
+            self.server.warn_rate_limited(f"gRPC client connection: HTTP/2 error: {event.why}")
         self.abandon_calls()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(self.http2.outgoing())
             self.transport.close()
-            if self.has_unsent_output():  # hazard: who does not read would keep a closing connection for good
+            if self.has_unsent_output():
+                # A client that does not read would keep a closing connection open forever.
                 self.loop.call_later(LINGER_TIMEOUT_S, self.transport.abort)
--- a/sidecar_proxy/grpc/health.py
+++ b/sidecar_proxy/grpc/health.py
@@ -1,4 +1,7 @@
-"""gRPC's health service (grpc.health.v1): its messages, small enough to be read and written by hand. Pure."""
+"""The messages of gRPC's health service (grpc.health.v1), encoded and decoded without a protobuf library.
+
+Does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -7,8 +10,8 @@
 from sidecar_proxy.grpc.message import PREFIX_BYTES, first_message_size, frame_message
 
 CHECK_PATH, WATCH_PATH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
-MAX_REQUEST_BYTES = 4096  # bytes of a HealthCheckRequest
-LENGTH_DELIMITED, VARINT, FIXED64, FIXED32 = 2, 0, 1, 5  # protobuf's wire types
+MAX_REQUEST_BYTES = 4096  # maximum size of a HealthCheckRequest
+LENGTH_DELIMITED, VARINT, FIXED64, FIXED32 = 2, 0, 1, 5  # wire types of protobuf
 
 
 class ServingStatus(enum.IntEnum):
@@ -17,15 +20,15 @@
     UNKNOWN = 0
     SERVING = 1
     NOT_SERVING = 2
-    SERVICE_UNKNOWN = 3  # Watch alone says so
+    SERVICE_UNKNOWN = 3  # only in responses to Watch
 
 
 class HealthError(ValueError):
-    """What came is no HealthCheckRequest."""
+    """The data is not a HealthCheckRequest. The message is part of the answer to the client."""
 
 
 def parse_request(data: bytes) -> str:
-    """The service that is asked for: a whole length-prefixed message with field 1. Raises HealthError."""
+    """Return the service name, field 1, of a length-prefixed HealthCheckRequest. Raises HealthError."""
     if first_message_size(data) != len(data) or data[0] != 0:
         raise HealthError("not one plain message")
     body, offset, service_name = data[PREFIX_BYTES:], 0, b""
@@ -52,7 +55,7 @@
 
 
 def read_varint(data: bytes, offset: int) -> tuple[int, int]:
-    """A number of at most ten bytes, and where it ends."""
+    """Return the varint of at most ten bytes at an offset, and the offset of its end. Raises HealthError."""
     value = 0
     for shift in range(0, 70, 7):
         if offset >= len(data):
@@ -65,19 +68,19 @@
 
 
 def encode_request(service: str = "") -> bytes:
-    """A whole length-prefixed HealthCheckRequest, for asking nodes. At most 127 bytes of name."""
+    """Return a length-prefixed HealthCheckRequest; the service name is truncated to 127 bytes."""
     name = service.encode()[:127]
     body = b"\x0a%c%s" % (len(name), name) if name else b""
     return frame_message(body)
 
 
 def encode_response(status: ServingStatus) -> bytes:
-    """A whole length-prefixed HealthCheckResponse."""
+    """Return a length-prefixed HealthCheckResponse."""
     return frame_message(b"\x08%c" % status)
 
 
 def parse_response(data: bytes) -> ServingStatus:
-    """Of a whole HealthCheckResponse; UNKNOWN for anything else."""
+    """Return the status of a complete length-prefixed HealthCheckResponse; UNKNOWN for any other data."""
     return next(
         (status for status in ServingStatus if data == encode_response(status)), ServingStatus.UNKNOWN
     )
--- a/sidecar_proxy/grpc/metadata.py
+++ b/sidecar_proxy/grpc/metadata.py
@@ -1,6 +1,6 @@
-"""What a call's headers say: its class, deadline and names; and what of them goes on to a node. Pure.
+"""Reads the class, deadline and identifiers of a call from its headers, and selects the headers to forward.
 
-Sources: gRPC over HTTP2 ("Requests"), gRFC A6 for `grpc-previous-rpc-attempts`.
+Does no I/O. Sources: gRPC over HTTP2 ("Requests"), gRFC A6 for `grpc-previous-rpc-attempts`.
 """
 
 from __future__ import annotations
@@ -20,6 +20,7 @@
 )
 
 Headers = list[tuple[bytes, bytes]]
+# Headers that may occur only once in a request.
 SINGLE_HEADERS = frozenset(
     {
         b"req-id",
@@ -32,7 +33,7 @@
         b"content-type",
     }
 )
-# Between two neighbours only, or told anew at each hop.
+# Headers that apply to one hop, or are set anew on each hop.
 HOP_BY_HOP_HEADERS = frozenset(
     {
         b"grpc-timeout",
@@ -47,11 +48,12 @@
         b"req-id",
     }
 )
-SIDECAR_RESPONSE_HEADERS = frozenset({b"srv-load", b"srv-declined"})  # of an answer: for us, not for clients
+# Response headers that are meant for the sidecar and are removed for clients.
+SIDECAR_RESPONSE_HEADERS = frozenset({b"srv-load", b"srv-declined"})
 
 
 class CallRejectedError(Exception):
-    """A call that is answered here and never sent on."""
+    """The call is answered by the sidecar and not forwarded."""
 
     def __init__(self, code: Code, reason: str) -> None:
         super().__init__(reason)
@@ -59,30 +61,30 @@
 
 
 class MethodError(ValueError):
-    """The map of methods names a class that there is not; one line."""
+    """The configured methods name a request class that does not exist. The message is one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A call as its headers tell it."""
+    """A call, as its headers describe it."""
 
     path: bytes
     class_index: int
-    due_us: int  # when its client stops waiting, less a margin
+    due_us: int  # the client's deadline, less a margin for the response
     request_id: bytes
     tenant: int
     key: int
     cost_us: int
     is_retry: bool
-    forwarded_headers: tuple[tuple[bytes, bytes], ...]  # headers for a node, but for the timeout
+    forwarded_headers: tuple[tuple[bytes, bytes], ...]  # headers for the upstream, without grpc-timeout
 
     def upstream_headers(self, left_us: int) -> Headers:
-        """For a node: what is left of the time goes on (gRPC over HTTP2, "Timeout")."""
+        """Return the headers for an upstream; grpc-timeout is the time left (gRPC over HTTP2, "Timeout")."""
         return [*self.forwarded_headers, (b"grpc-timeout", format_us(left_us))]
 
 
 class MethodClasses:
-    """Full names of methods to class_indexes of classes; a name by itself comes before its service's `/*`."""
+    """Maps full method names to class indexes; an exact name takes precedence over its service's `/*`."""
 
     def __init__(self, class_names: Mapping[str, str], classes: list[api.RequestClass]) -> None:
         class_indexes = {request_class.name: index for index, request_class in enumerate(classes)}
@@ -95,6 +97,7 @@
         self.services = {method.split("/")[1] for method in class_names}
 
     def find_class(self, path: bytes) -> int | None:
+        """Return the class index of a method, None if the method is not configured."""
         class_index = self.classes.get(path)
         if class_index is None:
             class_index = self.classes.get(path[: path.rfind(b"/") + 1] + b"*")
@@ -102,7 +105,7 @@
 
 
 class MetadataReader:
-    """Headers to requests, by the settings."""
+    """Parses the headers of calls by the settings."""
 
     def __init__(self, methods: MethodClasses, settings: api.Settings) -> None:
         self.methods = methods
@@ -110,7 +113,10 @@
         self.tenants = {tenant.name.encode(): index for index, tenant in enumerate(settings.tenants)}
 
     def read(self, headers: Headers, now_us: int, generated_id: bytes) -> Request:
-        """`made` is the req-id of a call that has none. Raises Rejected."""
+        """Parse the headers of a call; `generated_id` is the req-id of a call that has none.
+
+        Raises CallRejectedError.
+        """
         values: dict[bytes, bytes] = {}
         forwarded_headers: Headers = []
         for name, value in headers:
@@ -148,7 +154,10 @@
         )
 
     def timeout_us(self, values: Mapping[bytes, bytes], request_class: api.RequestClass) -> int:
-        """Hazard: by a deadline of hours one client would keep slots and the buffer for hours."""
+        """Return the timeout of a call, limited by the deadline of its class.
+
+        A client with a timeout of hours would otherwise occupy slots and buffers for hours.
+        """
         text = values.get(b"grpc-timeout")
         if text is None:
             return request_class.deadline_us
@@ -159,18 +168,21 @@
 
 
 def first_value(headers: Headers, wanted_name: bytes) -> bytes:
-    """The first of that name; empty if there is none."""
+    """Return the value of the first header of this name; empty if there is none."""
     return next((value for name, value in headers if name == wanted_name), b"")
 
 
 def is_grpc(headers: Headers) -> bool:
-    """Whether it is gRPC at all; else the answer is HTTP's 415 (gRPC over HTTP2, "Content-Type")."""
+    """Return whether a request is gRPC.
+
+    Other requests are answered with HTTP status 415 (gRPC over HTTP2, "Content-Type").
+    """
     content_type = first_value(headers, b"content-type")
     return content_type.startswith(b"application/grpc") and content_type[16:17] in (b"", b"+", b";")
 
 
 def response_headers(headers: Headers) -> Headers:
-    """Of a node's answer, for the client."""
+    """Return the headers or trailers of an upstream's response that are forwarded to the client."""
     return [
         (name, value)
         for name, value in headers
@@ -179,5 +191,5 @@
 
 
 def retry_after_us(head: bytes) -> int:
-    """Of the engine's refusal, whose only header line is HTTP/1.1's Retry-After; 0 = none."""
+    """Return the delay of the engine's rejection, whose only header line is Retry-After; 0 = none."""
     return parse_decimal_us(head.partition(b":")[2].strip()) if head else 0
--- a/sidecar_proxy/grpc/outcome.py
+++ b/sidecar_proxy/grpc/outcome.py
@@ -1,8 +1,10 @@
-"""How an attempt at a node ended, in the terms of the decisions, and what the client is trailers. Pure.
+"""Classifies the end of an attempt for the balancer, and chooses the status for the client. Does no I/O.
 
-One fact counts: may it have run? It surely has not if no connection came up, if the kernel never had all of
-the request, if the node says so by REFUSED_STREAM (RFC 9113, 8.7) or by a GOAWAY whose last stream is before
-it (6.8), or if the node turned it away with UNAVAILABLE and the trailer `srv-declined: 1`. Anything else may.
+What decides is whether the upstream may have executed the request. It cannot have done so if no connection
+was established, if the request was not written completely to the kernel, if the upstream reset the stream
+with REFUSED_STREAM (RFC 9113, 8.7) or sent a GOAWAY whose last stream is below this one (6.8), or if it
+rejected the request with UNAVAILABLE and the trailer `srv-declined: 1`. In any other case it may have
+executed it.
 """
 
 from __future__ import annotations
@@ -15,7 +17,8 @@
 from sidecar_proxy.grpc.status import CODE_BY_HTTP_STATUS, CODE_BY_RESET, Code, parse_status
 
 REFUSED_STREAM = 0x7
-# About the request, not about the node: passed on as the final answer, and no sign that the node is ill.
+# Codes that report a fault of the request, not of the upstream: they are forwarded as the final response, and
+# do not count against the upstream.
 REQUEST_ERROR_CODES = frozenset(
     {
         Code.INVALID_ARGUMENT,
@@ -32,41 +35,44 @@
 
 
 class AttemptEnd(enum.Enum):
-    """What ended an attempt."""
+    """The event that ended an attempt."""
 
-    ANSWERED = "answered"  # the stream was closed by the node, with headers and maybe trailers
-    RESET = "reset"  # RST_STREAM from the node
-    GOAWAY = "goaway"  # the connection was given up by the node, and the stream is above its last one
-    CLOSED = "closed"  # the connection ended
-    PROTOCOL_ERROR = "broken"  # the node broke the protocol
-    NO_CONNECTION = "no_connection"
-    EXPIRED = "expired"  # we stopped waiting
-    CANCELLED = "cancelled"  # the client did
+    ANSWERED = "answered"  # the upstream ended the stream, with headers and possibly trailers
+    RESET = "reset"  # the upstream sent RST_STREAM
+    GOAWAY = "goaway"  # the upstream sent GOAWAY, and the stream is above its last one
+    CLOSED = "closed"  # the connection was closed
+    PROTOCOL_ERROR = "broken"  # the upstream violated the protocol
+    NO_CONNECTION = "no_connection"  # no connection was established
+    EXPIRED = "expired"  # the attempt's timeout was reached
+    CANCELLED = "cancelled"  # the client cancelled the call
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
-    """An attempt's end as the connection saw it."""
+    """The end of an attempt as the connection observed it."""
 
     end: AttemptEnd
-    is_written: bool = False  # the kernel had the whole request, or its headers where the body streams
+    # the kernel may have the complete request, or the headers of a streamed request
+    is_written: bool = False
     http_status: int = 0
     content_type: bytes = b""
-    trailers: Mapping[bytes, bytes] | None = None  # headers of a trailers-only answer; None = none came
+    trailers: Mapping[bytes, bytes] | None = (
+        None  # the headers of a trailers-only response; None = none were received
+    )
     reset_code: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """For the decisions and for the client."""
+    """The outcome of an attempt for the balancer, and the status for the client."""
 
     outcome: Outcome
-    code: Code  # what the client is trailers if this is the last word
-    is_final: bool  # the node's own answer is the final one
+    code: Code  # the client's status if no other attempt follows
+    is_final: bool  # the upstream's own response is the final one
 
 
 def classify(result: AttemptResult) -> Verdict:
-    """The table of docs/design/grpc.md."""
+    """Return the verdict on an attempt, by the table of docs/design/grpc.md."""
     if result.end is AttemptEnd.NO_CONNECTION:
         return Verdict(Outcome.CONNECT_FAILED, Code.UNAVAILABLE, False)
     if result.end is AttemptEnd.GOAWAY or (
@@ -89,11 +95,11 @@
 
 
 def classify_response(result: AttemptResult) -> Verdict:
-    """A stream that the node closed by itself."""
+    """Return the verdict on a stream that the upstream ended regularly."""
     trailers = result.trailers or {}
     grpc = result.content_type.startswith(b"application/grpc")
     if b"grpc-status" not in trailers:
-        # hazard: a 200 without a status is a stream that was cut; it may have run
+        # HTTP status 200 without a grpc-status is a truncated stream: the request may have been executed.
         code = (
             Code.UNKNOWN
             if result.http_status == 200
@@ -104,7 +110,7 @@
     code = parse_status(trailers[b"grpc-status"])
     if code is Code.OK and result.http_status == 200 and grpc:
         return Verdict(Outcome.OK, code, True)
-    if code is Code.OK:  # it contradicts itself
+    if code is Code.OK:  # the HTTP status or the content type contradicts the grpc-status
         return Verdict(Outcome.ERROR, CODE_BY_HTTP_STATUS.get(result.http_status, Code.UNKNOWN), False)
     if code is Code.UNAVAILABLE and trailers.get(b"srv-declined") == b"1":
         return Verdict(Outcome.FULL, code, False)
@@ -112,7 +118,10 @@
 
 
 def rejection_trailers(retry_after_us: int) -> list[tuple[bytes, bytes]]:
-    """Trailers of a refusal: nothing has run, and when to come back (gRFC A6, pushback)."""
+    """Return the trailers of a rejection, which promise that the request was not executed.
+
+    They state the delay before a retry if `retry_after_us` is not 0 (gRFC A6, pushback).
+    """
     trailers = [
         (b"grpc-status", b"%d" % Code.UNAVAILABLE),
         (b"grpc-message", b"refused: nothing has run"),
@@ -124,7 +133,16 @@
 
 
 def failure_trailers(code: Code, message: bytes) -> list[tuple[bytes, bytes]]:
-    """Trailers of a failure that promises nothing. Hazard: clients' retry policies repeat some codes by
-    themselves; a pushback below 0 forbids it, and the codes that they name by custom are not used."""
-    shown = Code.INTERNAL if code in (Code.UNAVAILABLE, Code.RESOURCE_EXHAUSTED, Code.ABORTED) else code
-    return [(b"grpc-status", b"%d" % shown), (b"grpc-message", message), (b"grpc-retry-pushback-ms", b"-1")]
+    """Return the trailers of a failure after which the request may have been executed.
+
+    The retry policies of clients would repeat an unsafe call on some codes. A negative pushback forbids that,
+    and the codes that such policies usually list are replaced by INTERNAL.
+    """
+    reported_code = (
+        Code.INTERNAL if code in (Code.UNAVAILABLE, Code.RESOURCE_EXHAUSTED, Code.ABORTED) else code
+    )
+    return [
+        (b"grpc-status", b"%d" % reported_code),
+        (b"grpc-message", message),
+        (b"grpc-retry-pushback-ms", b"-1"),
+    ]
--- a/sidecar_proxy/grpc/probe.py
+++ b/sidecar_proxy/grpc/probe.py
@@ -1,4 +1,4 @@
-"""Asking a node for its health by gRPC (grpc.health.v1, Check), for nodes that speak nothing else."""
+"""Health checks of upstreams by gRPC (grpc.health.v1, Check), for upstreams that serve no HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class HealthCheck:
-    """One question to one node: the Source of its attempt."""
+    """A health check of one upstream: the AttemptSource of its attempt."""
 
     forward_headers_early = False
     is_request_complete = True
@@ -45,24 +45,27 @@
         self.attempt: GrpcAttempt | None = None
 
     def can_resend(self) -> bool:
+        """Return True: the request is always complete in the buffer."""
         return True
 
     def is_bound(self) -> bool:
+        """Return False: no part of the response is forwarded."""
         return False
 
     def on_response_data(self, attempt: GrpcAttempt) -> None:
-        """Its answer is whole when it ends; more than a window is not read."""
+        """Do nothing: the response is evaluated at its end, and no more than one window of it is accepted."""
 
     def send_pending(self) -> None:
+        """Send what the attempt has not sent yet."""
         if self.attempt is not None:
             self.attempt.send_pending()
 
     def on_attempt_end(
-        self, attempt: GrpcAttempt, outcome: api.Outcome, ended: AttemptResult | None
+        self, attempt: GrpcAttempt, outcome: api.Outcome, result: AttemptResult | None
     ) -> tuple[api.Outcome, UpstreamResponse | None]:
-        """Served only by an answer that says SERVING."""
-        if ended is not None:
-            outcome = classify(ended).outcome
+        """Report the upstream as serving only if its response says SERVING."""
+        if result is not None:
+            outcome = classify(result).outcome
         is_serving = health.parse_response(bytes(attempt.unforwarded)) is health.ServingStatus.SERVING
         if outcome is api.Outcome.OK and not is_serving:
             outcome = api.Outcome.ERROR
@@ -72,10 +75,10 @@
         ) if outcome is api.Outcome.OK else None
 
 
-def probe(upstream_pool: UpstreamPool, upstream: int, ended: ProbeCallback, timeout_s: float) -> None:
-    """Ask; `ended` is called once."""
+def probe(upstream_pool: UpstreamPool, upstream: int, on_end: ProbeCallback, timeout_s: float) -> None:
+    """Start a health check of an upstream; `on_end` is called once, with its outcome."""
     health_check = HealthCheck(int(timeout_s * 1e6))
     health_check.attempt = upstream_pool.create_attempt(
-        health_check, lambda: health_check.request.due_us, ended, lambda: None
+        health_check, lambda: health_check.request.due_us, on_end, lambda: None
     )
     upstream_pool.start(upstream, health_check.attempt, timeout_s)
--- a/sidecar_proxy/grpc/status.py
+++ b/sidecar_proxy/grpc/status.py
@@ -1,4 +1,4 @@
-"""gRPC's status codes, and how they stand on the wire (gRPC over HTTP2; http-grpc-status-mapping)."""
+"""gRPC status codes and messages, and their encoding (gRPC over HTTP2; http-grpc-status-mapping)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Code(enum.IntEnum):
-    """The canonical codes."""
+    """The canonical status codes of gRPC."""
 
     OK = 0
     CANCELLED = 1
@@ -28,7 +28,7 @@
     UNAUTHENTICATED = 16
 
 
-# Of an answer without a grpc-status, by its HTTP status; any other is UNKNOWN.
+# Code of a response without a grpc-status, by its HTTP status; UNKNOWN for any other status.
 CODE_BY_HTTP_STATUS = {
     400: Code.INTERNAL,
     401: Code.UNAUTHENTICATED,
@@ -39,7 +39,7 @@
     503: Code.UNAVAILABLE,
     504: Code.UNAVAILABLE,
 }
-# Of a stream that was reset, by HTTP/2's error code; any other is INTERNAL.
+# Code of a stream that was reset, by the HTTP/2 error code; INTERNAL for any other error code.
 CODE_BY_RESET = {
     0x7: Code.UNAVAILABLE,
     0x8: Code.CANCELLED,
@@ -47,11 +47,11 @@
     0xC: Code.PERMISSION_DENIED,
 }
 STATUS_PATTERN = re.compile(rb"(0|[1-9][0-9]?)\Z")
-MAX_MESSAGE_BYTES = 1024  # bytes of a grpc-message that go on
+MAX_MESSAGE_BYTES = 1024  # maximum size of a grpc-message that is sent; longer ones are truncated
 
 
 def parse_status(text: bytes | None) -> Code:
-    """A grpc-status; UNKNOWN for one that is missing, malformed or of no known code."""
+    """Return the code of a grpc-status; UNKNOWN if the value is missing, malformed or not a known code."""
     if text is None or not STATUS_PATTERN.match(text):
         return Code.UNKNOWN
     number = int(text)
@@ -59,7 +59,7 @@
 
 
 def encode_message(text: str) -> bytes:
-    """A grpc-message: UTF-8, percent-encoded but for the printable ASCII without the percent sign."""
+    """Return a grpc-message: UTF-8 in which all but printable ASCII without `%` is percent-encoded."""
     raw = text.encode("utf-8", "replace")[:MAX_MESSAGE_BYTES]
     return b"".join(
         b"%c" % byte if 0x20 <= byte <= 0x7E and byte != 0x25 else b"%%%02X" % byte for byte in raw
@@ -67,7 +67,7 @@
 
 
 def decode_message(raw: bytes) -> str:
-    """As a receiver must: what is no valid encoding stays as it is, never an error."""
+    """Decode a grpc-message; invalid percent-encoding stays as it is and is no error, as gRPC requires."""
     return re.sub(
         rb"%([0-9A-Fa-f]{2})", lambda match: bytes([int(match[1], 16)]), raw[: 3 * MAX_MESSAGE_BYTES]
     ).decode("utf-8", "replace")
--- a/sidecar_proxy/grpc/subsystem.py
+++ b/sidecar_proxy/grpc/subsystem.py
@@ -1,4 +1,4 @@
-"""Turns gRPC on in a sidecar, as the config file says."""
+"""Starts gRPC in a sidecar by its section of the operator file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def start(config: Grpc, engine: Engine, server: Listener) -> UpstreamPool:
-    """Raises OperatorError where a method has a class that the settings don't have."""
+    """Start gRPC on the listener. Raises OperatorError if a method names a class that the settings lack."""
     try:
         methods = MethodClasses(config.methods, engine.settings.classes)
     except MethodError as error:
--- a/sidecar_proxy/grpc/upstream.py
+++ b/sidecar_proxy/grpc/upstream.py
@@ -1,4 +1,4 @@
-"""gRPC nodes: pooled HTTP/2 connections with many streams each, and the attempts that they carry."""
+"""HTTP/2 connections to gRPC upstreams, pooled and multiplexed, and the attempts that they carry."""
 
 from __future__ import annotations
 
@@ -31,14 +31,15 @@
 from sidecar_proxy.http2.connection import GoawayReceived as Goaway
 from sidecar_proxy.http2.endpoint import Endpoint
 
-MAX_UNSENT_BYTES = 64 * 1024  # bytes that wait for a node's window, and no more are handed on
+MAX_UNSENT_BYTES = 64 * 1024  # maximum size of the data that waits for the upstream's flow-control window
 SWEEP_INTERVAL_S = 0.25
-MAX_CONNECTIONS_PER_UPSTREAM = 8  # to one node; more calls than they hold are turned away
+MAX_CONNECTIONS_PER_UPSTREAM = 8  # further calls end as NOT_SENT once these are at capacity
 STREAM_WINDOW_BYTES = 64 * 1024
-MAX_UNFORWARDED_BYTES = (
-    48 * 1024
-)  # of a first message that is not whole; a node can't send more than its window
-MAX_STREAMS_PER_CONNECTION = 100  # on one connection, of which the windows of all fit into the connection's
+# Maximum size of an incomplete first message that is kept; a larger one is forwarded before it is complete,
+# because the upstream cannot send more than its window.
+MAX_UNFORWARDED_BYTES = 48 * 1024
+# The connection's window covers the windows of this many streams.
+MAX_STREAMS_PER_CONNECTION = 100
 LIMITS = Limits(
     streams=0,
     window=STREAM_WINDOW_BYTES,
@@ -48,29 +49,34 @@
 
 
 class AttemptSource(Protocol):
-    """What an attempt is made of, and where its answer goes: a Relay, or a probe."""
+    """The request of an attempt, and the receiver of its response: a Relay or a HealthCheck."""
 
     request: Request
-    buffer: bytearray
-    buffer_offset: int
-    is_request_complete: bool
-    forward_headers_early: bool  # the answer's headers are wanted before its first message
+    buffer: bytearray  # the buffered part of the request body
+    buffer_offset: int  # offset of the buffer in the request body
+    is_request_complete: bool  # the end of the request body is in the buffer
+    forward_headers_early: bool  # response headers are forwarded before the first message
 
-    def can_resend(self) -> bool: ...
+    def can_resend(self) -> bool:
+        """Return whether a new attempt can send the whole request."""
 
-    def is_bound(self) -> bool: ...
+    def is_bound(self) -> bool:
+        """Return whether the response of an attempt is being forwarded, so that no other can be used."""
 
-    def on_response_data(self, attempt: GrpcAttempt) -> None: ...
+    def on_response_data(self, attempt: GrpcAttempt) -> None:
+        """Forward what the attempt has received; the response goes on."""
 
     def on_attempt_end(
         self, attempt: GrpcAttempt, outcome: api.Outcome, result: AttemptResult | None
-    ) -> tuple[api.Outcome, UpstreamResponse | None]: ...
+    ) -> tuple[api.Outcome, UpstreamResponse | None]:
+        """Return what is reported to the engine at the end of an attempt."""
 
-    def send_pending(self) -> None: ...
+    def send_pending(self) -> None:
+        """Send the part of the request that the attempts have not sent, as far as windows allow."""
 
 
 class GrpcAttempt:
-    """One attempt at a node, and its one end."""
+    """One attempt at an upstream. It ends exactly once."""
 
     __slots__ = (
         "source",
@@ -112,37 +118,43 @@
         self.timer: asyncio.TimerHandle | None = None
         self.connection: GrpcUpstreamConnection | None = None
         self.stream = 0
-        self.sent_bytes = 0  # of all that the client has sent, handed to the connection
-        self.is_fully_sent = False  # and its end
-        self.is_single_message = False  # all of it was there at the start, and is one message
-        self.is_written = False  # the kernel may have the request: all of it, or its headers if it streams
+        self.sent_bytes = 0  # size of the part of the request body that was passed to the HTTP/2 connection
+        self.is_fully_sent = False  # the end of the request was passed to the HTTP/2 connection
+        self.is_single_message = False  # at the start the request was complete and at most one message
+        self.is_written = (
+            False  # the kernel may have the complete request, or the headers of a streamed request
+        )
         self.is_ended = False
         self.headers: Headers = []
         self.trailers: Headers = []
         self.trailers_only = False
-        self.unforwarded = bytearray()  # of the answer, not passed on yet
-        self.unflushed_bytes = 0  # passed on, and the client has not taken it yet
-        self.forwarded_bytes = 0  # of the answer, to the client
-        self.is_window_widened = False  # the node may send more than the first window
-        self.started_s = 0.0
+        self.unforwarded = bytearray()  # response data that was not forwarded to the client yet
+        self.unflushed_bytes = 0  # size of the forwarded data that the client has not received yet
+        self.forwarded_bytes = 0  # size of the response data that was forwarded to the client
+        self.is_window_widened = False  # the stream's window was raised above the initial window
+        self.started_s = 0.0  # loop time at which the stream was opened
 
     def abandon_unsent(self, outcome: api.Outcome) -> None:
-        """Its relay gives up what is out as soon as the call is over."""
+        """Do nothing: the relay ends the attempts in flight as soon as the call has ended."""
 
     def expire_unsent(self) -> None:
-        """It must not go out any more."""
+        """End the attempt as NOT_SENT unless its request was written: it must not be sent any more."""
         if not self.is_written:
             self.finish(api.Outcome.NOT_SENT)
 
     def start(self, upstream: int, timeout_s: float) -> None:
+        """Start the attempt at an upstream; it may end before this returns."""
         if not self.source.can_resend():
             self.finish(api.Outcome.NOT_SENT)
             return
         self.upstream_pool.start(upstream, self, timeout_s)
 
     def begin(self, connection: GrpcUpstreamConnection) -> None:
-        """Its headers, and what there is of its body. Hazard: by now the request may be over, or the node may
-        drain."""
+        """Open the stream, and send the headers and the buffered part of the body.
+
+        While the attempt waited for its connection, the request may have ended or the upstream begun to
+        drain. In both cases the attempt ends as NOT_SENT.
+        """
         left_us = self.left_us() if connection.host.is_ready() else 0
         source = self.source
         if left_us <= 0 or not source.can_resend():
@@ -166,7 +178,7 @@
         connection.schedule()
 
     def send_pending(self) -> None:
-        """What is new of the request, as far as the node's window has room."""
+        """Send the new part of the request, as far as the limit of unsent data allows."""
         connection = self.connection
         if connection is None or self.is_fully_sent:
             return
@@ -181,31 +193,39 @@
                 self.stream, bytes(source.buffer[start : start + max(size, 0)]), is_last
             )
         except StreamError:
-            return  # closed by the node; its event is on the way
+            return  # the upstream has closed the stream; the event follows
         self.sent_bytes += max(size, 0)
         self.is_fully_sent = is_last
         connection.schedule()
 
     def widen(self, window: int) -> None:
+        """Raise the stream's receive window."""
         self.is_window_widened = True
         if self.connection is not None:
             self.connection.http2.widen(self.stream, window)
 
     def consumed(self, size: int) -> None:
+        """Return window for data that the client has received, so that the upstream may send more."""
         if self.connection is not None:
             self.connection.http2.consumed(self.stream, size)
             self.connection.schedule()
 
     def bind(self) -> None:
-        """The answer is the client's now. Hazard: the decisions' time-out is for an answer's beginning; a
-        stream of many messages lasts till the call's own time is out, which the engine's guard sees to."""
+        """Note that the response is being forwarded to the client, and cancel the timeout of the attempt.
+
+        The balancer's timeout limits the time to the start of the response. A stream of many messages may
+        last until the deadline of the call, which the engine enforces.
+        """
         if self.timer is not None:
             self.timer.cancel()
         self.on_response_started()
 
     def should_forward(self) -> bool:
-        """Something of the answer is to go on. Hazard: the first bytes that do bind the call to this node; a
-        message that is cut short is of no use to the client, and would cost it another attempt."""
+        """Return whether the response received so far is to be forwarded.
+
+        Forwarding the first bytes binds the call to this upstream. So the first message is forwarded only
+        when it is complete: a truncated message is useless to the client and would rule out another attempt.
+        """
         unforwarded = self.unforwarded
         if not unforwarded:
             return self.source.forward_headers_early or not self.source.is_request_complete
@@ -215,20 +235,22 @@
         return size is not None and len(unforwarded) >= size
 
     def load_report(self) -> bytes:
-        """Its srv-load, if any."""
+        """Return the value of srv-load; empty if there is none."""
         return first_value(self.trailers or self.headers, b"srv-load")
 
-    # From the connection
+    # Called by the connection
 
     def on_stream_closed(self, end: AttemptEnd, code: int = 0) -> None:
-        """The stream is over, by the node's doing."""
+        """End the attempt because the upstream or the connection has ended the stream."""
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.streams.pop(self.stream, None)
         headers = dict(self.headers or self.trailers)
         status = headers.get(b":status", b"")
         if not self.trailers:
-            headers.pop(b"grpc-status", None)  # hazard: in headers with a body behind them it is none
+            headers.pop(
+                b"grpc-status", None
+            )  # grpc-status is valid only in trailers or a trailers-only response
         result = AttemptResult(
             end,
             self.is_written,
@@ -239,9 +261,10 @@
         )
         self.finish(api.Outcome.RESET, result)
 
-    # From the engine
+    # Called by the engine
 
     def finish(self, outcome: api.Outcome, result: AttemptResult | None = None) -> None:
+        """End the attempt. `result` is what the connection observed, None if the outcome is decided here."""
         if self.is_ended:
             return
         self.is_ended = True
@@ -251,30 +274,33 @@
         if connection is not None:
             connection.cancel_attempt(self)
         if outcome is api.Outcome.CANCELLED and not self.is_written:
-            outcome = api.Outcome.NOT_SENT  # nothing of it was written, and nothing will be
+            outcome = api.Outcome.NOT_SENT  # no part of the request was written, and none will be
         self.on_end(*self.source.on_attempt_end(self, outcome, result))
 
     def expire(self) -> None:
-        """We stop waiting."""
+        """End the attempt because its timeout was reached."""
         connection = self.connection
         if connection is None:
             self.finish(api.Outcome.CONNECT_FAILED)
             return
         if connection.last_received_s < self.started_s:
-            # hazard: a machine that vanished leaves its connection open and silent; what is sent on it next
-            # would be lost, while a new connection fails before anything can run
+            # After a host failure its connection stays open and silent, and further requests on it would be
+            # lost with an unknown result. A new connection fails before a request can be executed.
             connection.retire()
         self.finish(api.Outcome.TIMEOUT, AttemptResult(AttemptEnd.EXPIRED, self.is_written))
 
 
 def has_at_most_one_message(data: bytearray) -> bool:
-    """At most one. Hazard: of several, a node may work on the first before the last has come, so that a part
-    of the request is as good as all of it."""
+    """Return whether the data is no more than one message.
+
+    With several messages, an upstream may process the first before it has received the last. So a part of the
+    request must count as possibly executed, as the whole request does.
+    """
     return first_message_size(data) in (None, len(data))
 
 
 class GrpcUpstreamConnection(Endpoint):
-    """A connection to a node."""
+    """An HTTP/2 connection to an upstream."""
 
     def __init__(self, upstream_pool: UpstreamPool, host: ListedUpstream) -> None:
         super().__init__(Connection(True, LIMITS, upstream_pool.now_us()), upstream_pool.loop)
@@ -282,16 +308,18 @@
         self.host = host
         self.generation = host.generation
         self.streams: dict[int, GrpcAttempt] = {}
-        self.pending_attempts: list[GrpcAttempt] = []  # for the connection, or for unread input to be read
-        self.unwritten_attempts: list[GrpcAttempt] = []  # not all of it is handed to the kernel
-        self.partly_sent: dict[GrpcAttempt, None] = {}  # more of the request is to come
-        self.updated_attempts: dict[GrpcAttempt, None] = {}  # answers that this read has brought more of
-        self.is_retired = False
-        self.is_lost = False  # its place is free again
+        # attempts that wait for the connection, or for unread input to be processed
+        self.pending_attempts: list[GrpcAttempt] = []
+        self.unwritten_attempts: list[GrpcAttempt] = []  # the request may not be with the kernel yet
+        self.partly_sent: dict[GrpcAttempt, None] = {}  # the end of the request was not sent
+        self.updated_attempts: dict[GrpcAttempt, None] = {}  # received response data in this read
+        self.is_retired = False  # no new streams are opened
+        self.is_lost = False  # the connection has ended and is no longer counted
         self.last_received_s = self.idle_since_s = self.loop.time()
-        self.ping_sent_s = 0.0  # when a PING was sent that nothing has followed
+        self.ping_sent_s = 0.0  # loop time of a PING since which nothing was received; 0 = none
 
     def has_capacity(self) -> bool:
+        """Return whether another stream may be opened."""
         if self.is_retired or self.generation != self.host.generation:
             return False
         return len(self.streams) + len(self.pending_attempts) < self.http2.most_streams(
@@ -299,14 +327,18 @@
         )
 
     def assign(self, attempt: GrpcAttempt) -> None:
-        """Hazard: a GOAWAY or the end may be waiting unread, and a call written behind it may have run for
-        all we know; what has come is read first."""
+        """Begin an attempt on this connection, after any input that waits unread has been processed.
+
+        The unread input may be a GOAWAY or the connection's end. The sidecar could not tell whether a call
+        that is written after it was executed.
+        """
         if self.transport is None or self.poll.poll(0):
             self.pending_attempts.append(attempt)
         else:
             attempt.begin(self)
 
     def begin_pending(self) -> None:
+        """Begin the attempts that waited for the connection."""
         pending_attempts, self.pending_attempts = self.pending_attempts, []
         for attempt in pending_attempts:
             if attempt.is_ended:
@@ -316,17 +348,20 @@
             else:
                 attempt.begin(self)
 
-    # The transport
+    # Transport callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Start using the transport."""
         super().connection_made(transport)
         assert self.transport is not None
-        # hazard: what sits in the loop's own buffer can't be taken back; see `fresh`
+        # Data in the transport's buffer cannot be taken back. With limit 0 the transport reports whether any
+        # is buffered, see `unwritten_attempts`.
         self.transport.set_write_buffer_limits(high=0)
         self.poll = make_input_poll(transport)
         self.last_received_s = self.loop.time()
 
     def flush(self) -> None:
+        """Write the pending output, and update what the attempts know of it."""
         if not self.write():
             return
         if self.unwritten_attempts:
@@ -337,13 +372,16 @@
             if attempt.is_ended or attempt.is_fully_sent:
                 del self.partly_sent[attempt]
             else:
-                attempt.source.send_pending()  # there may be room now
+                attempt.source.send_pending()  # the limit of unsent data may allow more now
         if self.is_retired and self.is_idle() and self.transport is not None:
             self.transport.close()
 
     def check_written(self, attempt: GrpcAttempt) -> bool:
-        """Hazard: what the transport was given counts as the kernel's, though some may still sit in its
-        buffer: which part is known only when all is gone."""
+        """Update and return whether the kernel may have the attempt's request.
+
+        Data that was passed to the transport counts as written, although part of it may still be in the
+        transport's buffer. Which part it is becomes known only when the buffer is empty.
+        """
         if attempt.is_ended:
             return True
         attempt.is_written = not attempt.is_single_message or (
@@ -352,6 +390,7 @@
         return attempt.is_written
 
     def data_received(self, data: bytes) -> None:
+        """Process received data, then forward what the responses have gained."""
         self.last_received_s, self.ping_sent_s = self.loop.time(), 0.0
         for event in self.http2.receive(data, self.upstream_pool.now_us()):
             match event:
@@ -367,7 +406,7 @@
                 case StreamReset():
                     attempt = self.streams.get(event.stream)
                     if attempt is not None:
-                        # hazard: RST_STREAM with NO_ERROR behind a whole answer is no failure (RFC 9113, 8.1)
+                        # RST_STREAM with NO_ERROR after a complete response is not a failure (RFC 9113, 8.1).
                         has_response = event.code == NO_ERROR and attempt.trailers
                         attempt.on_stream_closed(
                             AttemptEnd.ANSWERED if has_response else AttemptEnd.RESET, event.code
@@ -393,6 +432,7 @@
         self.schedule()
 
     def on_headers(self, event: HeadersReceived) -> None:
+        """Process response headers, or a trailers-only response."""
         attempt = self.streams.get(event.stream)
         if attempt is None:
             return
@@ -404,6 +444,7 @@
         self.updated_attempts[attempt] = None
 
     def on_data(self, event: DataReceived) -> None:
+        """Process response data."""
         attempt = self.streams.get(event.stream)
         if attempt is None:
             self.http2.consumed(event.stream, len(event.data))
@@ -411,21 +452,21 @@
         if event.data:
             attempt.unforwarded += event.data
             self.updated_attempts[attempt] = None
-        if event.ended:  # without a status
+        if event.ended:  # the response has no grpc-status
             self.on_response_ended(attempt)
 
     def on_response_ended(self, attempt: GrpcAttempt) -> None:
-        """Its side of the stream has ended. What is still to be sent of the request is not wanted."""
+        """End an attempt whose response is complete; the unsent part of its request is dropped."""
         if not attempt.is_fully_sent:
             self.http2.reset(attempt.stream, CANCEL)
         attempt.on_stream_closed(AttemptEnd.ANSWERED)
 
     def on_connection_ended(self, event: ConnectionEnded) -> None:
-        """The connection is of no more use."""
+        """End the attempts and close the connection after the HTTP/2 connection has ended."""
         self.retire()
         if event.code != NO_ERROR:
             self.upstream_pool.connection_pool.warn_rate_limited(
-                f"node {self.host.address[0]}: HTTP/2: {event.why}"
+                f"upstream {self.host.address[0]}: HTTP/2 error: {event.why}"
             )
         self.flush()
         for attempt in list(self.streams.values()):
@@ -436,6 +477,7 @@
             self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """End the attempts, and stop counting the connection."""
         if self.is_lost:
             return
         self.is_lost = self.is_retired = True
@@ -449,10 +491,10 @@
         for attempt in pending_attempts:
             attempt.on_stream_closed(AttemptEnd.NO_CONNECTION)
 
-    # Ends
+    # The end of attempts and of the connection
 
     def cancel_attempt(self, attempt: GrpcAttempt) -> None:
-        """Nobody waits for its answer any more: the node is told at once."""
+        """Reset the stream of an attempt whose response is no longer needed."""
         self.streams.pop(attempt.stream, None)
         self.http2.reset(attempt.stream, CANCEL)
         if not self.streams:
@@ -460,14 +502,19 @@
         self.schedule()
 
     def retire(self) -> None:
-        """No new streams (a drain, a GOAWAY, a restart, silence); those that are open go on."""
+        """Open no new streams; open streams go on.
+
+        This is done after a drain, a GOAWAY or a restart of the upstream, and if the connection is silent.
+        """
         self.is_retired = True
         self.schedule()
 
     def is_idle(self) -> bool:
+        """Return whether the connection carries no attempts."""
         return not self.streams and not self.pending_attempts
 
     def sweep(self, now: float) -> None:
+        """Apply the idle timeout, and detect a connection that no longer responds with a PING."""
         if self.transport is None:
             return
         if self.is_idle():
@@ -475,7 +522,7 @@
                 self.retire()
         elif self.ping_sent_s and now - self.ping_sent_s >= self.upstream_pool.ping_timeout_s:
             self.retire()
-            self.transport.abort()  # hazard: a machine that vanished resets nothing
+            self.transport.abort()  # a failed host does not reset the connection
         elif not self.ping_sent_s and now - self.last_received_s >= self.upstream_pool.ping_timeout_s:
             self.ping_sent_s = now
             self.http2.ping(PING_PAYLOAD)
@@ -483,7 +530,7 @@
 
 
 class UpstreamPool:
-    """The connections to gRPC nodes, within the descriptors of the pool of HTTP/1.1."""
+    """The connections to gRPC upstreams. They count against the limit of the HTTP/1.1 connection pool."""
 
     def __init__(
         self, engine: Engine, idle_timeout_s: float, ping_timeout_s: float, max_buffered_bytes: int
@@ -500,6 +547,7 @@
         self.timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     def now_us(self) -> int:
+        """Return the time of the engine's clock."""
         return self.engine.clock.now_us()
 
     def create_attempt(
@@ -509,9 +557,11 @@
         on_end: AttemptCallback,
         on_response_started: Callable[[], None],
     ) -> GrpcAttempt:
+        """Return a new attempt that has not started."""
         return GrpcAttempt(source, self, left_us, on_end, on_response_started)
 
     def start(self, upstream: int, attempt: GrpcAttempt, timeout_s: float) -> None:
+        """Start an attempt at an upstream; it ends as NOT_SENT if the upstream is not ready."""
         host = self.connection_pool.upstreams.get(upstream)
         if host is None or not host.is_ready():
             attempt.finish(api.Outcome.NOT_SENT)
@@ -520,7 +570,10 @@
         self.assign_connection(host, attempt)
 
     def assign_connection(self, host: ListedUpstream, attempt: GrpcAttempt) -> None:
-        """The first connection with room: so few are used, and the others come to rest."""
+        """Assign an attempt to the first connection with capacity, or to a new connection.
+
+        Taking the first keeps the number of used connections low, so that the others reach the idle timeout.
+        """
         for candidate in host.multiplexed:
             if isinstance(candidate, GrpcUpstreamConnection) and candidate.has_capacity():
                 candidate.assign(attempt)
@@ -543,20 +596,22 @@
         task.add_done_callback(self.connect_tasks.discard)
 
     async def connect(self, connection: GrpcUpstreamConnection) -> None:
+        """Establish a connection, and begin the attempts that wait for it."""
         host = connection.host
         try:
             async with asyncio.timeout(self.connection_pool.connect_timeout_s):
                 await self.loop.create_connection(
                     partial(as_protocol, connection), *(host.grpc_address or host.address)
                 )
-        except (OSError, TimeoutError, ValueError) as error:  # ValueError: a name that is none
+        except (OSError, TimeoutError, ValueError) as error:  # ValueError: invalid host name
             is_local = isinstance(error, OSError) and error.errno in LOCAL_ERRNOS
             if is_local:
                 self.connection_pool.warn_rate_limited(f"no connection could be opened: {error}")
             pending_attempts, connection.pending_attempts = connection.pending_attempts, []
             if connection.transport is not None:
                 connection.transport.abort()
-            connection.connection_lost(error)  # hazard: of one that came up just now the loop never says so
+            # A connection that was established just before the timeout gets no such call from the event loop.
+            connection.connection_lost(error)
             for attempt in pending_attempts:
                 if is_local:
                     attempt.finish(api.Outcome.NOT_SENT)
@@ -566,7 +621,7 @@
         connection.begin_pending()
 
     def evict_idle(self) -> bool:
-        """Close one that is idle; False: there is none."""
+        """Close an idle connection, and return whether there was one."""
         for connection in self.connections:
             if (
                 connection.is_idle()
@@ -579,17 +634,22 @@
         return False
 
     def sweep(self) -> None:
+        """Check all connections periodically."""
         self.timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         now = self.loop.time()
         for connection in list(self.connections):
             connection.sweep(now)
 
     def enforce_buffer_limit(self) -> None:
-        """Hazard: peers that do not read would fill our memory; the call that holds most is given up."""
+        """End the calls with the most buffered data while the buffer limit is exceeded.
+
+        Clients and upstreams that do not read would otherwise exhaust the memory of the sidecar.
+        """
         while (owner := self.buffer_budget.find_largest_if_exceeded()) is not None:
             owner.abort_over_budget()
 
     def close(self) -> None:
+        """Abort all connections."""
         self.timer.cancel()
         for task in self.connect_tasks:
             task.cancel()
--- a/tests/grpc/test_hard_cases.py
+++ b/tests/grpc/test_hard_cases.py
@@ -361,7 +361,7 @@
         while rig.upstream_pool.buffer_budget.total_bytes < 65_536:
             await asyncio.sleep(0.005)
         assert client.http2.unsent(stream) >= 400_000 - 2 * 65_536  # the rest is held back
-        code, trailers, _ = await client.answer(stream)
+        code, _, _ = await client.answer(stream)
         assert code == Code.DEADLINE_EXCEEDED
         assert rig.upstream_pool.buffer_budget.total_bytes == 0
         # others are not in its way
