--- a/sidecar_proxy/grpc/buffer_budget.py
+++ b/sidecar_proxy/grpc/buffer_budget.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-LONG_STREAM_WINDOW_BYTES = (
-    512 * 1024
-)  # window of a long stream in both directions, whose data is not kept for retries
+# Window of a long stream in both directions, whose data is not kept for retries.
+LONG_STREAM_WINDOW_BYTES = 512 * 1024
 
 
 class BufferOwner:
--- a/sidecar_proxy/grpc/front.py
+++ b/sidecar_proxy/grpc/front.py
@@ -40,9 +40,8 @@
 
 START_DELAY_S = 0.02  # delay from the headers of a call to its start, if the request is incomplete
 LINGER_TIMEOUT_S = 1.0  # maximum time for a client to read a complete response
-GOAWAY_INTERVAL_S = (
-    0.25  # time between the GOAWAY that announces a shutdown and the final one: over a round trip
-)
+# Time between the GOAWAY that announces a shutdown and the final one: more than a round trip.
+GOAWAY_INTERVAL_S = 0.25
 
 
 class GrpcFront:
@@ -151,20 +150,17 @@
         self.server = front.server
         self.idle_timeout_s = front.idle_timeout_s
         self.calls: dict[int, Relay] = {}
-        self.start_timers: dict[
-            int, asyncio.TimerHandle
-        ] = {}  # timers of calls that were not passed to the engine yet, by stream
+        # timers of calls that were not passed to the engine yet, by stream
+        self.start_timers: dict[int, asyncio.TimerHandle] = {}
         self.health_requests: dict[int, bytearray] = {}  # incomplete health requests, by stream
-        self.unflushed_calls: dict[
-            int, Relay
-        ] = {}  # calls whose response data is not fully written, by stream
+        # calls whose response data is not fully written, by stream
+        self.unflushed_calls: dict[int, Relay] = {}
         self.linger_deadlines: dict[int, float] = {}  # loop time until which an answered stream may stay open
         self.open_request_streams: set[int] = set()  # streams that the client has not ended on its side
         self.phase_began_s = self.loop.time()
         self.is_discarding = False
-        self.goaway_count = (
-            0  # GOAWAYs sent: the first announces the shutdown, the second refuses new streams
-        )
+        # number of GOAWAYs sent: the first announces the shutdown, the second refuses new streams
+        self.goaway_count = 0
         self.has_received_request, self.is_receiving, self.unparsed_bytes = True, False, 0
         self.linger_timer: asyncio.TimerHandle | None = None
 
--- a/sidecar_proxy/grpc/relay.py
+++ b/sidecar_proxy/grpc/relay.py
@@ -191,7 +191,8 @@
                 self.buffer_offset > 2 * MAX_REPLAY_BYTES
                 and not self.is_window_widened
                 and not self.is_request_complete
-            ):  # the upstream keeps accepting the data
+            ):
+                # The upstream keeps accepting the data.
                 self.is_window_widened = True
                 self.client.widen(self.stream, LONG_STREAM_WINDOW_BYTES)
             self.upstream_pool.buffer_budget.adjust(self, -released)
@@ -290,9 +291,8 @@
         else:
             self.send_own_status(self.own_trailers(status, head))
         self.client.on_call_ended(self)
-        if (
-            status == 504
-        ):  # the engine's deadline came before the attempts' timers: they end as expired, not as cancelled
+        if status == 504:
+            # The engine's deadline came before the attempts' timers: they end as expired, not as cancelled.
             for attempt in list(self.attempts):
                 attempt.expire()
         self.cancel_attempts()
--- a/sidecar_proxy/grpc/upstream.py
+++ b/sidecar_proxy/grpc/upstream.py
@@ -248,9 +248,8 @@
         headers = dict(self.headers or self.trailers)
         status = headers.get(b":status", b"")
         if not self.trailers:
-            headers.pop(
-                b"grpc-status", None
-            )  # grpc-status is valid only in trailers or a trailers-only response
+            # grpc-status is valid only in trailers or a trailers-only response.
+            headers.pop(b"grpc-status", None)
         result = AttemptResult(
             end,
             self.is_written,
--- a/tests/crossings/test_grpc_leaving.py
+++ b/tests/crossings/test_grpc_leaving.py
@@ -9,7 +9,7 @@
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.grpc.message import frame_message
 from sidecar_proxy.http2.connection import HeadersReceived
-from tests.grpc.rig import ANSWER, Client, Node, Rig, run
+from tests.grpc.rig import RESPONSE_HEADERS, Client, GrpcUpstream, Rig, run
 from tests.http2.frames import GOAWAY, frame
 
 
@@ -44,32 +44,32 @@
                 return [api.Send(event.request, 1, 0)]
             return []
 
-        def script(node: Node, stream: int) -> None:
-            node.http2.send_headers(stream, ANSWER)
+        def script(node: GrpcUpstream, stream: int) -> None:
+            node.http2.send_headers(stream, RESPONSE_HEADERS)
             node.http2.send_data(stream, frame_message(bytes(8_000_000)))
             node.flush()
 
         rig = Rig(act)
-        await rig.node(lambda: Node(script))
-        client = await rig.client()
+        await rig.add_upstream(lambda: GrpcUpstream(script))
+        client = await rig.connect_client()
         if not reads:
             large = [client.call("/t.T/Read") for _ in range(30)]  # each within its window
-            await client.until(lambda: client.of(HeadersReceived, large[0]))
+            await client.wait_until(lambda: client.events_of(HeadersReceived, large[0]))
             assert client.transport is not None
             client.transport.pause_reading()
             while not any(one.has_unsent_output() for one in rig.server.connections):
                 await asyncio.sleep(0)
-        before = sum(len(node.calls()) for node in rig.made[0])
+        before = sum(len(node.calls()) for node in rig.upstream_connections[0])
         stream = client.call("/t.T/Pay")
-        decisions = rig.decisions
-        assert decisions is not None
-        while not [1 for one in decisions.events if isinstance(one, api.RequestArrived) and one.class_index]:
+        balancer = rig.balancer
+        assert balancer is not None
+        while not [1 for one in balancer.events if isinstance(one, api.RequestArrived) and one.class_index]:
             await asyncio.sleep(0)
         leave(client, stream, how)
         await gone.wait()
         for _ in range(20):
             await asyncio.sleep(0)
-        assert sum(len(node.calls()) for node in rig.made[0]) == before
+        assert sum(len(node.calls()) for node in rig.upstream_connections[0]) == before
         rig.close()
 
     run(test)
--- a/tests/engine/test_reference_counting.py
+++ b/tests/engine/test_reference_counting.py
@@ -19,7 +19,7 @@
 from sidecar_proxy.http1.upstream import ConnectionPool
 from tests.balancer.harness import settings
 from tests.engine.test_engine import NoDiscovery
-from tests.grpc.rig import Node, Rig, run
+from tests.grpc.rig import GrpcUpstream, Rig, run
 from tests.sockets import Client, Message, Upstream, answer
 
 ROUNDS = 30
@@ -96,23 +96,23 @@
     """Covers answered and failed calls, long calls, and calls that the client resets."""
 
     async def test() -> None:
-        def script(node: Node, stream: int) -> None:
-            call_kind = node.request(stream)[b"what"]
+        def script(upstream: GrpcUpstream, stream: int) -> None:
+            call_kind = upstream.request(stream)[b"what"]
             if call_kind != b"slow":
-                node.serve(stream, b"w" * 30_000, b"13" if call_kind == b"bad" else b"0")
+                upstream.serve(stream, b"w" * 30_000, b"13" if call_kind == b"bad" else b"0")
 
         rig = Rig()
-        await rig.node(lambda: Node(script))
-        client = await rig.client()
+        await rig.add_upstream(lambda: GrpcUpstream(script))
+        client = await rig.connect_client()
 
         async def run_traffic() -> None:
             for _ in range(ROUNDS):
                 for path, call_kind in (("/t.T/Read", "good"), ("/t.T/Pay", "bad"), ("/t.S/Any", "good")):
-                    await client.answer(client.call(path, b"x" * 20_000, what=call_kind))
+                    await client.receive_response(client.call(path, b"x" * 20_000, what=call_kind))
                 reset_call = client.call("/t.T/Pay", what="slow")
                 client.http2.reset(reset_call, 8)
                 client.flush()
-            await client.answer(client.call("/t.T/Read", what="good"))
+            await client.receive_response(client.call("/t.T/Read", what="good"))
 
         await run_traffic()
         garbage = await collect_cyclic_garbage(run_traffic)
--- a/tests/grpc/rig.py
+++ b/tests/grpc/rig.py
@@ -1,4 +1,4 @@
-"""A sidecar's gRPC side in this process, with scripted peers on both ends that write frames by hand."""
+"""An in-process sidecar with gRPC, and scripted clients and upstreams that can write raw HTTP/2 frames."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 from tests.engine.test_engine import NoDiscovery, ScriptedBalancer
 from tests.http2.frames import frames
 
-LONG_S = 20.0
-OPEN = Limits(
+TEST_TIMEOUT_S = 20.0
+UNLIMITED = Limits(
     streams=10_000,
     window=1 << 20,
     connection_window=1 << 28,
@@ -41,32 +41,32 @@
     unsent=1 << 28,
     rates=Rates(1e9, 1e9, 1e9, 1e9, 1e9),
 )
-ANSWER = [(b":status", b"200"), (b"content-type", b"application/grpc")]
-# classes of tests/balancer/harness.py's settings: 0 idempotent, 1 unsafe, 2 keyed
+RESPONSE_HEADERS = [(b":status", b"200"), (b"content-type", b"application/grpc")]
+# request classes of Rig: read is idempotent, pay and stream are unsafe, top is deduplicated
 METHODS = {"/t.T/Read": "read", "/t.T/Pay": "pay", "/t.T/Top": "top", "/t.S/*": "stream"}
 
 
 class Peer(asyncio.Protocol):
-    """A scripted end: a connection under the test's control; events are kept and can be waited for."""
+    """A connection that the test controls. It records its events, and the test can wait for them."""
 
-    client = False
+    is_client = False
 
-    def __init__(self, limits: Limits = OPEN, frames: bool = True) -> None:
-        self.http2 = Connection(self.client, limits, 0)
-        self.by_hand = not frames  # the test writes all by itself
+    def __init__(self, limits: Limits = UNLIMITED, use_http2_layer: bool = True) -> None:
+        self.http2 = Connection(self.is_client, limits, 0)
+        self.is_manual = not use_http2_layer  # the test writes all frames as bytes
         self.transport: asyncio.Transport | None = None
         self.events: list[Event] = []
-        self.raw = bytearray()
-        self.lost = False
-        self.reads = True  # False: what comes is dealt with, but windows are never given back
-        self.news = asyncio.Event()
+        self.received = bytearray()
+        self.is_lost = False
+        self.returns_window = True  # False = received data is processed, but no window is returned
+        self.changed = asyncio.Event()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.flush()
 
     def flush(self) -> None:
-        if not self.by_hand and self.transport is not None and not self.transport.is_closing():
+        if not self.is_manual and self.transport is not None and not self.transport.is_closing():
             self.transport.write(self.http2.outgoing())
 
     def write(self, data: bytes) -> None:
@@ -74,40 +74,40 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        self.raw += data
-        if not self.by_hand:
+        self.received += data
+        if not self.is_manual:
             for event in self.http2.receive(data, 0):
                 self.events.append(event)
-                if isinstance(event, DataReceived) and self.reads:
+                if isinstance(event, DataReceived) and self.returns_window:
                     self.http2.consumed(event.stream, len(event.data))
                 self.on_event(event)
             self.flush()
-        self.news.set()
+        self.changed.set()
 
     def on_event(self, event: Event) -> None: ...
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.lost = True
-        self.news.set()
+        self.is_lost = True
+        self.changed.set()
 
-    async def until(self, what: Callable[[], Any]) -> Any:
-        """Wait for what a read or the connection's end brings."""
-        async with asyncio.timeout(LONG_S):
-            while not (found := what()):
-                self.news.clear()
-                await self.news.wait()
-        return found
+    async def wait_until(self, condition: Callable[[], Any]) -> Any:
+        """Wait until the condition is true, checking after each read and at the end of the connection."""
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            while not (result := condition()):
+                self.changed.clear()
+                await self.changed.wait()
+        return result
 
-    def of(self, kind: type[Any], stream: int) -> list[Any]:
-        return [one for one in self.events if isinstance(one, kind) and one.stream == stream]
+    def events_of(self, kind: type[Any], stream: int) -> list[Any]:
+        return [event for event in self.events if isinstance(event, kind) and event.stream == stream]
 
     def frames(self) -> list[tuple[int, int, int, bytes]]:
-        """Kind, flags, stream and payload of each whole frame that has come."""
-        return frames(bytes(self.raw))
+        """Return type, flags, stream and payload of each complete frame that was received."""
+        return frames(bytes(self.received))
 
 
 class Client(Peer):
-    client = True
+    is_client = True
 
     def call(self, path: str, body: bytes | None = b"hello", ended: bool = True, **metadata: str) -> int:
         headers = [
@@ -127,75 +127,85 @@
         return stream
 
     def status(self, stream: int) -> dict[bytes, bytes] | None:
-        """The trailers of an answer; None while there are none."""
-        for one in self.of(TrailersReceived, stream):
-            return dict(one.headers)
-        for one in self.of(HeadersReceived, stream):
-            if one.ended:
-                return dict(one.headers)
+        """Return the trailers of a response; None if none were received yet."""
+        for event in self.events_of(TrailersReceived, stream):
+            return dict(event.headers)
+        for event in self.events_of(HeadersReceived, stream):
+            if event.ended:
+                return dict(event.headers)
         return None
 
-    async def answer(self, stream: int) -> tuple[int, dict[bytes, bytes], bytes]:
-        """Code, trailers and message data; code -1 where the stream was reset or the connection is lost."""
-
-        def over() -> bool:
-            ended = any(isinstance(one, Ended) for one in self.events)
-            return bool(self.status(stream) is not None or self.of(StreamReset, stream) or self.lost or ended)
-
-        await self.until(over)
-        told = self.status(stream) or {}
-        data = b"".join(one.data for one in self.of(DataReceived, stream))
-        return int(told.get(b"grpc-status", b"-1")), told, data
-
-    def end(self) -> Ended | None:
-        return next((one for one in self.events if isinstance(one, Ended)), None)
-
-    def goaway(self) -> int | None:
-        """The code of the last GOAWAY."""
-        codes = [one.code for one in self.events if isinstance(one, GoawayReceived)]
+    async def receive_response(self, stream: int) -> tuple[int, dict[bytes, bytes], bytes]:
+        """Return code, trailers and message data; code -1 = the stream was reset or the connection lost."""
+
+        def is_over() -> bool:
+            ended = any(isinstance(event, Ended) for event in self.events)
+            return bool(
+                self.status(stream) is not None
+                or self.events_of(StreamReset, stream)
+                or self.is_lost
+                or ended
+            )
+
+        await self.wait_until(is_over)
+        trailers = self.status(stream) or {}
+        data = b"".join(event.data for event in self.events_of(DataReceived, stream))
+        return int(trailers.get(b"grpc-status", b"-1")), trailers, data
+
+    def connection_end(self) -> Ended | None:
+        return next((event for event in self.events if isinstance(event, Ended)), None)
+
+    def goaway_code(self) -> int | None:
+        """Return the error code of the last GOAWAY; None if none was received."""
+        codes = [event.code for event in self.events if isinstance(event, GoawayReceived)]
         return codes[-1] if codes else None
 
 
-class Node(Peer):
-    """One connection to a scripted node."""
+class GrpcUpstream(Peer):
+    """One connection to a scripted upstream."""
 
     def __init__(
-        self, script: Callable[[Node, int], None] | None = None, limits: Limits = OPEN, frames: bool = True
+        self,
+        script: Callable[[GrpcUpstream, int], None] | None = None,
+        limits: Limits = UNLIMITED,
+        use_http2_layer: bool = True,
     ) -> None:
-        super().__init__(limits, frames)
-        self.script = script  # called when a request is whole
+        super().__init__(limits, use_http2_layer)
+        self.script = script  # called when a request is complete
 
     def on_event(self, event: Event) -> None:
         if self.script is not None and isinstance(event, DataReceived | HeadersReceived) and event.ended:
             self.script(self, event.stream)
 
     def request(self, stream: int) -> dict[bytes, bytes]:
-        return dict(self.of(HeadersReceived, stream)[0].headers)
+        return dict(self.events_of(HeadersReceived, stream)[0].headers)
 
     def calls(self) -> list[int]:
-        return [one.stream for one in self.events if isinstance(one, HeadersReceived)]
+        return [event.stream for event in self.events if isinstance(event, HeadersReceived)]
 
     def serve(
-        self, stream: int, body: bytes = b"done", status: bytes = b"0", *more: tuple[bytes, bytes]
+        self, stream: int, body: bytes = b"done", status: bytes = b"0", *extra_trailers: tuple[bytes, bytes]
     ) -> None:
-        self.http2.send_headers(stream, ANSWER)
+        self.http2.send_headers(stream, RESPONSE_HEADERS)
         self.http2.send_data(stream, frame_message(body))
-        self.http2.send_trailers(stream, [(b"grpc-status", status), *more])
+        self.http2.send_trailers(stream, [(b"grpc-status", status), *extra_trailers])
         self.flush()
 
-    def trailers_only(self, stream: int, status: bytes, *more: tuple[bytes, bytes]) -> None:
-        self.http2.send_headers(stream, [*ANSWER, (b"grpc-status", status), *more], ended=True)
+    def trailers_only(self, stream: int, status: bytes, *extra_trailers: tuple[bytes, bytes]) -> None:
+        self.http2.send_headers(
+            stream, [*RESPONSE_HEADERS, (b"grpc-status", status), *extra_trailers], ended=True
+        )
         self.flush()
 
 
 class Rig:
-    """Engine, listener, gRPC; decisions by the test, or the real ones; nodes that are listeners here."""
+    """Engine, listener and gRPC, with a scripted or the real balancer, and scripted upstreams."""
 
     def __init__(
         self,
         act: Callable[[api.Event], list[api.Action]] | None = None,
-        told: Grpc | None = None,
-        connect_s: float = 0.5,
+        grpc_config: Grpc | None = None,
+        connect_timeout_s: float = 0.5,
     ) -> None:
         self.settings = settings()
         self.settings.classes = [
@@ -212,56 +222,64 @@
             api.RequestClass("stream", 500_000, 5_000_000, effect="at_most_once", stream=True),
         ]
         self.settings.max_attempts = 4
-        self.pool = ConnectionPool(connect_timeout_s=connect_s, idle_timeout_s=5.0, max_connections=64)
+        self.pool = ConnectionPool(
+            connect_timeout_s=connect_timeout_s, idle_timeout_s=5.0, max_connections=64
+        )
         self.engine = Engine(self.settings, 1, Clock(), self.pool, NoDiscovery())
-        self.decisions: ScriptedBalancer | None = None
+        self.balancer: ScriptedBalancer | None = None
         if act is not None:
-            self.decisions = ScriptedBalancer(act)
-            self.engine.balancer = cast(Any, self.decisions)
+            self.balancer = ScriptedBalancer(act)
+            self.engine.balancer = cast(Any, self.balancer)
         self.server = Server(self.engine, 64)
-        self.upstream_pool = start(told or Grpc(True, METHODS), self.engine, self.server)
+        self.upstream_pool = start(grpc_config or Grpc(True, METHODS), self.engine, self.server)
         self.address = self.server.listen(("127.0.0.1", 0))
         self.listeners: list[asyncio.Server] = []
         self.clients: list[Client] = []
-        self.made: list[list[Node]] = []  # of each node its connections
+        self.upstream_connections: list[list[GrpcUpstream]] = []  # the connections of each upstream
 
-    async def node(self, make: Callable[[], Node], state: api.UpstreamState = api.UpstreamState.READY) -> int:
-        """A new node; its number in the list."""
-        made: list[Node] = []
+    async def add_upstream(
+        self, create: Callable[[], GrpcUpstream], state: api.UpstreamState = api.UpstreamState.READY
+    ) -> int:
+        """Add an upstream to the list, and return its number."""
+        connections: list[GrpcUpstream] = []
 
-        def connect() -> Node:
-            made.append(make())
-            return made[-1]
+        def connect() -> GrpcUpstream:
+            connections.append(create())
+            return connections[-1]
 
         listener = await self.engine.loop.create_server(connect, "127.0.0.1", 0)
         self.listeners.append(listener)
-        self.made.append(made)
-        number = len(self.made)
+        self.upstream_connections.append(connections)
+        number = len(self.upstream_connections)
         host, port = listener.sockets[0].getsockname()[:2]
-        self.told(number, state, (host, port))
+        self.set_upstream_state(number, state, (host, port))
         return number
 
-    def told(self, number: int, state: api.UpstreamState, dial: tuple[str, int] = ("", 0)) -> None:
-        """Discovery has a word on a node."""
+    def set_upstream_state(
+        self, number: int, state: api.UpstreamState, dial: tuple[str, int] = ("", 0)
+    ) -> None:
+        """Report the state of an upstream as discovery does."""
         old = self.pool.upstreams.get(number)
         host = ListedUpstream(api.Upstream(number, state), old.address if old is not None else dial)
         self.engine.list_changed(api.ListKind.DELTA, [host], number)
 
-    async def client(self, limits: Limits = OPEN, frames: bool = True) -> Client:
-        _, client = await self.engine.loop.create_connection(lambda: Client(limits, frames), *self.address)
+    async def connect_client(self, limits: Limits = UNLIMITED, use_http2_layer: bool = True) -> Client:
+        _, client = await self.engine.loop.create_connection(
+            lambda: Client(limits, use_http2_layer), *self.address
+        )
         self.clients.append(client)
         return client
 
-    async def reached(self, number: int = 1, calls: int = 1) -> Node:
-        """The first connection of that node, once so many calls have come on it."""
-        made = self.made[number - 1]
-        while not (made and len(made[0].calls()) >= calls):
+    async def wait_for_calls(self, number: int = 1, calls: int = 1) -> GrpcUpstream:
+        """Wait until the first connection of an upstream has received `calls` calls, and return it."""
+        connections = self.upstream_connections[number - 1]
+        while not (connections and len(connections[0].calls()) >= calls):
             await asyncio.sleep(0.005)
-        return made[0]
+        return connections[0]
 
-    def ended(self) -> list[api.AttemptEnded]:
-        assert self.decisions is not None
-        return [one for one in self.decisions.events if isinstance(one, api.AttemptEnded)]
+    def ended_attempts(self) -> list[api.AttemptEnded]:
+        assert self.balancer is not None
+        return [event for event in self.balancer.events if isinstance(event, api.AttemptEnded)]
 
     def close(self) -> None:
         self.upstream_pool.close()
@@ -271,17 +289,17 @@
         for client in self.clients:
             if client.transport is not None:
                 client.transport.abort()
-        for node in [one for made in self.made for one in made]:
-            if node.transport is not None:
-                node.transport.abort()
+        for upstream in [upstream for connections in self.upstream_connections for upstream in connections]:
+            if upstream.transport is not None:
+                upstream.transport.abort()
         self.server.pause_accepting()
-        taken, self.server.listening_socket = self.server.listening_socket, None
-        if taken is not None:
-            taken.close()
+        listening_socket, self.server.listening_socket = self.server.listening_socket, None
+        if listening_socket is not None:
+            listening_socket.close()
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    uvloop.run(asyncio.wait_for(test(), LONG_S + 10))
+    uvloop.run(asyncio.wait_for(test(), TEST_TIMEOUT_S + 10))
 
 
 def send_to(*upstreams: int) -> Callable[[api.Event], list[api.Action]]:
--- a/tests/grpc/test_front.py
+++ b/tests/grpc/test_front.py
@@ -1,4 +1,4 @@
-"""The listener that speaks both, hostile clients, health, and the end of a sidecar."""
+"""Both protocols on one listener, hostile clients, the health service, and the shutdown of a sidecar."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from sidecar_proxy.grpc.message import frame_message
 from sidecar_proxy.grpc.status import Code
 from sidecar_proxy.http2.connection import DataReceived, StreamReset
-from tests.grpc.rig import METHODS, Client, Node, Rig, run, send_to
+from tests.grpc.rig import METHODS, Client, GrpcUpstream, Rig, run, send_to
 from tests.http2.frames import (
     CONTINUATION,
     DATA,
@@ -33,12 +33,12 @@
 REQUEST = b"\x83\x86\x44\x09/t.T/Read\x41\x01a\x5f\x10application/grpc\x40\x02te\x08trailers"
 
 
-def hello() -> bytes:
+def preface() -> bytes:
     return PREFACE + frame(SETTINGS, 0, 0, b"")
 
 
-def bomb() -> bytes:
-    """One large field in the table, named 3,000 times in a block of a few KB."""
+def hpack_bomb() -> bytes:
+    """Return a header block of a few KB that refers 3,000 times to one large field of the HPACK table."""
     return REQUEST + b"\x40\x01b\x7f\xa1\x1e" + b"x" * 4000 + b"\xbe" * 3000
 
 
@@ -51,7 +51,7 @@
         frame(HEADERS, 0, 1, REQUEST)
         + b"".join(frame(CONTINUATION, 0, 1, b"\x40\x01a\x01b") for _ in range(1000))
     ),
-    "hpack bomb": lambda: frame(HEADERS, END_HEADERS | END_STREAM, 1, bomb()),
+    "hpack bomb": lambda: frame(HEADERS, END_HEADERS | END_STREAM, 1, hpack_bomb()),
     "pings": lambda: frame(PING, 0, 0, b"12345678") * 500,
     "settings": lambda: frame(SETTINGS, 0, 0, b"") * 500,
     "empty data": lambda: frame(HEADERS, END_HEADERS, 1, REQUEST) + frame(DATA, 0, 1, b"") * 2000,
@@ -60,22 +60,22 @@
     "no settings first": lambda: frame(HEADERS, END_HEADERS, 2, REQUEST),
     "garbage": lambda: b"\xff" * 100,
 }
-# RFC 9113, 7: FRAME_SIZE_ERROR, PROTOCOL_ERROR
+# expected GOAWAY codes (RFC 9113, 7): FRAME_SIZE_ERROR, PROTOCOL_ERROR
 CODES = {"a frame too large": 0x6, "garbage": 0x6, "no settings first": 0x1}
 
 
 @pytest.mark.parametrize("name", ATTACKS)
-def test_an_attack_ends_its_connection_or_stream_and_costs_others_nothing(name: str) -> None:
+def test_attack_ends_its_connection_or_stream_and_does_not_affect_other_clients(name: str) -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
-        good, bad = await rig.client(), await rig.client(frames=False)
-        assert (await good.answer(good.call("/t.T/Read")))[0] == 0
-        bad.write(hello() + ATTACKS[name]())
-        if name == "hpack bomb":  # that stream alone, or the connection
-            await bad.until(
+        await rig.add_upstream(lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream)))
+        good, bad = await rig.connect_client(), await rig.connect_client(use_http2_layer=False)
+        assert (await good.receive_response(good.call("/t.T/Read")))[0] == 0
+        bad.write(preface() + ATTACKS[name]())
+        if name == "hpack bomb":  # ends the stream or the connection
+            await bad.wait_until(
                 lambda: (
-                    bad.lost
+                    bad.is_lost
                     or any(
                         kind in (RST, GOAWAY) or (kind == HEADERS and stream == 1)
                         for kind, _, stream, _ in bad.frames()
@@ -83,11 +83,11 @@
                 )
             )
         else:
-            await bad.until(lambda: bad.lost)
+            await bad.wait_until(lambda: bad.is_lost)
             codes = [payload[4:8] for kind, _, _, payload in bad.frames() if kind == GOAWAY]
             assert codes and int.from_bytes(codes[-1], "big") == CODES.get(name, 0xB)  # ENHANCE_YOUR_CALM
         for _ in range(10):
-            assert (await good.answer(good.call("/t.T/Read")))[0] == 0
+            assert (await good.receive_response(good.call("/t.T/Read")))[0] == 0
         if bad.transport is not None:
             bad.transport.abort()
         async with asyncio.timeout(10):
@@ -99,63 +99,65 @@
     run(test)
 
 
-def test_10_000_streams_at_once() -> None:
-    """The first hundred are taken; the others are refused as never begun, and nothing grows."""
+def test_10_000_concurrent_streams_exceed_the_limit() -> None:
+    """The first hundred are accepted, the others are refused as never begun, and memory use is bounded."""
 
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(Node)
-        bad = await rig.client(frames=False)
+        await rig.add_upstream(GrpcUpstream)
+        bad = await rig.connect_client(use_http2_layer=False)
         bad.write(
-            hello()
+            preface()
             + b"".join(frame(HEADERS, END_HEADERS | END_STREAM, n, REQUEST) for n in range(1, 20_001, 2))
         )
-        good = await rig.client()
-        assert (await good.answer(good.call("/u.U/X")))[0] == Code.UNIMPLEMENTED
+        good = await rig.connect_client()
+        assert (await good.receive_response(good.call("/u.U/X")))[0] == Code.UNIMPLEMENTED
         assert len(rig.engine.requests) <= 100
-        await bad.until(lambda: bad.lost or sum(kind == RST for kind, _, _, _ in bad.frames()) > 1000)
+        await bad.wait_until(lambda: bad.is_lost or sum(kind == RST for kind, _, _, _ in bad.frames()) > 1000)
         rig.close()
 
     run(test)
 
 
-def test_the_preface_byte_by_byte_and_http_1_on_the_same_listener() -> None:
+def test_preface_byte_by_byte_and_http_1_on_the_same_listener() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
-        client = await rig.client(frames=False)
-        for byte in hello() + frame(HEADERS, END_HEADERS, 1, REQUEST) + frame(DATA, 1, 1, frame_message(b"")):
+        await rig.add_upstream(lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream)))
+        client = await rig.connect_client(use_http2_layer=False)
+        for byte in (
+            preface() + frame(HEADERS, END_HEADERS, 1, REQUEST) + frame(DATA, 1, 1, frame_message(b""))
+        ):
             client.write(bytes([byte]))
             await asyncio.sleep(0)
-        await client.until(lambda: sum(kind == HEADERS for kind, _, _, _ in client.frames()) == 2)
-        plain = await rig.client(frames=False)
+        await client.wait_until(lambda: sum(kind == HEADERS for kind, _, _, _ in client.frames()) == 2)
+        plain = await rig.connect_client(use_http2_layer=False)
         plain.write(b"P")
         await asyncio.sleep(0.01)
         plain.write(b"OST /nothing HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
-        await plain.until(lambda: plain.raw.startswith(b"HTTP/1.1 404"))
-        ready = await rig.client(frames=False)
+        await plain.wait_until(lambda: plain.received.startswith(b"HTTP/1.1 404"))
+        ready = await rig.connect_client(use_http2_layer=False)
         ready.write(b"GET /ready HTTP/1.1\r\n\r\n")
-        await ready.until(lambda: ready.raw.startswith(b"HTTP/1.1 200"))
+        await ready.wait_until(lambda: ready.received.startswith(b"HTTP/1.1 200"))
         rig.close()
 
     run(test)
 
 
-def test_half_a_preface_is_not_waited_for_for_ever() -> None:
+def test_incomplete_preface_times_out() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        client = await rig.client(frames=False)
+        client = await rig.connect_client(use_http2_layer=False)
         client.write(PREFACE[:10])
-        await client.until(lambda: client.lost or client.raw.startswith(b"HTTP/1.1 408"))
+        await client.wait_until(lambda: client.is_lost or client.received.startswith(b"HTTP/1.1 408"))
         rig.close()
 
     run(test)
 
 
-def test_what_is_not_grpc_is_415() -> None:
+def test_request_that_is_not_grpc_gets_status_415() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        client = await rig.client()
+        client = await rig.connect_client()
         stream = client.http2.open_stream(
             [
                 (b":method", b"POST"),
@@ -168,7 +170,7 @@
         )
         client.flush()
         assert stream is not None
-        await client.answer(stream)
+        await client.receive_response(stream)
         assert client.status(stream) == {b":status": b"415"}
         rig.close()
 
@@ -178,32 +180,38 @@
 def test_health_check_and_watch() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        client = await rig.client()
+        client = await rig.connect_client()
         check, watch = health.CHECK_PATH.decode(), health.WATCH_PATH.decode()
 
-        def ask(path: str, service: str = "") -> int:
+        def send_health_request(path: str, service: str = "") -> int:
             stream = client.call(path, None)
             client.http2.send_data(stream, health.encode_request(service), ended=True)
             client.flush()
             return stream
 
         for service, status in (("", ServingStatus.SERVING), ("t.T", ServingStatus.SERVING)):
-            code, _, data = await client.answer(ask(check, service))
+            code, _, data = await client.receive_response(send_health_request(check, service))
             assert (code, data) == (0, health.encode_response(status))
-        assert (await client.answer(ask(check, "other")))[0] == Code.NOT_FOUND
+        assert (await client.receive_response(send_health_request(check, "other")))[0] == Code.NOT_FOUND
         stream = client.call(check, b"\xff\xff")
-        assert (await client.answer(stream))[0] == Code.INVALID_ARGUMENT
-        watched, unknown = ask(watch), ask(watch, "other")
-        await client.until(lambda: client.of(DataReceived, unknown))
-        assert client.of(DataReceived, watched)[0].data == health.encode_response(ServingStatus.SERVING)
-        assert client.of(DataReceived, unknown)[0].data == health.encode_response(
+        assert (await client.receive_response(stream))[0] == Code.INVALID_ARGUMENT
+        watched, unknown = send_health_request(watch), send_health_request(watch, "other")
+        await client.wait_until(lambda: client.events_of(DataReceived, unknown))
+        assert client.events_of(DataReceived, watched)[0].data == health.encode_response(
+            ServingStatus.SERVING
+        )
+        assert client.events_of(DataReceived, unknown)[0].data == health.encode_response(
             ServingStatus.SERVICE_UNKNOWN
         )
         stopping = asyncio.create_task(rig.server.stop())
-        await client.until(lambda: len(client.of(DataReceived, watched)) == 2)
-        assert client.of(DataReceived, watched)[1].data == health.encode_response(ServingStatus.NOT_SERVING)
-        assert (await client.answer(ask(check)))[2] == health.encode_response(ServingStatus.NOT_SERVING)
-        assert (await client.answer(watched))[0] == Code.UNAVAILABLE
+        await client.wait_until(lambda: len(client.events_of(DataReceived, watched)) == 2)
+        assert client.events_of(DataReceived, watched)[1].data == health.encode_response(
+            ServingStatus.NOT_SERVING
+        )
+        assert (await client.receive_response(send_health_request(check)))[2] == health.encode_response(
+            ServingStatus.NOT_SERVING
+        )
+        assert (await client.receive_response(watched))[0] == Code.UNAVAILABLE
         await stopping
         rig.close()
 
@@ -222,37 +230,37 @@
         b"\0\0\0\0\x0b" + b"\xff" * 11,
     ],
 )
-def test_health_requests_that_are_none(data: bytes) -> None:
+def test_malformed_health_request_is_an_error(data: bytes) -> None:
     with pytest.raises(HealthError):
         parse_request(data)
 
 
-def test_other_fields_of_a_health_request_are_passed_over() -> None:
+def test_unknown_fields_of_a_health_request_are_ignored() -> None:
     body = b"\x10\x96\x01" + b"\x19" + bytes(8) + b"\x25" + bytes(4) + b"\x0a\x03t.T" + b"\x1a\x01x"
     assert parse_request(frame_message(body)) == "t.T"
 
 
-def test_a_stop_finishes_what_is_open_and_refuses_what_is_new() -> None:
+def test_shutdown_finishes_open_calls_and_refuses_new_ones() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(Node)
-        client = await rig.client()
+        await rig.add_upstream(GrpcUpstream)
+        client = await rig.connect_client()
         stream = client.call("/t.T/Pay")
-        await rig.reached()
+        await rig.wait_for_calls()
         stopping = asyncio.create_task(rig.server.stop())
-        await client.until(lambda: client.goaway() is not None)
+        await client.wait_until(lambda: client.goaway_code() is not None)
         late = client.http2.open_stream([])
         assert late is None and not stopping.done()
-        rig.made[0][0].serve(1)
-        assert (await client.answer(stream))[0] == 0
-        await client.until(lambda: client.lost)
+        rig.upstream_connections[0][0].serve(1)
+        assert (await client.receive_response(stream))[0] == 0
+        await client.wait_until(lambda: client.is_lost)
         await stopping
         rig.close()
 
     run(test)
 
 
-def test_probes_by_grpc() -> None:
+def test_health_checks_by_grpc() -> None:
     async def test() -> None:
         rig = Rig(lambda event: [], Grpc(True, METHODS, probe="grpc"))
         rig.settings.probes = True
@@ -262,36 +270,36 @@
         }
         for number in (1, 2):
 
-            def script(node: Node, stream: int, number: int = number) -> None:
-                assert node.request(stream)[b":path"] == health.CHECK_PATH
-                node.serve(stream, answers[number])
+            def script(upstream: GrpcUpstream, stream: int, number: int = number) -> None:
+                assert upstream.request(stream)[b":path"] == health.CHECK_PATH
+                upstream.serve(stream, answers[number])
 
-            await rig.node(lambda script=script: Node(script))  # type: ignore[misc]
+            await rig.add_upstream(lambda script=script: GrpcUpstream(script))  # type: ignore[misc]
         for number in (1, 2):
             rig.engine.perform(api.Probe(number))
-        assert rig.decisions is not None
-        events = rig.decisions.events
+        assert rig.balancer is not None
+        events = rig.balancer.events
         async with asyncio.timeout(10):
-            while sum(isinstance(one, api.ProbeEnded) for one in events) < 2:
+            while sum(isinstance(event, api.ProbeEnded) for event in events) < 2:
                 await asyncio.sleep(0.005)
-        found = {one.upstream: one.outcome for one in events if isinstance(one, api.ProbeEnded)}
-        assert found == {1: api.Outcome.OK, 2: api.Outcome.ERROR}
+        outcomes = {event.upstream: event.outcome for event in events if isinstance(event, api.ProbeEnded)}
+        assert outcomes == {1: api.Outcome.OK, 2: api.Outcome.ERROR}
         rig.close()
 
     run(test)
 
 
-def test_an_idle_connection_is_ended_with_a_goaway() -> None:
+def test_idle_connection_is_closed_with_a_goaway() -> None:
     async def test() -> None:
         rig = Rig(send_to(1), Grpc(True, METHODS, idle_s=0.3))
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
-        client = await rig.client()
-        assert (await client.answer(client.call("/t.T/Read")))[0] == 0
-        await client.until(lambda: client.lost)
-        assert client.goaway() == 0
-        node = rig.made[0][0]
-        await node.until(lambda: node.lost)  # the node's as well
-        assert isinstance(client, Client) and not client.of(StreamReset, 1)
+        await rig.add_upstream(lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream)))
+        client = await rig.connect_client()
+        assert (await client.receive_response(client.call("/t.T/Read")))[0] == 0
+        await client.wait_until(lambda: client.is_lost)
+        assert client.goaway_code() == 0
+        upstream = rig.upstream_connections[0][0]
+        await upstream.wait_until(lambda: upstream.is_lost)  # the connection to the upstream is idle as well
+        assert isinstance(client, Client) and not client.events_of(StreamReset, 1)
         rig.close()
 
     run(test)
--- a/tests/grpc/test_grpcio.py
+++ b/tests/grpc/test_grpcio.py
@@ -1,4 +1,4 @@
-"""grpcio's own client and server, a real peer on both ends, with a real sidecar process between them."""
+"""A real sidecar process between the client and the server of grpcio."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from sidecar_proxy.testbed.process import SidecarProcess
 from sidecar_proxy.testbed.scenario import Plan, settings
 
-LONG_S = 20.0
+TEST_TIMEOUT_S = 20.0
 LOADS = (
     Load("chapter-buy", "at_most_once", 0.5, 10.0),
     Load("coin-topup", "deduplicated", 0.3, 10.0),
@@ -42,7 +42,7 @@
 
 
 class Service(grpc.GenericRpcHandler):  # type: ignore[misc]
-    """What the node does, by the method's name."""
+    """The upstream's behaviour, by the name of the method."""
 
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()
@@ -62,14 +62,14 @@
         return kinds.get(name, grpc.unary_unary_rpc_method_handler)(getattr(self, name.lower(), self.echo))
 
     def echo(self, request: bytes, context: Any) -> bytes:
-        told = dict(context.invocation_metadata())
+        metadata = dict(context.invocation_metadata())
         context.send_initial_metadata((("first", "1"),))
         context.set_trailing_metadata(
             (
                 ("last-bin", b"\x00\xff"),
                 ("left", str(context.time_remaining())),
-                ("told", told.get("mine", "")),
-                ("req", told.get("req-id", "")),
+                ("told", metadata.get("mine", "")),
+                ("req", metadata.get("req-id", "")),
             )
         )
         if len(request) == 100_000:
@@ -81,11 +81,11 @@
             yield b"%d" % number
 
     def up(self, requests: Iterator[bytes], context: Any) -> bytes:
-        return b"%d" % sum(len(one) for one in requests)
+        return b"%d" % sum(len(message) for message in requests)
 
     def chat(self, requests: Iterator[bytes], context: Any) -> Iterator[bytes]:
-        for one in requests:
-            yield b"re " + one
+        for message in requests:
+            yield b"re " + message
 
     def fail(self, request: bytes, context: Any) -> bytes:
         context.abort(grpc.StatusCode[request.decode()], "as asked")
@@ -96,12 +96,12 @@
     def slow(self, request: bytes, context: Any) -> bytes:
         context.add_callback(self.cancelled.set)
         self.entered.set()
-        self.cancelled.wait(LONG_S)
+        self.cancelled.wait(TEST_TIMEOUT_S)
         return b""
 
 
 class Installation:
-    """A grpcio server, a roster and a sidecar; the asyncio part has a thread of its own."""
+    """A grpcio server, a platform discovery service and a sidecar. The event loop runs in its own thread."""
 
     def __init__(self) -> None:
         self.service = Service()
@@ -113,7 +113,7 @@
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
         self.folder = tempfile.TemporaryDirectory()
-        asyncio.run_coroutine_threadsafe(self.start(), self.loop).result(LONG_S)
+        asyncio.run_coroutine_threadsafe(self.start(), self.loop).result(TEST_TIMEOUT_S)
         self.channel = grpc.insecure_channel("{}:{}".format(*self.sidecar.address), options=LARGE)
 
     async def start(self) -> None:
@@ -140,16 +140,16 @@
         self.sidecar = SidecarProcess("s", config, self.folder.name, OPERATOR)
         await self.sidecar.start()
 
-    async def end(self) -> int | None:
+    async def stop(self) -> int | None:
         code = await self.sidecar.stop()
         self.roster.close()
         return code
 
     def close(self) -> int | None:
         self.channel.close()
-        code = asyncio.run_coroutine_threadsafe(self.end(), self.loop).result(LONG_S)
+        code = asyncio.run_coroutine_threadsafe(self.stop(), self.loop).result(TEST_TIMEOUT_S)
         self.loop.call_soon_threadsafe(self.loop.stop)
-        self.thread.join(LONG_S)
+        self.thread.join(TEST_TIMEOUT_S)
         self.server.stop(0)
         self.folder.cleanup()
         return code
@@ -159,99 +159,105 @@
 
 
 @pytest.fixture(scope="module")
-def made() -> Iterator[Installation]:
-    made = Installation()
+def installation() -> Iterator[Installation]:
+    installation = Installation()
     try:
-        yield made
+        yield installation
     finally:
-        assert made.close() == 0
-        assert not any("Traceback" in line for line in made.sidecar.lines)
+        assert installation.close() == 0
+        assert not any("Traceback" in line for line in installation.sidecar.lines)
 
 
-def test_unary_with_metadata_both_ways(made: Installation) -> None:
-    answer, call = made.unary("Echo").with_call(b"hello", timeout=5, metadata=(("mine", "yes"),))  # type: ignore[attr-defined]
+def test_unary_with_metadata_both_ways(installation: Installation) -> None:
+    answer, call = installation.unary("Echo").with_call(b"hello", timeout=5, metadata=(("mine", "yes"),))  # type: ignore[attr-defined]
     trailers = dict(call.trailing_metadata())
     assert answer == b"hello" and dict(call.initial_metadata())["first"] == "1"
     assert trailers["last-bin"] == b"\x00\xff" and trailers["told"] == "yes" and trailers["req"]
     assert 0 < float(trailers["left"]) < 5
 
 
-def test_streams_each_way(made: Installation) -> None:
+def test_streams_in_each_direction(installation: Installation) -> None:
     at = "/komiks.Test/"
-    assert list(made.channel.unary_stream(at + "Down")(b"200", timeout=5)) == [b"%d" % n for n in range(200)]
+    assert list(installation.channel.unary_stream(at + "Down")(b"200", timeout=5)) == [
+        b"%d" % n for n in range(200)
+    ]
     sent = iter([bytes(1000)] * 300)
-    assert made.channel.stream_unary(at + "Up")(sent, timeout=5) == b"300000"
-    answers = made.channel.stream_stream(at + "Chat")(iter([b"a", b"b", b"c"]), timeout=5)
+    assert installation.channel.stream_unary(at + "Up")(sent, timeout=5) == b"300000"
+    answers = installation.channel.stream_stream(at + "Chat")(iter([b"a", b"b", b"c"]), timeout=5)
     assert list(answers) == [b"re a", b"re b", b"re c"]
 
 
-def test_a_conversation_in_turns(made: Installation) -> None:
-    """Each message is sent only when the one before has been answered: nothing may be held back."""
-    heard: futures.Future[None] = futures.Future()
+def test_bidirectional_stream_in_turns(installation: Installation) -> None:
+    """Each message is sent after the response to the previous one: a delayed message would block the call."""
+    last_answered: futures.Future[None] = futures.Future()
     turns = [futures.Future[None]() for _ in range(5)]
     turns[0].set_result(None)
 
-    def say() -> Iterator[bytes]:
+    def send_in_turns() -> Iterator[bytes]:
         for number, turn in enumerate(turns):
-            turn.result(LONG_S)
+            turn.result(TEST_TIMEOUT_S)
             yield b"%d" % number
 
-    answers = made.channel.stream_stream("/komiks.Test/Chat")(say(), timeout=8)
+    answers = installation.channel.stream_stream("/komiks.Test/Chat")(send_in_turns(), timeout=8)
     for number, answer in enumerate(answers):
         assert answer == b"re %d" % number
         if number + 1 < len(turns):
             turns[number + 1].set_result(None)
         else:
-            heard.set_result(None)
-    assert heard.done()
+            last_answered.set_result(None)
+    assert last_answered.done()
 
 
-def test_large_messages_and_compression(made: Installation) -> None:
+def test_large_messages_and_compression(installation: Installation) -> None:
     body = bytes(range(256)) * 20_000  # 5 MB
-    assert made.unary("Echo")(body, timeout=8) == body
-    # both ends compress and take apart by the flag and the header that came with the message
-    assert made.unary("Echo")(b"z" * 100_000, timeout=5, compression=grpc.Compression.Gzip) == b"z" * 100_000
+    assert installation.unary("Echo")(body, timeout=8) == body
+    # Client and server compress and decompress by the flag of the message and the encoding header.
+    assert (
+        installation.unary("Echo")(b"z" * 100_000, timeout=5, compression=grpc.Compression.Gzip)
+        == b"z" * 100_000
+    )
 
 
 @pytest.mark.parametrize("code", ["NOT_FOUND", "INVALID_ARGUMENT", "PERMISSION_DENIED", "UNAUTHENTICATED"])
-def test_a_status_about_the_request_is_passed_on(made: Installation, code: str) -> None:
-    with pytest.raises(grpc.RpcError) as found:
-        made.unary("Fail")(code.encode(), timeout=5)
-    assert found.value.code() is grpc.StatusCode[code] and found.value.details() == "as asked"
-
-
-def test_a_deadline(made: Installation) -> None:
-    begun = time.monotonic()
-    made.service.cancelled.clear()
-    with pytest.raises(grpc.RpcError) as found:
-        made.unary("Slow")(b"", timeout=0.6)
-    assert found.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED and time.monotonic() - begun < 5
-    assert made.service.cancelled.wait(LONG_S)  # and the node's handler is told
-
-
-def test_a_cancel_reaches_the_node(made: Installation) -> None:
-    made.service.cancelled.clear()
-    made.service.entered.clear()
-    call = made.unary("Slow").future(b"", timeout=9)  # type: ignore[attr-defined]
-    assert made.service.entered.wait(LONG_S)
+def test_request_error_status_is_forwarded(installation: Installation, code: str) -> None:
+    with pytest.raises(grpc.RpcError) as error:
+        installation.unary("Fail")(code.encode(), timeout=5)
+    assert error.value.code() is grpc.StatusCode[code] and error.value.details() == "as asked"
+
+
+def test_deadline_ends_the_call_and_cancels_the_handler(installation: Installation) -> None:
+    started_s = time.monotonic()
+    installation.service.cancelled.clear()
+    with pytest.raises(grpc.RpcError) as error:
+        installation.unary("Slow")(b"", timeout=0.6)
+    assert error.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED and time.monotonic() - started_s < 5
+    # The handler of the upstream is cancelled as well.
+    assert installation.service.cancelled.wait(TEST_TIMEOUT_S)
+
+
+def test_cancellation_reaches_the_upstream(installation: Installation) -> None:
+    installation.service.cancelled.clear()
+    installation.service.entered.clear()
+    call = installation.unary("Slow").future(b"", timeout=9)  # type: ignore[attr-defined]
+    assert installation.service.entered.wait(TEST_TIMEOUT_S)
     call.cancel()
-    assert made.service.cancelled.wait(LONG_S)
+    assert installation.service.cancelled.wait(TEST_TIMEOUT_S)
 
 
-def test_what_is_wrong_is_answered_here(made: Installation) -> None:
+def test_invalid_call_is_answered_by_the_sidecar(installation: Installation) -> None:
     for path, code in (
         ("/komiks.Other/Echo", grpc.StatusCode.UNIMPLEMENTED),
         ("/komiks.Test/TopUp", grpc.StatusCode.INVALID_ARGUMENT),
     ):
-        with pytest.raises(grpc.RpcError) as found:
-            made.channel.unary_unary(path)(b"", timeout=5)
-        assert found.value.code() is code
-    assert made.service.calls["TopUp"] == 0
-    keyed = made.unary("TopUp")(b"5", timeout=5, metadata=(("idempotency-key", "k1"),))
-    assert keyed == b"5" and made.service.calls["TopUp"] == 1
+        with pytest.raises(grpc.RpcError) as error:
+            installation.channel.unary_unary(path)(b"", timeout=5)
+        assert error.value.code() is code
+    assert installation.service.calls["TopUp"] == 0
+    keyed = installation.unary("TopUp")(b"5", timeout=5, metadata=(("idempotency-key", "k1"),))
+    assert keyed == b"5" and installation.service.calls["TopUp"] == 1
 
 
-def test_clients_own_retries_do_not_repeat_an_unsafe_call(made: Installation) -> None:
+def test_client_retry_policy_does_not_repeat_an_unsafe_call(installation: Installation) -> None:
     policy = {
         "methodConfig": [
             {
@@ -266,24 +272,24 @@
             }
         ]
     }
-    address = "{}:{}".format(*made.sidecar.address)
+    address = "{}:{}".format(*installation.sidecar.address)
     with grpc.insecure_channel(address, options=[("grpc.service_config", json.dumps(policy))]) as channel:
         for code in ("UNAVAILABLE", "INTERNAL", "ABORTED"):
-            before = made.service.calls["Buy"]
-            with pytest.raises(grpc.RpcError) as found:
+            before = installation.service.calls["Buy"]
+            with pytest.raises(grpc.RpcError) as error:
                 channel.unary_unary("/komiks.Test/Buy")(code.encode(), timeout=5)
-            assert found.value.code() in (grpc.StatusCode.INTERNAL, grpc.StatusCode.ABORTED)
-            assert made.service.calls["Buy"] == before + 1, code
+            assert error.value.code() in (grpc.StatusCode.INTERNAL, grpc.StatusCode.ABORTED)
+            assert installation.service.calls["Buy"] == before + 1, code
 
 
-def test_health_by_grpcio(made: Installation) -> None:
-    answer = made.channel.unary_unary(health.CHECK_PATH.decode())(b"", timeout=5)
+def test_health_check_by_grpcio(installation: Installation) -> None:
+    answer = installation.channel.unary_unary(health.CHECK_PATH.decode())(b"", timeout=5)
     assert answer == health.encode_response(health.ServingStatus.SERVING)[5:]
 
 
-def test_many_calls_at_once(made: Installation) -> None:
-    echo = made.unary("Echo")
+def test_64_concurrent_calls(installation: Installation) -> None:
+    echo = installation.unary("Echo")
     calls = [echo.future(b"%d" % n, timeout=9) for n in range(64)]  # type: ignore[attr-defined]
     done = Counter(call.code() for call in calls)
     served, refused = done[grpc.StatusCode.OK], done[grpc.StatusCode.UNAVAILABLE]
-    assert served + refused == 64 and served >= 1  # its earlier failures have closed slots
+    assert served + refused == 64 and served >= 1  # earlier failures have reduced the concurrency limit
--- a/tests/grpc/test_hard_cases.py
+++ b/tests/grpc/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""What can go wrong with a call, caused by peers that write frames by hand."""
+"""Failures of calls, caused by scripted clients and upstreams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from sidecar_proxy.grpc.message import frame_message
 from sidecar_proxy.grpc.status import Code
 from sidecar_proxy.http2.connection import DataReceived, Limits, StreamReset
-from tests.grpc.rig import ANSWER, METHODS, Node, Rig, run, send_to
+from tests.grpc.rig import METHODS, RESPONSE_HEADERS, GrpcUpstream, Rig, run, send_to
 from tests.http2.frames import (
     ACK,
     END_HEADERS,
@@ -25,40 +25,43 @@
     frame,
 )
 
-O = api.Outcome  # noqa: E741
+Outcome = api.Outcome
 
 
 def outcomes(rig: Rig) -> list[tuple[int, api.Outcome]]:
-    return [(one.upstream, one.outcome) for one in rig.ended()]
+    return [(attempt.upstream, attempt.outcome) for attempt in rig.ended_attempts()]
 
 
-async def settled(rig: Rig) -> None:
-    """Until nothing is out any more."""
+async def wait_until_idle(rig: Rig) -> None:
+    """Wait until the engine has no open requests."""
     async with asyncio.timeout(10):
         while rig.engine.requests:
             await asyncio.sleep(0.005)
 
 
-def test_a_call_goes_to_a_node_and_its_answer_comes_back() -> None:
+def test_call_and_response_are_forwarded() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
         seen = (b"seen", b"1")
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream, b"served", b"0", seen)))
-        client = await rig.client()
+        await rig.add_upstream(
+            lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream, b"served", b"0", seen))
+        )
+        client = await rig.connect_client()
         stream = client.call("/t.T/Pay", req_id="abc", grpc_timeout="700m", req_owner="x", other="y")
-        code, trailers, data = await client.answer(stream)
+        code, trailers, data = await client.receive_response(stream)
         assert (code, data, trailers[b"seen"]) == (0, frame_message(b"served"), b"1")
-        asked = rig.made[0][0].request(1)
-        assert asked[b"req-id"] == b"abc" and asked[b"other"] == b"y" and asked[b"te"] == b"trailers"
-        assert 0 < int(asked[b"grpc-timeout"].rstrip(b"u")) <= 690_000  # what is left of it
-        assert outcomes(rig) == [(1, O.OK)]
+        request = rig.upstream_connections[0][0].request(1)
+        assert request[b"req-id"] == b"abc" and request[b"other"] == b"y" and request[b"te"] == b"trailers"
+        # The time left of the client's timeout.
+        assert 0 < int(request[b"grpc-timeout"].rstrip(b"u")) <= 690_000
+        assert outcomes(rig) == [(1, Outcome.OK)]
         rig.close()
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    ("path", "more", "code"),
+    ("path", "metadata", "code"),
     [
         ("/t.T/Nothing", {}, Code.UNIMPLEMENTED),
         ("/u.U/Read", {}, Code.UNIMPLEMENTED),
@@ -69,215 +72,223 @@
         ("/t.T/Read", {"req_id": "a b"}, Code.INVALID_ARGUMENT),
     ],
 )
-def test_what_is_wrong_is_answered_here_and_never_sent_on(
-    path: str, more: dict[str, str], code: Code
+def test_invalid_call_is_answered_by_the_sidecar_and_not_forwarded(
+    path: str, metadata: dict[str, str], code: Code
 ) -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(Node)
-        client = await rig.client()
-        assert (await client.answer(client.call(path, b"hello", True, **more)))[0] == code
-        assert rig.decisions is not None
-        assert not any(isinstance(one, api.RequestArrived) for one in rig.decisions.events)
-        assert rig.made[0] == [] and not rig.server.open_request_ids
+        await rig.add_upstream(GrpcUpstream)
+        client = await rig.connect_client()
+        assert (await client.receive_response(client.call(path, b"hello", True, **metadata)))[0] == code
+        assert rig.balancer is not None
+        assert not any(isinstance(event, api.RequestArrived) for event in rig.balancer.events)
+        assert rig.upstream_connections[0] == [] and not rig.server.open_request_ids
         rig.close()
 
     run(test)
 
 
-def test_two_open_calls_with_one_req_id() -> None:
+def test_second_open_call_with_the_same_req_id_is_rejected() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(Node)
-        client = await rig.client()
+        await rig.add_upstream(GrpcUpstream)
+        client = await rig.connect_client()
         client.call("/t.T/Read", req_id="same")
-        assert (await client.answer(client.call("/t.T/Read", req_id="same")))[0] == Code.ALREADY_EXISTS
+        assert (await client.receive_response(client.call("/t.T/Read", req_id="same")))[
+            0
+        ] == Code.ALREADY_EXISTS
         rig.close()
 
     run(test)
 
 
 @pytest.mark.parametrize(("path", "repeated"), [("/t.T/Read", True), ("/t.T/Pay", False)])
-def test_a_stream_cut_after_its_headers_may_have_run(path: str, repeated: bool) -> None:
-    """By the real decisions: what is safe is repeated, what is not has failed, and clients are told so."""
+def test_stream_reset_after_response_headers_may_have_run(path: str, repeated: bool) -> None:
+    """With the real balancer a safe call is retried. An unsafe call fails, and its status forbids a retry."""
 
     async def test() -> None:
         rig = Rig()
         cut: list[int] = []
 
-        def script(node: Node, stream: int) -> None:
+        def script(upstream: GrpcUpstream, stream: int) -> None:
             if cut:
-                node.serve(stream)
+                upstream.serve(stream)
                 return
             cut.append(stream)
-            node.http2.send_headers(stream, ANSWER)
-            node.flush()
-            node.http2.reset(stream, 0x2)
-            node.flush()
+            upstream.http2.send_headers(stream, RESPONSE_HEADERS)
+            upstream.flush()
+            upstream.http2.reset(stream, 0x2)
+            upstream.flush()
 
         for _ in range(3):
-            await rig.node(lambda: Node(script))
-        client = await rig.client()
-        code, trailers, _ = await client.answer(client.call(path))
+            await rig.add_upstream(lambda: GrpcUpstream(script))
+        client = await rig.connect_client()
+        code, trailers, _ = await client.receive_response(client.call(path))
         if repeated:
             assert code == 0
         else:
             assert code == Code.INTERNAL and trailers[b"grpc-retry-pushback-ms"] == b"-1"
             assert b"srv-declined" not in trailers
-        assert sum(len(node.calls()) for made in rig.made for node in made) == 1 + repeated
+        assert (
+            sum(len(upstream.calls()) for connections in rig.upstream_connections for upstream in connections)
+            == 1 + repeated
+        )
         rig.close()
 
     run(test)
 
 
-def test_a_call_is_bound_to_its_node_once_a_message_has_gone_on() -> None:
+def test_call_is_bound_to_its_upstream_once_a_message_was_forwarded() -> None:
     async def test() -> None:
         rig = Rig(send_to(1, 2))
 
-        def script(node: Node, stream: int) -> None:
-            node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, frame_message(b"first"))
-            node.flush()
+        def script(upstream: GrpcUpstream, stream: int) -> None:
+            upstream.http2.send_headers(stream, RESPONSE_HEADERS)
+            upstream.http2.send_data(stream, frame_message(b"first"))
+            upstream.flush()
 
-        await rig.node(lambda: Node(script))
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
-        client = await rig.client()
+        await rig.add_upstream(lambda: GrpcUpstream(script))
+        await rig.add_upstream(lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream)))
+        client = await rig.connect_client()
         stream = client.call("/t.T/Read")
-        await client.until(lambda: client.of(DataReceived, stream))
-        assert rig.made[0][0].transport is not None
-        rig.made[0][0].transport.abort()
-        code, trailers, data = await client.answer(stream)
+        await client.wait_until(lambda: client.events_of(DataReceived, stream))
+        assert rig.upstream_connections[0][0].transport is not None
+        rig.upstream_connections[0][0].transport.abort()
+        code, trailers, data = await client.receive_response(stream)
         assert (code, data) == (Code.INTERNAL, frame_message(b"first"))
         assert trailers[b"grpc-retry-pushback-ms"] == b"-1"
-        assert outcomes(rig) == [(1, O.RESET)] and not rig.made[1]
-        assert rig.decisions is not None
-        assert any(isinstance(one, api.StreamStarted) for one in rig.decisions.events)
+        assert outcomes(rig) == [(1, Outcome.RESET)] and not rig.upstream_connections[1]
+        assert rig.balancer is not None
+        assert any(isinstance(event, api.StreamStarted) for event in rig.balancer.events)
         rig.close()
 
     run(test)
 
 
-def test_half_a_message_binds_nothing() -> None:
+def test_incomplete_message_does_not_bind_the_call() -> None:
     async def test() -> None:
         rig = Rig(send_to(1, 2))
         begun = asyncio.Event()
 
-        def script(node: Node, stream: int) -> None:
-            node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, frame_message(b"x" * 1000)[:500])
-            node.flush()
+        def script(upstream: GrpcUpstream, stream: int) -> None:
+            upstream.http2.send_headers(stream, RESPONSE_HEADERS)
+            upstream.http2.send_data(stream, frame_message(b"x" * 1000)[:500])
+            upstream.flush()
             begun.set()
 
-        await rig.node(lambda: Node(script))
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
-        client = await rig.client()
+        await rig.add_upstream(lambda: GrpcUpstream(script))
+        await rig.add_upstream(lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream)))
+        client = await rig.connect_client()
         stream = client.call("/t.T/Read")
         await begun.wait()
-        await asyncio.sleep(0.05)  # it has been read by then; if not, the test shows less, and never fails
-        rig.made[0][0].http2.reset(stream, 0x2)
-        rig.made[0][0].flush()
-        assert (await client.answer(stream))[0] == 0
-        assert outcomes(rig) == [(1, O.RESET), (2, O.OK)]
+        # Enough time to read the data; if it is not read by then, the test covers less but passes.
+        await asyncio.sleep(0.05)
+        rig.upstream_connections[0][0].http2.reset(stream, 0x2)
+        rig.upstream_connections[0][0].flush()
+        assert (await client.receive_response(stream))[0] == 0
+        assert outcomes(rig) == [(1, Outcome.RESET), (2, Outcome.OK)]
         rig.close()
 
     run(test)
 
 
-def test_goaway_amid_50_streams_only_those_above_its_last_are_sent_again() -> None:
+def test_goaway_with_50_streams_retries_only_those_above_its_last_stream() -> None:
     async def test() -> None:
         rig = Rig(send_to(1, 2))
         seen: list[int] = []
 
-        def script(node: Node, stream: int) -> None:
+        def script(upstream: GrpcUpstream, stream: int) -> None:
             seen.append(stream)
-            if len(seen) == 50:  # the first 30 were taken
-                node.write(frame(GOAWAY, 0, 0, struct.pack(">II", 59, 0)))
+            if len(seen) == 50:  # the first 30 were accepted
+                upstream.write(frame(GOAWAY, 0, 0, struct.pack(">II", 59, 0)))
 
-        await rig.node(lambda: Node(script))
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
-        client = await rig.client()
+        await rig.add_upstream(lambda: GrpcUpstream(script))
+        await rig.add_upstream(lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream)))
+        client = await rig.connect_client()
         streams = [client.call("/t.T/Pay", str(n).encode()) for n in range(50)]
         for stream in streams[30:]:
-            assert (await client.answer(stream))[0] == 0
-        assert [one for one in outcomes(rig) if one[0] == 1] == [(1, O.FULL)] * 20
-        assert len(rig.made[1][0].calls()) == 20
-        # those below it go on, on the old connection
-        first = rig.made[0][0]
+            assert (await client.receive_response(stream))[0] == 0
+        assert [entry for entry in outcomes(rig) if entry[0] == 1] == [(1, Outcome.FULL)] * 20
+        assert len(rig.upstream_connections[1][0].calls()) == 20
+        # Streams up to the last one continue on the old connection.
+        first = rig.upstream_connections[0][0]
         for stream in range(1, 60, 2):
             first.serve(stream)
         for stream in streams[:30]:
-            assert (await client.answer(stream))[0] == 0
-        # nothing new goes to the old connection
+            assert (await client.receive_response(stream))[0] == 0
+        # New calls do not use the old connection.
         again = client.call("/t.T/Pay")
-        await asyncio.wait_for(rig_connects(rig, 2), 10)
-        assert len(first.calls()) == 50 and rig.made[0][1] is not first
+        await asyncio.wait_for(wait_for_connections(rig, 2), 10)
+        assert len(first.calls()) == 50 and rig.upstream_connections[0][1] is not first
         client.http2.reset(again, 8)
         rig.close()
 
     run(test)
 
 
-async def rig_connects(rig: Rig, count: int) -> None:
-    while len(rig.made[0]) < count:
+async def wait_for_connections(rig: Rig, count: int) -> None:
+    while len(rig.upstream_connections[0]) < count:
         await asyncio.sleep(0.005)
 
 
 @pytest.mark.parametrize(
     ("how", "outcome"),
     [
-        ("refused", O.FULL),
-        ("declined", O.FULL),
-        ("reset", O.RESET),
-        ("unavailable", O.ERROR),
-        ("no status", O.ERROR),
-        ("http 503", O.ERROR),
-        ("http declined", O.FULL),
-        ("closed", O.RESET),
-        ("broken", O.RESET),
-        ("trailers too large", O.RESET),
+        ("refused", Outcome.FULL),
+        ("declined", Outcome.FULL),
+        ("reset", Outcome.RESET),
+        ("unavailable", Outcome.ERROR),
+        ("no status", Outcome.ERROR),
+        ("http 503", Outcome.ERROR),
+        ("http declined", Outcome.FULL),
+        ("closed", Outcome.RESET),
+        ("broken", Outcome.RESET),
+        ("trailers too large", Outcome.RESET),
     ],
 )
-def test_only_what_never_ran_is_sent_again_for_an_unsafe_call(how: str, outcome: api.Outcome) -> None:
-    """By the real decisions: the second node is asked only where the first has surely not begun."""
+def test_unsafe_call_is_retried_only_if_it_cannot_have_run(how: str, outcome: api.Outcome) -> None:
+    """The real balancer uses the second upstream only if the first cannot have executed the call."""
 
     async def test() -> None:
         rig = Rig()
-        first: list[Node] = []
+        first: list[GrpcUpstream] = []
 
-        def script(node: Node, stream: int) -> None:
+        def script(upstream: GrpcUpstream, stream: int) -> None:
             if not first:
-                first.append(node)
-            if node is not first[0]:
-                node.serve(stream)
+                first.append(upstream)
+            if upstream is not first[0]:
+                upstream.serve(stream)
             elif how == "refused":
-                node.http2.reset(stream, 0x7)
+                upstream.http2.reset(stream, 0x7)
             elif how == "declined":
-                node.trailers_only(stream, b"14", (b"srv-declined", b"1"))
+                upstream.trailers_only(stream, b"14", (b"srv-declined", b"1"))
             elif how == "reset":
-                node.http2.reset(stream, 0x2)
+                upstream.http2.reset(stream, 0x2)
             elif how == "unavailable":
-                node.trailers_only(stream, b"14")
+                upstream.trailers_only(stream, b"14")
             elif how == "no status":
-                node.http2.send_headers(stream, ANSWER)
-                node.http2.send_data(stream, frame_message(b"lost")[:-1], ended=True)
+                upstream.http2.send_headers(stream, RESPONSE_HEADERS)
+                upstream.http2.send_data(stream, frame_message(b"lost")[:-1], ended=True)
             elif how.startswith("http"):
-                more = [(b"srv-declined", b"1")] if how == "http declined" else []
-                node.http2.send_headers(stream, [(b":status", b"503"), *more], ended=True)
-            elif how == "closed" and node.transport is not None:
-                node.transport.abort()
+                extra_headers = [(b"srv-declined", b"1")] if how == "http declined" else []
+                upstream.http2.send_headers(stream, [(b":status", b"503"), *extra_headers], ended=True)
+            elif how == "closed" and upstream.transport is not None:
+                upstream.transport.abort()
             elif how == "broken":
-                node.write(frame(HEADERS, END_HEADERS, 0, b""))
+                upstream.write(frame(HEADERS, END_HEADERS, 0, b""))
             elif how == "trailers too large":
-                node.http2.send_headers(stream, ANSWER)
-                node.http2.send_trailers(stream, [(b"grpc-status", b"0"), (b"big", b"x" * 60_000)])
-            node.flush()
+                upstream.http2.send_headers(stream, RESPONSE_HEADERS)
+                upstream.http2.send_trailers(stream, [(b"grpc-status", b"0"), (b"big", b"x" * 60_000)])
+            upstream.flush()
 
         for _ in range(2):
-            await rig.node(lambda: Node(script))
-        client = await rig.client()
-        code, trailers, _ = await client.answer(client.call("/t.T/Pay"))
-        calls = sum(len(node.calls()) for made in rig.made for node in made)
-        if outcome is O.FULL:
+            await rig.add_upstream(lambda: GrpcUpstream(script))
+        client = await rig.connect_client()
+        code, trailers, _ = await client.receive_response(client.call("/t.T/Pay"))
+        calls = sum(
+            len(upstream.calls()) for connections in rig.upstream_connections for upstream in connections
+        )
+        if outcome is Outcome.FULL:
             assert (code, calls) == (0, 2)
         else:
             assert code > 0 and calls == 1 and b"srv-declined" not in trailers
@@ -287,210 +298,217 @@
     run(test)
 
 
-def test_a_deadline_shorter_than_the_answer() -> None:
+def test_deadline_before_the_response() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(Node)  # never answers
-        client = await rig.client()
-        begun = rig.engine.clock.now_us()
+        await rig.add_upstream(GrpcUpstream)  # never responds
+        client = await rig.connect_client()
+        started_us = rig.engine.clock.now_us()
         stream = client.call("/t.T/Pay", grpc_timeout="300m")
-        code, _, _ = await client.answer(stream)
-        took_us = rig.engine.clock.now_us() - begun
-        assert code == Code.DEADLINE_EXCEEDED and took_us > 200_000
-        node = rig.made[0][0]
-        await node.until(lambda: node.of(StreamReset, 1))  # and the node is told
-        assert outcomes(rig) == [(1, O.TIMEOUT)] and not rig.engine.requests
+        code, _, _ = await client.receive_response(stream)
+        elapsed_us = rig.engine.clock.now_us() - started_us
+        assert code == Code.DEADLINE_EXCEEDED and elapsed_us > 200_000
+        upstream = rig.upstream_connections[0][0]
+        # The stream to the upstream is reset.
+        await upstream.wait_until(lambda: upstream.events_of(StreamReset, 1))
+        assert outcomes(rig) == [(1, Outcome.TIMEOUT)] and not rig.engine.requests
         rig.close()
 
     run(test)
 
 
 @pytest.mark.parametrize("how", ["reset", "lost"])
-def test_a_client_that_cancels_is_a_reset_at_the_node(how: str) -> None:
+def test_client_cancellation_resets_the_stream_to_the_upstream(how: str) -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(Node)
-        client = await rig.client()
+        await rig.add_upstream(GrpcUpstream)
+        client = await rig.connect_client()
         stream = client.call("/t.T/Pay", req_id="abc")
-        await rig.reached()
+        await rig.wait_for_calls()
         if how == "reset":
             client.http2.reset(stream, 8)
             client.flush()
         else:
             assert client.transport is not None
             client.transport.abort()
-        node = rig.made[0][0]
-        await node.until(lambda: node.of(StreamReset, 1))
-        await settled(rig)
-        assert outcomes(rig) == [(1, O.CANCELLED)] and not rig.server.open_request_ids
+        upstream = rig.upstream_connections[0][0]
+        await upstream.wait_until(lambda: upstream.events_of(StreamReset, 1))
+        await wait_until_idle(rig)
+        assert outcomes(rig) == [(1, Outcome.CANCELLED)] and not rig.server.open_request_ids
         rig.close()
 
     run(test)
 
 
-def test_a_drain_ends_new_streams_and_lets_the_open_ones_finish() -> None:
+def test_drain_refuses_new_streams_and_lets_open_ones_finish() -> None:
     async def test() -> None:
         rig = Rig(send_to(1, 2))
-        await rig.node(Node)
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream, b"second")))
-        client = await rig.client()
+        await rig.add_upstream(GrpcUpstream)
+        await rig.add_upstream(
+            lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream, b"second"))
+        )
+        client = await rig.connect_client()
         old = client.call("/t.T/Pay", req_id="old")
-        await rig.reached()
-        rig.told(1, api.UpstreamState.DRAINING)
-        code, _, data = await client.answer(client.call("/t.T/Pay", req_id="new"))
+        await rig.wait_for_calls()
+        rig.set_upstream_state(1, api.UpstreamState.DRAINING)
+        code, _, data = await client.receive_response(client.call("/t.T/Pay", req_id="new"))
         assert (code, data) == (0, frame_message(b"second"))
-        assert len(rig.made[0][0].calls()) == 1 and (1, O.NOT_SENT) in outcomes(rig)
-        rig.made[0][0].serve(1, b"finished")
-        code, _, data = await client.answer(old)
+        assert len(rig.upstream_connections[0][0].calls()) == 1 and (1, Outcome.NOT_SENT) in outcomes(rig)
+        rig.upstream_connections[0][0].serve(1, b"finished")
+        code, _, data = await client.receive_response(old)
         assert (code, data) == (0, frame_message(b"finished"))
-        node = rig.made[0][0]
-        await node.until(lambda: node.lost)  # and then the connection ends
+        upstream = rig.upstream_connections[0][0]
+        # The drained connection is closed once it is idle.
+        await upstream.wait_until(lambda: upstream.is_lost)
         rig.close()
 
     run(test)
 
 
-def test_a_node_with_no_window_holds_a_bounded_part_and_the_deadline_ends_it() -> None:
+def test_upstream_without_window_buffers_a_bounded_part_until_the_deadline() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(lambda: Node(limits=Limits(window=0)))
-        client = await rig.client()
+        await rig.add_upstream(lambda: GrpcUpstream(limits=Limits(window=0)))
+        client = await rig.connect_client()
         stream = client.call("/t.S/Up", None, ended=False, grpc_timeout="500m")
         client.http2.send_data(stream, bytes(400_000))
         client.flush()
         while rig.upstream_pool.buffer_budget.total_bytes < 65_536:
             await asyncio.sleep(0.005)
-        assert client.http2.unsent(stream) >= 400_000 - 2 * 65_536  # the rest is held back
-        code, _, _ = await client.answer(stream)
+        assert client.http2.unsent(stream) >= 400_000 - 2 * 65_536  # the rest waits for the client's window
+        code, _, _ = await client.receive_response(stream)
         assert code == Code.DEADLINE_EXCEEDED
         assert rig.upstream_pool.buffer_budget.total_bytes == 0
-        # others are not in its way
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
-        rig.decisions.choose_actions = send_to(2)  # type: ignore[union-attr]
-        assert (await client.answer(client.call("/t.T/Read")))[0] == 0
+        # Other calls are not affected.
+        await rig.add_upstream(lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream)))
+        rig.balancer.choose_actions = send_to(2)  # type: ignore[union-attr]
+        assert (await client.receive_response(client.call("/t.T/Read")))[0] == 0
         rig.close()
 
     run(test)
 
 
-def test_a_client_that_never_reads_holds_a_bounded_part_and_costs_others_nothing() -> None:
+def test_client_that_never_reads_buffers_a_bounded_part_and_does_not_affect_others() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
 
-        def script(node: Node, stream: int) -> None:
-            if node.request(stream)[b":path"] == b"/t.T/Read":
-                node.serve(stream)
+        def script(upstream: GrpcUpstream, stream: int) -> None:
+            if upstream.request(stream)[b":path"] == b"/t.T/Read":
+                upstream.serve(stream)
                 return
-            node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, frame_message(bytes(3_000_000)))
-            node.flush()
+            upstream.http2.send_headers(stream, RESPONSE_HEADERS)
+            upstream.http2.send_data(stream, frame_message(bytes(3_000_000)))
+            upstream.flush()
 
-        await rig.node(lambda: Node(script))
-        client = await rig.client(Limits(window=0))
+        await rig.add_upstream(lambda: GrpcUpstream(script))
+        client = await rig.connect_client(Limits(window=0))
         streams = [client.call("/t.S/Down", grpc_timeout="900m") for _ in range(50)]
-        other = await rig.client()
+        other = await rig.connect_client()
         for _ in range(20):
-            assert (await other.answer(other.call("/t.T/Read")))[0] == 0
+            assert (await other.receive_response(other.call("/t.T/Read")))[0] == 0
         assert rig.upstream_pool.buffer_budget.total_bytes <= 50 * 65_536 + 10_000
         for stream in streams:
-            await client.answer(stream)
-        await settled(rig)
+            await client.receive_response(stream)
+        await wait_until_idle(rig)
         assert rig.upstream_pool.buffer_budget.total_bytes == 0
         rig.close()
 
     run(test)
 
 
-def test_over_the_limit_of_the_sidecar_the_call_that_holds_most_is_given_up() -> None:
+def test_calls_with_most_buffered_data_fail_over_the_buffer_limit() -> None:
     async def test() -> None:
         rig = Rig(send_to(1), Grpc(True, METHODS, buffered_kib=256))
 
-        def script(node: Node, stream: int) -> None:
-            node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, frame_message(bytes(1_000_000)))
-            node.flush()
+        def script(upstream: GrpcUpstream, stream: int) -> None:
+            upstream.http2.send_headers(stream, RESPONSE_HEADERS)
+            upstream.http2.send_data(stream, frame_message(bytes(1_000_000)))
+            upstream.flush()
 
-        await rig.node(lambda: Node(script))
-        client = await rig.client(Limits(window=0))
+        await rig.add_upstream(lambda: GrpcUpstream(script))
+        client = await rig.connect_client(Limits(window=0))
         streams = [client.call("/t.S/Down") for _ in range(8)]
-        await client.until(lambda: any(client.of(StreamReset, stream) for stream in streams))
+        await client.wait_until(lambda: any(client.events_of(StreamReset, stream) for stream in streams))
         assert rig.upstream_pool.buffer_budget.total_bytes <= 256 * 1024 + 65_536
-        left = len(rig.engine.requests)
-        assert 0 < left < 8, "some are given up long before their time, and no more than need be"
+        open_calls = len(rig.engine.requests)
+        assert 0 < open_calls < 8, "some calls fail before their deadline, and no more than necessary"
         rig.close()
 
     run(test)
 
 
-def test_a_status_that_comes_byte_by_byte() -> None:
+def test_response_received_byte_by_byte() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        whole = asyncio.Event()
-        await rig.node(lambda: Node(lambda node, stream: whole.set()))
-        client = await rig.client()
+        request_received = asyncio.Event()
+        await rig.add_upstream(lambda: GrpcUpstream(lambda upstream, stream: request_received.set()))
+        client = await rig.connect_client()
         stream = client.call("/t.T/Pay")
-        await whole.wait()
-        node = rig.made[0][0]
-        node.http2.send_headers(1, ANSWER)
-        node.http2.send_data(1, frame_message(b"slow"))
-        node.http2.send_trailers(1, [(b"grpc-status", b"0")])
-        for byte in node.http2.outgoing():
-            node.write(bytes([byte]))
+        await request_received.wait()
+        upstream = rig.upstream_connections[0][0]
+        upstream.http2.send_headers(1, RESPONSE_HEADERS)
+        upstream.http2.send_data(1, frame_message(b"slow"))
+        upstream.http2.send_trailers(1, [(b"grpc-status", b"0")])
+        for byte in upstream.http2.outgoing():
+            upstream.write(bytes([byte]))
             await asyncio.sleep(0)
-        code, _, data = await client.answer(stream)
+        code, _, data = await client.receive_response(stream)
         assert (code, data) == (0, frame_message(b"slow"))
         rig.close()
 
     run(test)
 
 
-def test_requests_over_64_kib_are_never_sent_twice() -> None:
+def test_request_over_64_kib_is_never_retried() -> None:
     async def test() -> None:
         rig = Rig(send_to(1, 2))
 
-        def fail(node: Node, stream: int) -> None:
-            node.http2.reset(stream, 0x7)  # it says that it has not run; but its first part is gone
-            node.flush()
+        def fail(upstream: GrpcUpstream, stream: int) -> None:
+            # REFUSED_STREAM: it did not run, but the start of the request is no longer buffered.
+            upstream.http2.reset(stream, 0x7)
+            upstream.flush()
 
-        await rig.node(lambda: Node(fail))
-        await rig.node(Node)
-        client = await rig.client()
-        code, trailers, _ = await client.answer(client.call("/t.T/Read", bytes(200_000)))
+        await rig.add_upstream(lambda: GrpcUpstream(fail))
+        await rig.add_upstream(GrpcUpstream)
+        client = await rig.connect_client()
+        code, trailers, _ = await client.receive_response(client.call("/t.T/Read", bytes(200_000)))
         assert code > 0 and trailers[b"grpc-retry-pushback-ms"] == b"-1"
-        assert outcomes(rig) == [(1, O.FULL)] and not rig.made[1]
+        assert outcomes(rig) == [(1, Outcome.FULL)] and not rig.upstream_connections[1]
         rig.close()
 
     run(test)
 
 
-def test_requests_of_64_kib_are_sent_again() -> None:
+def test_request_of_64_kib_is_retried() -> None:
     async def test() -> None:
         rig = Rig(send_to(1, 2))
 
-        def fail(node: Node, stream: int) -> None:
-            node.http2.reset(stream, 0x7)
-            node.flush()
-
-        await rig.node(lambda: Node(fail))
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
-        client = await rig.client()
-        body = bytes(range(256)) * 255  # with its prefix a little less than 64 KiB
-        assert (await client.answer(client.call("/t.T/Read", body)))[0] == 0
-        assert b"".join(one.data for one in rig.made[1][0].of(DataReceived, 1)) == frame_message(body)
+        def fail(upstream: GrpcUpstream, stream: int) -> None:
+            upstream.http2.reset(stream, 0x7)
+            upstream.flush()
+
+        await rig.add_upstream(lambda: GrpcUpstream(fail))
+        await rig.add_upstream(lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream)))
+        client = await rig.connect_client()
+        body = bytes(range(256)) * 255  # a little less than 64 KiB with its prefix
+        assert (await client.receive_response(client.call("/t.T/Read", body)))[0] == 0
+        assert b"".join(
+            event.data for event in rig.upstream_connections[1][0].events_of(DataReceived, 1)
+        ) == frame_message(body)
         rig.close()
 
     run(test)
 
 
-def test_a_refusal_says_that_nothing_has_run_and_when_to_come_back() -> None:
+def test_rejection_states_that_the_call_did_not_run_and_the_retry_delay() -> None:
     async def test() -> None:
         rig = Rig(
             lambda event: (
                 [api.Refuse(event.request, 250_300)] if isinstance(event, api.RequestArrived) else []
             )
         )
-        client = await rig.client()
-        code, trailers, _ = await client.answer(client.call("/t.T/Pay"))
+        client = await rig.connect_client()
+        code, trailers, _ = await client.receive_response(client.call("/t.T/Pay"))
         assert code == Code.UNAVAILABLE and trailers[b"srv-declined"] == b"1"
         assert trailers[b"grpc-retry-pushback-ms"] == b"251"
         rig.close()
@@ -498,95 +516,99 @@
     run(test)
 
 
-def test_a_silent_connection_is_asked_and_then_given_up() -> None:
+def test_silent_connection_gets_a_ping_and_is_then_aborted() -> None:
     async def test() -> None:
         rig = Rig(send_to(1), Grpc(True, METHODS, ping_s=0.1))
-        await rig.node(lambda: Node(frames=False))  # says nothing at all, not even SETTINGS
-        client = await rig.client()
-        code, _, _ = await client.answer(client.call("/t.T/Pay"))
-        assert code == Code.INTERNAL and outcomes(rig) == [(1, O.RESET)]
-        assert any(kind == PING for kind, _, _, _ in rig.made[0][0].frames())
+        # Sends no frames at all, not even SETTINGS.
+        await rig.add_upstream(lambda: GrpcUpstream(use_http2_layer=False))
+        client = await rig.connect_client()
+        code, _, _ = await client.receive_response(client.call("/t.T/Pay"))
+        assert code == Code.INTERNAL and outcomes(rig) == [(1, Outcome.RESET)]
+        assert any(kind == PING for kind, _, _, _ in rig.upstream_connections[0][0].frames())
         rig.close()
 
     run(test)
 
 
-def test_no_connection_never_ran() -> None:
+def test_call_without_connection_did_not_run_and_is_retried() -> None:
     async def test() -> None:
         rig = Rig(send_to(1, 2))
-        await rig.node(Node)
+        await rig.add_upstream(GrpcUpstream)
         rig.listeners[0].close()
-        await rig.node(lambda: Node(lambda node, stream: node.serve(stream)))
-        client = await rig.client()
-        assert (await client.answer(client.call("/t.T/Pay")))[0] == 0
-        assert outcomes(rig) == [(1, O.CONNECT_FAILED), (2, O.OK)]
+        await rig.add_upstream(lambda: GrpcUpstream(lambda upstream, stream: upstream.serve(stream)))
+        client = await rig.connect_client()
+        assert (await client.receive_response(client.call("/t.T/Pay")))[0] == 0
+        assert outcomes(rig) == [(1, Outcome.CONNECT_FAILED), (2, Outcome.OK)]
         rig.close()
 
     run(test)
 
 
-def test_a_client_that_keeps_sending_behind_its_answer_is_told_to_stop() -> None:
+def test_client_that_keeps_sending_after_its_response_gets_a_reset() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(Node)
-        client = await rig.client()
+        await rig.add_upstream(GrpcUpstream)
+        client = await rig.connect_client()
         stream = client.call("/t.S/Up", b"first", ended=False)
-        await rig.reached()
-        rig.made[0][0].trailers_only(1, b"9")
-        code, trailers, _ = await client.answer(stream)
+        await rig.wait_for_calls()
+        rig.upstream_connections[0][0].trailers_only(1, b"9")
+        code, trailers, _ = await client.receive_response(stream)
         assert code == Code.FAILED_PRECONDITION and trailers[b"grpc-retry-pushback-ms"] == b"-1"
-        await client.until(lambda: client.of(StreamReset, stream))
-        assert client.of(StreamReset, stream)[0].code == 0
+        await client.wait_until(lambda: client.events_of(StreamReset, stream))
+        assert client.events_of(StreamReset, stream)[0].code == 0
         rig.close()
 
     run(test)
 
 
-def test_100_mb_of_messages_pass_within_the_windows() -> None:
+def test_100_mb_of_messages_are_forwarded_within_the_windows() -> None:
     async def test() -> None:
         rig = Rig(send_to(1))
-        got = 0
+        received_bytes = 0
 
-        class Sink(Node):
+        class Sink(GrpcUpstream):
             def on_event(self, event: object) -> None:
-                nonlocal got
+                nonlocal received_bytes
                 if isinstance(event, DataReceived):
-                    got += len(event.data)
+                    received_bytes += len(event.data)
                     self.events.pop()
                     if event.ended:
                         self.serve(event.stream)
 
-        await rig.node(Sink)
-        client = await rig.client()
+        await rig.add_upstream(Sink)
+        client = await rig.connect_client()
         stream = client.call("/t.S/Up", None, ended=False)
-        most = 0
+        max_buffered_bytes = 0
         for number in range(100):
             client.http2.send_data(stream, frame_message(bytes(1_048_571)), ended=number == 99)
             client.flush()
-            most = max(most, rig.upstream_pool.buffer_budget.total_bytes)
+            max_buffered_bytes = max(max_buffered_bytes, rig.upstream_pool.buffer_budget.total_bytes)
             while client.http2.unsent(stream) > 2_000_000:
-                client.news.clear()
-                await client.news.wait()
-                most = max(most, rig.upstream_pool.buffer_budget.total_bytes)
-        assert (await client.answer(stream))[0] == 0
-        assert got == 100 * 1_048_576 and most <= 65_536 + 2 * 524_288
+                client.changed.clear()
+                await client.changed.wait()
+                max_buffered_bytes = max(max_buffered_bytes, rig.upstream_pool.buffer_budget.total_bytes)
+        assert (await client.receive_response(stream))[0] == 0
+        assert received_bytes == 100 * 1_048_576 and max_buffered_bytes <= 65_536 + 2 * 524_288
         rig.close()
 
     run(test)
 
 
-def test_peers_frames_by_hand_are_what_they_say() -> None:
-    """The scripts above rest on it: a raw GOAWAY and a raw reset are understood by the layer."""
+def test_raw_frames_of_scripted_peers_are_understood() -> None:
+    """The scripts above depend on this: the HTTP/2 layer parses raw frames as their names say."""
 
     async def test() -> None:
         rig = Rig(send_to(1))
-        await rig.node(lambda: Node(frames=False))
-        client = await rig.client()
+        await rig.add_upstream(lambda: GrpcUpstream(use_http2_layer=False))
+        client = await rig.connect_client()
         stream = client.call("/t.T/Read")
-        while not (rig.made[0] and any(kind == HEADERS for kind, _, _, _ in rig.made[0][0].frames())):
+        while not (
+            rig.upstream_connections[0]
+            and any(kind == HEADERS for kind, _, _, _ in rig.upstream_connections[0][0].frames())
+        ):
             await asyncio.sleep(0.005)
-        node = rig.made[0][0]
-        node.write(
+        upstream = rig.upstream_connections[0][0]
+        upstream.write(
             frame(SETTINGS, 0, 0, b"")
             + frame(SETTINGS, ACK, 0, b"")
             + frame(
@@ -596,19 +618,19 @@
                 b"\x88\x10\x0bgrpc-status\x010" + b"\x0f\x10\x10application/grpc",
             )
         )
-        assert (await client.answer(stream))[0] == 0
+        assert (await client.receive_response(stream))[0] == 0
         stream = client.call("/t.T/Read")
-        while sum(kind == HEADERS for kind, _, _, _ in node.frames()) < 2:
+        while sum(kind == HEADERS for kind, _, _, _ in upstream.frames()) < 2:
             await asyncio.sleep(0.005)
-        node.write(frame(RST, 0, 3, struct.pack(">I", 0xB)))
-        code, _, _ = await client.answer(stream)
-        assert code == Code.INTERNAL and outcomes(rig) == [(1, O.OK), (1, O.RESET)]
+        upstream.write(frame(RST, 0, 3, struct.pack(">I", 0xB)))
+        code, _, _ = await client.receive_response(stream)
+        assert code == Code.INTERNAL and outcomes(rig) == [(1, Outcome.OK), (1, Outcome.RESET)]
         rig.close()
 
     run(test)
 
 
-def test_the_time_out_of_an_attempt_ends_no_stream_that_has_begun() -> None:
+def test_attempt_timeout_does_not_end_a_started_response() -> None:
     async def test() -> None:
         def act(event: api.Event) -> list[api.Action]:
             if isinstance(event, api.RequestArrived):
@@ -617,59 +639,63 @@
 
         rig = Rig(act)
 
-        def script(node: Node, stream: int) -> None:
-            node.http2.send_headers(stream, ANSWER)
-            node.http2.send_data(stream, frame_message(b"first"))
-            node.flush()
-            asyncio.get_running_loop().call_later(0.4, finish, node, stream)
+        def script(upstream: GrpcUpstream, stream: int) -> None:
+            upstream.http2.send_headers(stream, RESPONSE_HEADERS)
+            upstream.http2.send_data(stream, frame_message(b"first"))
+            upstream.flush()
+            asyncio.get_running_loop().call_later(0.4, finish, upstream, stream)
 
-        def finish(node: Node, stream: int) -> None:
-            node.http2.send_data(stream, frame_message(b"last"))
-            node.http2.send_trailers(stream, [(b"grpc-status", b"0")])
-            node.flush()
+        def finish(upstream: GrpcUpstream, stream: int) -> None:
+            upstream.http2.send_data(stream, frame_message(b"last"))
+            upstream.http2.send_trailers(stream, [(b"grpc-status", b"0")])
+            upstream.flush()
 
-        await rig.node(lambda: Node(script))
-        client = await rig.client()
-        code, _, data = await client.answer(client.call("/t.T/Read"))
+        await rig.add_upstream(lambda: GrpcUpstream(script))
+        client = await rig.connect_client()
+        code, _, data = await client.receive_response(client.call("/t.T/Read"))
         assert (code, data) == (0, frame_message(b"first") + frame_message(b"last"))
-        assert outcomes(rig) == [(1, O.OK)]
+        assert outcomes(rig) == [(1, Outcome.OK)]
         rig.close()
 
     run(test)
 
 
-@pytest.mark.parametrize(("messages", "outcome"), [(1, O.CONNECT_FAILED), (3, O.RESET)])
-def test_what_a_node_has_of_a_request_that_is_cut(messages: int, outcome: api.Outcome) -> None:
-    """Of one message a part runs nothing; of several, the first may have run when the last has not come."""
+@pytest.mark.parametrize(("messages", "outcome"), [(1, Outcome.CONNECT_FAILED), (3, Outcome.RESET)])
+def test_partly_written_request_may_have_run_only_with_several_messages(
+    messages: int, outcome: api.Outcome
+) -> None:
+    """A part of one message cannot be executed; of several, the first can be before the last arrives."""
 
     async def test() -> None:
         rig = Rig(send_to(1))
 
-        def make() -> Node:
-            node = Node(limits=Limits(window=12_000))
-            node.reads = False  # none of it is given back
-            return node
+        def make() -> GrpcUpstream:
+            upstream = GrpcUpstream(limits=Limits(window=12_000))
+            upstream.returns_window = False  # no window is returned
+            return upstream
 
-        await rig.node(make)
-        client = await rig.client()
+        await rig.add_upstream(make)
+        client = await rig.connect_client()
         parts = [frame_message(bytes(30_000 // messages)) for _ in range(messages)]
         stream = client.call("/t.T/Pay", None)
         client.http2.send_data(stream, b"".join(parts), ended=True)
         client.flush()
-        while not rig.made[0]:
+        while not rig.upstream_connections[0]:
             await asyncio.sleep(0.005)
-        node = rig.made[0][0]
-        await node.until(lambda: sum(len(one.data) for one in node.of(DataReceived, 1)) == 12_000)
-        assert rig.made[0][0].transport is not None
-        rig.made[0][0].transport.abort()
-        await client.answer(stream)
+        upstream = rig.upstream_connections[0][0]
+        await upstream.wait_until(
+            lambda: sum(len(event.data) for event in upstream.events_of(DataReceived, 1)) == 12_000
+        )
+        assert rig.upstream_connections[0][0].transport is not None
+        rig.upstream_connections[0][0].transport.abort()
+        await client.receive_response(stream)
         assert outcomes(rig) == [(1, outcome)]
         rig.close()
 
     run(test)
 
 
-def test_a_hedged_call_is_bound_before_its_other_attempt_is_cancelled() -> None:
+def test_hedged_call_is_bound_before_its_other_attempt_is_cancelled() -> None:
     async def test() -> None:
         def act(event: api.Event) -> list[api.Action]:
             if isinstance(event, api.RequestArrived):
@@ -678,32 +704,32 @@
 
         rig = Rig(act)
         both = asyncio.Event()
-        seen: list[Node] = []
+        seen: list[GrpcUpstream] = []
 
-        def script(node: Node, stream: int) -> None:
-            seen.append(node)
+        def script(upstream: GrpcUpstream, stream: int) -> None:
+            seen.append(upstream)
             if len(seen) == 2:
                 both.set()
 
         for _ in range(2):
-            await rig.node(lambda: Node(script))
-        client = await rig.client()
+            await rig.add_upstream(lambda: GrpcUpstream(script))
+        client = await rig.connect_client()
         stream = client.call("/t.T/Read")
         await both.wait()
         first, second = seen
-        first.http2.send_headers(1, ANSWER)
+        first.http2.send_headers(1, RESPONSE_HEADERS)
         first.http2.send_data(1, frame_message(b"first"))
         first.flush()
-        await client.until(lambda: client.of(DataReceived, stream))
-        await second.until(lambda: second.of(StreamReset, 1))
+        await client.wait_until(lambda: client.events_of(DataReceived, stream))
+        await second.wait_until(lambda: second.events_of(StreamReset, 1))
         first.http2.send_trailers(1, [(b"grpc-status", b"0")])
         first.flush()
-        assert (await client.answer(stream))[0] == 0
-        await settled(rig)
-        assert rig.decisions is not None
-        kinds = [type(one).__name__ for one in rig.decisions.events[-3:]]
+        assert (await client.receive_response(stream))[0] == 0
+        await wait_until_idle(rig)
+        assert rig.balancer is not None
+        kinds = [type(event).__name__ for event in rig.balancer.events[-3:]]
         assert kinds == ["StreamStarted", "AttemptEnded", "AttemptEnded"]
-        assert sorted(one.outcome.name for one in rig.ended()) == ["CANCELLED", "OK"]
+        assert sorted(attempt.outcome.name for attempt in rig.ended_attempts()) == ["CANCELLED", "OK"]
         rig.close()
 
     run(test)
