--- a/sidecar_proxy/grpc/health.py
+++ b/sidecar_proxy/grpc/health.py
@@ -1,81 +1,86 @@
-"""gRPC's health service (grpc.health.v1): its messages, small enough to be read and written by hand. Pure."""
+"""The messages of gRPC's health service (grpc.health.v1), encoded and decoded without a protobuf library.
+
+Does no I/O.
+"""
 
 from __future__ import annotations
 
 import enum
 
-from sidecar_proxy.grpc.message import PREFIX, first_size, framed
+from sidecar_proxy.grpc.message import PREFIX_BYTES, first_message_size, frame_message
 
-CHECK, WATCH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
-MOST_MESSAGE = 4096  # bytes of a HealthCheckRequest
-STRING, VARINT, FIXED64, FIXED32 = 2, 0, 1, 5  # protobuf's wire types
+CHECK_PATH, WATCH_PATH = b"/grpc.health.v1.Health/Check", b"/grpc.health.v1.Health/Watch"
+MAX_REQUEST_BYTES = 4096  # maximum size of a HealthCheckRequest
+LENGTH_DELIMITED, VARINT, FIXED64, FIXED32 = 2, 0, 1, 5  # wire types of protobuf
 
 
-class Serving(enum.IntEnum):
+class ServingStatus(enum.IntEnum):
     """HealthCheckResponse.ServingStatus."""
 
     UNKNOWN = 0
     SERVING = 1
     NOT_SERVING = 2
-    SERVICE_UNKNOWN = 3  # Watch alone says so
+    SERVICE_UNKNOWN = 3  # only in responses to Watch
 
 
 class HealthError(ValueError):
-    """What came is no HealthCheckRequest."""
+    """The data is not a HealthCheckRequest. The message is part of the answer to the client."""
 
 
-def service_of(data: bytes) -> str:
-    """The service that is asked for: a whole length-prefixed message with field 1. Raises HealthError."""
-    if first_size(data) != len(data) or data[0] != 0:
+def parse_request(data: bytes) -> str:
+    """Return the service name, field 1, of a length-prefixed HealthCheckRequest. Raises HealthError."""
+    if first_message_size(data) != len(data) or data[0] != 0:
         raise HealthError("not one plain message")
-    body, at, found = data[PREFIX:], 0, b""
-    while at < len(body):
-        tag, at = varint(body, at)
-        if tag & 7 == STRING:
-            size, at = varint(body, at)
-            if size > len(body) - at:
+    body, offset, service_name = data[PREFIX_BYTES:], 0, b""
+    while offset < len(body):
+        tag, offset = read_varint(body, offset)
+        if tag & 7 == LENGTH_DELIMITED:
+            size, offset = read_varint(body, offset)
+            if size > len(body) - offset:
                 raise HealthError("cut short")
-            found = body[at : at + size] if tag >> 3 == 1 else found
-            at += size
+            service_name = body[offset : offset + size] if tag >> 3 == 1 else service_name
+            offset += size
         elif tag & 7 == VARINT:
-            _, at = varint(body, at)
+            _, offset = read_varint(body, offset)
         elif tag & 7 in (FIXED64, FIXED32):
-            at += 8 if tag & 7 == FIXED64 else 4
-            if at > len(body):
+            offset += 8 if tag & 7 == FIXED64 else 4
+            if offset > len(body):
                 raise HealthError("cut short")
         else:
             raise HealthError("no such wire type")
     try:
-        return found.decode("utf-8")
+        return service_name.decode("utf-8")
     except UnicodeDecodeError as error:
         raise HealthError("the service is no UTF-8") from error
 
 
-def varint(data: bytes, at: int) -> tuple[int, int]:
-    """A number of at most ten bytes, and where it ends."""
+def read_varint(data: bytes, offset: int) -> tuple[int, int]:
+    """Return the varint of at most ten bytes at an offset, and the offset of its end. Raises HealthError."""
     value = 0
     for shift in range(0, 70, 7):
-        if at >= len(data):
+        if offset >= len(data):
             raise HealthError("cut short")
-        value |= (data[at] & 0x7F) << shift
-        at += 1
-        if data[at - 1] < 0x80:
-            return value, at
+        value |= (data[offset] & 0x7F) << shift
+        offset += 1
+        if data[offset - 1] < 0x80:
+            return value, offset
     raise HealthError("a number too long")
 
 
-def request(service: str = "") -> bytes:
-    """A whole length-prefixed HealthCheckRequest, for asking nodes. At most 127 bytes of name."""
+def encode_request(service: str = "") -> bytes:
+    """Return a length-prefixed HealthCheckRequest; the service name is truncated to 127 bytes."""
     name = service.encode()[:127]
     body = b"\x0a%c%s" % (len(name), name) if name else b""
-    return framed(body)
+    return frame_message(body)
 
 
-def response(status: Serving) -> bytes:
-    """A whole length-prefixed HealthCheckResponse."""
-    return framed(b"\x08%c" % status)
+def encode_response(status: ServingStatus) -> bytes:
+    """Return a length-prefixed HealthCheckResponse."""
+    return frame_message(b"\x08%c" % status)
 
 
-def status_of(data: bytes) -> Serving:
-    """Of a whole HealthCheckResponse; UNKNOWN for anything else."""
-    return next((one for one in Serving if data == response(one)), Serving.UNKNOWN)
+def parse_response(data: bytes) -> ServingStatus:
+    """Return the status of a complete length-prefixed HealthCheckResponse; UNKNOWN for any other data."""
+    return next(
+        (status for status in ServingStatus if data == encode_response(status)), ServingStatus.UNKNOWN
+    )
