--- a/sidecar_proxy/balancer/__init__.py
+++ b/sidecar_proxy/balancer/__init__.py
@@ -8,5 +8,5 @@
    if the client can safely send it again.
 3. A draining or removed upstream gets no request from the moment that this is known, and the endpoint list is
    polled as often as the settings demand.
-4. An upstream that is warming up gets no more work than its reduced capacity bears.
+4. An upstream that is warming up gets no more work than its reduced capacity allows.
 """
--- a/sidecar_proxy/balancer/attempts.py
+++ b/sidecar_proxy/balancer/attempts.py
@@ -16,8 +16,9 @@
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
 from sidecar_proxy.balancer.wakeups import WakeupKind, Wakeups
 
-RESPONSE_TIME_SMOOTHING: Final = 8  # number of responses over which an endpoint's response time is averaged
-LOST_ATTEMPT_FACTOR: Final = 3  # multiple of its endpoint's response time after which an attempt may be lost
+RESPONSE_TIME_SMOOTHING_ANSWERS: Final = 8  # answers over which an endpoint's response time is averaged
+# multiple of its endpoint's response time after which an attempt may be presumed lost
+LOST_ATTEMPT_FACTOR: Final = 3
 # outcomes with a response from the upstream
 ANSWERED_OUTCOMES: Final = (api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL)
 
@@ -48,7 +49,7 @@
         self.recorder = recorder
         self.total_limiter = total_limiter
         self.wakeups = wakeups
-        self.peak_in_flight = 0  # maximum of concurrent attempts since the last refresh
+        self.peak_in_flight = 0  # maximum number of concurrent attempts since the last refresh
 
     def may_start(self, request: Request, endpoint: Endpoint) -> bool:
         """Whether the service rules and the endpoint's limit permit an attempt at this endpoint now."""
@@ -89,7 +90,7 @@
         if event.outcome in ANSWERED_OUTCOMES:
             endpoint.presumed_lost_count = 0
             endpoint.last_answered_send_us = max(endpoint.last_answered_send_us, attempt.sent_us)
-            change_us = (event.elapsed_us - endpoint.response_time_us) / RESPONSE_TIME_SMOOTHING
+            change_us = (event.elapsed_us - endpoint.response_time_us) / RESPONSE_TIME_SMOOTHING_ANSWERS
             endpoint.response_time_us += change_us
         if occupies_slot or event.outcome is api.Outcome.OK:
             self.recorder.record_outcome(attempt, event.outcome, event.elapsed_us, request.class_index)
--- a/sidecar_proxy/balancer/concurrency_limit.py
+++ b/sidecar_proxy/balancer/concurrency_limit.py
@@ -7,18 +7,18 @@
 
 from typing import Final
 
-LIMIT_GAIN: Final = (
-    0.4  # change of a limit over one round of answers, per unit of distance from the target load
-)
+# change of a limit over one round of answers, per unit of distance from the target load
+LIMIT_GAIN: Final = 0.4
 # Loads are response times as shares of a slow answer's time, which is half of the latency objective.
 TARGET_LOAD: Final = 0.7  # load at which limits settle if a few sidecars share an upstream
-SHARED_TARGET_LOAD: Final = 0.85  # the same if many sidecars share it, each with a small part of its queue
-INITIAL_SLOTS_PER_UPSTREAM: Final = (
-    8.0  # initial slots of all sidecars together; a few cores serve these within an objective
-)
+# load at which limits settle if many sidecars share an upstream, each with a small part of its queue
+SHARED_TARGET_LOAD: Final = 0.85
+# initial slots that all sidecars together have at an upstream; a few cores serve these within an objective
+INITIAL_SLOTS_PER_UPSTREAM: Final = 8.0
 MIN_TOTAL_LIMIT: Final = 2.0  # minimum initial limit of one sidecar over all upstreams together
 MAX_LIMIT_GROWTH: Final = 8  # maximum ratio of a limit to its initial value, however quick the answers are
-MIN_LIMIT: Final = 1 / 64  # at this limit a failing upstream is tried about once in 64 usual response times
+# minimum limit, at which a failing upstream is still tried about once in 64 usual response times
+MIN_LIMIT: Final = 1 / 64
 
 
 def target_load(sidecar_share: float) -> float:
--- a/sidecar_proxy/balancer/context.py
+++ b/sidecar_proxy/balancer/context.py
@@ -9,7 +9,7 @@
 
 from sidecar_proxy.balancer import events as api
 
-NO_HOME_ZONE: Final = -1  # no zone is preferred
+NO_HOME_ZONE: Final = -1  # stands in place of a zone number where no zone is preferred
 
 
 class DecisionContext:
--- a/sidecar_proxy/balancer/endpoint.py
+++ b/sidecar_proxy/balancer/endpoint.py
@@ -12,13 +12,13 @@
         self.entry = entry
         self.random_order = random_order  # exponentially distributed; orders the endpoints of this sidecar
         self.weight = 1.0  # relative capacity by the endpoint list, if the list's weights state it
-        self.limiter = ConcurrencyLimiter(1.0)  # one slot at first, see docs/design.md
+        self.limiter = ConcurrencyLimiter(1.0)  # the initial limit is one slot, see docs/design.md
         self.limiter.limit = limit
-        # from its load reports
+        # state from the load reports of the upstream
         self.load: float | None = None  # reported requests in flight, plus those sent since; None = unknown
         self.load_reported_us = 0  # time of the last report, or of the last probe without a report
-        self.waiting_requests: dict[int, None] = {}  # ids of requests that wait for its load, in order
-        # from its attempts
+        self.waiting_requests: dict[int, None] = {}  # ids of requests that wait for its load report, in order
+        # state from the outcomes of attempts at the upstream
         self.failure_rate = 0.0  # share of failures among about the last 16 attempts
         self.response_time_us = 0.0  # smoothed; 0 = no answer so far
         self.last_answered_send_us = 0  # latest send time among the answered attempts
@@ -26,7 +26,7 @@
         self.last_success_us = 0  # when an attempt last succeeded; 0 = never
         self.limit_before_probation = 0.0  # 0 = not on probation
         self.is_logged_closed = False  # whether its last log line said that it is closed (its limit is low)
-        # maintained by EndpointPool alone
+        # state that only EndpointPool maintains
         self.index: OrderedIndex[Endpoint] | None = None
         self.index_entry: IndexEntry[Endpoint] | None = None
         self.ranked_failure_rate = 0.0  # failure rate under which it is counted in EndpointPool.failure_rates
--- a/sidecar_proxy/balancer/endpoint_list.py
+++ b/sidecar_proxy/balancer/endpoint_list.py
@@ -11,7 +11,7 @@
 from sidecar_proxy.balancer.outlier_detection import is_degraded
 from sidecar_proxy.balancer.subsetting import Subset
 
-INITIAL_LIMIT_OF_SMALL_FLEET: Final = 2.0  # slots per upstream of one or two sidecars
+INITIAL_LIMIT_OF_SMALL_FLEET: Final = 2.0  # initial limit per upstream of each of one or two sidecars
 COMPLETE_LIST_KINDS: Final = (api.ListKind.FULL, api.ListKind.CACHED)
 
 
@@ -22,7 +22,8 @@
         settings = context.settings
         self.context = context
         self.pool = pool
-        self.entries: dict[int, api.Upstream] = {}  # by upstream id, without upstreams that are gone
+        # list entries by upstream id, without upstreams that are gone
+        self.entries: dict[int, api.Upstream] = {}
         self.subset = Subset(
             settings.self_index,
             settings.instances,
@@ -30,7 +31,7 @@
             context.home_zone,
             len(settings.zones) or 1,
         )
-        self.is_selection_due = False  # whether a member of the subset has become degraded
+        self.is_selection_due = False  # whether a degraded member has to be replaced by a new selection
         # rule 2 restricts repeats of deduplicated requests to a cell: of the complete list, not of the subset
         self.indexes_cells = any(
             request_class.effect == "deduplicated" and request_class.group == "cell"
@@ -105,7 +106,7 @@
         """Return an endpoint without any history for an upstream.
 
         In a fleet of one or two sidecars it starts with two slots, because after a restart of the sidecar all
-        requests that arrived meanwhile come at once. If both sidecars start together, the upstream is
+        requests that clients sent meanwhile arrive at once. If both sidecars start together, the upstream is
         slightly overloaded until slow answers close the second slots.
         """
         limit = 1.0
--- a/sidecar_proxy/balancer/endpoint_pool.py
+++ b/sidecar_proxy/balancer/endpoint_pool.py
@@ -18,10 +18,12 @@
 from sidecar_proxy.balancer.ordered_index import OrderedIndex, SortedMultiset
 from sidecar_proxy.balancer.subsetting import ring_position
 
-# slots of all sidecars together at a nearly warm endpoint; before, in proportion to its slow-start weight
+# slots that all sidecars together have at a nearly warm endpoint; earlier in its warm-up they have fewer, in
+# proportion to its slow-start weight
 MAX_SLOTS_WHILE_WARMING: Final = 8.0
-FEW_SIDECARS_PER_ENDPOINT: Final = 4  # up to this many sidecars per endpoint weight their draws by free slots
-MAX_WARMING_DRAWS: Final = 64  # draws of a warming endpoint before none is taken
+# maximum number of sidecars per endpoint for which draws are weighted by free slots
+FEW_SIDECARS_PER_ENDPOINT: Final = 4
+MAX_WARMING_DRAWS: Final = 64  # maximum number of draws until a warming endpoint is accepted
 GOLDEN_RATIO: Final = 0.618033988749895  # any number of its successive multiples modulo 1 are evenly spread
 
 
@@ -44,9 +46,9 @@
         self.epoch_us = now_us
         # by upstream id; endpoints that are no longer used stay while they have attempts in flight
         self.endpoints: dict[int, Endpoint] = {}
-        self.warm: OrderedIndex[Endpoint] = OrderedIndex()  # in this sidecar's own order
+        self.warm: OrderedIndex[Endpoint] = OrderedIndex()  # warm endpoints in this sidecar's own order
         self.warming: OrderedIndex[Endpoint] = OrderedIndex()
-        self.failure_rates: SortedMultiset[float] = SortedMultiset()  # of the warm endpoints
+        self.failure_rates: SortedMultiset[float] = SortedMultiset()  # failure rates of the warm endpoints
         self.warm_weight = 0.0
         self.warming_weight = 0.0
         self.warming_start_sum = 0.0  # sum of weight times start time since the epoch over warming endpoints
@@ -86,7 +88,10 @@
         return now_us < self.lease_until_us
 
     def order_key(self, endpoint: Endpoint) -> float:
-        """Return the key of this sidecar's own order, from chance, weight, zone and a limit below 1."""
+        """Return an endpoint's sort key in this sidecar's own order.
+
+        The key is random, scaled by the weight, the zone and a limit below 1.
+        """
         zone_factor = 2 if endpoint.entry.zone == self.home_zone else 1
         # on probation it keeps its position; otherwise a false report might never be tested by an attempt
         slots = min(1.0, endpoint.ordinary_limit())
--- a/sidecar_proxy/balancer/events.py
+++ b/sidecar_proxy/balancer/events.py
@@ -62,8 +62,8 @@
     late_weight: float = 0.0  # share of the weight that a response after the objective earns
     objective_stretch: float = 0.0  # the objective is extended by this multiple of the request's work
     effect: str = "idempotent"
-    group: str = "all"  # if deduplicated: the upstreams that drop each other's repeats
-    deduplication_window_us: int = 0  # if deduplicated: how long upstreams detect a repeat
+    group: str = "all"  # for deduplicated requests: the upstreams that drop each other's repeats
+    deduplication_window_us: int = 0  # for deduplicated requests: how long upstreams detect a repeat
     stream: bool = False
 
     def __post_init__(self) -> None:
@@ -125,17 +125,17 @@
     cold_share: float = 1.0  # minimum share of its capacity that an upstream has when it starts
     warm_up_us: int = 0  # time after its start when an upstream has its full capacity
     overload_factor: float = 1.0  # multiple of its capacity at which a warming upstream fails
-    fall_us: int = 0  # time for which such an overload must last to make it fail
+    fall_us: int = 0  # duration of such an overload after which the upstream fails
     cross_zone_fee: float = 0.0
     probe_fee: float = 0.0  # cost of one probe per request, in points of the result
-    key_affinity: bool = False  # upstreams serve recently served keys with less work
+    key_affinity: bool = False  # whether upstreams serve recently served keys with less work
     report_names: list[str] = field(default_factory=list)
-    weighted: bool = False  # whether the weights in the list are the sizes of the upstreams
+    weighted: bool = False  # whether the weights in the list state the upstreams' capacity
     zones: list[str] = field(default_factory=list)  # names of the zones, by zone number
     kinds: list[str] = field(default_factory=list)  # names of the kinds of upstreams, by number
     idle_us: int = 0  # idle timeout of the upstreams' connections; 0 = none
     probe_timeout_us: int = 250_000
-    is_successor: bool = False  # this process takes over from another one while the other sidecars run on
+    is_successor: bool = False  # whether this process takes over from another one while other sidecars run on
     max_upstreams: int = 0  # maximum size of the subset that one sidecar uses; 0 = no limit
 
     def __post_init__(self) -> None:
@@ -198,7 +198,7 @@
     tenant: int = 0
     key: int = 0  # 0 = no key
     cost_us: int = 0  # expected work on a standard core; 0 = unknown
-    retried: bool = False  # whether the client has sent it before
+    retried: bool = False  # whether the client has sent the request before
     write: bool = False
     retry_due_us: int = 0  # earliest retry time by Retry-After of an earlier rejection; 0 = none
 
@@ -219,7 +219,7 @@
     upstream: int
     outcome: Outcome
     elapsed_us: int = 0
-    final: bool = False  # whether the client has its response; otherwise one is still due
+    final: bool = False  # whether the client has got its response; otherwise one is still due
     report: list[float] = field(default_factory=list)  # values in the order of `report_names`
 
 
@@ -257,7 +257,7 @@
 class WarmStartState:
     """Measurements of the previous process of this sidecar; arrives before the first request."""
 
-    response_times_us: list[float]  # by class; 0 = unknown
+    response_times_us: list[float]  # smoothed response times by class; 0 = unknown
     total_limit_ratio: float  # the total concurrency limit divided by its initial value
     upstreams: list[WarmStartUpstream]
 
@@ -284,7 +284,7 @@
 
     budget_share: float  # share of the fleet's budgets that this sidecar has, 0 to 1
     admitted_shares: list[float]  # by class, the share of requests to admit, 0 to 1
-    returning_shares: list[float]  # the same for requests that are retried as Retry-After said
+    returning_shares: list[float]  # by class, the share to admit of requests retried as Retry-After states
     generation: int  # number of the threshold; it selects the keys that are admitted
     retry_after_us: int  # Retry-After of rejections; 0 = the sidecar chooses
     valid_until_us: int  # when the limits expire
@@ -334,7 +334,7 @@
     request: int
     upstream: int
     timeout_us: int = 0  # 0 = until the client stops waiting
-    until_us: int = 0  # rule 2: abandon unless completely written by then; 0 = no limit
+    until_us: int = 0  # rule 2: the attempt is abandoned unless completely written by then; 0 = no limit
 
 
 @dataclass(slots=True)
@@ -343,7 +343,7 @@
 
     request: int
     retry_after_us: int = 0  # 0 = no Retry-After
-    shed: bool = False  # rejected by the fleet's threshold, not for lack of a slot
+    shed: bool = False  # whether the fleet's threshold rejects it, and not the lack of a slot
 
 
 @dataclass(slots=True)
--- a/sidecar_proxy/balancer/list_polling.py
+++ b/sidecar_proxy/balancer/list_polling.py
@@ -7,10 +7,12 @@
 from sidecar_proxy.balancer.subsetting import Subset
 from sidecar_proxy.balancer.wakeups import NO_REQUEST, WakeupKind, Wakeups
 
-MIN_BACKOFF_US: Final = 250_000  # much longer than one call takes, much shorter than a drain
+MIN_BACKOFF_US: Final = 250_000  # a delay much longer than one call takes, and much shorter than a drain
 MAX_BACKOFF_DOUBLINGS: Final = 20  # keeps the shifted value small after many failures
 MAX_CONCURRENT_CALLS: Final = 8  # sidecars whose first calls need no spreading
-CALL_SPREAD_PER_SIDECAR_US: Final = 100_000  # per further sidecar; discovery serves a call of each in seconds
+# time that each further sidecar adds to the spread of the first calls; discovery takes seconds to serve one
+# call of each sidecar
+CALL_SPREAD_PER_SIDECAR_US: Final = 100_000
 
 
 class ListPoller:
--- a/sidecar_proxy/balancer/load_probes.py
+++ b/sidecar_proxy/balancer/load_probes.py
@@ -15,9 +15,10 @@
 from sidecar_proxy.balancer.response_times import ResponseTimes
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
 
-MAX_REPORT_AGE_DIVISOR: Final = 20  # reports are used for this fraction of the shortest latency objective
-UNKNOWN_LOAD: Final = 5.0  # assumed where no load is reported, so that endpoints known to be idle rank first
-IDLE_LOAD: Final = 1.0  # an endpoint with less load is taken without polling others
+MAX_REPORT_AGE_DIVISOR: Final = 20  # reports are used for the shortest latency objective divided by this
+# requests in flight assumed where no load is reported, so that endpoints known to be idle rank first
+UNKNOWN_LOAD: Final = 5.0
+IDLE_LOAD: Final = 1.0  # an endpoint with a lower load is idle and is picked without polling others
 
 
 class LoadAction(enum.Enum):
@@ -84,7 +85,7 @@
             endpoint.load = report["in_flight"] + report.get("errors_per_s", 0.0)
 
     def decide(self, request: Request, may_wait: bool) -> LoadDecision:
-        """Decide what a waiting request does next; unless it goes on waiting, it is removed from `waiting`.
+        """Decide what a waiting request does next; unless it waits longer, it is removed from `waiting`.
 
         Candidates are polled one after another until one is idle, and the least loaded is picked. If even its
         queue takes longer than the latency objective, the request is rejected.
--- a/sidecar_proxy/balancer/load_shedding.py
+++ b/sidecar_proxy/balancer/load_shedding.py
@@ -13,7 +13,7 @@
 MAX_RESERVED_SLOTS: Final = 3  # slots of the total limit that only the most valuable class may take
 RESERVATION_DURATION_US: Final = 1_000_000  # slots are reserved for this long after no slot was free
 SHEDDING_DURATION_US: Final = 3_000_000  # the fleet's threshold applies for this long after no slot was free
-RETRY_TOLERANCE_US: Final = 20_000  # a client may retry this much earlier than Retry-After said
+RETRY_TOLERANCE_US: Final = 20_000  # a client may retry this much earlier than Retry-After states
 ADMISSION_STEPS: Final = 2**20  # resolution of the admitted share of keys
 
 
@@ -31,7 +31,7 @@
         self.overload = overload
         self.response_times = response_times
         self.total_limiter = total_limiter
-        self.last_exhausted_us = 0  # when no slot was free for a request, the last time
+        self.last_exhausted_us = 0  # last time at which no slot was free for a request
         self.buffered: Request | None = None  # the buffer; it holds at most one request
 
     def should_shed(self, event: api.RequestArrived) -> bool:
@@ -39,8 +39,8 @@
 
         The threshold applies only while capacity is exhausted at this sidecar too. It rejects clients that
         retry before the time by Retry-After, and in each class the keys outside the admitted share: by a hash
-        of the key, all sidecars decide alike on repeats of a request. Clients that retry when Retry-After
-        said have a separate admitted share.
+        of the key, all sidecars decide alike on repeats of a request. Clients that wait as long as
+        Retry-After states have a separate admitted share.
         """
         now_us = self.context.now_us
         overload = self.overload.current(now_us)
@@ -99,7 +99,7 @@
 
         It is about the time until a slot becomes free: one response time, with jitter so that rejected
         clients don't retry all at once. A delay that the fleet has agreed on replaces it, and a client that
-        retried too early gets the rest of its previous delay.
+        retried too early gets the remaining time of its previous delay.
         """
         context = self.context
         response_time_us = self.response_times.smoothed_us[request.class_index]
--- a/sidecar_proxy/balancer/ordered_index.py
+++ b/sidecar_proxy/balancer/ordered_index.py
@@ -21,8 +21,9 @@
 V = TypeVar("V", bound=Any)
 
 MAX_BLOCK_ITEMS: Final = 512  # a shift inside a block of this size costs less than the search for the block
-MIN_REJECTION_DRAWS: Final = 16  # draws by rejection, plus the square root of n, before a scan of the matches
-ANY_FAILURE_RATE: Final = math.inf  # as a limit: no limit; as a minimum: there is no open entry
+# rejection draws, in addition to the square root of n, before the matches are scanned
+MIN_REJECTION_DRAWS: Final = 16
+ANY_FAILURE_RATE: Final = math.inf  # as a maximum: no limit; as a computed minimum: there is no open entry
 
 
 class SortedMultiset(Generic[V]):
--- a/sidecar_proxy/balancer/outcome_recorder.py
+++ b/sidecar_proxy/balancer/outcome_recorder.py
@@ -19,8 +19,10 @@
 from sidecar_proxy.balancer.response_times import ResponseTimes
 from sidecar_proxy.balancer.slow_start import SlowStart
 
-MAX_LOAD: Final = 2.0  # maximum load of one attempt, and the load of a failure
-NEED_FACTOR: Final = 4  # limits may grow for this many slow answers' times after capacity was exhausted
+# maximum load of one attempt, as a multiple of a slow answer's time; a failure has this load
+MAX_ATTEMPT_LOAD: Final = 2.0
+# multiple of a slow answer's time for which limits may grow after capacity was exhausted
+NEED_FACTOR: Final = 4
 MIN_LIMIT_FOR_TOTAL: Final = 0.5  # attempts at endpoints with a lower limit do not change the total limit
 MIN_LOG_INTERVAL_US: Final = 1_000_000  # prevents a flood of log lines while many upstreams fail
 CLOSED_LIMIT_DIVISOR: Final = 4  # a limit below its initial value divided by this is logged as closed
@@ -97,25 +99,27 @@
     def attempt_load(
         self, attempt: Attempt, outcome: api.Outcome, elapsed_us: int, class_index: int
     ) -> float:
-        """Return an attempt's load: its time as a share of a slow answer's time, at most `MAX_LOAD`.
+        """Return an attempt's load: its time as a share of a slow answer's time, at most `MAX_ATTEMPT_LOAD`.
 
         A heavy request is slow without any overload, so a single answer changes a limit only slightly. A
         warming endpoint is slow because it warms up, and under the fleet's leases it cannot be overloaded:
         then its time is multiplied by its slow-start weight.
         """
         if outcome is not api.Outcome.OK:
-            return MAX_LOAD
+            return MAX_ATTEMPT_LOAD
         weight = 1.0
         if attempt.was_warming and self.overload.current(self.context.now_us) is not None:
             weight = self.pool.slow_start_weight(attempt.endpoint, self.context.now_us)
-        return min(MAX_LOAD, elapsed_us * weight / self.response_times.half_objectives_us[class_index])
+        return min(
+            MAX_ATTEMPT_LOAD, elapsed_us * weight / self.response_times.half_objectives_us[class_index]
+        )
 
     def update_total_limit(self, load: float, target: float, is_needed: bool, sidecar_share: float) -> None:
         """Adjust the total limit after an answer.
 
         Many sidecars with little traffic can overload the upstreams together, while each sends too little to
         one endpoint to lower its limit. The total limit grows only if it is used: if it grew by quick answers
-        while something else (such as slow start) limits the attempts, all of it would be used at once when
+        while another limit (such as slow start) restricts the attempts, all of it would be used at once when
         that ends. TCP validates its congestion window in the same way (RFC 7661).
         """
         total = self.total_limiter
--- a/sidecar_proxy/balancer/outlier_detection.py
+++ b/sidecar_proxy/balancer/outlier_detection.py
@@ -14,18 +14,23 @@
 from sidecar_proxy.balancer.response_times import ResponseTimes
 
 FAILURE_SMOOTHING_ATTEMPTS: Final = 16  # attempts over which an endpoint's failure rate is averaged
-CONNECT_SMOOTHING_ATTEMPTS: Final = 8  # the same for the rate of failed connects to all endpoints
+# attempts at all endpoints over which the rate of failed connects is averaged
+CONNECT_SMOOTHING_ATTEMPTS: Final = 8
 OUTLIER_FAILURE_RATE: Final = 0.2  # an outlier's failure rate exceeds twice the median rate by more than this
 NEGLIGIBLE_FAILURE_RATE: Final = 1 / 1024  # a lower failure rate is set to 0
 DEGRADED_FAILURE_RATE: Final = 0.5  # an endpoint with this failure rate or more is degraded
 DEGRADED_LIMIT: Final = 0.25  # an endpoint with a lower concurrency limit is degraded
-RECENT_SUCCESS_US: Final = 10_000_000  # reports are ignored for this long after an own success
+RECENT_SUCCESS_US: Final = 10_000_000  # reports are ignored for this long after a success of this sidecar
 MIN_REPORT_WEIGHT: Final = 0.6  # minimum weight of a report that puts an endpoint on probation
 MAX_PROBATION_LIMIT: Final = 1 / 8  # maximum concurrency limit while on probation
 FLEET_TRIAL_INTERVAL_US: Final = 500_000  # mean interval between trials of all sidecars together
-MAX_TRIAL_INTERVAL_US: Final = 5_000_000  # of one sidecar, before jitter of at most half
-SPARE_CAPACITY_TIME_SHARE: Final = 0.49  # of a slow answer's time; faster endpoints have spare capacity
-MAX_PRESUMED_LOST: Final = 2  # attempts without any answer since; bounds those at an unresponsive endpoint
+# maximum interval between trials of one sidecar, before jitter of at most half
+MAX_TRIAL_INTERVAL_US: Final = 5_000_000
+# share of a slow answer's time; endpoints that answer faster have spare capacity
+SPARE_CAPACITY_TIME_SHARE: Final = 0.49
+# maximum number of attempts presumed lost at an endpoint since its last answer; bounds the attempts at an
+# unresponsive endpoint
+MAX_PRESUMED_LOST: Final = 2
 
 
 def is_degraded(endpoint: Endpoint) -> bool:
--- a/sidecar_proxy/balancer/picker.py
+++ b/sidecar_proxy/balancer/picker.py
@@ -17,7 +17,8 @@
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
 from sidecar_proxy.balancer.slow_start import SlowStart
 
-LOAD_CANDIDATES: Final = 3  # endpoints whose load is polled; probing more costs more than the choice gains
+# maximum number of endpoints whose load is polled for a request; probing more costs more than it gains
+LOAD_CANDIDATES: Final = 3
 # maximum fee of one probe per request, in points of the result: about as much as a probe can gain
 MAX_PROBE_FEE: Final = 0.02
 EXPLORATION_SHARE: Final = 1 / 8  # share of picks that ignore failure rates, so that recovery is noticed
@@ -85,7 +86,7 @@
         pool = self.pool
         max_failure_rate = self.draw_max_failure_rate()
         tried = request.tried_endpoints()
-        # so many that, if each sidecar uses its own first ones, few sidecars use each endpoint
+        # if each sidecar uses only the first so many in its own order, few sidecars use each endpoint
         endpoint_count = FEW_SIDECARS_PER_ENDPOINT * len(pool.warm) / pool.sidecars_per_endpoint
         if polls_load:
             endpoint_count = max(endpoint_count, LOAD_CANDIDATES)
--- a/sidecar_proxy/balancer/request.py
+++ b/sidecar_proxy/balancer/request.py
@@ -17,7 +17,7 @@
         self.entry = endpoint.entry  # the list entry when the attempt started; the endpoint's may change
         self.sent_us = now_us
         self.outcome: api.Outcome | None = None  # None while it is in flight
-        self.is_presumed_lost = False  # its slot was freed before its outcome was known
+        self.is_presumed_lost = False  # whether its slot was freed before its outcome was known
         self.was_warming = was_warming  # whether the endpoint was warming up when the attempt started
 
 
--- a/sidecar_proxy/balancer/response_times.py
+++ b/sidecar_proxy/balancer/response_times.py
@@ -7,7 +7,7 @@
 
 SMOOTHING_ANSWERS: Final = 8  # number of answers over which response times are averaged
 TIMEOUT_FACTOR: Final = 3  # multiple of the usual response time after which an attempt times out
-COST_FACTOR: Final = 4  # multiple of a request's own expected work that its time-out is at least
+COST_FACTOR: Final = 4  # a time-out is at least this multiple of the request's expected work
 
 
 class ResponseTimes:
--- a/sidecar_proxy/balancer/settings.py
+++ b/sidecar_proxy/balancer/settings.py
@@ -20,7 +20,7 @@
     "rate": "served_per_s",
     "fail_rate": "errors_per_s",
 }
-# The same for the JSON reports of upstreams, which may use either set of names.
+# Maps the names of values in the JSON reports of upstreams, which may use either set of names.
 REPORT_FIELDS = {
     "inflight": "in_flight",
     "queue": "queued",
--- a/sidecar_proxy/balancer/slow_start.py
+++ b/sidecar_proxy/balancer/slow_start.py
@@ -13,10 +13,13 @@
 from sidecar_proxy.balancer.request import Request
 from sidecar_proxy.balancer.retry_policy import RetryPolicy
 
-MAX_OVERLOAD_SHARE: Final = 0.8  # of the overload factor of a cold upstream; leaves a margin for bursts
-GAIN_SMOOTHING: Final = 8  # number of answers that change the gain by at most one
-MAX_WARMING_FAILURE_RATE: Final = OUTLIER_FAILURE_RATE / 2  # for choices while no warm endpoint is open
-MAX_ALLOCATED_FAILURE_RATE: Final = 1 / 32  # low enough that one recent failure exceeds it
+# maximum gain as a share of the overload factor of a cold upstream; leaves a margin for bursts
+MAX_OVERLOAD_SHARE: Final = 0.8
+GAIN_SMOOTHING_ANSWERS: Final = 8  # number of answers that change the gain by at most one
+# maximum failure rate of a warming endpoint that is chosen while no warm endpoint is open
+MAX_WARMING_FAILURE_RATE: Final = OUTLIER_FAILURE_RATE / 2
+# maximum failure rate of an endpoint chosen for its allocated slot; one recent failure exceeds it
+MAX_ALLOCATED_FAILURE_RATE: Final = 1 / 32
 
 
 class SlowStart:
@@ -40,7 +43,7 @@
         """
         gain = 0.0
         if len(self.pool.warm):
-            gain = self.gain + (1.0 - min(2.0, relative_time)) / GAIN_SMOOTHING
+            gain = self.gain + (1.0 - min(2.0, relative_time)) / GAIN_SMOOTHING_ANSWERS
         self.gain = max(self.min_gain, min(gain, self.max_gain))
 
     def choose(
--- a/sidecar_proxy/balancer/subsetting.py
+++ b/sidecar_proxy/balancer/subsetting.py
@@ -15,8 +15,9 @@
 from sidecar_proxy.balancer.hashing import HASH_MULTIPLIER
 from sidecar_proxy.balancer.ordered_index import SortedMultiset
 
-MIN_MEMBERS: Final = 12  # with fewer, one failing or draining member noticeably reduces capacity
-MEMBERS_PER_REQUEST: Final = 2  # members per attempt in flight at the recent peak
+# minimum size of a subset; in a smaller one, one failing or draining member noticeably reduces capacity
+MIN_MEMBERS: Final = 12
+MEMBERS_PER_REQUEST: Final = 2  # members of the subset per attempt in flight at the recent peak
 HOME_ZONE_SHARE: Final = 0.75  # share of members in the home zone, if requests to other zones cost a fee
 SHRINK_DELAY_US: Final = 30_000_000  # how long a subset must be too large before it shrinks
 SUSPECT_DURATION_US: Final = 10_000_000  # a degraded member stays suspect this long, even if little used
@@ -67,7 +68,7 @@
         self.home_ring: Ring = SortedMultiset()
         self.zones: dict[int, int] = {}  # zone of each upstream by id
         self.members: dict[int, None] = {}
-        self.suspects: dict[int, int] = {}  # end of the suspicion by id of the degraded upstream
+        self.suspects: dict[int, int] = {}  # time at which an upstream is no longer suspect, by id
         self.target_size = MIN_MEMBERS  # number of usable members to select
         self.too_large_since_us = 0
         self.selected_us = 0  # time of the last selection
@@ -117,16 +118,16 @@
 
     def resize(self, now_us: int, peak_in_flight: int) -> bool:
         """Adapt the size to the traffic: grow at once, halve after a delay; return whether it has changed."""
-        wanted_count = max(MIN_MEMBERS, MEMBERS_PER_REQUEST * peak_in_flight)
-        wanted_count = min(wanted_count, max(1, self.max_members // 2))
-        if wanted_count > self.target_size:
-            self.target_size = wanted_count
+        needed_count = max(MIN_MEMBERS, MEMBERS_PER_REQUEST * peak_in_flight)
+        needed_count = min(needed_count, max(1, self.max_members // 2))
+        if needed_count > self.target_size:
+            self.target_size = needed_count
             self.too_large_since_us = now_us
             return True
-        if wanted_count > self.target_size // 2:
+        if needed_count > self.target_size // 2:
             self.too_large_since_us = now_us
-        elif now_us - self.too_large_since_us >= SHRINK_DELAY_US and self.target_size > wanted_count:
-            self.target_size = max(wanted_count, self.target_size // 2)
+        elif now_us - self.too_large_since_us >= SHRINK_DELAY_US and self.target_size > needed_count:
+            self.target_size = max(needed_count, self.target_size // 2)
             self.too_large_since_us = now_us
             return True
         return False
@@ -137,7 +138,7 @@
             return float(self.instances)
         return max(1.0, self.instances * len(self.members) / len(self.zones))
 
-    def home_arc(self, ring: Ring, wanted_count: int) -> tuple[int, int]:
+    def home_arc(self, ring: Ring, needed_count: int) -> tuple[int, int]:
         """Return the first position and the length of this sidecar's arc of the home zone's ring.
 
         A sidecar does not know which others are in its zone, so arcs begin at radical inverses of the
@@ -150,11 +151,11 @@
         start = int(position * count)
         gap = count / self.position_count
         if gap > max(1, self.max_members // 2):
-            return start, min(count, wanted_count)
-        share = math.ceil(wanted_count / gap) / self.position_count
+            return start, min(count, needed_count)
+        share = math.ceil(needed_count / gap) / self.position_count
         return start, min(count, int((position + share) * count) - start)
 
-    def remote_arc(self, ring: Ring, wanted_count: int) -> tuple[int, int]:
+    def remote_arc(self, ring: Ring, needed_count: int) -> tuple[int, int]:
         """Return the first position and the length of this sidecar's arc of the other zones' ring."""
         count = len(ring)
         if count == 0:
@@ -162,8 +163,8 @@
         gap = count / self.instances
         start = int(self.index * gap)
         if gap > max(1, self.max_members // 2):
-            return start, min(count, wanted_count)  # too few sidecars to cover the ring
-        gaps = math.ceil(wanted_count / gap)
+            return start, min(count, needed_count)  # too few sidecars to cover the ring
+        gaps = math.ceil(needed_count / gap)
         return start, min(count, int((self.index + gaps) * gap) - start)
 
     def select(self, now_us: int, is_usable: Callable[[int], bool]) -> tuple[list[int], list[int]]:
@@ -178,19 +179,19 @@
         self.suspects = {
             upstream: until_us for upstream, until_us in self.suspects.items() if until_us > now_us
         }
-        wanted_home_count = 0
+        needed_home_count = 0
         if self.home_zone != NO_HOME_ZONE:
             preferred = math.ceil(self.target_size * HOME_ZONE_SHARE)
-            wanted_home_count = max(preferred, self.target_size - len(self.remote_ring))
-        wanted_home_count = min(wanted_home_count, len(self.home_ring))
+            needed_home_count = max(preferred, self.target_size - len(self.remote_ring))
+        needed_home_count = min(needed_home_count, len(self.home_ring))
         members: dict[int, None] = {}
         max_unusable = self.max_members - self.target_size
-        start, length = self.home_arc(self.home_ring, wanted_home_count)
+        start, length = self.home_arc(self.home_ring, needed_home_count)
         usable_count, max_unusable = self.add_members_from(
             self.home_ring, start, length, max_unusable, members, is_usable
         )
-        start, length = self.remote_arc(self.remote_ring, self.target_size - wanted_home_count)
-        length += max(0, wanted_home_count - usable_count)  # replaces usable members that the home zone lacks
+        start, length = self.remote_arc(self.remote_ring, self.target_size - needed_home_count)
+        length += max(0, needed_home_count - usable_count)  # replaces usable members that the home zone lacks
         self.add_members_from(self.remote_ring, start, length, max_unusable, members, is_usable)
         return self.replace_members(members)
 
--- a/sidecar_proxy/balancer/wakeups.py
+++ b/sidecar_proxy/balancer/wakeups.py
@@ -33,7 +33,7 @@
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
         self.heap: list[tuple[int, WakeupKind, int]] = []  # (due time, kind, request id)
-        self.timer_us = 0  # when the timer that is set fires; 0 = no timer is set
+        self.timer_us = 0  # time at which the engine's timer fires; 0 = it is not set
 
     def schedule(self, at_us: int, kind: WakeupKind, request_id: int) -> None:
         """Add a wake-up; one that is due now or before is due at the next microsecond."""
