--- a/sidecar_proxy/http1/admission.py
+++ b/sidecar_proxy/http1/admission.py
@@ -1,9 +1,9 @@
 """Decides which client connection is closed to admit a new one at the limit of connections.
 
 Has no sockets and no clock. The decision depends on what a connection has sent, not on its age alone. One
-that has sent nothing since it was accepted has shown no use; one that sends a second piece of a request is
-likely to complete it; one that is idle between requests has been of use. Connections are therefore closed in
-this order, within each state the one without activity for longest first:
+that has sent nothing since it was accepted may never send a request; one that sends a second piece of a
+request is likely to complete it; one that is idle between requests has completed some. Connections are
+therefore closed in this order, within each state the one without activity for longest first:
 
 1. silent: accepted, and no byte has arrived;
 2. idle between requests, unless connections without a complete request take a quarter of the limit;
@@ -21,10 +21,12 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
+# Minimum time without activity before a connection of each state may be closed for a new one.
 SILENT_GRACE_S = 0.05  # the first request follows the accept at once, but a busy loop may read it late
 STARTED_GRACE_S = 0.05  # at 0.1 s, a flood delayed the first attempt of other requests by 66 ms (p99)
 IN_PROGRESS_GRACE_S = 0.7  # longer than the gap between the pieces of a request that is written over 2 s
-# Above this share of the limit, idle connections are kept, as they have been of use.
+# While connections without a complete request are at least this share of the limit, idle ones are kept, as
+# they have completed requests.
 MAX_SHARE_WITHOUT_REQUEST = 1 / 4
 
 ConnectionT = TypeVar("ConnectionT")
@@ -34,11 +36,11 @@
     """The connections without a request in flight, with the time of their last activity. O(1) per change."""
 
     def __init__(self, max_connections: int) -> None:
-        self.max_connections = max_connections  # including those with a request in flight
+        self.max_connections = max_connections  # limit that includes connections with a request in flight
         # Each is ordered by the time of the last activity, oldest first; activity moves an entry to the end.
         self.silent: dict[ConnectionT, float] = {}
-        self.started: dict[ConnectionT, float] = {}  # one piece of a request has arrived
-        self.in_progress: dict[ConnectionT, float] = {}  # several pieces of a request have arrived
+        self.started: dict[ConnectionT, float] = {}  # one piece of their request has arrived
+        self.in_progress: dict[ConnectionT, float] = {}  # several pieces of their request have arrived
         self.idle: dict[ConnectionT, float] = {}
 
     def add(self, connection: ConnectionT, now_s: float) -> None:
@@ -46,13 +48,13 @@
         self.silent[connection] = now_s
 
     def mark_received_bytes(self, connection: ConnectionT, now_s: float) -> None:
-        """Note that bytes have arrived, and that the request is still incomplete."""
+        """Record that bytes have arrived, and that the request is still incomplete."""
         has_started = connection in self.started or connection in self.in_progress
         self.remove(connection)
         (self.in_progress if has_started else self.started)[connection] = now_s
 
     def mark_idle(self, connection: ConnectionT, now_s: float) -> ConnectionT | None:
-        """Note that all its requests are answered; return the oldest idle connection if it is to be closed.
+        """Record that all its requests are answered; return the oldest idle connection if it is to be closed.
 
         That is the case if more than half of the limit is idle. If clients that may open only so many
         connections each sent one request and kept theirs, no further client could connect.
@@ -70,7 +72,7 @@
         self.idle.pop(connection, None)
 
     def without_request(self) -> Iterator[ConnectionT]:
-        """Yield the connections that wait for a request to begin or to be complete, but for the idle ones."""
+        """Yield the connections that wait for a request to begin or to be complete, except for idle ones."""
         for group in (self.silent, self.started, self.in_progress):
             yield from list(group)
 
--- a/sidecar_proxy/http1/client.py
+++ b/sidecar_proxy/http1/client.py
@@ -25,9 +25,11 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-LINGER_TIMEOUT_S = 3.0
-HEAD_TIMEOUT_S = 2.3  # from the accept to the end of the first head; for later ones from their first byte
-# From the head to the end of the body, plus a second per MIN_UPLOAD_BYTES_PER_S bytes that have arrived.
+LINGER_TIMEOUT_S = 3.0  # maximum time for which input is discarded after the last response
+# Maximum time to the end of a request's head: from the accept for the first request, from its first byte for
+# later ones.
+HEAD_TIMEOUT_S = 2.3
+# Maximum time from the head to the end of the body, plus a second per MIN_UPLOAD_BYTES_PER_S bytes received.
 BODY_TIMEOUT_S = 2.0
 MIN_UPLOAD_BYTES_PER_S = 16 * 1024
 DISCARD_INTERVAL_S = 0.02  # interval between two reads of input that is discarded
@@ -54,10 +56,10 @@
         self.keep_alive = keep_alive
         self.is_http_1_0 = is_http_1_0
         self.response: tuple[int, bytes, bytes] | None = None  # status, header lines, body
-        self.stream: ResponseStream | None = None  # in place of `response`, for a streamed response
-        self.upload: Upload | None = None  # its body, if that is large
+        self.stream: ResponseStream | None = None  # a streamed response, in place of `response`
+        self.upload: Upload | None = None  # the body of the request, if it is large
         self.request_number = 0  # the engine's number of the request
-        self.request_id = b""  # its Req-Id, set once the request is accepted
+        self.request_id = b""  # value of Req-Id, set once the request is accepted
 
     def reply(self, status: int, head: bytes = b"", body: bytes = b"") -> None:
         """Take a complete response; a second response is ignored."""
@@ -72,12 +74,12 @@
         """Open a streamed response."""
         self.stream = ResponseStream(self, head, length, source, ended)
         if self.upload is not None and not self.upload.is_streaming:
-            self.upload.discard()  # no other attempt will need it
+            self.upload.discard()  # no further attempt needs the body
         self.connection.flush()
         return self.stream
 
     def complete(self) -> None:
-        """Note that the request is over: its Req-Id is free again and the rest of its body is discarded."""
+        """Record the end of the request: its Req-Id is available again, further body data is dropped."""
         self.connection.server.open_request_ids.discard(self.request_id)
         if self.upload is not None:
             # After a response to an incomplete request, its rest would be parsed as the next request.
@@ -90,7 +92,7 @@
             self.response, self.stream = (0, b"", b""), None
 
     def abandon(self) -> None:
-        """Give the request up because its client has left."""
+        """Abandon the request because its client has disconnected."""
         if self.stream is not None:
             self.stream.abandon()
             self.complete()
@@ -115,23 +117,23 @@
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.pending: deque[PendingRequest] = deque()  # in order of arrival and of the responses
+        # queued requests, in the order of their arrival and of the responses
+        self.pending: deque[PendingRequest] = deque()
         # loop time at which the connection was accepted, became idle or began to receive a later request
         self.phase_began_s = server.loop.time()
-        self.has_received_request = False  # at least one complete request has arrived
-        self.is_receiving = False  # a request has begun to arrive and is incomplete
+        self.has_received_request = False  # whether at least one complete request has arrived
+        self.is_receiving = False  # whether a request has begun to arrive and is incomplete
         self.is_in_head = True
-        self.is_discarding = False  # any further input is discarded
-        self.is_paused = False  # reading is paused
+        self.is_discarding = False  # whether any further input is discarded
+        self.is_paused = False  # whether reading is paused
         self.paused_at_s = 0.0
-        self.is_write_paused = False  # the client does not read its responses
+        self.is_write_paused = False  # whether the client does not read its responses
         self.unparsed_bytes = 0
-        self.body_bytes = 0  # received of the current body
+        self.body_bytes = 0  # bytes received of the current body
         self.upload: Upload | None = None  # the body that is being received, if it is large
-        self.streamed_request: PendingRequest | None = (
-            None  # its request, if that was accepted before its end
-        )
-        self.is_continue_due = False  # a 100 Continue is to be sent
+        # the request whose body is being received, if it was accepted before the end of its body
+        self.streamed_request: PendingRequest | None = None
+        self.is_continue_due = False  # whether a 100 Continue is to be sent
         self.linger_timer: asyncio.TimerHandle | None = None
 
     # The transport
@@ -143,7 +145,7 @@
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Give up what is pending, and break the reference cycle with the parser."""
+        """Abandon what is pending, and break the reference cycle with the parser."""
         self.server.remove(self)
         if self.linger_timer is not None:
             self.linger_timer.cancel()
@@ -185,7 +187,7 @@
             self.server.mark_waiting(self)
 
     def eof_received(self) -> None:
-        """Give up what is pending: the client has left, and asyncio closes the connection.
+        """Abandon what is pending: the client has disconnected, and asyncio closes the connection.
 
         It does so once all output has been sent, which a client that does not read delays. Queued requests
         would be forwarded meanwhile.
@@ -193,13 +195,13 @@
         self.abandon()
 
     def abandon(self) -> None:
-        """Discard further input, and give up all that is pending."""
+        """Discard further input, and abandon all that is pending."""
         self.is_discarding = True
         self.abort_upload()
         self.abandon_pending()
 
     def is_client_gone(self) -> bool:
-        """Say whether the client has left; while reading is paused, the loop does not notice."""
+        """Return whether the client has disconnected; the loop does not detect it while reading is paused."""
         return bool(
             self.pending
             and self.transport is not None
@@ -208,7 +210,7 @@
         )
 
     def pause_writing(self) -> None:
-        """Note that the transport's buffer is full."""
+        """Record that the transport's buffer is full."""
         self.is_write_paused = True
 
     def resume_writing(self) -> None:
@@ -225,13 +227,13 @@
         )
 
     def can_close(self) -> bool:
-        """Say whether there is no unread input: closing would lose the request that it may hold."""
+        """Return whether there is no unread input: closing would lose the request that it may hold."""
         if self.transport is None or self.transport.is_closing():
             return True
         return not make_input_poll(self.transport).poll(0)
 
     def has_unsent_output(self) -> bool:
-        """Say whether the transport still buffers output."""
+        """Return whether the transport still buffers output."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def close(self) -> None:
@@ -296,7 +298,7 @@
                 self.send_continue()
 
     def send_continue(self) -> None:
-        """Send 100 Continue if it is due and no earlier response is pending, for which it would be taken."""
+        """Send 100 Continue if it is due and can't be mistaken for an earlier response that is pending."""
         if self.is_continue_due and not self.pending and self.transport is not None:
             self.is_continue_due = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -322,7 +324,7 @@
             self.pause_reading()
 
     def stream_upload(self, upload: Upload) -> None:
-        """Submit the request now and stream its body: it is too large to be buffered whole."""
+        """Submit the request now and stream its body: it is too large to be buffered completely."""
         upload.is_streaming, upload.on_capacity = True, self.resume_reading
         request = self.streamed_request = self.queue_request()
         request.upload = upload
@@ -402,14 +404,14 @@
         """Answer with an error and end the connection.
 
         What follows a bad request is mostly bad as well, and one read may hold hundreds of requests; none of
-        them is looked at.
+        them is parsed.
         """
         self.is_discarding, request.keep_alive = True, False
         self.abort_upload()
         request.reply(error.status, b"Content-Type: text/plain\r\n", str(error).encode() + b"\n")
 
     def flush(self) -> None:
-        """Write the responses that are there, in the order of their requests."""
+        """Write the responses that are available, in the order of their requests."""
         transport = self.transport
         while self.pending and transport is not None:
             request = self.pending[0]
@@ -448,7 +450,7 @@
             self.transport.abort()
 
     def pause_reading(self) -> None:
-        """Stop reading; the server polls for the client's departure meanwhile."""
+        """Stop reading; meanwhile the server polls whether the client has disconnected."""
         if not self.is_paused and self.transport is not None and not self.transport.is_closing():
             self.is_paused, self.paused_at_s = True, self.server.loop.time()
             self.transport.pause_reading()
@@ -463,7 +465,7 @@
             self.transport.resume_reading()
 
     def abandon_pending(self) -> None:
-        """Give up all queued requests: no client waits for them."""
+        """Abandon all queued requests: no client waits for them."""
         pending, self.pending = self.pending, deque()
         for request in pending:
             request.abandon()
--- a/sidecar_proxy/http1/listener.py
+++ b/sidecar_proxy/http1/listener.py
@@ -16,10 +16,10 @@
 
     # loop time at which the connection was accepted, became idle or began to receive a later request
     phase_began_s: float
-    has_received_request: bool  # at least one complete request has arrived
-    is_receiving: bool  # a request has begun to arrive and is incomplete
+    has_received_request: bool  # whether at least one complete request has arrived
+    is_receiving: bool  # whether a request has begun to arrive and is incomplete
     unparsed_bytes: int
-    is_discarding: bool  # any further input is discarded
+    is_discarding: bool  # whether any further input is discarded
     idle_timeout_s: float
 
     @property
@@ -33,10 +33,10 @@
         """Truthy while a response or another message is still to be sent on this connection."""
 
     def can_close(self) -> bool:
-        """Say whether closing the connection now would lose neither a request nor a response."""
+        """Return whether closing the connection now would lose neither a request nor a response."""
 
     def has_unsent_output(self) -> bool:
-        """Say whether the transport still buffers output."""
+        """Return whether the transport still buffers output."""
 
     def reject(self, error: RequestRejectedError) -> None:
         """Reject the request that is being received, and end the connection."""
@@ -45,14 +45,14 @@
         """End the connection; output that the client does not read is dropped."""
 
     def announce_shutdown(self) -> None:
-        """Tell the client, where the protocol can, that no new requests will be accepted."""
+        """Notify the client, where the protocol can, that no new requests will be accepted."""
 
 
 class PausedConnection(Protocol):
     """A connection whose reading is paused."""
 
     def is_client_gone(self) -> bool:
-        """Say whether a client that waited for a response has left."""
+        """Return whether a client that waited for a response has disconnected."""
 
     def close(self) -> None:
         """End the connection."""
@@ -66,7 +66,7 @@
 
     @property
     def receive_timeout_s(self) -> float:
-        """The time limit, counted from `phase_began_s`, for the whole body."""
+        """The time limit, counted from `phase_began_s`, for the complete body."""
 
     def reject(self, error: RequestRejectedError) -> None:
         """Reject the request whose body is being received."""
@@ -76,7 +76,7 @@
     """A request that waits in its connection's queue, and takes the response to it."""
 
     request_number: int  # the engine's number of the request
-    request_id: bytes  # its Req-Id, set once the request is accepted
+    request_id: bytes  # value of Req-Id, set once the request is accepted
 
     def reply(self, status: int, head: bytes = b"", body: bytes = b"") -> None:
         """Take a complete response: status, header lines and body."""
@@ -94,11 +94,11 @@
         """Return what receives the first bytes of a connection: it has the methods of an asyncio.Protocol."""
 
     def readiness_changed(self) -> None:
-        """Note that the sidecar drains, stops or is ready again."""
+        """Handle a change of `Listener.is_ready`: the sidecar drains, stops or is ready again."""
 
 
 class Listener:
-    """What client connections of any protocol need of the listener that accepted them."""
+    """The interface of the listener that client connections of any protocol use."""
 
     def __init__(self, engine: Engine, body_budget: BodyMemoryBudget) -> None:
         self.engine = engine
@@ -107,12 +107,12 @@
         self.uploads: dict[UploadingConnection, None] = {}  # connections whose request body is being streamed
         self.paused_connections: dict[PausedConnection, None] = {}  # connections whose reading is paused
         self.open_request_ids: set[bytes] = set()  # Req-Ids of unanswered requests
-        self.is_closing = False  # every response ends its connection
+        self.is_closing = False  # whether every response ends its connection
         self.front: ProtocolFront | None = None
 
     @property
     def is_ready(self) -> bool:
-        """Whether the sidecar wants new connections."""
+        """Whether the sidecar is ready for new connections: it neither drains nor stops."""
         raise NotImplementedError
 
     def accept_request(
@@ -131,19 +131,19 @@
         raise NotImplementedError
 
     def watch_for_hangup(self, connection: PausedConnection) -> None:
-        """Poll a paused connection for its client's departure while it is in `paused_connections`."""
+        """Poll whether the client has disconnected, while the connection is in `paused_connections`."""
         raise NotImplementedError
 
     def mark_busy(self, connection: DownstreamConnection) -> None:
-        """Note that a request is in flight on the connection."""
+        """Record that a request is in flight on the connection."""
         raise NotImplementedError
 
     def mark_waiting(self, connection: DownstreamConnection) -> None:
-        """Note that no request is in flight: the connection is idle or its next request is incomplete."""
+        """Record that no request is in flight: the connection is idle or its next request is incomplete."""
         raise NotImplementedError
 
     def remove(self, connection: DownstreamConnection) -> None:
-        """Note that the connection is closed."""
+        """Record that the connection is closed."""
         raise NotImplementedError
 
     def replace(self, old: DownstreamConnection, new: DownstreamConnection) -> None:
--- a/sidecar_proxy/http1/request.py
+++ b/sidecar_proxy/http1/request.py
@@ -1,4 +1,4 @@
-"""Validates a client's request against the settings, and turns its headers into a Call."""
+"""Validates a client's request against the settings, and converts it to a Call."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 # Time before the client's deadline at which a response is sent at the latest: the loop may be busy just then.
 RESPONSE_MARGIN_US = 10_000
-MAX_UPLOAD_DURATION_US = 600_000_000  # allowed for an upload in addition to the deadline
+MAX_UPLOAD_DURATION_US = 600_000_000  # maximum duration of an upload, in addition to the deadline
 REQUEST_ID_PATTERN = re.compile(rb"[0-9A-Za-z_.-]{1,128}\Z")
 DEADLINE_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?\Z")
 COST_PATTERN = re.compile(rb"[0-9]{1,9}\Z")
@@ -31,8 +31,8 @@
 class RequestRejectedError(Exception):
     """A request that the sidecar answers itself, with `status`, and never forwards."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
@@ -53,7 +53,7 @@
 
 
 class RequestParser:
-    """Turns the parts of a request into a Call."""
+    """Converts the parts of a request to a Call."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
--- a/sidecar_proxy/http1/response_stream.py
+++ b/sidecar_proxy/http1/response_stream.py
@@ -1,4 +1,4 @@
-"""A streamed response to a client: passes on the upstream's response as it arrives."""
+"""A streamed response to a client: forwards the upstream's response as it arrives."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 class ResponseConnection(Protocol):
     """The client connection that a response is written to."""
 
-    is_write_paused: bool  # the client does not read its responses
+    is_write_paused: bool  # whether the client does not read its responses
 
     def flush(self) -> None:
-        """Write the responses that are there, in the order of their requests."""
+        """Write the responses that are available, in the order of their requests."""
 
     def abort(self, request: QueuedRequest) -> None:
         """Abort the connection, because the response to `request` can't be completed."""
@@ -35,7 +35,7 @@
         """Answer with a status alone."""
 
     def complete(self) -> None:
-        """Note that the request is over."""
+        """Record that the request is over."""
 
 
 class ResponseStream:
@@ -51,16 +51,16 @@
     ) -> None:
         self.pending = pending
         self.head = head
-        self.content_length = length  # None = unknown until its end
+        self.content_length = length  # None = unknown until the end of the response
         self.source = source
         self.on_end = ended
         self.transport: asyncio.Transport | None = None  # None until the response begins
         self.unsent_pieces: list[bytes] = []  # pieces that arrived before the response could begin
         self.is_chunked = self.keep_alive = False
-        self.has_ended = False  # nothing more will arrive
+        self.has_ended = False  # whether the source sends no further data
 
     def is_queued(self) -> bool:
-        """Say whether other responses have to be sent before this one."""
+        """Return whether other responses have to be sent before this one."""
         return self.transport is None and not self.has_ended
 
     def begin(self, transport: asyncio.Transport, keep_alive: bool) -> None:
@@ -97,7 +97,7 @@
             self.source.pause()
 
     def resume(self) -> None:
-        """Read on from the source: the client reads again."""
+        """Resume reading from the source: the client reads again."""
         if not self.has_ended:
             self.source.resume()
 
@@ -107,7 +107,7 @@
             self.transport.write(b"0\r\n\r\n")
 
     def end(self) -> None:
-        """Note that the response is complete."""
+        """Record that the response is complete."""
         self.has_ended = True
         if self.transport is not None:
             self.write_last_chunk()
@@ -116,9 +116,9 @@
         self.pending.connection.flush()
 
     def fail(self) -> None:
-        """Note that the rest will never arrive.
+        """Record that the remaining data will never arrive.
 
-        The connection is aborted: with a regular end, the client would take the response for complete. If
+        The connection is aborted: with a regular end, the client would consider the response complete. If
         nothing was sent yet, the request is answered with 502 instead, so that earlier responses in the queue
         are not lost.
         """
@@ -132,7 +132,7 @@
         self.pending.connection.abort(self.pending)
 
     def abandon(self) -> None:
-        """Stop reading from the source: the client has left."""
+        """Stop reading from the source: the client has disconnected."""
         if not self.has_ended:
             self.has_ended = True
             self.on_end(None)
--- a/sidecar_proxy/http1/server.py
+++ b/sidecar_proxy/http1/server.py
@@ -20,17 +20,17 @@
 log = logging.getLogger("sidecar_proxy")
 
 ACCEPT_BACKLOG = 512
-SWEEP_INTERVAL_S = 0.2
+SWEEP_INTERVAL_S = 0.2  # interval between two checks of the time limits of connections
 # Readiness is polled ten times a second, and new connections are sent for 0.2 s after a negative answer.
 DRAIN_NOTICE_S = 0.4
 ACCEPT_AFTER_STOP_S = 0.5  # new connections keep arriving for up to 0.4 s after SIGTERM
-POLL_INTERVAL_S = 0.01
-HANGUP_POLL_INTERVAL_S = 0.1  # delay within which a client's departure is noticed while reading is paused
+POLL_INTERVAL_S = 0.01  # interval between two checks of the connections during a drain or shutdown
+HANGUP_POLL_INTERVAL_S = 0.1  # interval between two polls for disconnected clients of paused connections
 # SIGKILL follows SIGTERM after the longest deadline, at most this long, and 0.7 s.
 MAX_DEADLINE_BEFORE_KILL_S = 3.0
 KILL_MARGIN_S = 0.5
-FLUSH_TIMEOUT_S = 1.0
-ACCEPT_RETRY_DELAY_S = 0.05
+FLUSH_TIMEOUT_S = 1.0  # maximum time for clients to read the last responses at a shutdown
+ACCEPT_RETRY_DELAY_S = 0.05  # delay after a failed accept, or while no connection may be closed
 
 
 class Server(Listener):
@@ -48,7 +48,7 @@
         self.listening_socket: socket.socket | None = None
         self.is_accepting = False
         self.is_stopping = False
-        self.is_socket_inherited = False  # other processes accept on the listening socket as well
+        self.is_socket_inherited = False  # whether other processes accept on the listening socket as well
         self.drain_task: asyncio.Task[None] | None = None
         self.next_warning_s = 0.0
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
@@ -79,22 +79,22 @@
         return bound
 
     def mark_busy(self, connection: DownstreamConnection) -> None:
-        """Note that a request is in flight on the connection."""
+        """Record that a request is in flight on the connection."""
         self.admission.remove(connection)
 
     def mark_waiting(self, connection: DownstreamConnection) -> None:
-        """Note that no request is in flight: the connection is idle or its next request is incomplete.
+        """Record that no request is in flight: the connection is idle or its next request is incomplete.
 
-        At the limit, an idle connection may be closed for one in the backlog. If only closed connections made
-        room, kept ones would block new clients.
+        At the limit, an idle connection may be closed for one in the backlog. If a new one were admitted
+        only after another has closed by itself, clients that keep theirs would block new clients.
         """
-        now = self.loop.time()
+        now_s = self.loop.time()
         if connection.has_received_request and not connection.is_receiving:
-            oldest = self.admission.mark_idle(connection, now)
+            oldest = self.admission.mark_idle(connection, now_s)
             if oldest is not None and oldest.can_close():
                 self.close_connection(oldest)
         else:
-            self.admission.mark_received_bytes(connection, now)
+            self.admission.mark_received_bytes(connection, now_s)
         self.resume_accepting()
 
     def sweep(self) -> None:
@@ -103,17 +103,17 @@
         Clients that connect and send nothing, or only part of a request, would otherwise stay forever.
         """
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
-        now = self.loop.time()
+        now_s = self.loop.time()
         for uploading in [
             connection
             for connection in self.uploads
-            if not connection.is_paused and now - connection.phase_began_s >= connection.receive_timeout_s
+            if not connection.is_paused and now_s - connection.phase_began_s >= connection.receive_timeout_s
         ]:
             uploading.reject(RequestRejectedError(408, "the request did not come whole in time"))
         for connection in [
             candidate
             for candidate in self.admission.without_request()
-            if now - candidate.phase_began_s >= candidate.receive_timeout_s
+            if now_s - candidate.phase_began_s >= candidate.receive_timeout_s
         ]:
             if connection.is_receiving or connection.unparsed_bytes:
                 self.mark_busy(connection)
@@ -123,21 +123,21 @@
         for connection in [
             candidate
             for candidate in self.admission.idle
-            if now - candidate.phase_began_s >= candidate.idle_timeout_s
+            if now_s - candidate.phase_began_s >= candidate.idle_timeout_s
         ]:
             if connection.can_close():
                 self.close_connection(connection)
 
     def watch_for_hangup(self, connection: PausedConnection) -> None:
-        """Poll a paused connection for its client's departure while it is in `paused_connections`."""
+        """Poll whether the client has disconnected, while the connection is in `paused_connections`."""
         self.paused_connections[connection] = None
         if self.hangup_timer is None:
             self.hangup_timer = self.loop.call_later(HANGUP_POLL_INTERVAL_S, self.check_hangups)
 
     def check_hangups(self) -> None:
-        """Close the paused connections whose client has left.
+        """Close the paused connections whose client has disconnected.
 
-        Queued requests of a client that has left would otherwise be sent to an upstream later.
+        Queued requests of such a client would otherwise be sent to an upstream later.
         """
         for connection in list(self.paused_connections):
             if connection.is_client_gone():
@@ -197,7 +197,7 @@
                 self.warn_rate_limited(f"accept: {error}")
                 self.pause_accepting_briefly()
                 return
-            # Closed only now: before accept() succeeds it is not known that a client waits for the place.
+            # Closed only now: before accept() succeeds it is not known whether a client waits.
             if evictable is not None:
                 self.connections.discard(evictable)
                 self.close_connection(evictable)
@@ -230,7 +230,7 @@
         connection.close()
 
     def remove(self, connection: DownstreamConnection) -> None:
-        """Note that the connection is closed."""
+        """Record that the connection is closed."""
         self.mark_busy(connection)
         self.connections.discard(connection)
         self.resume_accepting()
@@ -279,7 +279,7 @@
     # Drains
 
     def drain(self) -> None:
-        """Send clients elsewhere until `undrain`.
+        """Report not ready until `undrain`, so that no new clients are sent to this sidecar.
 
         /ready answers 503 at once; existing connections are ended once new ones have stopped arriving.
         """
@@ -296,7 +296,7 @@
             self.notify_front()
 
     def notify_front(self) -> None:
-        """Tell the other protocol's server that `is_ready` has changed."""
+        """Notify the other protocol's server that `is_ready` has changed."""
         if self.front is not None:
             self.front.readiness_changed()
 
@@ -335,13 +335,13 @@
 
         Accepted requests are completed, and connections on their way here are still accepted. Until new ones
         have stopped arriving, existing connections are served as usual: their clients wait for the next
-        process and have nowhere else to go.
+        process and can use no other sidecar.
         """
-        self.is_stopping, began = True, self.loop.time()
+        self.is_stopping, began_s = True, self.loop.time()
         if self.drain_task is not None:
             self.drain_task.cancel()
         self.notify_front()
-        deadline = began + self.max_stop_wait_s()
+        deadline_s = began_s + self.max_stop_wait_s()
         if not self.is_socket_inherited:
             await asyncio.sleep(ACCEPT_AFTER_STOP_S)
         self.is_closing = True
@@ -350,7 +350,7 @@
             # Closing the listening socket resets the connections in its backlog, and their requests are lost.
             # At the limit of connections these have to wait until others have been answered.
             backlog = make_poll(self.listening_socket.fileno(), select.POLLIN)
-            while self.loop.time() < deadline and backlog.poll(0):
+            while self.loop.time() < deadline_s and backlog.poll(0):
                 await asyncio.sleep(POLL_INTERVAL_S)
                 self.accept()
         self.pause_accepting()
@@ -369,18 +369,18 @@
                     self.close_connection(connection)
             # SIGKILL would lose every request that is unanswered by then, and clients keep sending on open
             # connections until it comes. So each request is answered with 504 from the deadline on.
-            if self.loop.time() >= deadline:
+            if self.loop.time() >= deadline_s:
                 for number in list(self.engine.requests):
                     self.engine.fail_request(number, 504)
-            if self.loop.time() >= deadline + FLUSH_TIMEOUT_S:
+            if self.loop.time() >= deadline_s + FLUSH_TIMEOUT_S:
                 for connection in unfinished:
                     # A large response that is cut off here is recognizably incomplete.
                     self.close_connection(connection)
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
         # A client that does not read its response delays the end by no more than this.
-        flush_deadline = self.loop.time() + FLUSH_TIMEOUT_S
-        while self.loop.time() < flush_deadline and any(
+        flush_deadline_s = self.loop.time() + FLUSH_TIMEOUT_S
+        while self.loop.time() < flush_deadline_s and any(
             connection.has_unsent_output() for connection in self.connections
         ):
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/sidecar_proxy/http1/upstream.py
+++ b/sidecar_proxy/http1/upstream.py
@@ -29,11 +29,12 @@
 log = logging.getLogger("sidecar_proxy")
 
 MAX_HEAD_BYTES = 16 * 1024
-# A buffered response with its framing, which takes several times the body if the chunks are small.
+# Maximum size of a buffered response with its framing, which takes several times the body if the chunks are
+# small.
 MAX_BUFFERED_RESPONSE_BYTES = MAX_HEAD_BYTES + 8 * MAX_BUFFERED_BODY_BYTES
 STREAM_AFTER_S = 0.1  # a response of unknown length that is incomplete after this time is streamed
-BODY_STALL_TIMEOUT_S = 10.0  # a body of which no byte has moved for this long is given up
-SWEEP_INTERVAL_S = 0.25
+BODY_STALL_TIMEOUT_S = 10.0  # a body of which no byte is transferred for this long is abandoned
+SWEEP_INTERVAL_S = 0.25  # interval between two checks for connections beyond the idle timeout
 # Minimum time between two requests on a connection, usually and if the upstream has sent bytes that belong to
 # no request. A second response to one request that arrives 1 to 4 ms late would be taken for the response to
 # the next request. The usual delay is waited for, as a new connection takes about as long; instead of the
@@ -110,26 +111,26 @@
     def __init__(
         self,
         render: Callable[[], list[bytes] | None],
-        ended: AttemptCallback,
-        wrote: Callable[[], None] | None = None,
-        opens: ResponseStreamOpener | None = None,
+        on_end: AttemptCallback,
+        on_written: Callable[[], None] | None = None,
+        open_stream: ResponseStreamOpener | None = None,
         upload: Upload | None = None,
     ) -> None:
-        # Returns the parts of the request when they are to be written; None = it is no longer wanted.
+        # Returns the parts of the request when they are to be written; None = it must not be sent any more.
         self.render = render
-        self.on_end = ended
-        self.on_written = wrote  # called once the kernel has the whole request
+        self.on_end = on_end
+        self.on_written = on_written  # called when the request was written completely to the kernel
         # Opens a streamed response, by which the exchange has ended successfully. It returns None if the
-        # response is no longer wanted. If it is None itself, the response is always buffered whole.
-        self.open_response_stream = opens
+        # response is no longer needed. If it is None itself, the response is always buffered completely.
+        self.open_response_stream = open_stream
         self.upload = upload  # the body, if it is streamed
-        self.timeout_s = 0.0  # counted from when the kernel has the whole request
+        self.timeout_s = 0.0  # time-out, counted from when the request was written completely
         self.timer: Timer | None = None
         self.connection: UpstreamConnection | None = None
         self.is_done = False
 
     def finish(self, outcome: api.Outcome, response: UpstreamResponse | None = None) -> None:
-        """End the exchange, unless it has ended: give its connection up and report the outcome."""
+        """End the exchange, unless it has ended: close its connection and report the outcome."""
         if self.is_done:
             return
         self.is_done = True
@@ -141,32 +142,33 @@
         self.on_end(outcome, response)
 
     def abandon_unsent(self, outcome: api.Outcome) -> None:
-        """End it with this outcome if it is partly written: the request is over.
+        """End the exchange with this outcome if its request is partly written and was answered otherwise.
 
-        Otherwise the rest would be sent once the upstream reads on, and the request would run for nobody.
+        Otherwise the remaining part would be sent once the upstream reads again, and the request would run
+        although no client waits for it.
         """
         connection = self.connection
         if connection is not None and not connection.is_request_written:
             self.finish(outcome)
 
     def expire_unsent(self) -> None:
-        """End it as NOT_SENT unless it is completely written: it must not be sent any more.
+        """End the exchange as NOT_SENT unless its request is completely written: it may not be sent now.
 
-        A connection that is still being made for it is kept for the next request.
+        A connection that is still being established for it is kept for the next request.
         """
         if self.connection is None or not self.connection.is_request_written:
             self.finish(api.Outcome.NOT_SENT)
 
     def expire(self) -> None:
-        """End it at its time-out. A request that was not completely written has not run."""
+        """End the exchange at its time-out. A request that was not completely written has not run."""
         connection = self.connection
         if connection is not None and not connection.is_request_submitted:
-            now = connection.loop.time()
+            now_s = connection.loop.time()
             has_no_backlog = (
                 connection.transport is not None and not connection.transport.get_write_buffer_size()
             )
             # The upload waits for its client, whose time limits the server enforces.
-            if has_no_backlog or now - connection.last_progress_s < BODY_STALL_TIMEOUT_S:
+            if has_no_backlog or now_s - connection.last_progress_s < BODY_STALL_TIMEOUT_S:
                 self.timer = connection.pool.timers.call_later(self.timeout_s, self.expire)
                 return
         if connection is None or not connection.is_request_written:
@@ -174,21 +176,21 @@
             return
         upstream = connection.upstream
         if upstream.last_received_s < connection.began_s:
-            # A machine that has vanished leaves its connections open and silent. An unsafe request sent on
+            # A machine that has failed leaves its connections open and silent. An unsafe request sent on
             # one of them is lost, while a new connection fails before anything can run.
             upstream.close_idle()
         self.finish(api.Outcome.TIMEOUT)
 
 
 def make_poll(descriptor: int, events: int) -> select.poll:
-    """Return a poll object whose poll(0) says whether one of the events has occurred."""
+    """Return a poll object whose poll(0) reports whether one of the events has occurred."""
     poll = select.poll()
     poll.register(descriptor, events)
     return poll
 
 
 def make_hangup_poll(transport: asyncio.BaseTransport) -> select.poll:
-    """Return a poll object whose poll(0) says whether the remote end has closed or reset the connection.
+    """Return a poll object whose poll(0) reports whether the remote end has closed or reset the connection.
 
     It reports that even if there is unread input before the close.
     """
@@ -196,7 +198,7 @@
 
 
 def make_input_poll(transport: asyncio.BaseTransport) -> select.poll:
-    """Return a poll object whose poll(0) says whether there is unread input."""
+    """Return a poll object whose poll(0) reports whether there is unread input."""
     return make_poll(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
 
@@ -214,23 +216,25 @@
         self.loop = pool.loop
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
-        self.is_request_written = False  # the kernel has the whole request
-        self.is_request_submitted = False  # the transport was given the whole request
+        self.is_request_written = False  # whether the request was written completely to the kernel
+        self.is_request_submitted = False  # whether the complete request was passed to the transport
         self.sink: ResponseSink | None = None  # destination of a streamed response
-        self.is_paused = False  # reading is paused, as the sink takes no more for now
+        self.is_paused = False  # whether reading is paused, by backpressure of the sink
         self.began_s = self.last_progress_s = 0.0
         # By the monotonic clock: the loop's clock counts milliseconds and stands still during an iteration.
         self.idle_since_s = 0.0
         self.is_response_complete = self.keep_alive = self.ends_with_connection = False
         self.is_closed_locally = False
-        self.is_lost = False  # it no longer counts against the pool's limit
-        self.body_timer: asyncio.TimerHandle | None = None  # opens the stream, or finds it stalled
+        self.is_lost = False  # whether it is closed and no longer counts against the pool's limit
+        self.body_timer: asyncio.TimerHandle | None = (
+            None  # opens the stream of a response, or detects that it has stalled
+        )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport, and have it pass each write to the kernel at once.
 
-        By default a request may stay in the loop's own buffer. With no buffer allowed, resume_writing() tells
-        when the kernel has taken what it could not take at once.
+        By default a request may stay in the loop's own buffer. With no buffer allowed, resume_writing()
+        is called when the kernel has accepted what it could not accept at once.
         """
         self.transport = cast(asyncio.Transport, transport)  # uvloop's has the methods but not the base class
         self.transport.set_write_buffer_limits(high=0)
@@ -262,7 +266,7 @@
             self.pool.dispatch(self.upstream, exchange)
 
     def is_usable(self) -> bool:
-        """Say whether a request can be written to it.
+        """Return whether a request can be written to the connection.
 
         The upstream's close may be unread yet: a request that is written after it is answered by a reset.
         """
@@ -274,7 +278,7 @@
         )
 
     def begin(self, exchange: Exchange) -> None:
-        """Write the request of an exchange, as far as it is there."""
+        """Write the request of an exchange, as far as its body has arrived."""
         data = exchange.render() if self.upstream.is_ready() else None
         if data is None:
             self.return_to_pool()
@@ -286,9 +290,9 @@
         self.has_second_response = self.is_response_complete = self.ends_with_connection = False
         self.headers: list[tuple[bytes, bytes]] = []
         self.body = bytearray()
-        self.response_bytes = 0  # received of this response
+        self.response_bytes = 0  # bytes received of this response
         self.is_in_head = True
-        self.content_length: int | None = None  # as the head of the response gives it
+        self.content_length: int | None = None  # Content-Length in the head of the response
         self.began_s = self.last_progress_s = self.loop.time()
         self.is_request_written = False
         self.is_request_submitted = exchange.upload is None
@@ -299,14 +303,14 @@
         self.write_body()
 
     def write_body(self) -> None:
-        """Write what has arrived of a streamed body; note when the kernel has the whole request."""
+        """Write what has arrived of a streamed body; detect when the request is completely written."""
         exchange, transport = self.exchange, self.transport
         if exchange is None or transport is None or transport.is_closing() or self.is_request_written:
             return
         upload = exchange.upload
         while upload is not None and not self.is_request_submitted and not transport.get_write_buffer_size():
             if upload.has_failed:
-                # This closes the connection, so the upstream never receives the whole request.
+                # This closes the connection, so the upstream never receives the complete request.
                 exchange.finish(api.Outcome.NOT_SENT)
                 return
             piece = upload.consume()
@@ -339,13 +343,13 @@
             self.transport.abort()
 
     def pause_writing(self) -> None:
-        """Do nothing: the kernel lacks part of the output, and resume_writing() follows."""
+        """Do nothing: the kernel has not accepted all output, and resume_writing() follows."""
 
     def resume_writing(self) -> None:
-        """Continue: the kernel has all output so far."""
+        """Continue: the kernel has accepted all output so far."""
         transport = self.transport
         if transport is not None and transport.is_closing():
-            # After the end of input was read and before the transport is closed, the rest may still be sent.
+            # After the end of input was read and before the transport is closed, output may still be sent.
             self.is_request_written = self.is_request_written or (
                 self.is_request_submitted and not transport.get_write_buffer_size()
             )
@@ -360,20 +364,20 @@
             self.close()
             return
         self.response_bytes += len(data)
-        why = ""
+        reason = ""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            why = "a protocol upgrade that was not requested"
+            reason = "a protocol upgrade that was not requested"
         except httptools.HttpParserError as error:
-            why = str(error.__context__ or error)
+            reason = str(error.__context__ or error)
         if self.is_response_complete:
             # Bytes behind a complete response don't belong to it, but on this connection they could not be
             # told from the response to the next request.
-            self.keep_alive = self.keep_alive and not why
+            self.keep_alive = self.keep_alive and not reason
             self.finish()
-        elif why:
-            self.fail(why)
+        elif reason:
+            self.fail(reason)
         elif self.sink is not None:
             self.last_progress_s = self.loop.time()
         elif self.response_bytes > (MAX_HEAD_BYTES if self.is_in_head else MAX_BUFFERED_RESPONSE_BYTES):
@@ -390,7 +394,7 @@
     # Streamed responses
 
     def may_stream(self) -> bool:
-        """Say whether the response may be streamed: it is a 200, and the exchange provides for it."""
+        """Return whether the response may be streamed: it is a 200, and the exchange allows it."""
         return (
             self.exchange is not None
             and self.exchange.open_response_stream is not None
@@ -404,7 +408,7 @@
             return
         # Otherwise the timer would stream the next exchange's response before anything of it has arrived.
         self.cancel_body_timer()
-        if exchange.is_done:  # the response is no longer wanted
+        if exchange.is_done:  # the response is no longer needed
             self.close()
             return
         values = {name.lower(): value for name, value in self.headers}
@@ -426,7 +430,7 @@
         self.body_timer = self.loop.call_later(BODY_STALL_TIMEOUT_S / 2, self.check_stall)
 
     def cancel_body_timer(self) -> None:
-        """Cancel the timer that opens the stream or finds it stalled."""
+        """Cancel the timer that opens the stream or detects that it has stalled."""
         if self.body_timer is not None:
             self.body_timer.cancel()
             self.body_timer = None
@@ -450,21 +454,21 @@
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading the streamed response."""
         self.last_progress_s = self.loop.time()
         if self.is_paused and self.transport is not None and not self.transport.is_closing():
             self.is_paused = False
             self.transport.resume_reading()
 
     def abandon(self) -> None:
-        """Close the connection: the rest of the streamed response is not wanted."""
+        """Close the connection: the rest of the streamed response is not needed."""
         self.sink = None
         self.close()
 
-    def fail(self, why: str) -> None:
+    def fail(self, reason: str) -> None:
         """Fail the exchange: an incomplete or malformed response is never passed on as a success."""
         self.pool.warn_rate_limited(
-            f"upstream {self.upstream.address[0]}:{self.upstream.address[1]}: bad response: {why}"
+            f"upstream {self.upstream.address[0]}:{self.upstream.address[1]}: bad response: {reason}"
         )
         if self.sink is not None:
             self.close()
@@ -490,7 +494,7 @@
         if self.is_response_complete or 100 <= self.parser.get_status_code() < 200:
             return
         self.is_in_head = False
-        # The size is checked here too, as the whole response may arrive in one read.
+        # The size is checked here too, as the complete response may arrive in one read.
         head_bytes = sum(len(name) + len(value) + 4 for name, value in self.headers)
         is_framed = closes = False
         for name, value in self.headers:
@@ -523,7 +527,7 @@
             self.sink.write(body)
 
     def on_message_complete(self) -> None:
-        """Note that the response is complete; 1xx responses are skipped."""
+        """Record that the response is complete; 1xx responses are skipped."""
         if self.is_response_complete:
             return
         if 100 <= self.parser.get_status_code() < 200:
@@ -579,7 +583,7 @@
         upstream.idle[self] = self.pool.idle[self] = None
 
     def abort_exchange(self) -> None:
-        """Give the exchange up by closing the connection: it ends before its response is complete."""
+        """Abandon the exchange by closing the connection: it ends before its response is complete."""
         if self.exchange is not None and self.exchange.upload is not None:
             self.exchange.upload.on_data = None
         self.exchange = None
@@ -598,7 +602,10 @@
             self.transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Free the connection's place, and end its exchange: successfully if the response ends with it."""
+        """Stop counting the connection against the limit, and end its exchange.
+
+        The exchange ends successfully if the end of the connection is the end of the response.
+        """
         if self.is_lost:
             return
         self.is_lost = True
@@ -637,7 +644,7 @@
             max(idle_timeout_s / 2, idle_timeout_s - 0.5) if idle_timeout_s > 0 else float("inf")
         )
         self.max_connections = self.configured_max_connections = max_connections
-        self.open_connections = 0  # including those that are being made
+        self.open_connections = 0  # number of connections, including those that are being established
         self.upstreams: dict[int, ListedUpstream] = {}
         # All idle connections, longest idle first. In a plain dict, finding the first would take linear time.
         self.idle: OrderedDict[UpstreamConnection, None] = OrderedDict()
@@ -679,7 +686,7 @@
             self.remove_if_gone(old)
 
     def connection_closed(self, upstream: ListedUpstream) -> None:
-        """Note that a connection to the upstream is closed, or could not be made."""
+        """Record that a connection to the upstream is closed, or could not be established."""
         self.open_connections -= 1
         upstream.open_connections -= 1
         self.remove_if_gone(upstream)
@@ -696,13 +703,13 @@
     def exchange(
         self,
         render: Callable[[], list[bytes] | None],
-        ended: AttemptCallback,
-        wrote: Callable[[], None] | None = None,
-        opens: ResponseStreamOpener | None = None,
+        on_end: AttemptCallback,
+        on_written: Callable[[], None] | None = None,
+        open_stream: ResponseStreamOpener | None = None,
         upload: Upload | None = None,
     ) -> Exchange:
         """Return an exchange that has not begun."""
-        return Exchange(render, ended, wrote, opens, upload)
+        return Exchange(render, on_end, on_written, open_stream, upload)
 
     def start(self, upstream: int, exchange: Attempt, timeout_s: float) -> None:
         """Begin an exchange with the upstream of this number; it may end before this returns."""
@@ -759,7 +766,7 @@
                 await self.loop.create_connection(partial(as_protocol, connection), *upstream.address)
         except (OSError, TimeoutError, ValueError) as error:  # ValueError: not a valid host name
             connection.close()
-            # The loop does not call this for a connection that was made just before the time-out.
+            # The loop does not call this for a connection that was established just before the time-out.
             connection.connection_lost(error)
             is_local = isinstance(error, OSError) and error.errno in LOCAL_ERRNOS
             if is_local:
@@ -768,7 +775,7 @@
             return
         if connection.transport is None or connection.transport.is_closing():
             exchange.finish(api.Outcome.CONNECT_FAILED)
-        elif exchange.is_done:  # given up meanwhile; the connection is kept for the next request
+        elif exchange.is_done:  # ended meanwhile; the connection is kept for the next request
             connection.return_to_pool()
         elif connection.generation != upstream.generation:
             connection.close()
