--- a/sidecar_proxy/admin/commands.py
+++ b/sidecar_proxy/admin/commands.py
@@ -50,7 +50,7 @@
         self.server = server
         self.hot_restart = hot_restart
         self.suspensions = Suspensions()
-        self.is_serving = False  # this process accepts clients
+        self.is_serving = False  # whether this process accepts clients
         overrides.name_listeners.append(self.suspensions.add_listed)
         self.set_suspended_names(hot_restart.suspensions.read() or set())
         self.warm_start = WarmStart(engine, directory, hot_restart.warm_start_file)
--- a/sidecar_proxy/admin/endpoint_overrides.py
+++ b/sidecar_proxy/admin/endpoint_overrides.py
@@ -28,7 +28,8 @@
     def __init__(self, engine: Engine, directory: EndpointDirectory) -> None:
         self.engine = engine
         self.directory = directory
-        self.latest_starts_us: dict[str, Mapping[str, int]] = {}  # by source, then by endpoint name
+        # Latest start (Unix us) to which an override applies, by source and then by endpoint name.
+        self.latest_starts_us: dict[str, Mapping[str, int]] = {}
         self.name_listeners: list[Callable[[str], None]] = []  # called with each name in an endpoint list
         engine.apply_overrides = self.apply_to_list
 
--- a/sidecar_proxy/admin/process_locks.py
+++ b/sidecar_proxy/admin/process_locks.py
@@ -25,9 +25,8 @@
 
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
-        self.descriptors: dict[
-            str, int
-        ] = {}  # descriptors of the locks that this process holds, by lock name
+        # Descriptors of the locks that this process holds, by lock name.
+        self.descriptors: dict[str, int] = {}
         self.has_warned = False  # whether a warning was logged since the lock files could last be opened
 
     def claim_serving(self) -> bool:
--- a/sidecar_proxy/admin/server.py
+++ b/sidecar_proxy/admin/server.py
@@ -17,9 +17,9 @@
 log = logging.getLogger("sidecar_proxy")
 
 MAX_LINE_BYTES = 1024
-MAX_CONNECTIONS = 24  # with more, the oldest connection is closed
+MAX_CONNECTIONS = 24  # the oldest connection is closed if there are more
 TIMEOUT_S = 5.0  # maximum time for a client to send its command, and for a command to answer
-MAX_LOGGED_COMMAND_LENGTH = 20  # characters
+MAX_LOGGED_COMMAND_LENGTH = 20  # maximum number of characters of a command that are logged
 
 # Takes the argument of a command line and returns the answer. Raises AdminCommandError.
 AdminCommand = Callable[[str], str | Awaitable[str]]
--- a/sidecar_proxy/admin/suspensions.py
+++ b/sidecar_proxy/admin/suspensions.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 MAX_SUSPENSIONS = 100_000
-MAX_NAME_LENGTH = 256  # characters
+MAX_NAME_LENGTH = 256  # maximum number of characters in an endpoint's name
 
 
 class SuspensionError(Exception):
--- a/sidecar_proxy/admin/warm_start.py
+++ b/sidecar_proxy/admin/warm_start.py
@@ -1,6 +1,6 @@
 """Passes the warm-start state of this process to its successor, and takes it over from its predecessor.
 
-The warm-start state is what a process has learnt about its upstreams, such as their concurrency limits.
+The warm-start state is what a process has measured of its upstreams, such as their concurrency limits.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 log = logging.getLogger("sidecar_proxy")
 
 PUBLISH_INTERVAL_S = 0.4  # minimum interval between two writes of the state while there is a successor
-MAX_FRESH_AGE_S = 1.0  # an older state was written by a process that no longer serves
+MAX_FRESH_AGE_S = 1.0  # a state of a greater age was written by a process that no longer serves
 MAX_WAIT_S = 0.6  # maximum wait for the serving process to detect its successor and to write its state
 POLL_INTERVAL_S = 0.02  # interval for polling the file while waiting
 
--- a/sidecar_proxy/admin/warm_start_codec.py
+++ b/sidecar_proxy/admin/warm_start_codec.py
@@ -26,7 +26,7 @@
 DIGEST_BYTES = 16
 
 MAX_TRUSTED_AGE_US = 2_000_000  # up to this age the state has its full weight
-MAX_AGE_US = 10_000_000  # from this age on the state is rejected; in between its weight falls linearly
+MAX_AGE_US = 10_000_000  # from this age on the state is rejected; between the two its weight falls linearly
 MAX_CLOCK_SKEW_US = 1_000_000  # a timestamp further in the future is not of this machine's clock
 
 
@@ -56,13 +56,12 @@
 class UpstreamRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
     """The measurements of one upstream; stored as an array in the order of the fields."""
 
-    name: Annotated[str, msgspec.Meta(min_length=1, max_length=256)]  # discovery's `host`
+    name: Annotated[str, msgspec.Meta(min_length=1, max_length=256)]  # `host` in the endpoint list
     started_us: Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]  # Unix time, from the endpoint list
     concurrency_limit: Annotated[float, msgspec.Meta(ge=0, le=1e6)]
-    failure_rate: Annotated[float, msgspec.Meta(ge=0, le=1)]  # failure rate of the last attempts
-    response_time_us: Annotated[
-        float, msgspec.Meta(ge=0, le=1e12)
-    ]  # typical response time; 0: no response yet
+    failure_rate: Annotated[float, msgspec.Meta(ge=0, le=1)]  # share of recent attempts that failed
+    # typical response time; 0 = no response yet
+    response_time_us: Annotated[float, msgspec.Meta(ge=0, le=1e12)]
 
 
 class WarmStartRecord(msgspec.Struct, frozen=True, array_like=True, forbid_unknown_fields=True):
@@ -72,7 +71,8 @@
     response_times_us: dict[
         Annotated[str, msgspec.Meta(max_length=256)], Annotated[float, msgspec.Meta(ge=0, le=1e12)]
     ]  # typical response times by the name of the request class
-    total_limit_ratio: Annotated[float, msgspec.Meta(ge=0, le=1e6)]  # as in api.WarmStartState
+    # the total concurrency limit divided by its initial value
+    total_limit_ratio: Annotated[float, msgspec.Meta(ge=0, le=1e6)]
     upstreams: Annotated[list[UpstreamRecord], msgspec.Meta(max_length=MAX_UPSTREAMS)]
 
 
--- a/sidecar_proxy/daemon/__main__.py
+++ b/sidecar_proxy/daemon/__main__.py
@@ -60,7 +60,7 @@
     hot_restart = HotRestart.from_environment(os.environ) if has_hot_restart else None
     settings = replace(
         settings,
-        max_upstreams=max_connections,  # of a larger fleet a subset is used
+        max_upstreams=max_connections,  # if more are listed, a subset is used
         is_successor=hot_restart is not None and not hot_restart.locks.claim_serving(),
     )
     pool = ConnectionPool(settings.connect_timeout_us / 1e6 or 1.0, settings.idle_us / 1e6, max_connections)
--- a/sidecar_proxy/daemon/subsystems.py
+++ b/sidecar_proxy/daemon/subsystems.py
@@ -33,10 +33,12 @@
     engine: Engine
     directory: EndpointDirectory
     server: Listener
-    discovery: PlatformDiscoveryClient  # the platform's endpoint list; a subsystem may replace its `sink`
+    discovery: PlatformDiscoveryClient  # the platform's endpoint list; a subsystem may replace its `listener`
     admin_server: AdminServer | None = None
     overrides: EndpointOverrides | None = None  # upstreams that operators have suspended or drained
-    started: dict[str, RunningSubsystem] = field(default_factory=dict)  # by `Subsystem.key`
+    started: dict[str, RunningSubsystem] = field(
+        default_factory=dict
+    )  # running subsystems by `Subsystem.key`
 
 
 class RunningSubsystem(Protocol):
--- a/sidecar_proxy/discovery/etcd/follower.py
+++ b/sidecar_proxy/discovery/etcd/follower.py
@@ -8,7 +8,7 @@
 A watch is checked when it starts and regularly after that: the follower requests a progress notification and
 makes a linearizable read (KV API, Range), whose answer has the current revision of the cluster. A member that
 doesn't answer both in time, or whose watch stays behind the revision of the read, may be cut off or far
-behind, and the follower goes on to the next member. So a write is received within CHECK_INTERVAL_US +
+behind, and the follower dials the next member. So a write is received within CHECK_INTERVAL_US +
 CHECK_TIMEOUT_US and one dial, as long as one of the members dialled next is healthy.
 
 Times are microseconds.
@@ -26,13 +26,15 @@
 from sidecar_proxy.discovery.model import EndpointEntry, EntryError, parse_entry, shorten
 from sidecar_proxy.grpc.status import Code
 
-MAX_KEYS = 50_000  # of a prefix
+MAX_KEYS = 50_000  # maximum number of keys under the prefix
 PAGE_KEYS = 1000  # keys in one page of a list
-DIAL_TIMEOUT_US = 1_000_000  # for a dial, and for the answer to an authentication
-LIST_TIMEOUT_US = 5_000_000  # for one page
-CHECK_INTERVAL_US = 700_000  # between two checks of a watch
-CHECK_TIMEOUT_US = 600_000  # for the answers to a check, and for a member that is behind to catch up
-MIN_BACKOFF_US = 50_000  # doubled with each failed try; the delay is drawn from the upper half
+DIAL_TIMEOUT_US = 1_000_000  # maximum time for a dial, and for the answer to an authentication
+LIST_TIMEOUT_US = 5_000_000  # maximum time for one page of a list
+CHECK_INTERVAL_US = 700_000  # interval between two checks of a watch
+# Maximum time for the answers to a check, and for a member that is behind to catch up.
+CHECK_TIMEOUT_US = 600_000
+# Backoff after the first failed try, doubled with each further one; the delay is drawn from its upper half.
+MIN_BACKOFF_US = 50_000
 # Together with one dial, the longest delay until a write is received that is made just after etcd is back.
 MAX_BACKOFF_US = 1_500_000
 GONE = UpstreamState.GONE
@@ -118,23 +120,25 @@
         # Members in the order of dials, shuffled so that not all sidecars connect to the first one.
         self.dial_order = rng.sample(range(endpoints), endpoints)
         self.dial_position = 0
-        self.state = "idle"  # or dial, auth, list, watch, wait
+        self.state = "idle"  # one of idle, dial, auth, list, watch and wait
         self.due_us = 0  # time of the next `tick`
-        self.failed_tries = 0  # since a watch last received something
+        self.failed_tries = 0  # failed tries since a watch last received an answer
         self.epoch = ""
         self.revision = -1  # the last revision that is completely received
         self.must_list = True
         self.page_limit = PAGE_KEYS
-        self.listed_entries: dict[str, EndpointEntry] = {}  # of the list in progress
+        self.listed_entries: dict[str, EndpointEntry] = {}  # valid entries of the list in progress, by name
         self.listed_keys = 0  # number of keys of the list in progress
         self.list_revision = 0
         self.list_epoch = ""
-        self.events: list[pb.Event] = []  # of a fragmented answer
+        self.events: list[pb.Event] = []  # events of a fragmented answer that is incomplete
         self.next_check_us = 0
-        self.check_deadline_us = 0  # for the answers to the last check
+        self.check_deadline_us = 0  # time by which the last check has to be answered
         # Whether the last check is still unanswered: on the watch, and by the read.
         self.is_watch_unanswered = self.is_read_unanswered = False
-        self.behind_since_us = 0  # since when the watch has been behind the cluster; 0 = it is not
+        self.behind_since_us = (
+            0  # time since which the watch has been behind the cluster; 0 = it is not behind
+        )
         self.expected_revision = 0  # the revision that the watch has to reach
         self.last_valid: dict[str, EndpointEntry] = {}  # the last valid value of each endpoint
 
@@ -168,7 +172,7 @@
         return [PROGRESS_REQUEST]
 
     def expect_revision(self, now_us: int, revision: int) -> None:
-        """Note that the watch is behind the cluster, and wait for it to reach this revision."""
+        """Record that the watch is behind the cluster, and wait for it to reach this revision."""
         self.behind_since_us, self.expected_revision = now_us, revision
         self.due_us = min(self.due_us, now_us + CHECK_TIMEOUT_US)
 
@@ -252,7 +256,7 @@
         return self.fail(now_us, reason)
 
     def tick(self, now_us: int) -> list[Action]:
-        """Do what is due: dial again, check the watch, or give up a member that doesn't answer."""
+        """Perform the due step: dial again, check the watch, or give up a member that doesn't answer."""
         if now_us < self.due_us:
             return []
         if self.state == "wait":
--- a/sidecar_proxy/discovery/etcd/source.py
+++ b/sidecar_proxy/discovery/etcd/source.py
@@ -41,7 +41,7 @@
 
 log = logging.getLogger("sidecar_proxy")
 
-MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # of one answer
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024  # maximum size of one answer
 MAX_PASSWORD_BYTES = 4096
 LIMITS = Limits(
     streams=0, window=1024 * 1024, connection_window=4 * 1024 * 1024, rates=Rates(windows=20_000.0)
@@ -66,7 +66,7 @@
 class GrpcCall:
     """One gRPC call in flight."""
 
-    on_message: Callable[[bytes], None]  # called with each complete message
+    on_message: Callable[[bytes], None]  # called with each complete message of the answer
     on_end: Callable[[Code, str], None]  # called once, with the status and its message
     buffer: bytearray = field(default_factory=bytearray)
     headers: dict[bytes, bytes] = field(default_factory=dict)
@@ -353,7 +353,7 @@
         self.timer = self.loop.call_later(wait_us / 1e6 + 0.001, self.tick)
 
     def tick(self) -> None:
-        """Let the follower do what is due."""
+        """Perform the follower's step that is due."""
         self.perform(self.follower.tick(self.now_us()))
 
     def warn(self, text: str) -> None:
@@ -363,7 +363,7 @@
             log.warning("etcd: %s", text)
 
     def close(self) -> None:
-        """Stop following for good."""
+        """Stop following the prefix; it can't be started again."""
         self.is_closed = True
         if self.timer is not None:
             self.timer.cancel()
--- a/sidecar_proxy/discovery/feed.py
+++ b/sidecar_proxy/discovery/feed.py
@@ -58,7 +58,7 @@
         self.update("roster", changed, is_response)
 
     def list_failed(self) -> None:
-        """Note that a call failed or a watch broke."""
+        """Notify the balancer that a call failed or a watch broke."""
         self.engine.list_failed()
 
     def listed_upstreams(self) -> dict[int, ListedUpstream]:
@@ -126,7 +126,7 @@
             self.send_next_slice()
 
     def send_next_slice(self) -> None:
-        """Send the next slice of pending endpoints; the one after it follows in the next turn of the loop."""
+        """Send the next slice of pending endpoints; the one after it follows in the loop's next iteration."""
         names = list(islice(self.pending, SLICE_ENTRIES))
         for name in names:
             del self.pending[name]
@@ -143,7 +143,7 @@
             self.engine.list_changed(api.ListKind.HELD, upstreams, 0)
 
     def upstream_of(self, name: str) -> ListedUpstream | None:
-        """Return the merged state of an endpoint as the balancer takes it; None if it never knew it."""
+        """Return an endpoint's merged state as a list entry; None if the balancer never had an entry."""
         endpoint = self.merge.endpoint(name)
         if endpoint is None:
             number = self.directory.numbers.get(name)
--- a/sidecar_proxy/discovery/merge.py
+++ b/sidecar_proxy/discovery/merge.py
@@ -16,7 +16,8 @@
 # Share of a source's endpoints that may be missing from a complete list. If more are missing, a second list
 # has to confirm it.
 MAX_MISSING_SHARE = 0.5
-MIN_ENDPOINTS_FOR_SHARE = 10  # a list from a source with fewer is suspect only if all of them are missing
+# The list of a source with fewer endpoints is suspect only if all of them are missing.
+MIN_ENDPOINTS_FOR_SHARE = 10
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,7 +25,7 @@
     """The last report of one source about one endpoint."""
 
     state: UpstreamState
-    entry: EndpointEntry  # the last one that the source reported
+    entry: EndpointEntry  # the last entry that the source reported
     revision: int
     is_carried_over: bool = False  # a drain of an earlier epoch, which no list of a later epoch ends
 
@@ -37,7 +38,7 @@
     epoch: str = ""
     revision: int = -1
     records: dict[str, SourceRecord] = field(default_factory=dict)
-    unconfirmed_missing: frozenset[str] = frozenset()  # missing from the last list, if that was suspect
+    unconfirmed_missing: frozenset[str] = frozenset()  # names missing from the last list, if that was suspect
 
 
 @dataclass(slots=True, frozen=True)
@@ -55,7 +56,9 @@
     """
 
     def __init__(self, sources: Iterable[str]) -> None:
-        self.sources = {name: SourceState(name) for name in sources}  # in order of precedence
+        self.sources = {
+            name: SourceState(name) for name in sources
+        }  # source states by name, in order of precedence
         # Latest start of an endpoint (Unix time) among those reported by sources whose record was dropped.
         self.dropped_starts_ms: dict[str, int] = {}
 
@@ -110,7 +113,7 @@
         return changed | self.remove_deleted(changed)
 
     def is_mass_removal(self, missing: frozenset[str], known_count: int) -> bool:
-        """Say whether a list lacks so many endpoints that it needs confirmation.
+        """Return whether a list lacks so many endpoints that it needs confirmation.
 
         A source that was emptied, or restored in part, would otherwise remove the fleet with one list.
         """
@@ -119,7 +122,7 @@
         return len(missing) == known_count or len(missing) > MAX_MISSING_SHARE * known_count
 
     def is_in_other_source(self, source: SourceState, name: str) -> bool:
-        """Say whether another source lists the endpoint."""
+        """Return whether another source lists the endpoint."""
         return any(
             name in other.records and other.records[name].state is not GONE
             for other in self.sources.values()
--- a/sidecar_proxy/discovery/model.py
+++ b/sidecar_proxy/discovery/model.py
@@ -9,8 +9,8 @@
 
 from sidecar_proxy.balancer.events import UpstreamState
 
-MAX_VALUE_BYTES = 64 * 1024  # of one entry
-MAX_TEXT_LENGTH = 256  # characters of a name, an address or a site
+MAX_VALUE_BYTES = 64 * 1024  # maximum size of one entry's stored value
+MAX_TEXT_LENGTH = 256  # maximum number of characters of a name, an address or a site
 STATE_BY_HEALTH = {
     "in_service": UpstreamState.READY,
     "terminating": UpstreamState.DRAINING,
--- a/sidecar_proxy/discovery/platform_client.py
+++ b/sidecar_proxy/discovery/platform_client.py
@@ -30,17 +30,18 @@
 log = logging.getLogger("sidecar_proxy")
 
 CONNECT_TIMEOUT_S = 2.0
-RESPONSE_TIMEOUT_S = 4.5  # until the first data of a call; discovery queues calls for some seconds
+RESPONSE_TIMEOUT_S = 4.5  # maximum time to the first data of a call; discovery queues calls for some seconds
 # 1.5 heartbeat intervals of 2 s. What a silent watch fails to deliver counts as delivered 6 s after its last
 # data; in the remaining time discovery, which queues calls, has to answer the new calls of many sidecars.
 WATCH_IDLE_TIMEOUT_S = 3.0
 # Timeouts where lists are pushed: the agent runs on this machine and answers at once.
 AGENT_CONNECT_TIMEOUT_S = 0.5
 AGENT_RESPONSE_TIMEOUT_S = 1.0
-MAX_BUFFERED_BYTES = 4 * 1024 * 1024  # of one list, or of what a watch has sent and is not parsed yet
-MAX_FINAL_READ_BYTES = 256 * 1024  # read from the socket when a call is replaced
-STEP_S = 0.003  # time for which a large list may block the event loop before others have a turn
-RETRY_S = 0.25  # where lists are pushed: polling the agent on this machine is cheap
+MAX_BUFFERED_BYTES = 4 * 1024 * 1024  # maximum size of one list, or of the unparsed data of a watch
+MAX_FINAL_READ_BYTES = 256 * 1024  # maximum size of the last read from the socket of a replaced call
+STEP_S = 0.003  # maximum time for which one step of processing a large list blocks the event loop
+# Delay before a failed watch is reopened where lists are pushed: calling the agent on this machine is cheap.
+RETRY_DELAY_S = 0.25
 
 
 class PlatformDiscoveryClient:
@@ -57,7 +58,7 @@
         self.pushed = pushed
         self.listener: EndpointListListener | None = None
         self.watch: DiscoveryCall | None = None
-        self.is_watch_wanted = pushed
+        self.is_subscribed = pushed
         self.is_closed = False
         self.calls: set[DiscoveryCall] = set()
         self.address_generation = 0  # counts changes of the address
@@ -86,18 +87,18 @@
         # out entries that this sidecar doesn't know.
         self.address, self.version = address, 0
         self.address_generation += 1
-        self.subscribe(self.is_watch_wanted)
+        self.subscribe(self.is_subscribed)
         for _ in fetches:
             self.fetch()
 
     def subscribe(self, active: bool) -> None:
         """Open a watch in place of the current one, or only close the current one."""
-        self.is_watch_wanted = active
+        self.is_subscribed = active
         if self.retry_timer is not None:
             self.retry_timer.cancel()
             self.retry_timer = None
         if self.watch is not None:
-            self.watch.cancel()  # the new watch is answered in its place
+            self.watch.cancel()  # the new watch is answered instead
             self.watch = None
         if active:
             self.watch = DiscoveryCall(self, b"?stream=1&index=%d" % self.version)
@@ -118,7 +119,7 @@
             self.process_queue()
 
     def process_queue(self) -> None:
-        """Parse and apply queued objects for at most one step, then continue in the next turn of the loop."""
+        """Parse and apply queued objects for at most one step, then continue in the loop's next iteration."""
         end_s = self.loop.time() + STEP_S
         self.is_reading = True
         while not self.is_closed and (self.steps is not None or self.queue):
@@ -245,10 +246,10 @@
             if self.listener is not None:
                 self.listener.list_failed()
         elif is_current_watch and self.retry_timer is None and not self.is_closed:
-            self.retry_timer = self.loop.call_later(RETRY_S, self.subscribe, True)
+            self.retry_timer = self.loop.call_later(RETRY_DELAY_S, self.subscribe, True)
 
     def close(self) -> None:
-        """Close all calls for good."""
+        """Close all calls, and open no further ones."""
         self.is_closed = True
         if self.retry_timer is not None:
             self.retry_timer.cancel()
@@ -266,10 +267,10 @@
         self.is_watch = bool(query)
         self.is_to_agent = client.pushed and self.is_watch
         self.has_answered = self.is_closed = False
-        self.is_first_object = self.is_watch  # nothing of this watch has been processed yet
-        self.is_paused = False  # an object of this call is queued and not processed yet
-        self.is_complete = False  # the response to a fetch is complete
-        self.is_wanted = True
+        self.is_first_object = self.is_watch  # whether no object of this watch has been processed yet
+        self.is_paused = False  # whether an object of this call is queued and not processed yet
+        self.is_complete = False  # whether the response to a fetch is complete
+        self.must_report_failure = True
         self.transport: asyncio.Transport | None = None
         self.splitter = JsonObjectSplitter()
         self.head_bytes_left = MAX_HEAD_BYTES
@@ -357,7 +358,7 @@
             self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on after the queued object has been processed; close a completed fetch."""
+        """Resume reading after the queued object has been processed; close a completed fetch."""
         self.is_paused = False
         if self.is_closed:
             return
@@ -387,7 +388,7 @@
     def idle_timeout(self) -> None:
         """Fail the call, unless data is waiting in the socket.
 
-        After a turn of the loop that took long, timers run before the data that arrived in the meantime.
+        After a long iteration of the event loop, timers run before the data that arrived in the meantime.
         """
         transport = self.transport
         if transport is not None and not transport.is_closing() and make_input_poll(transport).poll(0):
@@ -412,7 +413,7 @@
         """Close the call; its failure is processed after all objects that it has received."""
         if not self.is_closed:
             self.close()
-            if self.is_wanted:
+            if self.must_report_failure:
                 self.client.warn(reason)
                 self.client.enqueue(None, self)
 
@@ -424,7 +425,7 @@
         """
         if self.is_closed:
             return
-        self.is_wanted, data = False, None
+        self.must_report_failure, data = False, None
         if self.transport is not None and not self.transport.is_closing():
             with contextlib.suppress(OSError):  # the socket is empty or its connection is broken
                 data = os.read(self.transport.get_extra_info("socket").fileno(), MAX_FINAL_READ_BYTES)
--- a/sidecar_proxy/discovery/status_socket.py
+++ b/sidecar_proxy/discovery/status_socket.py
@@ -19,7 +19,7 @@
 from sidecar_proxy.discovery.feed import MembershipFeed
 
 STATUS_TIMEOUT_S = 10.0
-MAX_READERS = 4
+MAX_READERS = 4  # maximum number of connections that are served at once
 
 
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -39,7 +39,7 @@
         self.server = await serve_unix_socket(self.path, self.handle_connection)
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Write the status to one reader; close the connection of one too many."""
+        """Write the status to a reader; close its connection if there are MAX_READERS others."""
         if self.reader_count >= MAX_READERS:
             writer.transport.abort()
             return
--- a/sidecar_proxy/engine/body_buffers.py
+++ b/sidecar_proxy/engine/body_buffers.py
@@ -14,7 +14,7 @@
 MAX_BODY_BYTES = 64 * 1024 * 1024
 # The sender of a streamed body is paused once this much of it is buffered.
 FLOW_CONTROL_WINDOW_BYTES = 128 * 1024
-MIN_BODIES_IN_BUDGET = 4  # one body may use at most a quarter of the budget
+MIN_BODIES_IN_BUDGET = 4  # a single body may use at most a quarter of the budget
 
 
 class BodyMemoryBudget:
@@ -50,7 +50,7 @@
         self.data = bytearray()
         self.buffered_bytes = 0
         self.is_complete = False  # the complete body has arrived
-        self.has_failed = False  # the rest of the body will never arrive
+        self.has_failed = False  # the remaining data of the body will never arrive
         self.is_streaming = False
         # Consumed data is no longer buffered, so a retry can't send the body again.
         self.is_partly_consumed = False
@@ -139,7 +139,7 @@
         """Resume reading."""
 
     def abandon(self) -> None:
-        """Drop the rest of the response: its client has disconnected."""
+        """Drop the remaining data of the response: its client has disconnected."""
 
 
 class ResponseSink(Protocol):
@@ -158,7 +158,10 @@
         """Record that the response is complete."""
 
     def fail(self) -> None:
-        """Record that the rest will never arrive: the client has to see that the response is incomplete."""
+        """Record that the remaining data will never arrive.
+
+        The client has to see that the response is incomplete.
+        """
 
 
 # Opens a streamed response to the client. Arguments: the header lines, the length if it is known, the source,
--- a/sidecar_proxy/engine/engine.py
+++ b/sidecar_proxy/engine/engine.py
@@ -258,7 +258,7 @@
                 self.fail_request(action.request)
 
     def perform(self, action: api.Action) -> None:
-        """Carry out one action. Raises SettingsError for one that the settings do not allow."""
+        """Carry out one action. Raises ValueError for one that the settings do not allow."""
         check_allowed(self.settings, action)
         match action:
             case api.Send():
--- a/sidecar_proxy/engine/gc_control.py
+++ b/sidecar_proxy/engine/gc_control.py
@@ -8,7 +8,9 @@
 
 import gc
 
-YOUNG_GENERATION_THRESHOLD = 5_000  # objects; the default of 700 collects once in 12 requests
+YOUNG_GENERATION_THRESHOLD = (
+    5_000  # new objects per collection; the default of 700 collects once in 12 requests
+)
 MIDDLE_GENERATION_THRESHOLD = 20  # collections of the young generation per collection of this one
 OLD_GENERATION_THRESHOLD = 20  # collections of the middle generation per collection of this one
 GROWTH_FACTOR = 1.25  # a list that has grown by this factor since the last freeze is frozen again
--- a/sidecar_proxy/engine/interfaces.py
+++ b/sidecar_proxy/engine/interfaces.py
@@ -19,7 +19,7 @@
 # Called once with the final response to a request: status, header lines, body.
 Reply = Callable[[int, bytes, bytes], None]
 # Opens a streamed response. Arguments: the header lines, the length if it is known, the value of Srv-Load,
-# and the source. Returns None if the response is no longer wanted.
+# and the source. Returns None if the response is no longer needed.
 ResponseStreamOpener = Callable[[bytes, "int | None", bytes, ResponseSource], "ResponseSink | None"]
 
 
@@ -39,7 +39,7 @@
 
 
 class Attempt(Protocol):
-    """An attempt in flight, as the engine sees it.
+    """The engine's interface to an attempt in flight.
 
     Its end is reported exactly once, whatever ends it. The outcome is NOT_SENT or CONNECT_FAILED only if the
     request was not written completely to the kernel, so that the upstream can't have executed it.
@@ -51,13 +51,13 @@
     def abandon_unsent(self, outcome: api.Outcome) -> None:
         """End the attempt with this outcome when its request was answered otherwise.
 
-        An attempt whose request was written completely to the kernel goes on.
+        An attempt whose request was written completely to the kernel continues.
         """
 
     def expire_unsent(self) -> None:
         """End the attempt as NOT_SENT when its deduplication window is over.
 
-        An attempt whose request was written completely to the kernel goes on.
+        An attempt whose request was written completely to the kernel continues.
         """
 
 
@@ -112,7 +112,7 @@
     """A connection that carries concurrent streams."""
 
     def retire(self) -> None:
-        """Open no new streams; open streams go on."""
+        """Open no new streams; open streams continue."""
 
 
 @dataclass(slots=True, eq=False)
@@ -123,7 +123,9 @@
     address: Address
     grpc_address: Address | None = None  # address for gRPC; None = `address`
     multiplexed: list[MultiplexedConnection] = field(default_factory=list)
-    idle: dict[IdleConnection, None] = field(default_factory=dict)  # idle connections, last used last
+    idle: dict[IdleConnection, None] = field(
+        default_factory=dict
+    )  # idle connections, the most recently used one last
     listed_entry: api.Upstream | None = None  # entry of the endpoint list, before overrides by operators
     last_received_s: float = 0.0  # loop time of the last byte that the upstream sent
     has_violated_protocol: bool = False  # the upstream has sent a response twice, or without a request
--- a/sidecar_proxy/engine/metrics.py
+++ b/sidecar_proxy/engine/metrics.py
@@ -48,7 +48,7 @@
             self.outcome_counts[class_index][outcome_index(status)] += 1
 
     def lines(self, members: int, unavailable_members: int) -> Iterator[str]:
-        """Yield each metric as a line; the numbers of members come from the caller."""
+        """Yield each metric as a line; the caller passes the numbers of members."""
         for name, counts in zip(self.class_names, self.outcome_counts, strict=True):
             for outcome, count in zip(OUTCOMES, counts, strict=True):
                 yield f"{PREFIX}.{outcome}.{name}:{count}|c"
--- a/sidecar_proxy/engine/timers.py
+++ b/sidecar_proxy/engine/timers.py
@@ -42,7 +42,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.heap: list[tuple[float, int, Timer]] = []
+        self.heap: list[tuple[float, int, Timer]] = []  # (due time, sequence number, timer)
         # Number of the last timer: timers that are due at the same time are called in the order they were
         # set.
         self.sequence = 0
