--- a/tests/admin/test_hot_restart.py
+++ b/tests/admin/test_hot_restart.py
@@ -18,7 +18,7 @@
 from tests.admin.admin_sidecar import AdminSidecar
 from tests.sockets import LONG_S, Client, Discovery, Message, Upstream, answer, eventually
 
-NO_ANSWER = 0  # in place of a status: the connection ended without an answer
+NO_ANSWER = 0  # stands in place of a status where the connection ended without an answer
 
 
 class ClientThread(threading.Thread):
@@ -165,7 +165,7 @@
         response = client.read()
         assert response is not None
         assert response.status == 504
-        assert time.monotonic() - stopped_at_s < 14.0  # its deadline is later
+        assert time.monotonic() - stopped_at_s < 14.0  # the request's deadline is later
         release.set()
         client.close()
 
--- a/tests/admin/test_shared_folder.py
+++ b/tests/admin/test_shared_folder.py
@@ -100,7 +100,7 @@
 def test_process_locks_end_with_a_killed_process(tmp_path: Path, locks: ProcessLocks) -> None:
     with process_that_claims_serving(tmp_path, expected_result=True) as predecessor:
         assert not locks.claim_serving()
-        assert not locks.has_successor()  # its own successor lock does not count
+        assert not locks.has_successor()  # the process's own successor lock does not count
         predecessor.send_signal(signal.SIGKILL)
         predecessor.wait(LONG_S)
         assert locks.claim_serving()
--- a/tests/balancer/harness.py
+++ b/tests/balancer/harness.py
@@ -130,7 +130,8 @@
         self.balancer = Balancer(self.settings, seed, self.now_us)
         self.requests: dict[int, RequestState] = {}
         self.listed: dict[int, Upstream] = {}
-        self.not_ready_since_us: dict[int, int] = {}  # since when upstreams have been draining or removed
+        # time since which each upstream has been draining or removed
+        self.not_ready_since_us: dict[int, int] = {}
         self.timers: list[tuple[int, int]] = []
         self.actions: list[Action] = []
         self.next_id = 1
--- a/tests/balancer/test_service_rules.py
+++ b/tests/balancer/test_service_rules.py
@@ -182,8 +182,9 @@
         self.outcome = outcome
         self.new_count = new_count
         self.balancers = [Balancer(self.config, n, START_US) for n in range(sidecars)]
-        self.free_us = dict.fromkeys(range(1, 11), START_US)  # when each upstream has served its queue
-        self.sent_us: list[int] = []  # when upstream 1 got each of its requests
+        # time at which each upstream has served its queue
+        self.free_us = dict.fromkeys(range(1, 11), START_US)
+        self.sent_us: list[int] = []  # times at which upstream 1 got its requests
         # (end time, sidecar, request, upstream, attempt, start time) of each attempt in flight
         self.ends: list[tuple[int, int, int, int, int, int]] = []
         self.attempts: dict[int, int] = {}  # number of attempts of each request
--- a/tests/discovery/test_etcd.py
+++ b/tests/discovery/test_etcd.py
@@ -177,7 +177,8 @@
         for member in scenario.members:
             if member is not old:
                 member.limit = scenario.store.revision - 1
-        scenario.follower.must_list = True  # it has to list, and the other member is at an older revision
+        # the follower has to list, and the other members are at an older revision
+        scenario.follower.must_list = True
         old.stop()
         await wait_until(lambda: scenario.follower.failed_tries >= 3)
         assert scenario.listener.state("s-1") is DRAINING and scenario.listener.list_count == 1
--- a/tests/discovery/test_merge.py
+++ b/tests/discovery/test_merge.py
@@ -42,7 +42,7 @@
     merge.apply_list("roster", "", 4, [entry()])
     merge.apply_changes("roster", "", 5, [("a", entry(dial="10.0.0.3:3"))])
     assert state(merge) is DRAINING and merge.endpoint("a").deciding_source == "etcd"  # type: ignore[union-attr]
-    merge.apply_changes("etcd", "c1", 11, [("a", entry())])  # not a newer revision
+    merge.apply_changes("etcd", "c1", 11, [("a", entry())])  # the revision is not newer
     assert state(merge) is DRAINING
     merge.apply_changes("etcd", "c1", 12, [("a", entry())])
     assert state(merge) is READY
@@ -99,10 +99,11 @@
     assert state(merge) is DRAINING and state(merge, "b") is READY
     merge.apply_list("etcd", "c2", 5, [entry(), entry("b")])  # the next list does not undo it either
     assert state(merge) is DRAINING
-    merge.apply_changes("etcd", "c2", 6, [("a", entry())])  # a change of its own does
+    merge.apply_changes("etcd", "c2", 6, [("a", entry())])  # a change of the endpoint itself does
     assert state(merge) is READY
     merge.apply_changes("etcd", "c2", 7, [("b", entry("b", DRAINING))])
-    merge.apply_list("etcd", "c3", 1, [entry(), entry("b", born_ms=9)])  # so does a later start
+    # a later start ends the drain as well
+    merge.apply_list("etcd", "c3", 1, [entry(), entry("b", born_ms=9)])
     assert state(merge, "b") is READY
 
 
--- a/tests/engine/test_event_orders.py
+++ b/tests/engine/test_event_orders.py
@@ -25,7 +25,7 @@
 from tests.engine.test_engine import NoDiscovery
 
 US_PER_MS = 1000
-UPSTREAM_COUNT = 6  # in four cells of one or two upstreams each
+UPSTREAM_COUNT = 6  # the upstreams are in four cells of one or two each
 DEDUPLICATION_WINDOW_MS = 450  # short enough that a second attempt starts just before its end
 TIMER_SLACK_US = 3 * US_PER_MS  # timers are rounded up to whole milliseconds plus one
 START_US = 1_000_000_000_000
@@ -210,7 +210,7 @@
         finally:
             asyncio._set_running_loop(running_loop)
         self.faults: list[str] = []
-        self.not_ready_since_us: dict[int, int] = {}  # for upstreams that are draining or gone
+        self.not_ready_since_us: dict[int, int] = {}  # time since which each upstream is draining or gone
         self.entries = [
             api.Upstream(n, cell=n // 2, started_us=self.loop.now_us if has_new_upstream and n == 0 else 0)
             for n in range(1, UPSTREAM_COUNT + 1)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -408,7 +408,7 @@
     stream = ResponseStream(fake, b"", 100_000, fake, fake.calls.append)
     fake.stream = stream
     stream.write(b"x")
-    assert stream.is_queued()  # for earlier responses: this is no stall of the upstream
+    assert stream.is_queued()  # it waits for earlier responses, which is no stall of the upstream
     stream.fail()
     assert fake.calls == ["pause", False, 502] and fake.stream is None and not stream.is_queued()
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -192,7 +192,7 @@
 
     with Upstream(script=script) as upstream, Sidecar([upstream], instances="1") as sidecar:
         clients: list[Client] = []
-        for number in range(12):  # more than there are slots: the last ones wait in the buffer
+        for number in range(12):  # there are fewer slots, so the last requests wait in the buffer
             client = sidecar.client()
             client.send("POST", "/pay/7", b"first%d" % number, Req_Deadline="15.0")
             clients.append(client)
@@ -460,7 +460,7 @@
     with Sidecar([shared.upstream], before="ulimit -n 72; ") as sidecar:
         slow = sidecar.client()  # the oldest connection
         slow.socket.sendall(b"POST /pa")
-        silent = [sidecar.client() for _ in range(30)]  # more than the limit
+        silent = [sidecar.client() for _ in range(30)]  # more connections than the limit
         assert sidecar.request("GET", "/read/7").status == 200
         slow.socket.sendall(f"y/4 HTTP/1.1\r\n{HEAD}Content-Length: 1\r\n\r\nx".encode())
         response = slow.read()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -224,7 +224,8 @@
         client = sidecar.client()
         for _ in range(5):
             assert client.request("POST", "/pay/7", b"x").status == 200
-            time.sleep(2 * REUSE_DELAY_S)  # no shorter: the sidecar counts from before the response is here
+            # This must not be shorter: the sidecar counts the delay from before the response arrives here.
+            time.sleep(2 * REUSE_DELAY_S)
         client.close()
         assert upstream.accepted == 1
 
