--- a/sidecar_proxy/discovery/etcd/source.py
+++ b/sidecar_proxy/discovery/etcd/source.py
@@ -25,8 +25,8 @@
 from sidecar_proxy.http2.connection import (
     CANCEL,
     Connection,
+    ConnectionEnded,
     DataReceived,
-    Ended,
     Event,
     GoawayReceived,
     Headers,
@@ -36,8 +36,8 @@
     StreamReset,
     TrailersReceived,
 )
-from sidecar_proxy.http2.endpoint import Endpoint
 from sidecar_proxy.http2.guard import Rates
+from sidecar_proxy.http2.protocol import Http2Protocol
 
 log = logging.getLogger("sidecar_proxy")
 
@@ -72,7 +72,7 @@
     headers: dict[bytes, bytes] = field(default_factory=dict)
 
 
-class MemberConnection(Endpoint, asyncio.Protocol):
+class MemberConnection(Http2Protocol, asyncio.Protocol):
     """An HTTP/2 connection to one member of the cluster."""
 
     def __init__(self, source: EtcdSource, host: str) -> None:
@@ -117,9 +117,9 @@
 
     def handle(self, event: Event) -> None:
         """Handle one HTTP/2 event."""
-        if isinstance(event, Ended | GoawayReceived):
+        if isinstance(event, ConnectionEnded | GoawayReceived):
             self.source.connection_broken(
-                self, f"connection closed: {getattr(event, 'why', 'GOAWAY received')}"
+                self, f"connection closed: {getattr(event, 'reason', 'GOAWAY received')}"
             )
             return
         call = self.calls.get(event.stream)
--- a/sidecar_proxy/grpc/front.py
+++ b/sidecar_proxy/grpc/front.py
@@ -28,15 +28,15 @@
     NO_ERROR,
     PREFACE,
     Connection,
+    ConnectionEnded,
     DataReceived,
-    Ended,
     HeadersReceived,
     Limits,
     StreamError,
     StreamReset,
     TrailersReceived,
 )
-from sidecar_proxy.http2.endpoint import Endpoint
+from sidecar_proxy.http2.protocol import Http2Protocol
 
 START_S = 0.02  # from a call's headers, where its client goes on sending
 LINGER_S = 1.0  # for a client to read its answer
@@ -121,7 +121,7 @@
             self.plain.unparsed_bytes = len(self.data)
 
 
-class GrpcConnection(Endpoint):
+class GrpcConnection(Http2Protocol):
     """One client's connection. To the server it is as ClientConnection is."""
 
     receive_timeout_s = 2.2  # from its accept to its first call
@@ -176,7 +176,7 @@
                     self.on_data(event.stream, b"", True)
                 case StreamReset():
                     self.forget(event.stream)
-                case Ended():
+                case ConnectionEnded():
                     self.broke(event)
         self.front.nodes.relieve()
         self.schedule()
@@ -191,7 +191,7 @@
             if relay.bound is None or not relay.bound.owed:
                 del self.slow[relay.stream]
         for stream in list(self.finishing):
-            if not self.choked and not self.http2.unsent(stream):
+            if not self.is_writing_paused and not self.http2.unsent(stream):
                 del self.finishing[stream]
                 if stream in self.sender_open:
                     # the answer is whole; what the client still sends is not wanted (RFC 9113, 8.1)
@@ -358,7 +358,7 @@
         self.schedule()
 
     def widen(self, stream: int, window: int) -> None:
-        self.http2.widen(stream, window)
+        self.http2.set_receive_window(stream, window)
         self.schedule()
 
     def reset(self, stream: int, code: int) -> None:
@@ -411,7 +411,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         self.http2.refuse_new()
-        if not self.choked:
+        if not self.is_writing_paused:
             self.transport.write(self.http2.outgoing())
         (self.transport.abort if self.transport.get_write_buffer_size() else self.transport.close)()
 
@@ -434,10 +434,10 @@
         self.http2.refuse_new()
         self.schedule()
 
-    def broke(self, event: Ended) -> None:
+    def broke(self, event: ConnectionEnded) -> None:
         """It is of no more use; its GOAWAY says why."""
         if event.code != NO_ERROR:
-            self.server.warn_rate_limited(f"a gRPC client: HTTP/2: {event.why}")
+            self.server.warn_rate_limited(f"a gRPC client: HTTP/2: {event.reason}")
         self.abandoned()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(self.http2.outgoing())
--- a/sidecar_proxy/grpc/nodes.py
+++ b/sidecar_proxy/grpc/nodes.py
@@ -19,6 +19,7 @@
     CANCEL,
     NO_ERROR,
     Connection,
+    ConnectionEnded,
     DataReceived,
     HeadersReceived,
     Limits,
@@ -27,9 +28,8 @@
     TrailersReceived,
     Writable,
 )
-from sidecar_proxy.http2.connection import Ended as ConnectionEnded
 from sidecar_proxy.http2.connection import GoawayReceived as Goaway
-from sidecar_proxy.http2.endpoint import Endpoint
+from sidecar_proxy.http2.protocol import Http2Protocol
 
 MOST_UNSENT = 64 * 1024  # bytes that wait for a node's window, and no more are handed on
 SWEEP_S = 0.25
@@ -178,7 +178,7 @@
     def widen(self, window: int) -> None:
         self.wide = True
         if self.connection is not None:
-            self.connection.http2.widen(self.stream, window)
+            self.connection.http2.set_receive_window(self.stream, window)
 
     def consumed(self, size: int) -> None:
         if self.connection is not None:
@@ -262,7 +262,7 @@
     return first_size(data) in (None, len(data))
 
 
-class NodeConnection(Endpoint):
+class NodeConnection(Http2Protocol):
     """A connection to a node."""
 
     def __init__(self, nodes: Nodes, host: ListedUpstream) -> None:
@@ -283,7 +283,7 @@
     def room(self) -> bool:
         if self.retired or self.generation != self.host.generation:
             return False
-        return len(self.streams) + len(self.waiting) < self.http2.most_streams(STREAMS)
+        return len(self.streams) + len(self.waiting) < self.http2.max_streams(STREAMS)
 
     def place(self, attempt: Attempt) -> None:
         """Hazard: a GOAWAY or the end may be waiting unread, and a call written behind it may have run for
@@ -359,7 +359,7 @@
                         one.source.pump()
                 case Goaway():
                     self.retire()
-                    for stream in [one for one in self.streams if one > event.last]:
+                    for stream in [one for one in self.streams if one > event.last_stream]:
                         self.streams[stream].closed(End.GOAWAY)
                 case ConnectionEnded():
                     self.broke(event)
@@ -405,7 +405,7 @@
         """The connection is of no more use."""
         self.retire()
         if event.code != NO_ERROR:
-            self.nodes.pool.warn_rate_limited(f"node {self.host.address[0]}: HTTP/2: {event.why}")
+            self.nodes.pool.warn_rate_limited(f"node {self.host.address[0]}: HTTP/2: {event.reason}")
         self.flush()
         for attempt in list(self.streams.values()):
             attempt.closed(End.BROKEN if event.code != NO_ERROR else End.CLOSED)
--- a/sidecar_proxy/http2/connection.py
+++ b/sidecar_proxy/http2/connection.py
@@ -18,7 +18,14 @@
 from sidecar_proxy.http2.guard import Guard, Rates
 
 Headers = list[tuple[bytes, bytes]]
-NO_ERROR, PROTOCOL_ERROR, INTERNAL_ERROR, REFUSED_STREAM, CANCEL, CALM = 0x0, 0x1, 0x2, 0x7, 0x8, 0xB
+NO_ERROR, PROTOCOL_ERROR, INTERNAL_ERROR, REFUSED_STREAM, CANCEL, ENHANCE_YOUR_CALM = (
+    0x0,
+    0x1,
+    0x2,
+    0x7,
+    0x8,
+    0xB,
+)
 MOST_HEADERS = 128
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 GOAWAY = 0x7  # the frame's type
@@ -81,19 +88,27 @@
 class GoawayReceived:
     """The peer takes no streams above `last`: those of ours have never run."""
 
-    last: int
+    last_stream: int
     code: int
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class ConnectionEnded:
     """The connection is of no more use; `outgoing` holds the GOAWAY that says why."""
 
     code: int
-    why: str
+    reason: str
 
 
-Event = HeadersReceived | DataReceived | TrailersReceived | StreamReset | Writable | GoawayReceived | Ended
+Event = (
+    HeadersReceived
+    | DataReceived
+    | TrailersReceived
+    | StreamReset
+    | Writable
+    | GoawayReceived
+    | ConnectionEnded
+)
 
 
 class StreamError(Exception):
@@ -127,7 +142,7 @@
         self.core.set_local_window_size(limits.connection_window, stream_id=0)
         self.open: set[int] = set()
         self.held: dict[int, int] = {}  # bytes of a stream that came and are not `consumed`
-        self.ended: Ended | None = None
+        self.ended: ConnectionEnded | None = None
         self.going = False  # the peer knows that the end is near
         self.refusing = False  # and that no new streams are taken
         self.broken = False  # the library's state is beyond mending
@@ -152,7 +167,7 @@
     # From the peer
 
     def receive(self, data: bytes, now_us: int) -> list[Event]:
-        """Never raises: what breaks the protocol is an `Ended`, whose GOAWAY is in `outgoing`."""
+        """Never raises: what breaks the protocol is an `ConnectionEnded`, whose GOAWAY is in `outgoing`."""
         before = self.ended  # hazard: compiled, a test of the attribute itself is believed from here on
         if before is not None:
             return []
@@ -172,7 +187,7 @@
             if self.ended is not None:
                 return found
         if failure is not None:
-            code = CALM if isinstance(failure, ngh2.DenialOfServiceError) else PROTOCOL_ERROR
+            code = ENHANCE_YOUR_CALM if isinstance(failure, ngh2.DenialOfServiceError) else PROTOCOL_ERROR
             self.broken = True
             self.out += struct.pack(">IBIII", 8 << 8 | GOAWAY, 0, 0, self.highest, code)
             found.append(self.end(code, " ".join(str(failure).split())[:200] or type(failure).__name__))
@@ -193,7 +208,7 @@
                 return [HeadersReceived(event.stream_id, plain(event.headers), event.end_stream)]
             case ngh2.DataReceived():
                 if not event.data and not event.end_stream and not self.guard.allows("empty", now_us):
-                    return [self.end(CALM, "too many empty frames")]
+                    return [self.end(ENHANCE_YOUR_CALM, "too many empty frames")]
                 if event.data:
                     self.held[event.stream_id] = self.held.get(event.stream_id, 0) + len(event.data)
                 return [DataReceived(event.stream_id, event.data, event.end_stream)]
@@ -201,7 +216,7 @@
                 return [TrailersReceived(event.stream_id, plain(event.headers))]
             case ngh2.StreamReset():
                 if not self.guard.allows("resets", now_us):
-                    return [self.end(CALM, "too many resets")]
+                    return [self.end(ENHANCE_YOUR_CALM, "too many resets")]
                 self.close(event.stream_id)
                 return [StreamReset(event.stream_id, event.error_code)]
             case ngh2.StreamClosed():
@@ -211,14 +226,14 @@
                     return [StreamReset(event.stream_id, event.error_code)]
             case ngh2.WindowUpdated():
                 if not self.guard.allows("windows", now_us):
-                    return [self.end(CALM, "too many window updates")]
+                    return [self.end(ENHANCE_YOUR_CALM, "too many window updates")]
                 return [Writable(event.stream_id)]
             case ngh2.SettingsReceived():
                 if not self.guard.allows("settings", now_us):
-                    return [self.end(CALM, "too many settings")]
+                    return [self.end(ENHANCE_YOUR_CALM, "too many settings")]
             case ngh2.PingReceived():
                 if not self.guard.allows("pings", now_us):
-                    return [self.end(CALM, "too many pings")]
+                    return [self.end(ENHANCE_YOUR_CALM, "too many pings")]
             case ngh2.GoAwayReceived():
                 return [GoawayReceived(event.last_stream_id, event.error_code)]
             case ngh2.ConnectionClosed():
@@ -231,10 +246,10 @@
         self.open.discard(stream)
         self.consumed(stream, self.held.get(stream, 0))
 
-    def end(self, code: int, why: str) -> Ended:
+    def end(self, code: int, why: str) -> ConnectionEnded:
         """Give the connection up; its GOAWAY goes out with the next `outgoing`."""
         if self.ended is None:
-            self.ended = Ended(code, why)
+            self.ended = ConnectionEnded(code, why)
             self.open.clear()
             with contextlib.suppress(ngh2.NGH2Error):  # the library may have done so by itself
                 self.core.terminate_connection(code)
@@ -242,7 +257,7 @@
 
     # To the peer
 
-    def most_streams(self, most: int) -> int:
+    def max_streams(self, most: int) -> int:
         """What the peer allows to be open together, and at most so many."""
         return min(most, self.core.remote_settings.get(ngh2.Setting.MAX_CONCURRENT_STREAMS, most))
 
@@ -250,7 +265,7 @@
         """A new stream of a client's; None while the peer allows no more, or takes none."""
         if self.ended is not None or not self.core.can_send_request:
             return None
-        if len(self.open) >= self.most_streams(100):
+        if len(self.open) >= self.max_streams(100):
             return None
         try:
             stream = self.core.send_request(headers, end_stream=ended)
@@ -298,7 +313,7 @@
         with contextlib.suppress(ngh2.NGH2Error):  # the connection has just broken
             self.core.acknowledge_received_data(size, stream)
 
-    def widen(self, stream: int, window: int) -> None:
+    def set_receive_window(self, stream: int, window: int) -> None:
         """Let the peer send more on a stream before the first of it is `consumed`."""
         if self.ended is None:
             with contextlib.suppress(ngh2.NGH2Error):  # it is closed already
--- a/sidecar_proxy/http2/endpoint.py
+++ b/sidecar_proxy/http2/protocol.py
@@ -11,7 +11,7 @@
 
 
 @mypyc_attr(allow_interpreted_subclasses=True)
-class Endpoint:
+class Http2Protocol:
     """A transport under a Connection. Nothing is given to a transport that holds something back, so that
     little is in doubt when it breaks. An asyncio.Protocol in all but its bases: with one that is not
     compiled, each attribute would be looked up in a dictionary."""
@@ -20,7 +20,7 @@
         self.http2 = http2
         self.loop = loop
         self.transport: asyncio.Transport | None = None
-        self.choked = False  # the kernel takes no more for now
+        self.is_writing_paused = False  # the kernel takes no more for now
         self.scheduled = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -35,10 +35,10 @@
         """The peer has sent all that it will: asyncio closes the connection."""
 
     def pause_writing(self) -> None:
-        self.choked = True
+        self.is_writing_paused = True
 
     def resume_writing(self) -> None:
-        self.choked = False
+        self.is_writing_paused = False
         self.schedule()
 
     def schedule(self) -> None:
@@ -53,7 +53,7 @@
     def write(self) -> bool:
         """Hand over what there is to send; False where the transport takes nothing now."""
         self.scheduled = False
-        if self.transport is None or self.choked or self.transport.is_closing():
+        if self.transport is None or self.is_writing_paused or self.transport.is_closing():
             return False
         data = self.http2.outgoing()
         if data:
--- a/sidecar_proxy/testbed/grpc.py
+++ b/sidecar_proxy/testbed/grpc.py
@@ -101,7 +101,7 @@
     async def channel(self) -> ClientPeer | None:
         self.channels = [one for one in self.channels if one.usable()]
         for one in self.channels:
-            if len(one.streams) < one.http2.most_streams(100):
+            if len(one.streams) < one.http2.max_streams(100):
                 return one
         if len(self.channels) >= MOST_CONNECTIONS:
             return None
--- a/sidecar_proxy/testbed/http2.py
+++ b/sidecar_proxy/testbed/http2.py
@@ -9,8 +9,8 @@
 from sidecar_proxy.http2.connection import (
     CANCEL,
     Connection,
+    ConnectionEnded,
     DataReceived,
-    Ended,
     Event,
     GoawayReceived,
     HeadersReceived,
@@ -19,8 +19,8 @@
     StreamReset,
     TrailersReceived,
 )
-from sidecar_proxy.http2.endpoint import Endpoint
 from sidecar_proxy.http2.guard import Rates
+from sidecar_proxy.http2.protocol import Http2Protocol
 from sidecar_proxy.testbed.history import now_us
 
 LIMITS = Limits(
@@ -42,7 +42,7 @@
         return bytes(self.data[PREFIX:])
 
 
-class Http2Peer(Endpoint, asyncio.Protocol):
+class Http2Peer(Http2Protocol, asyncio.Protocol):
     """What both sides have in common."""
 
     client = False
@@ -80,11 +80,11 @@
                     self.streams[event.stream].reset = event.code
                     self.whole(event.stream, self.streams[event.stream])
             case GoawayReceived():
-                self.refused_above = event.last
-                for stream in [one for one in self.streams if one > event.last]:
+                self.refused_above = event.last_stream
+                for stream in [one for one in self.streams if one > event.last_stream]:
                     self.streams[stream].reset = 0x7
                     self.whole(stream, self.streams[stream])
-            case Ended():
+            case ConnectionEnded():
                 self.abort()
 
     def whole(self, stream: int, told: Stream) -> None:
--- a/tests/grpc/rig.py
+++ b/tests/grpc/rig.py
@@ -18,8 +18,8 @@
 from sidecar_proxy.http1.upstream import ConnectionPool
 from sidecar_proxy.http2.connection import (
     Connection,
+    ConnectionEnded,
     DataReceived,
-    Ended,
     Event,
     GoawayReceived,
     HeadersReceived,
@@ -139,7 +139,7 @@
         """Code, trailers and message data; code -1 where the stream was reset or the connection is lost."""
 
         def over() -> bool:
-            ended = any(isinstance(one, Ended) for one in self.events)
+            ended = any(isinstance(one, ConnectionEnded) for one in self.events)
             return bool(self.status(stream) is not None or self.of(StreamReset, stream) or self.lost or ended)
 
         await self.until(over)
@@ -147,8 +147,8 @@
         data = b"".join(one.data for one in self.of(DataReceived, stream))
         return int(told.get(b"grpc-status", b"-1")), told, data
 
-    def end(self) -> Ended | None:
-        return next((one for one in self.events if isinstance(one, Ended)), None)
+    def end(self) -> ConnectionEnded | None:
+        return next((one for one in self.events if isinstance(one, ConnectionEnded)), None)
 
     def goaway(self) -> int | None:
         """The code of the last GOAWAY."""
--- a/tests/http2/test_connection.py
+++ b/tests/http2/test_connection.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 
 from sidecar_proxy.http2.connection import (
-    CALM,
     CANCEL,
+    ENHANCE_YOUR_CALM,
     Connection,
+    ConnectionEnded,
     DataReceived,
-    Ended,
     Event,
     GoawayReceived,
     HeadersReceived,
@@ -79,8 +79,8 @@
     return server
 
 
-def ended(events: list[Event]) -> Ended | None:
-    return next((event for event in events if isinstance(event, Ended)), None)
+def ended(events: list[Event]) -> ConnectionEnded | None:
+    return next((event for event in events if isinstance(event, ConnectionEnded)), None)
 
 
 def test_a_call_and_its_trailers() -> None:
@@ -211,7 +211,7 @@
         server.outgoing()
         if last is not None:
             break
-    assert last is not None and last.code == CALM and sent < 5_000
+    assert last is not None and last.code == ENHANCE_YOUR_CALM and sent < 5_000
     calm = raw_server()
     for n in range(100):
         assert ended(calm.receive(FLOODS[name](n), n * S)) is None
@@ -263,7 +263,7 @@
 def test_what_is_no_http2_is_an_end_and_no_exception(data: bytes) -> None:
     server = Connection(False, Limits(), 0)
     last = ended(server.receive(data, 0))
-    assert last is not None and last.code != 0 and "\n" not in last.why
+    assert last is not None and last.code != 0 and "\n" not in last.reason
     told = [payload for kind, _, _, payload in frames(server.outgoing()) if kind == GOAWAY]
     assert told and int.from_bytes(told[-1][4:8], "big") == last.code
     assert server.receive(b"more", 0) == [] and server.open_stream(REQUEST) is None
