--- a/sidecar_proxy/http2/__init__.py
+++ b/sidecar_proxy/http2/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/2 as a protocol without sockets (RFC 9113): bytes in, events out, for gRPC and etcd alike."""
+"""The HTTP/2 protocol without sockets (RFC 9113), used by gRPC and by the etcd client."""
--- a/sidecar_proxy/http2/connection.py
+++ b/sidecar_proxy/http2/connection.py
@@ -1,9 +1,10 @@
-"""One HTTP/2 connection as a state machine: bytes in, events out; bounded buffers and bounded patience.
+"""One HTTP/2 connection as a state machine without I/O: bytes in, events out, with bounded buffers.
 
-Frames, HPACK, stream states and windows are libnghttp2's, through ngh2 (docs/design/grpc.md weighs it). Ours
-are the limits: how much is held for a stream whose peer does not read, how many streams, which floods end a
-connection and with which code, and how a connection ends gracefully (RFC 9113, 6.8: first a GOAWAY that
-refuses nothing, then one with the last stream). Times are microseconds, handed in.
+libnghttp2, through ngh2, does frames, HPACK, stream states and flow control (docs/design/grpc.md compares the
+libraries). This module adds the limits: how much is buffered for a stream whose peer does not read, how many
+streams are open, which floods end a connection and with which error code, and how a connection ends
+gracefully (RFC 9113, 6.8: a first GOAWAY that refuses no stream, then one with the last stream). Times are in
+microseconds and passed in by the caller.
 """
 
 from __future__ import annotations
@@ -15,37 +16,32 @@
 
 import ngh2
 
-from sidecar_proxy.http2.guard import Guard, Rates
+from sidecar_proxy.http2.guard import FrameRateLimiter, Rates
 
 Headers = list[tuple[bytes, bytes]]
-NO_ERROR, PROTOCOL_ERROR, INTERNAL_ERROR, REFUSED_STREAM, CANCEL, ENHANCE_YOUR_CALM = (
-    0x0,
-    0x1,
-    0x2,
-    0x7,
-    0x8,
-    0xB,
-)
-MOST_HEADERS = 128
+# error codes (RFC 9113, 7)
+NO_ERROR, PROTOCOL_ERROR, INTERNAL_ERROR = 0x0, 0x1, 0x2
+REFUSED_STREAM, CANCEL, ENHANCE_YOUR_CALM = 0x7, 0x8, 0xB
+MAX_HEADER_FIELDS = 128
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-GOAWAY = 0x7  # the frame's type
+GOAWAY = 0x7  # frame type
 
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What one connection may take of us."""
+    """The resources that one connection may use."""
 
-    streams: int = 100  # that the peer may have open together
-    header_bytes: int = 16 * 1024  # of one header list, decoded
-    window: int = 64 * 1024  # of a stream: bytes that come before `consumed` is called
-    connection_window: int = 1024 * 1024
-    unsent: int = 256 * 1024  # bytes that wait for one stream's window
+    streams: int = 100  # maximum number of concurrent streams that the peer may open
+    header_bytes: int = 16 * 1024  # maximum size of one decoded header list
+    window: int = 64 * 1024  # receive window of a stream: bytes accepted before `consumed` is called
+    connection_window: int = 1024 * 1024  # receive window of the connection, in bytes
+    unsent: int = 256 * 1024  # maximum number of bytes buffered until one stream's send window opens
     rates: Rates = field(default_factory=Rates)
 
 
 @dataclass(slots=True, frozen=True)
 class HeadersReceived:
-    """A request's (:method first) or an answer's (:status first)."""
+    """The headers of a request (:method first) or of a response (:status first) have arrived."""
 
     stream: int
     headers: Headers
@@ -54,7 +50,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DataReceived:
-    """To be followed by `consumed` when it is dealt with."""
+    """Body data has arrived; the caller calls `consumed` once it has processed it."""
 
     stream: int
     data: bytes
@@ -63,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TrailersReceived:
-    """The peer's side of the stream has ended with these."""
+    """Trailers have arrived, which end the peer's side of the stream."""
 
     stream: int
     headers: Headers
@@ -71,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamReset:
-    """The peer gives a stream up, or has broken its rules."""
+    """The peer has reset a stream, or the stream was closed because the peer violated the protocol on it."""
 
     stream: int
     code: int
@@ -79,14 +75,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Writable:
-    """The window of a stream, or with 0 of the connection, is wider."""
+    """The peer has enlarged the send window of a stream, or of the connection if `stream` is 0."""
 
     stream: int
 
 
 @dataclass(slots=True, frozen=True)
 class GoawayReceived:
-    """The peer takes no streams above `last`: those of ours have never run."""
+    """The peer processes no streams above `last_stream`: requests sent on those have never run."""
 
     last_stream: int
     code: int
@@ -94,7 +90,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionEnded:
-    """The connection is of no more use; `outgoing` holds the GOAWAY that says why."""
+    """The connection can't be used any more; `outgoing` returns the GOAWAY with the error code."""
 
     code: int
     reason: str
@@ -112,22 +108,22 @@
 
 
 class StreamError(Exception):
-    """The stream can't do that: it is closed, or more waits for its window than is allowed."""
+    """The stream can't send: it is closed, or its buffer of unsent data is full."""
 
 
 class Connection:
-    """Either side of a connection."""
+    """One side of a connection, client or server."""
 
     def __init__(self, client: bool, limits: Limits, now_us: int) -> None:
         self.client = client
         self.limits = limits
-        self.guard = Guard(limits.rates, now_us)
+        self.frame_rates = FrameRateLimiter(limits.rates, now_us)
         self.core = ngh2.Connection(
             ngh2.Role.CLIENT if client else ngh2.Role.SERVER,
             ngh2.Configuration(
                 auto_window_update=False,
                 max_inbound_header_list_size=limits.header_bytes,
-                max_inbound_header_count=MOST_HEADERS,
+                max_inbound_header_count=MAX_HEADER_FIELDS,
                 peer_max_concurrent_streams=100,
             ),
         )
@@ -140,213 +136,242 @@
             settings[ngh2.Setting.ENABLE_PUSH] = 0
         self.core.initiate_connection(settings)
         self.core.set_local_window_size(limits.connection_window, stream_id=0)
-        self.open: set[int] = set()
-        self.held: dict[int, int] = {}  # bytes of a stream that came and are not `consumed`
+        self.open_streams: set[int] = set()
+        self.unconsumed_bytes: dict[int, int] = {}  # by stream: bytes received, `consumed` not yet called
         self.ended: ConnectionEnded | None = None
-        self.going = False  # the peer knows that the end is near
-        self.refusing = False  # and that no new streams are taken
-        self.broken = False  # the library's state is beyond mending
-        self.highest = 0  # stream of the peer's
-        self.out = bytearray()
+        self.is_shutdown_announced = False  # the first GOAWAY of a graceful shutdown is sent
+        self.is_refusing_streams = False  # the GOAWAY with the last stream is sent
+        self.is_library_failed = False  # libnghttp2 has raised an error and can't continue
+        self.highest_peer_stream = 0  # highest number of a stream that the peer has opened
+        self.output = bytearray()
 
     def outgoing(self) -> bytes:
-        """What is to be written now."""
-        self.drain()
-        data, self.out = bytes(self.out), bytearray()
+        """Return the bytes to write now, and clear the output buffer."""
+        self.collect_output()
+        data, self.output = bytes(self.output), bytearray()
         return data
 
-    def drain(self) -> int | None:
-        """Take what the library has to send; the code of a GOAWAY among it. Hazard: it is lost when a peer's
-        bytes are beyond mending, and only when it is taken does the library say that it is done."""
-        if self.broken:
+    def collect_output(self) -> int | None:
+        """Move the library's output to our buffer. Return the error code of a GOAWAY in it, or None.
+
+        The output has to be taken before each `receive_data`: the library drops it if it fails on the peer's
+        bytes. The library also reports the end of a connection only after its output has been taken.
+        """
+        if self.is_library_failed:
             return None
         data = self.core.data_to_send()
-        self.out += data
+        self.output += data
         return goaway_code(data)
 
-    # From the peer
+    # input from the peer
 
     def receive(self, data: bytes, now_us: int) -> list[Event]:
-        """Never raises: what breaks the protocol is an `ConnectionEnded`, whose GOAWAY is in `outgoing`."""
-        before = self.ended  # hazard: compiled, a test of the attribute itself is believed from here on
-        if before is not None:
+        """Process bytes from the peer and return the events that result.
+
+        Never raises: a violation of the protocol is a `ConnectionEnded`, whose GOAWAY is in `outgoing`.
+        """
+        # A local variable: mypyc takes a check of the attribute itself as valid for the rest of the
+        # function, and so would not see that `translate_event` sets it.
+        ended_before = self.ended
+        if ended_before is not None:
             return []
         failure: ngh2.NGH2Error | None = None
-        self.drain()
+        self.collect_output()
         try:
             self.core.receive_data(data)
         except ngh2.NGH2Error as error:
             failure = error
-        found: list[Event] = []
+        events: list[Event] = []
         try:
-            told = self.core.events()
+            library_events = self.core.events()
         except ngh2.NGH2Error:
-            told = []  # beyond mending
-        for event in told:
-            found += self.take(event, now_us)
+            library_events = []  # the library can't continue
+        for event in library_events:
+            events += self.translate_event(event, now_us)
             if self.ended is not None:
-                return found
+                return events
         if failure is not None:
             code = ENHANCE_YOUR_CALM if isinstance(failure, ngh2.DenialOfServiceError) else PROTOCOL_ERROR
-            self.broken = True
-            self.out += struct.pack(">IBIII", 8 << 8 | GOAWAY, 0, 0, self.highest, code)
-            found.append(self.end(code, " ".join(str(failure).split())[:200] or type(failure).__name__))
-            return found
-        sent = self.drain()
+            self.is_library_failed = True
+            self.output += struct.pack(">IBIII", 8 << 8 | GOAWAY, 0, 0, self.highest_peer_stream, code)
+            events.append(
+                self.terminate(code, " ".join(str(failure).split())[:200] or type(failure).__name__)
+            )
+            return events
+        sent_code = self.collect_output()
         if not self.core.want_read:
-            # the library has given it up: for a broken rule, or at the end of all streams after a GOAWAY
-            found.append(self.end(sent or NO_ERROR, "the protocol was broken" if sent else "all is done"))
-        return found
-
-    def take(self, event: ngh2.Event, now_us: int) -> Iterable[Event]:
-        """One event of the library's in our terms."""
+            # The library has ended the connection: for a protocol error, or because all streams have ended
+            # after a GOAWAY.
+            events.append(
+                self.terminate(
+                    sent_code or NO_ERROR, "protocol error by the peer" if sent_code else "graceful shutdown"
+                )
+            )
+        return events
+
+    def translate_event(self, event: ngh2.Event, now_us: int) -> Iterable[Event]:
+        """Convert one event of the library to events of this module, and apply the limits to it."""
         match event:
             case ngh2.RequestReceived() | ngh2.ResponseReceived():
-                self.open.add(event.stream_id)
+                self.open_streams.add(event.stream_id)
                 if not self.client:
-                    self.highest = max(self.highest, event.stream_id)
-                return [HeadersReceived(event.stream_id, plain(event.headers), event.end_stream)]
+                    self.highest_peer_stream = max(self.highest_peer_stream, event.stream_id)
+                return [HeadersReceived(event.stream_id, header_pairs(event.headers), event.end_stream)]
             case ngh2.DataReceived():
-                if not event.data and not event.end_stream and not self.guard.allows("empty", now_us):
-                    return [self.end(ENHANCE_YOUR_CALM, "too many empty frames")]
+                if not event.data and not event.end_stream and not self.frame_rates.allows("empty", now_us):
+                    return [self.terminate(ENHANCE_YOUR_CALM, "too many empty DATA frames")]
                 if event.data:
-                    self.held[event.stream_id] = self.held.get(event.stream_id, 0) + len(event.data)
+                    self.unconsumed_bytes[event.stream_id] = self.unconsumed_bytes.get(
+                        event.stream_id, 0
+                    ) + len(event.data)
                 return [DataReceived(event.stream_id, event.data, event.end_stream)]
             case ngh2.TrailersReceived():
-                return [TrailersReceived(event.stream_id, plain(event.headers))]
+                return [TrailersReceived(event.stream_id, header_pairs(event.headers))]
             case ngh2.StreamReset():
-                if not self.guard.allows("resets", now_us):
-                    return [self.end(ENHANCE_YOUR_CALM, "too many resets")]
-                self.close(event.stream_id)
+                if not self.frame_rates.allows("resets", now_us):
+                    return [self.terminate(ENHANCE_YOUR_CALM, "too many RST_STREAM frames")]
+                self.close_stream(event.stream_id)
                 return [StreamReset(event.stream_id, event.error_code)]
             case ngh2.StreamClosed():
-                known = event.stream_id in self.open
-                self.close(event.stream_id)
-                if known and event.local_error is not None:
+                was_open = event.stream_id in self.open_streams
+                self.close_stream(event.stream_id)
+                if was_open and event.local_error is not None:
                     return [StreamReset(event.stream_id, event.error_code)]
             case ngh2.WindowUpdated():
-                if not self.guard.allows("windows", now_us):
-                    return [self.end(ENHANCE_YOUR_CALM, "too many window updates")]
+                if not self.frame_rates.allows("windows", now_us):
+                    return [self.terminate(ENHANCE_YOUR_CALM, "too many WINDOW_UPDATE frames")]
                 return [Writable(event.stream_id)]
             case ngh2.SettingsReceived():
-                if not self.guard.allows("settings", now_us):
-                    return [self.end(ENHANCE_YOUR_CALM, "too many settings")]
+                if not self.frame_rates.allows("settings", now_us):
+                    return [self.terminate(ENHANCE_YOUR_CALM, "too many SETTINGS frames")]
             case ngh2.PingReceived():
-                if not self.guard.allows("pings", now_us):
-                    return [self.end(ENHANCE_YOUR_CALM, "too many pings")]
+                if not self.frame_rates.allows("pings", now_us):
+                    return [self.terminate(ENHANCE_YOUR_CALM, "too many PING frames")]
             case ngh2.GoAwayReceived():
                 return [GoawayReceived(event.last_stream_id, event.error_code)]
             case ngh2.ConnectionClosed():
-                return [self.end(event.error_code, "the connection is given up")]
+                return [self.terminate(event.error_code, "closed by the HTTP/2 library")]
         return []
 
-    def close(self, stream: int) -> None:
-        """A stream is over. Hazard: the library keeps what was not consumed of it out of the connection's
-        window for good; after some dozens of streams given up nothing would come any more."""
-        self.open.discard(stream)
-        self.consumed(stream, self.held.get(stream, 0))
+    def close_stream(self, stream: int) -> None:
+        """Forget a stream that has ended, and return its unconsumed data to the connection's window.
+
+        The library never returns unconsumed data of a closed stream to the connection's receive window by
+        itself: after some dozens of reset streams the peer could send nothing any more.
+        """
+        self.open_streams.discard(stream)
+        self.consumed(stream, self.unconsumed_bytes.get(stream, 0))
 
-    def end(self, code: int, why: str) -> ConnectionEnded:
-        """Give the connection up; its GOAWAY goes out with the next `outgoing`."""
+    def terminate(self, code: int, reason: str) -> ConnectionEnded:
+        """End the connection at once; its GOAWAY is part of the next `outgoing`."""
         if self.ended is None:
-            self.ended = ConnectionEnded(code, why)
-            self.open.clear()
-            with contextlib.suppress(ngh2.NGH2Error):  # the library may have done so by itself
+            self.ended = ConnectionEnded(code, reason)
+            self.open_streams.clear()
+            with contextlib.suppress(ngh2.NGH2Error):  # the library may have ended it already
                 self.core.terminate_connection(code)
         return self.ended
 
-    # To the peer
+    # output to the peer
 
-    def max_streams(self, most: int) -> int:
-        """What the peer allows to be open together, and at most so many."""
-        return min(most, self.core.remote_settings.get(ngh2.Setting.MAX_CONCURRENT_STREAMS, most))
+    def max_streams(self, limit: int) -> int:
+        """Return how many streams the peer allows to be open concurrently, or `limit` if that is lower."""
+        return min(limit, self.core.remote_settings.get(ngh2.Setting.MAX_CONCURRENT_STREAMS, limit))
 
     def open_stream(self, headers: Headers, ended: bool = False) -> int | None:
-        """A new stream of a client's; None while the peer allows no more, or takes none."""
+        """Open a stream as the client; return None while the peer allows no more streams or refuses them."""
         if self.ended is not None or not self.core.can_send_request:
             return None
-        if len(self.open) >= self.max_streams(100):
+        if len(self.open_streams) >= self.max_streams(100):
             return None
         try:
             stream = self.core.send_request(headers, end_stream=ended)
         except ngh2.NGH2Error:
             return None
-        self.open.add(stream)
+        self.open_streams.add(stream)
         return stream
 
     def send_headers(self, stream: int, headers: Headers, ended: bool = False) -> None:
-        """The headers of an answer. Raises StreamError."""
-        with told():
+        """Send the headers of a response. Raises StreamError."""
+        with stream_errors():
             self.core.send_response(stream, headers, end_stream=ended)
 
     def send_data(self, stream: int, data: bytes, ended: bool = False) -> None:
-        """Sent as the windows allow; the rest waits. Raises StreamError, also where too much would wait."""
-        held = self.unsent(stream) + len(data)
-        if held > self.limits.unsent:
-            raise StreamError(f"{held} bytes wait for the window of stream {stream}")
-        with told():
+        """Send body data as far as the windows allow, and buffer the rest.
+
+        Raises StreamError if the stream is closed or the buffer would exceed its limit.
+        """
+        unsent_bytes = self.unsent(stream) + len(data)
+        if unsent_bytes > self.limits.unsent:
+            raise StreamError(
+                f"{unsent_bytes} bytes would wait for the window of stream {stream}, "
+                f"more than the limit of {self.limits.unsent}"
+            )
+        with stream_errors():
             self.core.send_data(stream, data, end_stream=ended)
 
     def send_trailers(self, stream: int, headers: Headers) -> None:
-        """The end of our side, behind all data that waits. Raises StreamError."""
-        with told():
+        """Send trailers, after all buffered data, and end our side of the stream. Raises StreamError."""
+        with stream_errors():
             self.core.send_trailers(stream, headers)
 
     def unsent(self, stream: int) -> int:
-        """Bytes that wait for the stream's window; 0 for one that is closed."""
+        """Return the number of bytes that wait for the stream's send window; 0 for a closed stream."""
         try:
             return self.core.queued_body_size(stream)
         except ngh2.NGH2Error:
             return 0
 
     def consumed(self, stream: int, size: int) -> None:
-        """Data is dealt with: the peer may send as much more. Hazard: to tell it sooner would let a peer fill
-        our memory with what nobody reads."""
-        held = self.held.get(stream, 0)
-        size = min(size, held)
+        """Return `size` bytes of processed data to the receive window, so that the peer may send as many.
+
+        Called only after the data has been processed: earlier, a peer could fill our memory with data that
+        nobody reads.
+        """
+        unconsumed_bytes = self.unconsumed_bytes.get(stream, 0)
+        size = min(size, unconsumed_bytes)
         if size <= 0 or self.ended is not None:
             return
-        if size < held:
-            self.held[stream] = held - size
+        if size < unconsumed_bytes:
+            self.unconsumed_bytes[stream] = unconsumed_bytes - size
         else:
-            del self.held[stream]
-        with contextlib.suppress(ngh2.NGH2Error):  # the connection has just broken
+            del self.unconsumed_bytes[stream]
+        with contextlib.suppress(ngh2.NGH2Error):  # the connection has just failed
             self.core.acknowledge_received_data(size, stream)
 
     def set_receive_window(self, stream: int, window: int) -> None:
-        """Let the peer send more on a stream before the first of it is `consumed`."""
+        """Set the receive window of a stream, in bytes, so that the peer may send more before `consumed`."""
         if self.ended is None:
-            with contextlib.suppress(ngh2.NGH2Error):  # it is closed already
+            with contextlib.suppress(ngh2.NGH2Error):  # the stream is closed already
                 self.core.set_local_window_size(window, stream_id=stream)
 
     def reset(self, stream: int, code: int) -> None:
-        """End a stream at once; nothing more is sent on it."""
-        self.close(stream)
+        """Reset a stream; nothing more is sent on it."""
+        self.close_stream(stream)
         if self.ended is None:
-            with contextlib.suppress(ngh2.NGH2Error):  # it is closed already
+            with contextlib.suppress(ngh2.NGH2Error):  # the stream is closed already
                 self.core.reset_stream(stream, code)
 
     def ping(self, data: bytes) -> None:
-        """Eight bytes that the peer sends back."""
+        """Send a PING frame with 8 bytes of data, which the peer sends back."""
         if self.ended is None:
             self.core.ping(data)
 
     def go_away(self) -> None:
-        """Tell a client that the end is near: what it has sent by then is still taken."""
-        if self.ended is None and not self.going:
-            self.going = True
+        """Announce a graceful shutdown to a client; streams that it has opened by then are still accepted."""
+        if self.ended is None and not self.is_shutdown_announced:
+            self.is_shutdown_announced = True
             self.core.send_shutdown_notice()
 
     def refuse_new(self) -> None:
-        """A round trip later: streams above the last are not taken; those that are open go on."""
-        if self.ended is None and not self.refusing:
-            self.going = self.refusing = True
+        """Refuse new streams, a round trip after `go_away`; streams that are open continue."""
+        if self.ended is None and not self.is_refusing_streams:
+            self.is_shutdown_announced = self.is_refusing_streams = True
             with contextlib.suppress(ngh2.NGH2Error):  # the connection is ending already
                 self.core.send_goaway(NO_ERROR)
 
 
-class told:  # noqa: N801  a context, as contextlib's are
-    """The library's errors on sending, as ours."""
+class stream_errors:  # noqa: N801  a context manager, named in lower case as those of contextlib
+    """Converts the library's errors on sending to StreamError."""
 
     def __enter__(self) -> None: ...
 
@@ -356,14 +381,15 @@
 
 
 def goaway_code(data: bytes) -> int | None:
-    """The code of the last GOAWAY among whole frames (RFC 9113, 4.1 and 6.8)."""
-    found, at = None, len(PREFACE) if data.startswith(PREFACE) else 0
-    while at + 9 <= len(data):
-        if data[at + 3] == GOAWAY:
-            found = int.from_bytes(data[at + 13 : at + 17], "big")
-        at += 9 + int.from_bytes(data[at : at + 3], "big")
-    return found
-
-
-def plain(headers: Iterable[ngh2.Header]) -> Headers:
-    return [(bytes(one[0]), bytes(one[1])) for one in headers]
+    """Return the error code of the last GOAWAY among complete frames, or None (RFC 9113, 4.1 and 6.8)."""
+    code, offset = None, len(PREFACE) if data.startswith(PREFACE) else 0
+    while offset + 9 <= len(data):
+        if data[offset + 3] == GOAWAY:
+            code = int.from_bytes(data[offset + 13 : offset + 17], "big")
+        offset += 9 + int.from_bytes(data[offset : offset + 3], "big")
+    return code
+
+
+def header_pairs(headers: Iterable[ngh2.Header]) -> Headers:
+    """Convert the library's headers to pairs of bytes."""
+    return [(bytes(header[0]), bytes(header[1])) for header in headers]
--- a/tests/http2/frames.py
+++ b/tests/http2/frames.py
@@ -1,4 +1,4 @@
-"""Frames written and read by hand (RFC 9113, 4.1 and 6)."""
+"""Encodes and decodes HTTP/2 frames without the library (RFC 9113, 4.1 and 6)."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 
 def frame(kind: int, flags: int, stream: int, payload: bytes) -> bytes:
+    """Encode one frame."""
     return struct.pack(">I", len(payload))[1:] + bytes([kind, flags]) + struct.pack(">I", stream) + payload
 
 
 def frames(data: bytes) -> list[tuple[int, int, int, bytes]]:
-    """Kind, flags, stream and payload of each whole frame."""
-    found = []
+    """Return the type, flags, stream and payload of each complete frame, without the connection preface."""
+    decoded = []
     data = data.removeprefix(PREFACE)
     while len(data) >= 9 and len(data) >= 9 + int.from_bytes(data[:3], "big"):
         size = int.from_bytes(data[:3], "big")
-        found.append((data[3], data[4], int.from_bytes(data[5:9], "big"), data[9 : 9 + size]))
+        decoded.append((data[3], data[4], int.from_bytes(data[5:9], "big"), data[9 : 9 + size]))
         data = data[9 + size :]
-    return found
+    return decoded
