--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -23,8 +23,8 @@
 
 from sidecar_proxy.balancer import events as api
 from sidecar_proxy.balancer.balancer import Balancer
-from sidecar_proxy.recorder.recording import CutOff, Recording, RecordingError
-from sidecar_proxy.recorder.replay import steps
+from sidecar_proxy.recorder.recording import Recording, RecordingError, TruncatedRecordingError
+from sidecar_proxy.recorder.replay import replay_steps
 
 WAITED = 1 / 4  # of the aim: a late answer that spent more than that in the sidecar
 
@@ -55,7 +55,7 @@
     into.sidecars += 1
     came: dict[int, tuple[int, int]] = {}  # request: when, class
     shown = -1
-    for decisions, difference, frame in steps(head, recording.frames()):
+    for decisions, difference, frame in replay_steps(head, recording.frames()):
         event, now_us = frame.event, frame.now_us
         into.differ += difference is not None
         second = (now_us - into.began_us) // 1_000_000
@@ -166,7 +166,7 @@
         try:
             with open(path, "rb") as file:
                 recording = Recording(file, path.name)
-                with suppress(CutOff):
+                with suppress(TruncatedRecordingError):
                     count(recording, counted)
         except (RecordingError, OSError) as error:
             print(f"left out: {error}", file=sys.stderr)
--- a/benchmarks/replay_recordings.py
+++ b/benchmarks/replay_recordings.py
@@ -18,7 +18,7 @@
 from sidecar_proxy import compiled
 from sidecar_proxy.balancer.balancer import Balancer
 from sidecar_proxy.recorder.recording import Recording, RecordingError
-from sidecar_proxy.recorder.replay import steps
+from sidecar_proxy.recorder.replay import replay_steps
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,7 +45,7 @@
         count = differing = 0
         last: Balancer | None = None
         began_ns = time.process_time_ns()
-        for balancer, difference, _ in steps(recording.head, recording.frames()):
+        for balancer, difference, _ in replay_steps(recording.head, recording.frames()):
             count += 1
             differing += difference is not None
             last = balancer
--- a/sidecar_proxy/cli/recorder.py
+++ b/sidecar_proxy/cli/recorder.py
@@ -5,23 +5,27 @@
 import argparse
 import sys
 
-from sidecar_proxy.recorder.record_framing import words
-from sidecar_proxy.recorder.recording import Head, Recording, RecordingError, digest
-from sidecar_proxy.recorder.replay import Difference, differences
-from sidecar_proxy.recorder.request_trace import story
+from sidecar_proxy.recorder.record_framing import describe_record
+from sidecar_proxy.recorder.recording import Head, Recording, RecordingError, balancer_digest
+from sidecar_proxy.recorder.replay import Difference, replay_differences
+from sidecar_proxy.recorder.request_trace import trace_lines
 
 PROGRESS_INTERVAL_STEPS = 50_000  # number of steps between two lines of progress
 
 
 def print_difference(difference: Difference) -> None:
     """Prints a step at which the replay differs, with the recorded actions and those of the replay."""
-    print(f"step {difference.step}, at {difference.frame.now_us} us: {words(difference.frame.event)}")
+    print(
+        f"step {difference.step}, at {difference.frame.now_us} us: {describe_record(difference.frame.event)}"
+    )
     for title, result in (
         ("then", difference.frame.fault or difference.frame.actions),
-        ("now ", difference.now),
+        ("now ", difference.replayed),
     ):
         text = (
-            result if isinstance(result, str) else "; ".join(words(action) for action in result) or "nothing"
+            result
+            if isinstance(result, str)
+            else "; ".join(describe_record(action) for action in result) or "nothing"
         )
         print(f"    {title}: {text}")
 
@@ -29,8 +33,8 @@
 def print_head(head: Head) -> None:
     """Prints the origin of a recording, and whether the balancer's code has changed since."""
     print(f"{head.name}: {'from its start' if head.whole else 'its last steps'}, written for {head.why}")
-    if head.decisions != digest():
-        print(f"recorded with other decisions ({head.decisions}); these are {digest()}")
+    if head.decisions != balancer_digest():
+        print(f"recorded with other decisions ({head.decisions}); these are {balancer_digest()}")
 
 
 def replay(recording: Recording, max_differences: int) -> int:
@@ -48,7 +52,7 @@
         )
         return 2
     step = difference_count = 0
-    for step, difference in differences(head, recording.frames()):
+    for step, difference in replay_differences(head, recording.frames()):
         if difference is not None:
             difference_count += 1
             print_difference(difference)
@@ -74,7 +78,7 @@
     """
     print_head(recording.head)
     is_recorded = False
-    for line in story(recording.head.settings, recording.frames(), request):
+    for line in trace_lines(recording.head.settings, recording.frames(), request):
         is_recorded = True
         print(line)
     if not is_recorded:
--- a/sidecar_proxy/recorder/record_framing.py
+++ b/sidecar_proxy/recorder/record_framing.py
@@ -96,7 +96,7 @@
         raise FrameError(f"no frame: {' '.join(str(error).split())[:120]}") from error
 
 
-def words(one: object) -> str:
+def describe_record(one: object) -> str:
     """An event or action for people: what is as usual is left out."""
     if not is_dataclass(one):
         return repr(one)
--- a/sidecar_proxy/recorder/record_schema.py
+++ b/sidecar_proxy/recorder/record_schema.py
@@ -39,7 +39,7 @@
 class Form:
     """How one kind of record is read."""
 
-    kind: Any
+    record_class: Any
     struct: type[msgspec.Struct]
     inner: dict[str, Form]  # of fields that are lists of records
     stored_names: dict[str, str]  # by the name in the code
@@ -49,7 +49,7 @@
         found = {name: getattr(value, stored) for name, stored in self.stored_names.items()}
         for name, form in self.inner.items():
             found[name] = [form.of(one) for one in found[name]]
-        return self.kind(**found)
+        return self.record_class(**found)
 
     def read(self, told: Any) -> Any:
         """Raises msgspec.ValidationError and ValueError."""
--- a/sidecar_proxy/recorder/recording.py
+++ b/sidecar_proxy/recorder/recording.py
@@ -32,7 +32,7 @@
     """A recording can't be read; one line."""
 
 
-class CutOff(RecordingError):
+class TruncatedRecordingError(RecordingError):
     """It ends early, as a killed sidecar's spool does; what came before is good."""
 
 
@@ -52,7 +52,7 @@
 SETTINGS, HEAD = form_of(api.Settings), form_of(Head)
 
 
-def digest() -> str:
+def balancer_digest() -> str:
     """Of the decisions' sources. Raises OSError."""
     found = hashlib.blake2b(digest_size=8)
     for path in sorted(DECISIONS.glob("*.py")):
@@ -73,7 +73,7 @@
     return file
 
 
-def write(path: str, head: Head, segments: list[bytes]) -> None:
+def write_recording(path: str, head: Head, segments: list[bytes]) -> None:
     """Whole or not at all, for its owner alone. Raises OSError."""
     with begin(f"{path}.part", head) as file:
         for one in (*segments, b""):
@@ -94,30 +94,30 @@
             version = magic.startswith(KIND)
             raise RecordingError(f"{name}: {'a recording of another version' if version else 'no recording'}")
         try:
-            told = msgspec.msgpack.decode(self.part(), type=dict[str, Any])
+            told = msgspec.msgpack.decode(self.read_part(), type=dict[str, Any])
             self.head: Head = HEAD.read(told | {"settings": SETTINGS.read(told.get("settings"))})
         except (msgspec.MsgspecError, TypeError, ValueError, RecursionError) as error:
             said = " ".join(str(error).split())[:120]
             raise RecordingError(f"{name}: its head is malformed: {said}") from error
 
-    def part(self) -> bytes:
+    def read_part(self) -> bytes:
         before = self.file.read(8)
         size = int.from_bytes(before[:4], "big")
         self.read += size + 8
         if len(before) < 8:
-            raise CutOff(f"{self.name}: it is cut off")
+            raise TruncatedRecordingError(f"{self.name}: it is cut off")
         if size > MOST_PART or self.read > MOST_FILE:
             raise RecordingError(f"{self.name}: too large")
         data = self.file.read(size)
         if len(data) < size:
-            raise CutOff(f"{self.name}: it is cut off")
+            raise TruncatedRecordingError(f"{self.name}: it is cut off")
         if zlib.crc32(data) != int.from_bytes(before[4:], "big"):
             raise RecordingError(f"{self.name}: a part of it is damaged")
         return data
 
     def frames(self) -> Iterator[Frame]:
         """Raises RecordingError where it can't go on; what came before it is good."""
-        while packed := self.part():
+        while packed := self.read_part():
             unpacker = zlib.decompressobj()
             try:
                 data = unpacker.decompress(packed, MOST_PART)
--- a/sidecar_proxy/recorder/replay.py
+++ b/sidecar_proxy/recorder/replay.py
@@ -17,10 +17,10 @@
 
     step: int  # from 1
     frame: Frame
-    now: list[Any] | str  # what came of it now, or the fault
+    replayed: list[Any] | str  # what came of it now, or the fault
 
 
-def steps(head: Head, frames: Iterator[Frame]) -> Iterator[tuple[Balancer, Difference | None, Frame]]:
+def replay_steps(head: Head, frames: Iterator[Frame]) -> Iterator[tuple[Balancer, Difference | None, Frame]]:
     """Each step: the decisions after it, its difference if it has one, and what was recorded. After the first
     difference the rest is of another state."""
     decisions = Balancer(head.settings, head.seed, head.started_us)
@@ -38,7 +38,7 @@
         yield decisions, None if now == then else Difference(step, frame, now), frame
 
 
-def differences(head: Head, frames: Iterator[Frame]) -> Iterator[tuple[int, Difference | None]]:
+def replay_differences(head: Head, frames: Iterator[Frame]) -> Iterator[tuple[int, Difference | None]]:
     """The number of each step, with its difference if it has one."""
-    for step, (_, difference, _) in enumerate(steps(head, frames), 1):
+    for step, (_, difference, _) in enumerate(replay_steps(head, frames), 1):
         yield step, difference
--- a/sidecar_proxy/recorder/request_trace.py
+++ b/sidecar_proxy/recorder/request_trace.py
@@ -103,7 +103,7 @@
             yield self.at(now_us, f"attempt {action.attempt} is given up")
 
 
-def story(settings: api.Settings, frames: Iterable[Frame], wanted: str) -> Iterator[str]:
+def trace_lines(settings: api.Settings, frames: Iterable[Frame], wanted: str) -> Iterator[str]:
     """Nothing if the request is not in it."""
     teller = Teller(settings, wanted)
     for frame in frames:
--- a/sidecar_proxy/recorder/ring_buffer.py
+++ b/sidecar_proxy/recorder/ring_buffer.py
@@ -14,20 +14,20 @@
 
 
 @dataclass(slots=True)
-class Ring:
+class RingBuffer:
     most: int  # bytes of all packed segments and the open one
     segments: deque[bytes] = field(default_factory=deque)
-    size: int = 0  # of the packed ones
+    packed_bytes: int = 0  # of the packed ones
     open: list[bytes] = field(default_factory=list)
     unpacked: int = 0  # bytes of those in `open`
-    frames: int = 0  # that came, since the start
-    whole: bool = True  # nothing has been dropped since
+    frame_count: int = 0  # that came, since the start
+    is_complete: bool = True  # nothing has been dropped since
 
     def add(self, frame: bytes) -> None:
         self.open.append(len(frame).to_bytes(4, "big"))
         self.open.append(frame)
         self.unpacked += len(frame) + 4
-        self.frames += 1
+        self.frame_count += 1
         if self.unpacked >= SEGMENT:
             self.close()
 
@@ -36,21 +36,21 @@
         if not self.open:
             return
         self.segments.append(zlib.compress(b"".join(self.open), LEVEL))
-        self.size += len(self.segments[-1])
+        self.packed_bytes += len(self.segments[-1])
         self.open.clear()
         self.unpacked = 0
-        while self.size + SEGMENT > self.most and self.segments:
-            self.size -= len(self.segments.popleft())
-            self.whole = False
+        while self.packed_bytes + SEGMENT > self.most and self.segments:
+            self.packed_bytes -= len(self.segments.popleft())
+            self.is_complete = False
 
-    def taken(self) -> list[bytes]:
+    def get_segments(self) -> list[bytes]:
         """All of it, the oldest first."""
         self.close()
         return list(self.segments)
 
-    def drained(self) -> list[bytes]:
+    def take_segments(self) -> list[bytes]:
         """All of it, the oldest first; it is the caller's from now on."""
-        segments = self.taken()
+        segments = self.get_segments()
         self.segments.clear()
-        self.size = 0
+        self.packed_bytes = 0
         return segments
--- a/sidecar_proxy/recorder/subsystem.py
+++ b/sidecar_proxy/recorder/subsystem.py
@@ -17,8 +17,8 @@
 from sidecar_proxy.config.schema import Recorder as Told
 from sidecar_proxy.engine.engine import Engine
 from sidecar_proxy.recorder.record_framing import Named, pack
-from sidecar_proxy.recorder.recording import Head, begin, digest, framed, write
-from sidecar_proxy.recorder.ring_buffer import Ring
+from sidecar_proxy.recorder.recording import Head, balancer_digest, begin, framed, write_recording
+from sidecar_proxy.recorder.ring_buffer import RingBuffer
 
 log = logging.getLogger("sidecar_proxy")
 
@@ -44,8 +44,8 @@
         self.engine = engine
         self.name = "".join(one if one.isalnum() else "-" for one in name)[:40]
         self.seed = seed
-        self.digest = digest()
-        self.ring = Ring(told.megabytes * 1024 * 1024)
+        self.digest = balancer_digest()
+        self.ring = RingBuffer(told.megabytes * 1024 * 1024)
         self.next_fault = 0.0
         self.tasks: set[asyncio.Task[None]] = set()
         engine.recorder = self
@@ -82,8 +82,8 @@
         if len(self.tasks) >= 2:
             log.warning("recorder: two recordings are being written; this one is not")
             return
-        segments, head = self.ring.taken(), self.head(self.ring.whole, why)
-        self.aside(self.save(head, segments, self.ring.frames))
+        segments, head = self.ring.get_segments(), self.head(self.ring.is_complete, why)
+        self.aside(self.save(head, segments, self.ring.frame_count))
 
     def aside(self, work: Coroutine[None, None, None]) -> None:
         task = self.engine.loop.create_task(work)
@@ -105,23 +105,23 @@
         try:
             with await loop.run_in_executor(None, begin, path, self.head(True, "a spool")) as file:
                 await loop.run_in_executor(None, self.tidy)
-                while size < self.told.spool_megabytes << 20 and self.ring.whole:
+                while size < self.told.spool_megabytes << 20 and self.ring.is_complete:
                     await asyncio.sleep(self.told.spool_s)
-                    data = b"".join(framed(one) for one in self.ring.drained())
+                    data = b"".join(framed(one) for one in self.ring.take_segments())
                     size += len(data)
                     await loop.run_in_executor(None, append, file, data)
                 await loop.run_in_executor(None, append, file, framed(b""))
-            why = "it is full" if self.ring.whole else "too much came at once"
+            why = "it is full" if self.ring.is_complete else "too much came at once"
             log.info("recorder: %s ends: %s", path, why)
         except OSError as error:
             log.warning("recorder: %s: %s", path, error.strerror or error)
         finally:
-            self.spooled, self.ring.whole = "", False  # what comes from now on is in the ring alone
+            self.spooled, self.ring.is_complete = "", False  # what comes from now on is in the ring alone
 
     async def save(self, head: Head, segments: list[bytes], frames: int) -> None:
         path = self.path()
         try:
-            await self.engine.loop.run_in_executor(None, write, path, head, segments)
+            await self.engine.loop.run_in_executor(None, write_recording, path, head, segments)
             await self.engine.loop.run_in_executor(None, self.tidy)
         except OSError as error:
             log.warning("recorder: %s: %s", path, error.strerror or error)
--- a/tests/golden/make_recordings.py
+++ b/tests/golden/make_recordings.py
@@ -29,8 +29,8 @@
 from sidecar_proxy.emulator.fleet import EmulatedFleet, Plan, Sidecar, Try
 from sidecar_proxy.overload_control.controller import FleetBudgets
 from sidecar_proxy.recorder.record_framing import pack
-from sidecar_proxy.recorder.recording import Head, digest, write
-from sidecar_proxy.recorder.ring_buffer import Ring
+from sidecar_proxy.recorder.recording import Head, balancer_digest, write_recording
+from sidecar_proxy.recorder.ring_buffer import RingBuffer
 from sidecar_proxy.testbed.capacity import Machine
 from sidecar_proxy.testbed.clients import Manners
 from sidecar_proxy.testbed.fault_schedule import Fault
@@ -52,7 +52,7 @@
     def __init__(self, settings: api.Settings, seed: int, now_us: int) -> None:
         self.settings, self.seed, self.started_us = settings, seed, now_us
         self.balancer = Balancer(settings, seed, now_us)
-        self.ring = Ring(1 << 28)
+        self.ring = RingBuffer(1 << 28)
 
     def handle(self, now_us: int, event: api.Event) -> list[api.Action]:
         actions = self.balancer.handle(now_us, event)
@@ -60,8 +60,16 @@
         return actions
 
     def save(self, path: Path) -> None:
-        head = Head(path.stem, digest(), self.seed, self.started_us, self.settings, self.ring.whole, "golden")
-        write(str(path), head, self.ring.taken())
+        head = Head(
+            path.stem,
+            balancer_digest(),
+            self.seed,
+            self.started_us,
+            self.settings,
+            self.ring.is_complete,
+            "golden",
+        )
+        write_recording(str(path), head, self.ring.get_segments())
 
 
 class RecordedFleet(EmulatedFleet):
@@ -514,7 +522,7 @@
             continue
         recorded = make(size == "large")
         recorded.save(folder / f"{name}.rec")
-        print(f"{name}: {recorded.ring.frames} steps, {recorded.ring.size} bytes", flush=True)
+        print(f"{name}: {recorded.ring.frame_count} steps, {recorded.ring.packed_bytes} bytes", flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/golden/test_recorded_names.py
+++ b/tests/golden/test_recorded_names.py
@@ -15,7 +15,7 @@
 import pytest
 
 from sidecar_proxy.recorder.record_framing import ACTIONS, EVENTS, pack, unpack
-from sidecar_proxy.recorder.recording import HEAD, MAGIC, SETTINGS, Recording, write
+from sidecar_proxy.recorder.recording import HEAD, MAGIC, SETTINGS, Recording, write_recording
 
 STORED: dict[str, Any] = json.loads((Path(__file__).parent / "recorded_names.json").read_text())
 NOW_US = 1_796_000_000_123_456
@@ -108,7 +108,7 @@
     example = STORED["head"]
     head = HEAD.read(example | {"settings": SETTINGS.read(example["settings"])})
     path = tmp_path / "head.rec"
-    write(str(path), head, [])
+    write_recording(str(path), head, [])
     data = path.read_bytes()
     assert STORED["magic"].encode() == MAGIC and data.startswith(MAGIC)
     size = int.from_bytes(data[len(MAGIC) : len(MAGIC) + 4], "big")
--- a/tests/golden/test_recordings.py
+++ b/tests/golden/test_recordings.py
@@ -17,9 +17,9 @@
 
 from benchmarks.replay_recordings import main, random_state_digest
 from sidecar_proxy.recorder.record_framing import EVENTS, Frame, pack
-from sidecar_proxy.recorder.recording import Recording, write
-from sidecar_proxy.recorder.replay import steps
-from sidecar_proxy.recorder.ring_buffer import Ring
+from sidecar_proxy.recorder.recording import Recording, write_recording
+from sidecar_proxy.recorder.replay import replay_steps
+from sidecar_proxy.recorder.ring_buffer import RingBuffer
 
 FOLDER = Path(__file__).parent / "recordings"
 EXPECTED: dict[str, dict[str, Any]] = json.loads((Path(__file__).parent / "recordings.json").read_text())
@@ -35,7 +35,7 @@
     """All frames as they are stored, each after its length."""
     with open(path, "rb") as file:
         recording = Recording(file, path.name)
-        return b"".join(iter(lambda: zlib.decompress(part) if (part := recording.part()) else b"", b""))
+        return b"".join(iter(lambda: zlib.decompress(part) if (part := recording.read_part()) else b"", b""))
 
 
 def packed(frames: list[Frame]) -> bytes:
@@ -49,13 +49,13 @@
     frames = frames_of(SMALLEST)
     number = next(n for n, frame in enumerate(frames) if n > 100 and frame.actions)
     frames[number] = replace(frames[number], actions=[])
-    ring = Ring(1 << 24)
+    ring = RingBuffer(1 << 24)
     for frame in frames:
         ring.add(pack(frame.now_us, frame.event, frame.actions))
     with open(SMALLEST, "rb") as file:
         head = Recording(file, SMALLEST.name).head
     path = tmp_path / "changed.rec"
-    write(str(path), head, ring.taken())
+    write_recording(str(path), head, ring.get_segments())
     return path
 
 
@@ -65,7 +65,7 @@
 
 def test_every_kind_of_event_is_in_the_recordings() -> None:
     found = {type(frame.event) for name in EXPECTED for frame in frames_of(FOLDER / f"{name}.rec")}
-    assert found == {form.kind for form in EVENTS.values()}
+    assert found == {form.record_class for form in EVENTS.values()}
 
 
 @pytest.mark.parametrize("name", EXPECTED)
@@ -75,7 +75,7 @@
         recording = Recording(file, path.name)
         assert recording.head.whole
         count, last = 0, None
-        for balancer, difference, _ in steps(recording.head, recording.frames()):
+        for balancer, difference, _ in replay_steps(recording.head, recording.frames()):
             assert difference is None, f"{name}: {difference}"
             count, last = count + 1, balancer
     assert last is not None
--- a/tests/recorder/test_recorder.py
+++ b/tests/recorder/test_recorder.py
@@ -19,10 +19,17 @@
 from sidecar_proxy.balancer.balancer import Balancer
 from sidecar_proxy.cli.recorder import main
 from sidecar_proxy.recorder.record_framing import Named, pack, unpack
-from sidecar_proxy.recorder.recording import KIND, Head, Recording, RecordingError, digest, write
-from sidecar_proxy.recorder.replay import differences
-from sidecar_proxy.recorder.request_trace import story
-from sidecar_proxy.recorder.ring_buffer import SEGMENT, Ring
+from sidecar_proxy.recorder.recording import (
+    KIND,
+    Head,
+    Recording,
+    RecordingError,
+    balancer_digest,
+    write_recording,
+)
+from sidecar_proxy.recorder.replay import replay_differences
+from sidecar_proxy.recorder.request_trace import trace_lines
+from sidecar_proxy.recorder.ring_buffer import SEGMENT, RingBuffer
 from sidecar_proxy.testbed.capacity import Machine
 from sidecar_proxy.testbed.clients import Manners
 from sidecar_proxy.testbed.fault_schedule import Fault
@@ -45,7 +52,7 @@
 ENDS = [api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.TIMEOUT]
 
 
-def day(steps: int, ring: Ring, seed: int = SEED) -> list[tuple[int, Any, list[Any]]]:
+def day(steps: int, ring: RingBuffer, seed: int = SEED) -> list[tuple[int, Any, list[Any]]]:
     """A day of the pure decisions with faults of all kinds; each step goes into the ring."""
     dice, decisions, now_us = random.Random(seed), Balancer(SETTINGS, seed, 0), 0
     seen: list[tuple[int, Any, list[Any]]] = []
@@ -100,31 +107,31 @@
 
 
 def head(whole: bool = True) -> Head:
-    return Head("n0", digest(), SEED, 0, SETTINGS, whole, "a test")
+    return Head("n0", balancer_digest(), SEED, 0, SETTINGS, whole, "a test")
 
 
-def saved(path: Path, ring: Ring) -> str:
-    segments = ring.taken()
-    write(str(path), head(ring.whole), segments)
+def saved(path: Path, ring: RingBuffer) -> str:
+    segments = ring.get_segments()
+    write_recording(str(path), head(ring.is_complete), segments)
     return str(path)
 
 
 def test_a_day_of_100000_events_is_the_same_to_the_last_action(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    ring = Ring(64 * 1024 * 1024)
+    ring = RingBuffer(64 * 1024 * 1024)
     seen = day(100_000, ring)
     kinds = {type(action).__name__ for _, _, actions in seen for action in actions}
     assert {"Send", "Refuse", "Fail", "SetTimer"} <= kinds, f"seed {SEED}: {kinds}"
     path = saved(tmp_path / "day.rec", ring)
     assert main("replay", [path]) == 0
     assert "100000 steps, the same actions to the last one" in capsys.readouterr().out
-    assert ring.size < 6_000_000
+    assert ring.packed_bytes < 6_000_000
 
 
 def test_where_decisions_differ_both_are_shown(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    ring = Ring(1 << 24)
-    seen = day(300, Ring(1 << 24))
+    ring = RingBuffer(1 << 24)
+    seen = day(300, RingBuffer(1 << 24))
     changed = next(
         n
         for n, (_, _, actions) in enumerate(seen)
@@ -142,9 +149,9 @@
 def test_what_lost_its_start_says_so_and_still_tells_stories(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    ring = Ring(4 * SEGMENT)
+    ring = RingBuffer(4 * SEGMENT)
     seen = day(20_000, ring)
-    assert not ring.whole and ring.size + ring.unpacked <= 4 * SEGMENT
+    assert not ring.is_complete and ring.packed_bytes + ring.unpacked <= 4 * SEGMENT
     path = saved(tmp_path / "day.rec", ring)
     assert main("replay", [path]) == 2
     assert "can't be replayed" in capsys.readouterr().err
@@ -158,7 +165,7 @@
     assert main("why", [path, "nobody"]) == 1
 
 
-SMALL = Ring(1 << 20)
+SMALL = RingBuffer(1 << 20)
 day(400, SMALL)
 
 
@@ -189,7 +196,7 @@
     assert main("replay", [str(path)]) == 2 and main("replay", [str(tmp_path / "none")]) == 2
     import zlib
 
-    write(str(path), head(), [zlib.compress(bytes(70 * 1024 * 1024))])
+    write_recording(str(path), head(), [zlib.compress(bytes(70 * 1024 * 1024))])
     with pytest.raises(RecordingError, match="too large"), open(path, "rb") as file:
         list(Recording(file, "file").frames())
 
@@ -254,7 +261,7 @@
     with open(found[0], "rb") as file:
         recording = Recording(file, "spool")
         with pytest.raises(RecordingError, match="cut off"):
-            for _, one in differences(recording.head, recording.frames()):
+            for _, one in replay_differences(recording.head, recording.frames()):
                 steps.append(one)
     assert recording.head.whole and recording.head.why == "a spool"
     assert len(steps) > 200 and not any(steps)
@@ -295,10 +302,10 @@
     for path in files:
         with open(path, "rb") as file:
             recording = Recording(file, path.name)
-            steps = list(differences(recording.head, recording.frames()))
+            steps = list(replay_differences(recording.head, recording.frames()))
         assert len(steps) > 500 and [one for _, one in steps if one is not None] == []
     lost = next(one.request for one in scene.ledger if isinstance(one, Answered) and one.status == 502)
     with open(files[-1], "rb") as file:
         recording = Recording(file, "last")
-        said = list(story(recording.head.settings, recording.frames(), lost))
+        said = list(trace_lines(recording.head.settings, recording.frames(), lost))
     assert "arrived" in said[0] and any("sent to upstream" in one for one in said)
