--- a/sidecar_proxy/recorder/__init__.py
+++ b/sidecar_proxy/recorder/__init__.py
@@ -1,1 +1,1 @@
-"""The flight recorder: what went into the decisions and what came out, kept, written out, played again."""
+"""The flight recorder: keeps inputs and outputs of the balancer, writes them to files and replays them."""
--- a/sidecar_proxy/recorder/replay.py
+++ b/sidecar_proxy/recorder/replay.py
@@ -1,4 +1,4 @@
-"""A recording played to the decisions again: the same seed and events make the same actions, to the last."""
+"""Replays a recording: the balancer takes the same actions from the same seed and events."""
 
 from __future__ import annotations
 
@@ -13,32 +13,34 @@
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """A step at which these decisions do otherwise."""
+    """A step at which the replay has a different result from the recording."""
 
-    step: int  # from 1
+    step: int  # number of the step, starting at 1
     frame: Frame
-    replayed: list[Any] | str  # what came of it now, or the fault
+    replayed: list[Any] | str  # the actions of the replay, or the text of its exception
 
 
 def replay_steps(head: Head, frames: Iterator[Frame]) -> Iterator[tuple[Balancer, Difference | None, Frame]]:
-    """Each step: the decisions after it, its difference if it has one, and what was recorded. After the first
-    difference the rest is of another state."""
-    decisions = Balancer(head.settings, head.seed, head.started_us)
+    """Replay a recording; yield for each step the balancer after it, its difference or None, and the frame.
+
+    After the first difference the balancer's state is not the recorded one, so later steps may differ too.
+    """
+    balancer = Balancer(head.settings, head.seed, head.started_us)
     step = 0
     for frame in frames:
         if isinstance(frame.event, Named):
             continue
         step += 1
-        now: list[Any] | str
+        replayed: list[Any] | str
         try:
-            now = decisions.handle(frame.now_us, frame.event)
+            replayed = balancer.handle(frame.now_us, frame.event)
         except Exception as error:
-            now = f"{type(error).__name__}: {error}"
-        then = frame.fault or frame.actions
-        yield decisions, None if now == then else Difference(step, frame, now), frame
+            replayed = f"{type(error).__name__}: {error}"
+        recorded = frame.fault or frame.actions
+        yield balancer, None if replayed == recorded else Difference(step, frame, replayed), frame
 
 
 def replay_differences(head: Head, frames: Iterator[Frame]) -> Iterator[tuple[int, Difference | None]]:
-    """The number of each step, with its difference if it has one."""
+    """Replay a recording, and yield the number of each step with its difference or None."""
     for step, (_, difference, _) in enumerate(replay_steps(head, frames), 1):
         yield step, difference
--- a/tests/recorder/test_recorder.py
+++ b/tests/recorder/test_recorder.py
@@ -1,4 +1,4 @@
-"""Recordings: played again to the last action, told as stories, bounded, and read with suspicion."""
+"""Recordings: replay, traces of single requests, limited size, and rejection of damaged files."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from sidecar_proxy.cli.recorder import main
 from sidecar_proxy.recorder.record_framing import Named, pack, unpack
 from sidecar_proxy.recorder.recording import (
-    KIND,
+    MAGIC_PREFIX,
     Head,
     Recording,
     RecordingError,
@@ -29,7 +29,7 @@
 )
 from sidecar_proxy.recorder.replay import replay_differences
 from sidecar_proxy.recorder.request_trace import trace_lines
-from sidecar_proxy.recorder.ring_buffer import SEGMENT, RingBuffer
+from sidecar_proxy.recorder.ring_buffer import SEGMENT_BYTES, RingBuffer
 from sidecar_proxy.testbed.capacity import Machine
 from sidecar_proxy.testbed.clients import Manners
 from sidecar_proxy.testbed.fault_schedule import Fault
@@ -49,154 +49,171 @@
     instances=2,
 )
 
-ENDS = [api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.TIMEOUT]
+OUTCOMES = [api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.TIMEOUT]
 
 
-def day(steps: int, ring: RingBuffer, seed: int = SEED) -> list[tuple[int, Any, list[Any]]]:
-    """A day of the pure decisions with faults of all kinds; each step goes into the ring."""
-    dice, decisions, now_us = random.Random(seed), Balancer(SETTINGS, seed, 0), 0
-    seen: list[tuple[int, Any, list[Any]]] = []
+def play_scenario(steps: int, ring: RingBuffer, seed: int = SEED) -> list[tuple[int, Any, list[Any]]]:
+    """Run the balancer in virtual time with failing attempts and list updates, and record each step.
+
+    Returns the time, the event and the actions of each step.
+    """
+    rng, balancer, now_us = random.Random(seed), Balancer(SETTINGS, seed, 0), 0
+    recorded_steps: list[tuple[int, Any, list[Any]]] = []
     queue: list[tuple[int, int, Any]] = []
     attempts: dict[int, int] = {}
 
-    def later(at_us: int, event: Any) -> None:
-        heapq.heappush(queue, (at_us, len(seen) * 100 + len(queue), event))
+    def schedule(at_us: int, event: Any) -> None:
+        heapq.heappush(queue, (at_us, len(recorded_steps) * 100 + len(queue), event))
 
-    later(
+    schedule(
         0,
         api.UpstreamsUpdated(
             api.ListKind.FULL, [api.Upstream(n, zone=n % 2, cell=n // 6) for n in range(1, 25)], 1
         ),
     )
-    later(1, api.RequestArrived(1, 1_000_000, 0))
+    schedule(1, api.RequestArrived(1, 1_000_000, 0))
     for step in range(steps):
         now_us, _, event = heapq.heappop(queue)
-        actions = decisions.handle(now_us, event)
+        actions = balancer.handle(now_us, event)
         ring.add(pack(now_us, event, actions))
-        seen.append((now_us, event, actions))
+        recorded_steps.append((now_us, event, actions))
         if isinstance(event, api.RequestArrived):
-            kind = int(dice.random() < 0.4)
-            later(
-                now_us + int(dice.expovariate(1 / 1_500)) + 1,
+            class_index = int(rng.random() < 0.4)
+            schedule(
+                now_us + int(rng.expovariate(1 / 1_500)) + 1,
                 api.RequestArrived(
-                    event.request + 1, now_us + (1_000_000, 800_000)[kind], kind, key=dice.randrange(100)
+                    event.request + 1,
+                    now_us + (1_000_000, 800_000)[class_index],
+                    class_index,
+                    key=rng.randrange(100),
                 ),
             )
         for number, action in enumerate(actions):
             if isinstance(action, api.Send):
                 attempt = attempts[action.request] = attempts.get(action.request, -1) + 1
-                took_us = int(dice.expovariate(1 / 30_000)) + number + 1
-                outcome = dice.choices(ENDS, [80, 8 + 20 * (action.upstream % 5 == 0), 4, 3])[0]
-                later(
+                took_us = int(rng.expovariate(1 / 30_000)) + number + 1
+                outcome = rng.choices(OUTCOMES, [80, 8 + 20 * (action.upstream % 5 == 0), 4, 3])[0]
+                schedule(
                     now_us + took_us,
                     api.AttemptEnded(
                         action.request, attempt, action.upstream, outcome, took_us, outcome is api.Outcome.OK
                     ),
                 )
             elif isinstance(action, api.SetTimer):
-                later(max(now_us, action.at_us) + number, api.TimerFired(action.token))
+                schedule(max(now_us, action.at_us) + number, api.TimerFired(action.token))
         if step % 997 == 0:
-            state = dice.choice([api.UpstreamState.READY, api.UpstreamState.DRAINING])
-            later(
+            state = rng.choice([api.UpstreamState.READY, api.UpstreamState.DRAINING])
+            schedule(
                 now_us + 1,
                 api.UpstreamsUpdated(
-                    api.ListKind.DELTA, [api.Upstream(dice.randrange(1, 25), state, started_us=now_us)], step
+                    api.ListKind.DELTA, [api.Upstream(rng.randrange(1, 25), state, started_us=now_us)], step
                 ),
             )
-    return seen
+    return recorded_steps
 
 
-def head(whole: bool = True) -> Head:
+def make_head(whole: bool = True) -> Head:
+    """Return the head of a recording of `play_scenario`."""
     return Head("n0", balancer_digest(), SEED, 0, SETTINGS, whole, "a test")
 
 
-def saved(path: Path, ring: RingBuffer) -> str:
+def save(path: Path, ring: RingBuffer) -> str:
+    """Write a recording of the frames in the buffer, and return its path."""
     segments = ring.get_segments()
-    write_recording(str(path), head(ring.is_complete), segments)
+    write_recording(str(path), make_head(ring.is_complete), segments)
     return str(path)
 
 
-def test_a_day_of_100000_events_is_the_same_to_the_last_action(
+def test_a_replay_of_100000_events_takes_the_same_actions(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     ring = RingBuffer(64 * 1024 * 1024)
-    seen = day(100_000, ring)
-    kinds = {type(action).__name__ for _, _, actions in seen for action in actions}
-    assert {"Send", "Refuse", "Fail", "SetTimer"} <= kinds, f"seed {SEED}: {kinds}"
-    path = saved(tmp_path / "day.rec", ring)
+    recorded_steps = play_scenario(100_000, ring)
+    action_types = {type(action).__name__ for _, _, actions in recorded_steps for action in actions}
+    assert {"Send", "Refuse", "Fail", "SetTimer"} <= action_types, f"seed {SEED}: {action_types}"
+    path = save(tmp_path / "day.rec", ring)
     assert main("replay", [path]) == 0
     assert "100000 steps, the same actions to the last one" in capsys.readouterr().out
     assert ring.packed_bytes < 6_000_000
 
 
-def test_where_decisions_differ_both_are_shown(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_replay_that_differs_shows_both_results(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     ring = RingBuffer(1 << 24)
-    seen = day(300, RingBuffer(1 << 24))
-    changed = next(
+    recorded_steps = play_scenario(300, RingBuffer(1 << 24))
+    changed_step = next(
         n
-        for n, (_, _, actions) in enumerate(seen)
+        for n, (_, _, actions) in enumerate(recorded_steps)
         if n > 100 and actions and isinstance(actions[0], api.Send)
     )
-    for number, (now_us, event, actions) in enumerate(seen):
-        told = [replace(actions[0], upstream=99), *actions[1:]] if number == changed else actions
-        ring.add(pack(now_us, event, told))
-    path = saved(tmp_path / "day.rec", ring)
+    for number, (now_us, event, actions) in enumerate(recorded_steps):
+        step_actions = [replace(actions[0], upstream=99), *actions[1:]] if number == changed_step else actions
+        ring.add(pack(now_us, event, step_actions))
+    path = save(tmp_path / "day.rec", ring)
     assert main("replay", [path, "--most", "1"]) == 1
-    said = capsys.readouterr().out
-    assert f"step {changed + 1}," in said and "upstream: 99" in said.split("then: ")[1].split("now ")[0]
+    output = capsys.readouterr().out
+    assert (
+        f"step {changed_step + 1}," in output and "upstream: 99" in output.split("then: ")[1].split("now ")[0]
+    )
 
 
-def test_what_lost_its_start_says_so_and_still_tells_stories(
+def test_a_recording_without_its_first_steps_is_not_replayed_but_requests_are_traced(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    ring = RingBuffer(4 * SEGMENT)
-    seen = day(20_000, ring)
-    assert not ring.is_complete and ring.packed_bytes + ring.unpacked <= 4 * SEGMENT
-    path = saved(tmp_path / "day.rec", ring)
+    ring = RingBuffer(4 * SEGMENT_BYTES)
+    recorded_steps = play_scenario(20_000, ring)
+    assert not ring.is_complete and ring.packed_bytes + ring.open_bytes <= 4 * SEGMENT_BYTES
+    path = save(tmp_path / "day.rec", ring)
     assert main("replay", [path]) == 2
     assert "can't be replayed" in capsys.readouterr().err
-    failed = [
-        action.request for _, _, actions in seen[-3000:] for action in actions if isinstance(action, api.Fail)
+    failed_requests = [
+        action.request
+        for _, _, actions in recorded_steps[-3000:]
+        for action in actions
+        if isinstance(action, api.Fail)
     ]
-    assert main("why", [path, str(failed[-1])]) == 0
-    said = capsys.readouterr().out.splitlines()
-    assert "arrived: chapter-buy (at_most_once)" in said[1] and "failed: no attempt may follow" in said[-1]
-    assert sum(": sent to upstream" in one for one in said) >= 1
+    assert main("why", [path, str(failed_requests[-1])]) == 0
+    lines = capsys.readouterr().out.splitlines()
+    assert "arrived: chapter-buy (at_most_once)" in lines[1] and "failed: no attempt may follow" in lines[-1]
+    assert sum(": sent to upstream" in line for line in lines) >= 1
     assert main("why", [path, "nobody"]) == 1
 
 
-SMALL = RingBuffer(1 << 20)
-day(400, SMALL)
+SMALL_RING = RingBuffer(1 << 20)
+play_scenario(400, SMALL_RING)
 
 
 @settings(max_examples=300)
 @given(st.data())
-def test_what_is_cut_off_damaged_or_of_another_kind_is_one_line(
+def test_a_truncated_or_damaged_recording_is_rejected_with_one_line(
     tmp_path_factory: pytest.TempPathFactory, data: st.DataObject
 ) -> None:
-    path = tmp_path_factory.getbasetemp() / "spoilt.rec"
-    whole = Path(saved(path, SMALL)).read_bytes()
-    how = data.draw(st.sampled_from(["cut", "flip", "noise"]))
-    at = data.draw(st.integers(0, len(whole) - 1))
-    if how == "cut":
-        path.write_bytes(whole[:at])
-    elif how == "flip":
-        path.write_bytes(whole[:at] + bytes([whole[at] ^ data.draw(st.integers(1, 255))]) + whole[at + 1 :])
+    path = tmp_path_factory.getbasetemp() / "damaged.rec"
+    content = Path(save(path, SMALL_RING)).read_bytes()
+    damage = data.draw(st.sampled_from(["cut", "flip", "noise"]))
+    offset = data.draw(st.integers(0, len(content) - 1))
+    if damage == "cut":
+        path.write_bytes(content[:offset])
+    elif damage == "flip":
+        path.write_bytes(
+            content[:offset]
+            + bytes([content[offset] ^ data.draw(st.integers(1, 255))])
+            + content[offset + 1 :]
+        )
     else:
-        # not zeros alone, which at the end of a part would be a good end
-        path.write_bytes(whole[:at] + b"\xff" + data.draw(st.binary(min_size=8, max_size=200)))
-    with pytest.raises(RecordingError) as found, open(path, "rb") as file:
+        # The first byte is 0xff: zeros alone after a complete part would be a valid end of the recording.
+        path.write_bytes(content[:offset] + b"\xff" + data.draw(st.binary(min_size=8, max_size=200)))
+    with pytest.raises(RecordingError) as error, open(path, "rb") as file:
         list(Recording(file, "file").frames())
-    assert str(found.value).startswith("file: ") and "\n" not in str(found.value)
+    assert str(error.value).startswith("file: ") and "\n" not in str(error.value)
 
 
-def test_another_version_and_what_unpacks_without_end(tmp_path: Path) -> None:
+def test_another_version_and_a_segment_that_decompresses_to_too_much_are_rejected(tmp_path: Path) -> None:
     path = tmp_path / "x.rec"
-    path.write_bytes(KIND + b"2\n" + bytes(100))
+    path.write_bytes(MAGIC_PREFIX + b"2\n" + bytes(100))
     assert main("replay", [str(path)]) == 2 and main("replay", [str(tmp_path / "none")]) == 2
     import zlib
 
-    write_recording(str(path), head(), [zlib.compress(bytes(70 * 1024 * 1024))])
+    write_recording(str(path), make_head(), [zlib.compress(bytes(70 * 1024 * 1024))])
     with pytest.raises(RecordingError, match="too large"), open(path, "rb") as file:
         list(Recording(file, "file").frames())
 
@@ -235,13 +252,13 @@
 
 
 @given(st.integers(0, 2**60), EVENTS, ACTIONS)
-def test_a_frame_is_read_as_it_was_written(now_us: int, event: Any, actions: list[Any]) -> None:
-    found = unpack(pack(now_us, event, actions))
-    assert (found.now_us, found.event, found.actions, found.fault) == (now_us, event, actions, "")
+def test_a_frame_is_decoded_to_what_was_encoded(now_us: int, event: Any, actions: list[Any]) -> None:
+    frame = unpack(pack(now_us, event, actions))
+    assert (frame.now_us, frame.event, frame.actions, frame.fault) == (now_us, event, actions, "")
 
 
-def test_a_killed_sidecars_spool_is_good_up_to_its_last_whole_part(tmp_path: Path) -> None:
-    """What had been written before SIGKILL is played again alike, and it is said that its end is missing."""
+def test_the_spool_file_of_a_killed_sidecar_is_valid_up_to_its_last_complete_part(tmp_path: Path) -> None:
+    """After SIGKILL, the steps in the file are replayed without a difference, and then its end is missing."""
     plan = Plan(nodes=4, rate=200.0, seconds=2.0, seed=13, machine=Machine(work_us=6_000))
 
     async def play() -> None:
@@ -255,20 +272,22 @@
             process.kill()
 
     asyncio.run(asyncio.wait_for(play(), 60.0))
-    found = list(tmp_path.glob("wickspread-sidecar-0-*.rec"))
-    assert len(found) == 1 and found[0].stat().st_mode & 0o077 == 0
-    steps = []
-    with open(found[0], "rb") as file:
+    paths = list(tmp_path.glob("wickspread-sidecar-0-*.rec"))
+    assert len(paths) == 1 and paths[0].stat().st_mode & 0o077 == 0
+    differences = []
+    with open(paths[0], "rb") as file:
         recording = Recording(file, "spool")
         with pytest.raises(RecordingError, match="cut off"):
-            for _, one in replay_differences(recording.head, recording.frames()):
-                steps.append(one)
+            for _, difference in replay_differences(recording.head, recording.frames()):
+                differences.append(difference)
     assert recording.head.whole and recording.head.why == "a spool"
-    assert len(steps) > 200 and not any(steps)
+    assert len(differences) > 200 and not any(differences)
 
 
-def test_a_real_sidecar_in_a_crowd_is_recorded_and_played_again(tmp_path: Path) -> None:
-    """SIGUSR2 twice under load and faults: it is the same day, and tells what became of a request."""
+def test_recordings_of_a_sidecar_process_under_faults_are_replayed_without_differences(
+    tmp_path: Path,
+) -> None:
+    """Two recordings by SIGUSR2 under load and faults are replayed, and a failed request is traced."""
     plan = Plan(
         nodes=8,
         rate=250.0,
@@ -303,9 +322,11 @@
         with open(path, "rb") as file:
             recording = Recording(file, path.name)
             steps = list(replay_differences(recording.head, recording.frames()))
-        assert len(steps) > 500 and [one for _, one in steps if one is not None] == []
-    lost = next(one.request for one in scene.ledger if isinstance(one, Answered) and one.status == 502)
+        assert len(steps) > 500 and [difference for _, difference in steps if difference is not None] == []
+    failed_request = next(
+        entry.request for entry in scene.ledger if isinstance(entry, Answered) and entry.status == 502
+    )
     with open(files[-1], "rb") as file:
         recording = Recording(file, "last")
-        said = list(trace_lines(recording.head.settings, recording.frames(), lost))
-    assert "arrived" in said[0] and any("sent to upstream" in one for one in said)
+        lines = list(trace_lines(recording.head.settings, recording.frames(), failed_request))
+    assert "arrived" in lines[0] and any("sent to upstream" in line for line in lines)
