--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.test_wire import EMPTY, LIST, batch, power_on
+from tests.test_wire import EMPTY_BATCH, UPSTREAM_LIST, batch, instance_started
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -33,7 +33,7 @@
 
 def test_the_deployed_command_answers_and_ends_with_its_input(sim: str) -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    frames = bytes.fromhex(EMPTY) + batch([power_on(), bytes.fromhex(LIST), members])
+    frames = bytes.fromhex(EMPTY_BATCH) + batch([instance_started(), bytes.fromhex(UPSTREAM_LIST), members])
     done = start(sim, frames)
     assert (done.returncode, done.stderr) == (0, b"")
     assert done.stdout.startswith(bytes(8))
@@ -42,7 +42,7 @@
 
 
 def test_the_deployed_command_ends_on_a_bad_frame_with_one_line(sim: str) -> None:
-    done = start(sim, bytes.fromhex(EMPTY) + b"\x01\x00")
+    done = start(sim, bytes.fromhex(EMPTY_BATCH) + b"\x01\x00")
     assert done.returncode != 0 and done.stdout == bytes(8)
     assert done.stderr.decode().splitlines() == ["sidecar_proxy: batch 1: truncated header: 2 of 16 bytes"]
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,7 +13,7 @@
 from sidecar_proxy.simulator_adapter import adapter, wire
 from tests.options import OPTIONS
 
-LIST = (
+UPSTREAM_LIST = (
     "6e 00000000 02000000 074a1203 00 00 0000 01 0000803f 0000000000000000"
     " f211902c 01 00 0000 01 0000c03f 20145d0000000000"
 )
@@ -21,7 +21,7 @@
 
 EVENTS: list[tuple[str, wire.Record]] = [
     (
-        LIST + "50 0300 02 29000000 00000000",
+        UPSTREAM_LIST + "50 0300 02 29000000 00000000",
         api.UpstreamsUpdated(
             api.ListKind.CACHED,
             [api.Upstream(FIRST), api.Upstream(SECOND, zone=1, weight=1.5, started_us=6100000)],
@@ -59,7 +59,7 @@
     ("0a 0300", api.FetchList()),
 ]
 
-EMPTY = "00000000 00000000 5a5c800000000000"
+EMPTY_BATCH = "00000000 00000000 5a5c800000000000"
 THREE = (
     "2f000000 03000000 5a5c800000000000"
     "46 0300 c4913a5d 00 00000000 640ad2557c3bf091 e02e0000 01 da05840000000000"
@@ -67,7 +67,7 @@
 )
 
 
-def power_on(text: str = OPTIONS, instance: int = 3, seed: int = 9) -> bytes:
+def instance_started(text: str = OPTIONS, instance: int = 3, seed: int = 9) -> bytes:
     raw = text.encode()
     return struct.pack("<BHQI", 100, instance, seed, len(raw)) + raw
 
@@ -96,7 +96,7 @@
 
 
 def test_the_documented_frames() -> None:
-    assert serve(bytes.fromhex(EMPTY)) == bytes.fromhex("00000000 00000000")
+    assert serve(bytes.fromhex(EMPTY_BATCH)) == bytes.fromhex("00000000 00000000")
     events = list(wire.Decoder().batch(bytes.fromhex(THREE)[16:], 3))
     assert [(i, type(e).__name__) for i, e in events] == [
         (3, "RequestArrived"),
@@ -115,7 +115,7 @@
 
 
 def test_a_request_goes_through_the_adapter() -> None:
-    start = [power_on(), bytes.fromhex(LIST), bytes.fromhex("50 0300 02 29000000 00000000")]
+    start = [instance_started(), bytes.fromhex(UPSTREAM_LIST), bytes.fromhex("50 0300 02 29000000 00000000")]
     arrival = bytes.fromhex(EVENTS[1][0])
     told = serve(batch(start) + batch([arrival]))
     size, count = struct.unpack_from("<II", told)
@@ -125,8 +125,8 @@
 
 def test_a_restart_in_one_batch_forgets_everything() -> None:
     members = bytes.fromhex("50 0300 02 29000000 00000000")
-    start = [power_on(), bytes.fromhex(LIST), members]
-    again = [bytes.fromhex("28 0300"), power_on(seed=10), members]
+    start = [instance_started(), bytes.fromhex(UPSTREAM_LIST), members]
+    again = [bytes.fromhex("28 0300"), instance_started(seed=10), members]
     late = bytes.fromhex(EVENTS[5][0])
     told = serve(batch(start) + batch([bytes.fromhex(EVENTS[1][0])]) + batch(again) + batch([late]))
     assert told.endswith(bytes(8))  # the late outcome means nothing to the new instance
@@ -135,7 +135,7 @@
 def test_a_list_number_is_resolved_in_event_order() -> None:
     short = bytes.fromhex("6e 00000000 00000000")
     members = bytes.fromhex("50 0300 01 29000000 00000000")
-    data = bytes.fromhex(LIST) + members + short + members
+    data = bytes.fromhex(UPSTREAM_LIST) + members + short + members
     first, second = wire.Decoder().batch(data, 4)
     assert isinstance(first[1], api.UpstreamsUpdated) and len(first[1].upstreams) == 2
     assert isinstance(second[1], api.UpstreamsUpdated) and second[1].upstreams == []
@@ -145,7 +145,7 @@
     ("data", "words"),
     [
         (bytes(7), "batch 0: truncated header: 7 of 16 bytes"),
-        (bytes.fromhex(EMPTY) + bytes.fromhex(THREE)[:30], "batch 1: truncated body"),
+        (bytes.fromhex(EMPTY_BATCH) + bytes.fromhex(THREE)[:30], "batch 1: truncated body"),
         (batch([b"\x07\x03\x00"]), "record 0 at byte 0: unknown event code 7"),
         (batch([b"\x32\x03\x00\x01"]), "record 0 at byte 0: truncated"),
         (struct.pack("<IIQ", 3, 0, 5) + b"abc", "3 bytes left over"),
@@ -156,15 +156,24 @@
             batch([bytes.fromhex("6e 00000000 01000000 074a1203 00 00 0000 09 0000803f 0000000000000000")]),
             "unknown upstream condition 9",
         ),
-        (batch([power_on("instances=3\nnonsense")]), "settings line 2: expected path=value"),
+        (batch([instance_started("instances=3\nnonsense")]), "settings line 2: expected path=value"),
         (
-            batch([power_on(OPTIONS.replace("instances=3", "instances=many"))]),
+            batch([instance_started(OPTIONS.replace("instances=3", "instances=many"))]),
             "setting instances: expected a number",
         ),
-        (batch([power_on(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
-        (batch([power_on(OPTIONS.replace("most-tries=4", "most-tries=-4"))]), "max_attempts of 1 or more"),
-        (batch([power_on(OPTIONS.replace("=at_most_once", "=sometimes"))]), "expected one of idempotent"),
-        (batch([power_on(OPTIONS.replace("cancel=true", "cancel=yes"))]), "expected one of true, false"),
+        (batch([instance_started(OPTIONS.replace("instances=3\n", ""))]), "setting instances is missing"),
+        (
+            batch([instance_started(OPTIONS.replace("most-tries=4", "most-tries=-4"))]),
+            "max_attempts of 1 or more",
+        ),
+        (
+            batch([instance_started(OPTIONS.replace("=at_most_once", "=sometimes"))]),
+            "expected one of idempotent",
+        ),
+        (
+            batch([instance_started(OPTIONS.replace("cancel=true", "cancel=yes"))]),
+            "expected one of true, false",
+        ),
     ],
 )
 def test_what_is_malformed_is_told_in_one_line(data: bytes, words: str) -> None:
@@ -193,7 +202,7 @@
         raise IndexError("index out of range")
 
     monkeypatch.setattr(Balancer, "handle", broken)
-    told = serve(batch([power_on()]) + batch([bytes.fromhex("32 0300 4d000000")]))
+    told = serve(batch([instance_started()]) + batch([bytes.fromhex("32 0300 4d000000")]))
     assert b"IndexError: index out of range" in told
 
 
@@ -201,9 +210,9 @@
     def day(instances: list[int]) -> dict[int, list[bytes]]:
         host = adapter.Host()
         seen: dict[int, list[bytes]] = {i: [] for i in instances}
-        start = [bytes.fromhex(LIST)]
+        start = [bytes.fromhex(UPSTREAM_LIST)]
         for i in instances:
-            start += [power_on(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
+            start += [instance_started(instance=i, seed=i), struct.pack("<BHBII", 80, i, 2, 1, 0)]
         host.batch(1_000_000, len(start), b"".join(start))
         for n in range(50):
             for i in instances:
@@ -220,10 +229,10 @@
     monkeypatch.setattr(Balancer, "handle", lambda *_: [action])
     fired = batch([bytes.fromhex("32 0300 4d000000")])
     closed = OPTIONS.replace("cancel=true", "cancel=false")
-    told = serve(batch([power_on(closed)]) + fired)
+    told = serve(batch([instance_started(closed)]) + fired)
     assert b"where the settings forbid it" in told
     opened = OPTIONS.replace("peers=false", "peers=true").replace("probes=false", "probes=true")
-    assert serve(batch([power_on(opened)]) + fired).endswith(wire.encode(3, action))
+    assert serve(batch([instance_started(opened)]) + fired).endswith(wire.encode(3, action))
 
 
 def test_a_peer_message_is_256_bytes_at_most() -> None:
