--- a/sidecar_proxy/simulator_adapter/__init__.py
+++ b/sidecar_proxy/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The same decisions on the wire of the simulator."""
+"""Connects the balancer to the simulator through the simulator's binary protocol."""
--- a/sidecar_proxy/simulator_adapter/adapter.py
+++ b/sidecar_proxy/simulator_adapter/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts many instances of the decision module on the bench's wire: one reply for each batch."""
+"""Runs many balancers for the simulator in one process: one reply for each batch of events."""
 
 from __future__ import annotations
 
@@ -11,50 +11,51 @@
 
 
 def read_exactly(source: BinaryIO, size: int) -> bytes:
-    """`size` bytes, or fewer at the end of input."""
+    """Read `size` bytes, or fewer at the end of the input."""
     data = source.read(size)
     while len(data) < size:
-        more = source.read(size - len(data))
-        if not more:
+        chunk = source.read(size - len(data))
+        if not chunk:
             break
-        data += more
+        data += chunk
     return data
 
 
-class Host:
-    """The running instances; they share nothing but the decoder's upstream lists."""
+class BalancerHost:
+    """The running balancers by instance number; they share only the decoder's upstream lists."""
 
     def __init__(self) -> None:
         self.decoder = wire.Decoder()
-        self.instances: dict[int, Balancer] = {}
+        self.balancers: dict[int, Balancer] = {}
 
-    def batch(self, now_us: int, count: int, body: bytes) -> bytes:
+    def handle_batch(self, now_us: int, count: int, body: bytes) -> bytes:
+        """Pass the `count` events in the body to their balancers, and return the reply. Raises WireError."""
         records: list[bytes] = []
-        for instance, event in self.decoder.batch(body, count):
+        for instance, event in self.decoder.decode_batch(body, count):
             if isinstance(event, wire.InstanceStarted):
                 try:
                     settings = parse_settings(event.options)
                 except SettingsError as error:
                     raise wire.WireError(str(error)) from error
-                self.instances[instance] = Balancer(settings, event.seed, now_us)
+                self.balancers[instance] = Balancer(settings, event.seed, now_us)
             elif isinstance(event, wire.InstanceStopped):
-                self.instances.pop(instance, None)
-            elif instance in self.instances:
+                self.balancers.pop(instance, None)
+            elif instance in self.balancers:
                 try:
-                    balancer = self.instances[instance]
+                    balancer = self.balancers[instance]
                     for action in balancer.handle(now_us, event):
                         check_allowed(balancer.settings, action)
                         records.append(wire.encode(instance, action))
-                except Exception as error:  # a bug in the decisions is told on the wire, not hidden
+                except Exception as error:  # a bug in the balancer is reported to the simulator
                     text = f"{type(error).__name__}: {error}"
                     records.append(wire.encode(instance, wire.InternalError(text)))
         return wire.reply(records)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    host = Host()
-    number = 0
+    """Read batches and write replies until the input ends. Raises WireError."""
+    host = BalancerHost()
+    batch_number = 0
     while True:
         header = read_exactly(source, wire.HEADER.size)
         if not header:
@@ -66,22 +67,23 @@
             body = read_exactly(source, size)
             if len(body) < size:
                 raise wire.WireError(f"truncated body: {len(body)} of {size} bytes")
-            answer = host.batch(now_us, count, body)
+            reply = host.handle_batch(now_us, count, body)
         except wire.WireError as error:
-            raise wire.WireError(f"batch {number}: {error}") from error
-        sink.write(answer)
+            raise wire.WireError(f"batch {batch_number}: {error}") from error
+        sink.write(reply)
         sink.flush()
-        number += 1
+        batch_number += 1
 
 
 def main() -> int:
+    """Serve on standard input and output. Return 0, 2 for malformed input, or 3 if the output is closed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
         print(f"sidecar_proxy: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
-        print("sidecar_proxy: the reader of our replies is gone", file=sys.stderr)
+        print("sidecar_proxy: can't write replies: the simulator has closed the pipe", file=sys.stderr)
         return 3
     return 0
 
