--- a/deploy/compiled.py
+++ b/deploy/compiled.py
@@ -165,13 +165,13 @@
     known = loader(root)
     try:
         modules, compiler = listed(root)
-        key = str(known.key_of(root, modules, compiler))
+        key = str(known.compute_key(root, modules, compiler))
     except OSError as error:
         raise Failed(f"{error.strerror}: {error.filename}") from error
     folder = (out or root / "sidecar_proxy") / known.FOLDER
     target = folder / key
-    with contextlib.suppress(known.Unusable):
-        known.look(target, root)
+    with contextlib.suppress(known.UnusableFolderError):
+        known.library_paths(target, root)
         return key
     if only_look:
         raise Failed("not made yet")
@@ -183,11 +183,11 @@
     try:
         build(root, part, modules, compiler)
         os.chmod(part, 0o755)
-        if str(known.key_of(root, modules, compiler)) != key:
+        if str(known.compute_key(root, modules, compiler)) != key:
             raise Failed("the sources were changed meanwhile")
         if target.exists():  # of another build that was quicker, or a bad one
-            with contextlib.suppress(known.Unusable):
-                known.look(target, root)
+            with contextlib.suppress(known.UnusableFolderError):
+                known.library_paths(target, root)
                 return key
             shutil.rmtree(target, ignore_errors=True)
         with contextlib.suppress(OSError):  # another build was quicker just now
--- a/sidecar_proxy/compiled.py
+++ b/sidecar_proxy/compiled.py
@@ -25,11 +25,11 @@
 state = "from its sources"  # which of the two runs, for people
 
 
-class Unusable(Exception):
+class UnusableFolderError(Exception):
     """A folder is not for these sources or this interpreter; one line."""
 
 
-def key_of(root: Path, modules: Iterable[str], compiler: str, abi: str = ABI) -> str:
+def compute_key(root: Path, modules: Iterable[str], compiler: str, abi: str = ABI) -> str:
     """The digest that names the compiled form of these sources (paths from `root`). Raises OSError."""
     digest = hashlib.blake2b(f"{FORM}\n{abi}\n{compiler}\n".encode(), digest_size=10)
     for name in modules:
@@ -44,24 +44,24 @@
     return path.removesuffix(".py").replace("/", ".")
 
 
-def look(folder: Path, root: Path) -> dict[str, str]:
-    """Module names and library paths of one folder. Raises Unusable."""
+def library_paths(folder: Path, root: Path) -> dict[str, str]:
+    """Module names and library paths of one folder. Raises UnusableFolderError."""
     try:
         with open(folder / MANIFEST, "rb") as file:
             found = json.loads(file.read(MOST_MANIFEST))
         modules, compiler, files = found["modules"], found["compiler"], found["files"]
-        if folder.name != key_of(root, modules, compiler):
-            raise Unusable("it was made of other sources, or for another Python")
+        if folder.name != compute_key(root, modules, compiler):
+            raise UnusableFolderError("it was made of other sources, or for another Python")
         for name, (path, size) in files.items():
             if os.stat(folder / path).st_size != size:
-                raise Unusable(f"{path} is not whole")
+                raise UnusableFolderError(f"{path} is not whole")
             if "/" in path or not isinstance(name, str):
-                raise Unusable("its manifest is malformed")
+                raise UnusableFolderError("its manifest is malformed")
         return {name: str(folder / path) for name, (path, _) in files.items()}
     except OSError as error:
-        raise Unusable(f"{error.strerror}: {os.path.basename(str(error.filename))}") from error
+        raise UnusableFolderError(f"{error.strerror}: {os.path.basename(str(error.filename))}") from error
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise Unusable("its manifest is malformed") from error
+        raise UnusableFolderError("its manifest is malformed") from error
 
 
 class Finder:
@@ -95,8 +95,8 @@
         folders = []
     for folder in sorted(folders):
         try:
-            paths = look(Path(folder), package.parent)
-        except Unusable as error:
+            paths = library_paths(Path(folder), package.parent)
+        except UnusableFolderError as error:
             why = f"; {FOLDER}/{os.path.basename(folder)} is not used: {error}"
             continue
         sys.meta_path.insert(0, Finder(paths))
