--- a/sidecar_proxy/http2/connection.py
+++ b/sidecar_proxy/http2/connection.py
@@ -20,8 +20,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 # error codes (RFC 9113, 7)
-NO_ERROR, PROTOCOL_ERROR, INTERNAL_ERROR = 0x0, 0x1, 0x2
-REFUSED_STREAM, CANCEL, ENHANCE_YOUR_CALM = 0x7, 0x8, 0xB
+NO_ERROR, PROTOCOL_ERROR, INTERNAL_ERROR, REFUSED_STREAM, CANCEL, ENHANCE_YOUR_CALM = 0, 1, 2, 7, 8, 0xB
 MAX_HEADER_FIELDS = 128
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
 GOAWAY = 0x7  # frame type
