--- a/sidecar_proxy/grpc/front.py
+++ b/sidecar_proxy/grpc/front.py
@@ -28,15 +28,15 @@
     NO_ERROR,
     PREFACE,
     Connection,
+    ConnectionEnded,
     DataReceived,
-    Ended,
     HeadersReceived,
     Limits,
     StreamError,
     StreamReset,
     TrailersReceived,
 )
-from sidecar_proxy.http2.endpoint import Endpoint
+from sidecar_proxy.http2.protocol import Http2Protocol
 
 START_DELAY_S = 0.02  # delay from the headers of a call to its start, if the request is incomplete
 LINGER_TIMEOUT_S = 1.0  # maximum time for a client to read a complete response
@@ -139,7 +139,7 @@
             self.http1_connection.unparsed_bytes = len(self.data)
 
 
-class GrpcClientConnection(Endpoint):
+class GrpcClientConnection(Http2Protocol):
     """The connection of a gRPC client. Towards the listener it is a DownstreamConnection."""
 
     receive_timeout_s = 2.2  # maximum time from the accept to the first call
@@ -202,7 +202,7 @@
                     self.on_data(event.stream, b"", True)
                 case StreamReset():
                     self.drop_stream(event.stream)
-                case Ended():
+                case ConnectionEnded():
                     self.on_connection_ended(event)
         self.front.upstream_pool.enforce_buffer_limit()
         self.schedule()
@@ -218,7 +218,7 @@
             if relay.bound_attempt is None or not relay.bound_attempt.unflushed_bytes:
                 del self.unflushed_calls[relay.stream]
         for stream in list(self.linger_deadlines):
-            if not self.choked and not self.http2.unsent(stream):
+            if not self.is_writing_paused and not self.http2.unsent(stream):
                 del self.linger_deadlines[stream]
                 if stream in self.open_request_streams:
                     # The response is complete; the rest of the request is not needed (RFC 9113, 8.1).
@@ -400,7 +400,7 @@
 
     def widen(self, stream: int, window: int) -> None:
         """Raise the stream's receive window."""
-        self.http2.widen(stream, window)
+        self.http2.set_receive_window(stream, window)
         self.schedule()
 
     def reset(self, stream: int, code: int) -> None:
@@ -463,7 +463,7 @@
         if self.transport is None or self.transport.is_closing():
             return
         self.http2.refuse_new()
-        if not self.choked:
+        if not self.is_writing_paused:
             self.transport.write(self.http2.outgoing())
         (self.transport.abort if self.transport.get_write_buffer_size() else self.transport.close)()
 
@@ -490,10 +490,10 @@
         self.http2.refuse_new()
         self.schedule()
 
-    def on_connection_ended(self, event: Ended) -> None:
+    def on_connection_ended(self, event: ConnectionEnded) -> None:
         """Cancel the open calls, and close the connection with a GOAWAY that states the error."""
         if event.code != NO_ERROR:
-            self.server.warn_rate_limited(f"gRPC client connection: HTTP/2 error: {event.why}")
+            self.server.warn_rate_limited(f"gRPC client connection: HTTP/2 error: {event.reason}")
         self.abandon_calls()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(self.http2.outgoing())
--- a/sidecar_proxy/grpc/upstream.py
+++ b/sidecar_proxy/grpc/upstream.py
@@ -19,6 +19,7 @@
     CANCEL,
     NO_ERROR,
     Connection,
+    ConnectionEnded,
     DataReceived,
     HeadersReceived,
     Limits,
@@ -27,9 +28,8 @@
     TrailersReceived,
     Writable,
 )
-from sidecar_proxy.http2.connection import Ended as ConnectionEnded
 from sidecar_proxy.http2.connection import GoawayReceived as Goaway
-from sidecar_proxy.http2.endpoint import Endpoint
+from sidecar_proxy.http2.protocol import Http2Protocol
 
 MAX_UNSENT_BYTES = 64 * 1024  # maximum size of the data that waits for the upstream's flow-control window
 SWEEP_INTERVAL_S = 0.25
@@ -202,7 +202,7 @@
         """Raise the stream's receive window."""
         self.is_window_widened = True
         if self.connection is not None:
-            self.connection.http2.widen(self.stream, window)
+            self.connection.http2.set_receive_window(self.stream, window)
 
     def consumed(self, size: int) -> None:
         """Return window for data that the client has received, so that the upstream may send more."""
@@ -298,7 +298,7 @@
     return first_message_size(data) in (None, len(data))
 
 
-class GrpcUpstreamConnection(Endpoint):
+class GrpcUpstreamConnection(Http2Protocol):
     """An HTTP/2 connection to an upstream."""
 
     def __init__(self, upstream_pool: UpstreamPool, host: ListedUpstream) -> None:
@@ -321,7 +321,7 @@
         """Return whether another stream may be opened."""
         if self.is_retired or self.generation != self.host.generation:
             return False
-        return len(self.streams) + len(self.pending_attempts) < self.http2.most_streams(
+        return len(self.streams) + len(self.pending_attempts) < self.http2.max_streams(
             MAX_STREAMS_PER_CONNECTION
         )
 
@@ -416,7 +416,7 @@
                         writable.source.send_pending()
                 case Goaway():
                     self.retire()
-                    for stream in [stream for stream in self.streams if stream > event.last]:
+                    for stream in [stream for stream in self.streams if stream > event.last_stream]:
                         self.streams[stream].on_stream_closed(AttemptEnd.GOAWAY)
                 case ConnectionEnded():
                     self.on_connection_ended(event)
@@ -465,7 +465,7 @@
         self.retire()
         if event.code != NO_ERROR:
             self.upstream_pool.connection_pool.warn_rate_limited(
-                f"upstream {self.host.address[0]}: HTTP/2 error: {event.why}"
+                f"upstream {self.host.address[0]}: HTTP/2 error: {event.reason}"
             )
         self.flush()
         for attempt in list(self.streams.values()):
--- a/tests/grpc/rig.py
+++ b/tests/grpc/rig.py
@@ -18,8 +18,8 @@
 from sidecar_proxy.http1.upstream import ConnectionPool
 from sidecar_proxy.http2.connection import (
     Connection,
+    ConnectionEnded,
     DataReceived,
-    Ended,
     Event,
     GoawayReceived,
     HeadersReceived,
@@ -139,7 +139,7 @@
         """Return code, trailers and message data; code -1 = the stream was reset or the connection lost."""
 
         def is_over() -> bool:
-            ended = any(isinstance(event, Ended) for event in self.events)
+            ended = any(isinstance(event, ConnectionEnded) for event in self.events)
             return bool(
                 self.status(stream) is not None
                 or self.events_of(StreamReset, stream)
@@ -152,8 +152,8 @@
         data = b"".join(event.data for event in self.events_of(DataReceived, stream))
         return int(trailers.get(b"grpc-status", b"-1")), trailers, data
 
-    def connection_end(self) -> Ended | None:
-        return next((event for event in self.events if isinstance(event, Ended)), None)
+    def connection_end(self) -> ConnectionEnded | None:
+        return next((event for event in self.events if isinstance(event, ConnectionEnded)), None)
 
     def goaway_code(self) -> int | None:
         """Return the error code of the last GOAWAY; None if none was received."""
