--- a/sidecar_proxy/admin/warm_start_codec.py
+++ b/sidecar_proxy/admin/warm_start_codec.py
@@ -115,16 +115,20 @@
 def decode(data: bytes) -> WarmStartRecord:
     """Decode and validate a stored state. Raises UntrustedStateError."""
     if len(data) > MAX_STATE_BYTES:
-        raise DamagedStateError("too large")
+        raise DamagedStateError(f"state of at least {len(data)} bytes, the maximum is {MAX_STATE_BYTES}")
     head, _, body = data.partition(b"\n")
     if not head.startswith(MAGIC):
         raise UnsupportedVersionError
     if head[len(MAGIC) :] != checksum(body):
-        raise DamagedStateError("wrong checksum")
+        # What stands in place of the checksum in a damaged file may be long: only its usual length is logged.
+        stored_checksum = head[len(MAGIC) :][: 2 * DIGEST_BYTES]
+        raise DamagedStateError(
+            f"stored checksum is {stored_checksum!r}, that of the content is {checksum(body)!r}"
+        )
     try:
         return msgspec.msgpack.decode(body, type=WarmStartRecord)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise DamagedStateError(f"malformed: {error}") from error
+        raise DamagedStateError(f"state is not a valid WarmStartRecord: {error}") from error
 
 
 def checksum(body: bytes) -> bytes:
@@ -135,9 +139,16 @@
 def weight_at_age(age_us: int) -> float:
     """Return the weight of a state of this age, from 0 to 1. Raises StateAgeError."""
     if age_us < -MAX_CLOCK_SKEW_US:
-        raise StateAgeError("from the future", age_us)
+        raise StateAgeError(
+            f"timestamp of the state is {-age_us / 1e6} s in the future, "
+            f"the maximum is {MAX_CLOCK_SKEW_US / 1e6} s",
+            age_us,
+        )
     if age_us >= MAX_AGE_US:
-        raise StateAgeError(f"{age_us // 1_000_000} s old", age_us)
+        raise StateAgeError(
+            f"state is {age_us // 1_000_000} s old, it must be less than {MAX_AGE_US // 1_000_000} s old",
+            age_us,
+        )
     return min(1.0, (MAX_AGE_US - age_us) / (MAX_AGE_US - MAX_TRUSTED_AGE_US))
 
 
--- a/sidecar_proxy/balancer/ordered_index.py
+++ b/sidecar_proxy/balancer/ordered_index.py
@@ -74,7 +74,7 @@
             if rank < len(block):
                 return block[rank]
             rank -= len(block)
-        raise IndexError("the rank is beyond the last value")
+        raise IndexError(f"rank {rank + self.size} is not below the size, {self.size}")
 
     def cycle_from(self, rank: int) -> Iterator[V]:
         """Yield all values once, starting at a rank and wrapping around after the last value."""
--- a/sidecar_proxy/http1/upstream.py
+++ b/sidecar_proxy/http1/upstream.py
@@ -503,7 +503,10 @@
                 closes = closes or b"close" in value.lower()
         max_body_bytes = MAX_BODY_BYTES if self.may_stream() else MAX_BUFFERED_BODY_BYTES
         if head_bytes > MAX_HEAD_BYTES or (self.content_length or 0) > max_body_bytes:
-            raise ValueError("too large")
+            raise ValueError(
+                f"header of {head_bytes} bytes (maximum {MAX_HEAD_BYTES}) or "
+                f"Content-Length {self.content_length} (maximum {max_body_bytes}) is too large"
+            )
         # A body without framing ends with its connection (RFC 9112, 6.3).
         self.ends_with_connection = closes and not is_framed
         if (self.content_length or 0) > MAX_BUFFERED_BODY_BYTES:
@@ -517,7 +520,10 @@
             self.body += body
             if len(self.body) > MAX_BUFFERED_BODY_BYTES:
                 if not self.may_stream():
-                    raise ValueError("too large")
+                    raise ValueError(
+                        f"body of at least {len(self.body)} bytes that is not streamed, "
+                        f"the maximum is {MAX_BUFFERED_BODY_BYTES}"
+                    )
                 self.open_stream()
         else:
             self.sink.write(body)
--- a/sidecar_proxy/overload_control/messages.py
+++ b/sidecar_proxy/overload_control/messages.py
@@ -96,7 +96,7 @@
 def decode(data: bytes) -> OverloadMessage:
     """Decodes one message. Raises MessageError if it is too large or malformed."""
     if len(data) > MAX_MESSAGE_BYTES:
-        raise MessageError("too large")
+        raise MessageError(f"message of {len(data)} bytes, the maximum is {MAX_MESSAGE_BYTES}")
     try:
         return _decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
--- a/tests/overload_control/test_messages.py
+++ b/tests/overload_control/test_messages.py
@@ -85,5 +85,6 @@
 
 
 def test_message_over_the_size_limit_raises_message_error() -> None:
-    with pytest.raises(MessageError, match="too large"):
-        messages.decode(b"\x00" * (messages.MAX_MESSAGE_BYTES + 1))
+    limit = messages.MAX_MESSAGE_BYTES
+    with pytest.raises(MessageError, match=f"message of {limit + 1} bytes, the maximum is {limit}"):
+        messages.decode(b"\x00" * (limit + 1))
