--- a/sidecar_proxy/consensus/leader_requests.py
+++ b/sidecar_proxy/consensus/leader_requests.py
@@ -57,8 +57,8 @@
     def __init__(self, context: ReplicaContext, proposals: PendingProposals) -> None:
         self.context = context
         self.proposals = proposals  # receives the replies to this sidecar's own requests
-        self.proposed: dict[int, ProposedCommand] = {}  # by the index of their entry
-        self.reads: dict[int, RequestedRead] = {}  # by their read id in the Raft core
+        self.proposed: dict[int, ProposedCommand] = {}  # proposed commands by the index of their log entry
+        self.reads: dict[int, RequestedRead] = {}  # pending reads by read id of the Raft core
         self.last_read_id = BARRIER_READ_ID
         self.facts_provider: FactsProvider | None = None
 
--- a/sidecar_proxy/consensus/proposals.py
+++ b/sidecar_proxy/consensus/proposals.py
@@ -56,7 +56,7 @@
     """The requests that were submitted at this sidecar and are not completed yet."""
 
     def __init__(self) -> None:
-        self.pending: dict[int, PendingProposal] = {}  # by the number in their LeaderRequest
+        self.pending: dict[int, PendingProposal] = {}  # proposals by the number in their LeaderRequest
         self.last_number = 0
 
     def add(self, request_id: int, command: bytes, name: str, now_us: int) -> ProposalResult | None:
--- a/sidecar_proxy/consensus/raft.py
+++ b/sidecar_proxy/consensus/raft.py
@@ -78,7 +78,7 @@
     """Pending work for the caller, in this order: write and sync, send, apply."""
 
     hard_state: HardState | None = None  # None if unchanged
-    snapshot: Snapshot | None = None  # to be persisted in place of the whole log, before `entries`
+    snapshot: Snapshot | None = None  # replaces the whole log; is persisted before `entries`
     entries: list[Entry] = field(default_factory=list)  # replace the log from the index of the first entry
     messages: list[Message] = field(default_factory=list)
     committed: list[Entry] = field(default_factory=list)
--- a/sidecar_proxy/consensus/transport.py
+++ b/sidecar_proxy/consensus/transport.py
@@ -43,7 +43,7 @@
 GREETING_TIMEOUT_S = 2.0  # timeout for opening a connection and exchanging greetings
 WRITE_TIMEOUT_S = 3.0
 IDLE_TIMEOUT_S = 15.0
-MAX_QUEUED_BYTES = 256 * 1024  # maximum size of the frames queued for one node; further ones are dropped
+MAX_QUEUED_BYTES = 256 * 1024  # maximum size of the frames queued for one node; further frames are dropped
 MAX_ACCEPTED_CONNECTIONS = 400
 # More than one accepted connection, as the loss of a node's old connection may not have been noticed yet.
 MAX_CONNECTIONS_PER_NODE = 4
@@ -133,7 +133,7 @@
         except RejectedError as error:
             transport.count_rejection(f"{self.node}: {error}")
         except CONNECTION_ERRORS:
-            pass  # not logged: consensus notices that the node does not reply
+            pass  # a failed connection is not logged: consensus notices that the node does not reply
         finally:
             if reader_task is not None and not reader_task.cancel() and not reader_task.cancelled():
                 reader_task.exception()  # marks it as retrieved: it was handled above, or no longer matters
--- a/sidecar_proxy/consensus/voters.py
+++ b/sidecar_proxy/consensus/voters.py
@@ -23,7 +23,7 @@
     node: NodeId
     name: str
     site: str
-    is_caught_up: bool = False  # whether it responds and lacks at most the last few entries
+    is_caught_up: bool = False  # whether the node responds and lacks at most the last few log entries
 
 
 @dataclass(slots=True, frozen=True)
--- a/sidecar_proxy/gossip/blocklist.py
+++ b/sidecar_proxy/gossip/blocklist.py
@@ -8,7 +8,8 @@
 
 MAX_FORGERIES = 20  # number of forged packets after which an address is blocked
 BLOCK_US = 10_000_000  # time after the first forged packet at which the block ends and the count restarts
-MAX_ADDRESSES = 4096  # maximum number of addresses with a count; the least recently counted is evicted
+# maximum number of addresses with a count; the one whose last forgery is the oldest is evicted
+MAX_ADDRESSES = 4096
 
 
 class AddressBlocklist:
--- a/sidecar_proxy/gossip/codec.py
+++ b/sidecar_proxy/gossip/codec.py
@@ -24,7 +24,7 @@
 MAX_REPORTED_UPSTREAMS = 8  # maximum number of upstreams in one outlier report
 MAX_TOPIC_BODY_BYTES = 512
 MAX_NAME_LENGTH = 64
-MAX_INTEGER = 2**53  # maximum of incarnations, times and counters
+MAX_INTEGER = 2**53  # maximum value of incarnations, times and counters
 MAX_STATEMENTS = 5000  # maximum number of statements of one side of a state exchange
 MAX_ERROR_LENGTH = 100
 
@@ -44,7 +44,7 @@
     site: Name
     key: Key  # public key of the instance
     expires_s: Unsigned  # Unix time
-    signature: Signature  # of the other fields by the fleet key
+    signature: Signature  # signature of the other fields by the fleet key
 
 
 class Alive(msgspec.Struct, array_like=True, frozen=True, tag=1):
--- a/sidecar_proxy/gossip/core.py
+++ b/sidecar_proxy/gossip/core.py
@@ -74,7 +74,8 @@
         self.reports: dict[str, SignedStatement] = {}  # the latest outlier report of each author
         self.rng = rng
         self._sign = sign
-        self._topic_times_us: dict[tuple[str, str], int] = {}  # of the latest broadcast, by author and topic
+        # time of the latest broadcast, by author and topic
+        self._topic_times_us: dict[tuple[str, str], int] = {}
         shuffled_seeds = rng.sample(seeds, len(seeds))
         self.local = LocalMember(incarnation, sign, make_alive)
         self.dissemination = Dissemination(self.members, sign)
--- a/sidecar_proxy/gossip/dissemination.py
+++ b/sidecar_proxy/gossip/dissemination.py
@@ -18,7 +18,7 @@
 from sidecar_proxy.gossip.members import MemberList, MemberState, Peer
 
 RETRANSMIT_MULTIPLIER = 2.5  # each broadcast is transmitted this many times log2 n
-MAX_SEEN_SIGNATURES = 16384  # more than the number of statements of a large fleet in a few seconds
+MAX_SEEN_SIGNATURES = 16384  # a large fleet makes fewer statements than this in a few seconds
 
 
 class BroadcastKind(enum.Enum):
--- a/sidecar_proxy/gossip/instance.py
+++ b/sidecar_proxy/gossip/instance.py
@@ -115,7 +115,7 @@
         self.wall_us = wall_us
         self.observations = LocalObservations()
         self.aggregator = ReportAggregator(keyring.certificate.site)
-        self.outlier_weights: dict[str, float] = {}  # by upstream, as last output
+        self.outlier_weights: dict[str, float] = {}  # weight that was last output, by upstream
         self.fleet_size = FleetSize(min_instances, 0)
         self.blocklist = AddressBlocklist()
         self.counts: Counter[str] = Counter()
--- a/sidecar_proxy/gossip/keys.py
+++ b/sidecar_proxy/gossip/keys.py
@@ -68,7 +68,7 @@
         self.revoked_serials = frozenset(revoked_serials)
         self.budget = budget or VerificationBudget()
         self.rejections: Counter[str] = Counter()
-        self.replay_windows: OrderedDict[str, ReplayWindow] = OrderedDict()  # by author, oldest first
+        self.replay_windows: OrderedDict[str, ReplayWindow] = OrderedDict()  # windows by author, oldest first
         self.last_sequence_us = 0  # last sequence that this instance has signed
         self._verified: OrderedDict[bytes, Certificate] = OrderedDict()  # certificates by signature
 
--- a/sidecar_proxy/gossip/members.py
+++ b/sidecar_proxy/gossip/members.py
@@ -37,7 +37,7 @@
     suspecters: set[str] = field(default_factory=set)  # authors of suspicions of the current incarnation
     last_urgent_us: int = 0  # when a report of this peer was last relayed urgently
     urgent_paced_until_us: int = 0  # theoretical arrival time in `next_urgent_us`
-    has_deferred_urgent: bool = False  # whether an urgent relay of its report is deferred
+    has_deferred_urgent: bool = False  # whether an urgent relay of this peer's report is deferred
 
     def next_urgent_us(self, now_us: int) -> int:
         """Return the earliest time at which the next report may be relayed urgently.
--- a/sidecar_proxy/gossip/observations.py
+++ b/sidecar_proxy/gossip/observations.py
@@ -59,7 +59,7 @@
     """This instance's observations of all upstreams."""
 
     def __init__(self) -> None:
-        self.upstreams: dict[str, UpstreamObservation] = {}  # by name, the oldest window first
+        self.upstreams: dict[str, UpstreamObservation] = {}  # upstreams by name, the oldest window first
         self.contradicted: dict[str, None] = {}  # upstreams that fail for others but not here, oldest first
 
     def record(self, upstream: str, started_ms: int, outcome: Outcome, now_us: int) -> bool:
--- a/sidecar_proxy/gossip/outlier_reports.py
+++ b/sidecar_proxy/gossip/outlier_reports.py
@@ -30,7 +30,7 @@
 class ReceivedReport:
     """One peer's report on one upstream."""
 
-    site: str  # of the peer
+    site: str  # site of the peer
     upstream: UpstreamReport
     last_attempt_us: int  # end of the last reported attempt, by this instance's monotonic clock
 
@@ -47,8 +47,9 @@
 class ReportAggregator:
     """The latest reports of the peers, and the weights of the upstreams."""
 
-    site: str  # of this instance
-    by_upstream: dict[str, dict[str, ReceivedReport]] = field(default_factory=dict)  # by upstream, author
+    site: str  # site of this instance
+    # latest reports, by upstream and author
+    by_upstream: dict[str, dict[str, ReceivedReport]] = field(default_factory=dict)
     _upstreams_by_author: dict[str, tuple[str, ...]] = field(default_factory=dict)
 
     def add(self, author: str, site: str, report: OutlierReport, now_us: int) -> list[str]:
--- a/sidecar_proxy/gossip/probing.py
+++ b/sidecar_proxy/gossip/probing.py
@@ -31,7 +31,7 @@
     direct_deadline_us: int  # when the indirect probe starts if there is no direct ack
     deadline_us: int  # when the probe has failed if there is no ack at all
     relays: int = 0  # peers that were sent a ping-req, or 1 if there are none; 0 = no indirect probe yet
-    nacks: int = 0  # received from these peers
+    nacks: int = 0  # number of nacks received from the peers that were sent a ping-req
 
 
 @dataclass(slots=True, frozen=True)
@@ -65,7 +65,7 @@
         self._counts = counts
         self._rng = rng
         self._probe: Probe | None = None
-        self._relayed: dict[int, RelayedProbe] = {}  # by the sequence number of this instance's ping
+        self._relayed: dict[int, RelayedProbe] = {}  # probes by sequence number of this instance's ping
         self._round: list[str] = []  # names of the peers still to be probed in this round, the next one last
         self._seq = rng.randrange(1 << 30)
         # The first probe is at a random time, so that instances started together do not probe together.
--- a/sidecar_proxy/gossip/push_pull.py
+++ b/sidecar_proxy/gossip/push_pull.py
@@ -9,9 +9,9 @@
 
 PUSH_PULL_INTERVAL_US = 30_000_000
 JOIN_INTERVAL_US = 500_000  # interval after the first exchange, doubled after each further one
-MAX_DOUBLINGS = 12  # maximum number of doublings of this interval
+MAX_DOUBLINGS = 12  # maximum number of doublings of JOIN_INTERVAL_US
 JOIN_SEEDS = 3  # number of seeds with which the first exchanges take place
-JOIN_ROUNDS = 2  # number of exchanges with each of these seeds
+JOIN_ROUNDS = 2  # number of exchanges with each of the JOIN_SEEDS seeds
 PEER_SHARE = 0.9  # share of the later exchanges that are with a peer instead of a seed
 # number of live peers per PUSH_PULL_INTERVAL_US: the interval is longer in a larger fleet, so that the bytes
 # per second do not increase
--- a/sidecar_proxy/gossip/subsystem.py
+++ b/sidecar_proxy/gossip/subsystem.py
@@ -44,7 +44,8 @@
         current = self._credentials.current
         self.keyring = Keyring(current.key, current.certificate, current.fleet_keys, current.revoked_serials)
         self.transport: GossipTransport | None = None
-        self.listeners: dict[str, Callable[[SubsystemMessage], None]] = {}  # of other subsystems, by topic
+        # handlers of the messages for other subsystems, by topic
+        self.listeners: dict[str, Callable[[SubsystemMessage], None]] = {}
         self._status_server: asyncio.Server | None = None
         self._credentials_timer: asyncio.TimerHandle | None = None
 
--- a/sidecar_proxy/gossip/transport.py
+++ b/sidecar_proxy/gossip/transport.py
@@ -57,7 +57,7 @@
         """
         self.instance = instance
         self.exchanges = 0  # number of state exchanges in progress
-        self.protocol_handlers: dict[bytes, ProtocolHandler] = {}  # of other protocols, by their magic
+        self.protocol_handlers: dict[bytes, ProtocolHandler] = {}  # handlers by the magic of their protocol
         # source address of connections; None = chosen by the system
         self.local_address: Address | None = None
         self.now_us = now_us
@@ -130,7 +130,7 @@
 
     def _send_datagram(self, datagram: Datagram) -> None:
         if self._udp is not None:
-            with contextlib.suppress(OSError, ValueError):  # no route to the peer
+            with contextlib.suppress(OSError, ValueError):  # raised if there is no route to the peer
                 self._udp.sendto(datagram.data, datagram.address)
 
     # State exchanges
--- a/sidecar_proxy/overload_control/quota_leases.py
+++ b/sidecar_proxy/overload_control/quota_leases.py
@@ -30,7 +30,7 @@
 LEASE_TERM_US = 3_000_000
 MAX_CLOCK_DRIFT = 0.02  # maximum relative difference between the rates of two clocks
 MAX_CLOCK_READ_AGE_US = 100_000  # maximum time between reading the clock and acting on the reading
-REQUEST_TIMEOUT_US = 1_000_000  # after this a new request may be sent to a lender that has not responded
+REQUEST_TIMEOUT_US = 1_000_000  # after this time a new request may be sent to a lender that has not responded
 MIN_LEASE_PARTS = 1000  # smaller leases are not worth a message
 MAX_LEASES = 8  # maximum number of leases that a sidecar grants, and of those that it borrows
 MAX_CLOSED_LEASES = 64 * MAX_LEASES  # ids of closed leases are kept, so that a late request can't reopen one
--- a/sidecar_proxy/overload_control/retry_after.py
+++ b/sidecar_proxy/overload_control/retry_after.py
@@ -12,7 +12,7 @@
 from sidecar_proxy.balancer.load_shedding import RETRY_TOLERANCE_US
 from sidecar_proxy.overload_control.shedding_threshold import SheddingThreshold
 
-MAX_SCHEDULED_RETRIES = 20_000  # maximum number of entries; the oldest are evicted
+MAX_SCHEDULED_RETRIES = 20_000  # maximum number of scheduled retries; the oldest are evicted
 MAX_LATENESS_US = 5_000_000  # an entry expires this long after its due time
 MIN_SPARE_SHARE = 0.02  # with a smaller share of spare capacity, Retry-After is the maximum of the settings
 
--- a/sidecar_proxy/overload_control/retry_storm.py
+++ b/sidecar_proxy/overload_control/retry_storm.py
@@ -20,7 +20,7 @@
 
     is_active: bool = False
     reason: str = ""  # text for operators: why `is_active` changed last
-    condition_since_us: int | None = None  # since when the condition for a change has been met
+    condition_since_us: int | None = None  # time since which the condition for a change of `is_active` is met
 
     def update(
         self,
